--- a/benches/overhead.rs
+++ b/benches/overhead.rs
@@ -5,7 +5,8 @@
 
 use linenproxy::settings::decode;
 use linenproxy::{
-    Action, AttemptEnd, Balancer, Event, ListUpdate, Listing, Load, Micros, NewRequest, Outcome, Status,
+    Action, AttemptEnd, Balancer, Event, ListUpdate, Listing, Load, Micros, NewRequest, Outcome,
+    Status,
 };
 use linenproxy_common::metering::Figures;
 use std::time::{Duration, Instant};
@@ -79,9 +80,14 @@
 
 fn main() {
     let figures = Figures::new();
-    let (attempts, requests) = (figures.counter("a_total", "", &[]), figures.counter("b_total", "", &[]));
-    let (of_attempt, of_request) =
-        (figures.seconds("a_seconds", "", &[]), figures.seconds("b_seconds", "", &[]));
+    let (attempts, requests) = (
+        figures.counter("a_total", "", &[]),
+        figures.counter("b_total", "", &[]),
+    );
+    let (of_attempt, of_request) = (
+        figures.seconds("a_seconds", "", &[]),
+        figures.seconds("b_seconds", "", &[]),
+    );
     let counted = || {
         attempts.increment(1);
         of_attempt.record(0.08);
@@ -97,7 +103,9 @@
     }
     ratios.sort_by(f64::total_cmp);
     let per_request = pass(|| {}).as_secs_f64() / REQUESTS as f64 * 1e6;
-    println!("deciding one request: {per_request:.2} us, {ENDPOINTS} endpoints, {REQUESTS} requests a run");
+    println!(
+        "deciding one request: {per_request:.2} us, {ENDPOINTS} endpoints, {REQUESTS} requests a run"
+    );
     println!(
         "with counting over without, {PAIRS} pairs: least {:.3}, median {:.3}, most {:.3}",
         ratios[0],
--- a/crates/bindings/src/contact.rs
+++ b/crates/bindings/src/contact.rs
@@ -48,7 +48,10 @@
 impl Contact {
     /// One that knows nobody: it is not in contact before it has been told who is there.
     pub fn new(me: u64) -> Self {
-        Self { me, beacons: BTreeMap::new() }
+        Self {
+            me,
+            beacons: BTreeMap::new(),
+        }
     }
 
     /// Those are all members, this one too: who runs, and who may still run without being heard.
@@ -58,10 +61,19 @@
         drawn.dedup();
         drawn.truncate(MOST_BEACONS);
         let heard = |number: u64| {
-            let known = self.beacons.get(&short(number)).filter(|heard| heard.number == number);
-            known.copied().unwrap_or(Heard { number, ..Heard::default() })
+            let known = self
+                .beacons
+                .get(&short(number))
+                .filter(|heard| heard.number == number);
+            known.copied().unwrap_or(Heard {
+                number,
+                ..Heard::default()
+            })
         };
-        self.beacons = drawn.into_iter().map(|number| (short(number), heard(number))).collect();
+        self.beacons = drawn
+            .into_iter()
+            .map(|number| (short(number), heard(number)))
+            .collect();
     }
 
     /// What a pulse tells of them at that instant.
@@ -77,7 +89,12 @@
         self.beacons.iter().filter_map(told).collect()
     }
 
-    fn heard_at(&self, heard: &Heard, now: Micros, sound: bool) -> (Option<Micros>, Option<Micros>) {
+    fn heard_at(
+        &self,
+        heard: &Heard,
+        now: Micros,
+        sound: bool,
+    ) -> (Option<Micros>, Option<Micros>) {
         match heard.number == self.me {
             true => (Some(now), sound.then_some(now).or(heard.sound)),
             false => (heard.at_all, heard.sound),
@@ -121,8 +138,12 @@
 
     /// Beacons that were heard of since that instant.
     pub fn beacons(&self, since: Micros) -> impl Iterator<Item = u64> {
-        let heard = move |heard: &&Heard| heard.sound.max(heard.at_all).is_some_and(|at| at >= since);
-        self.beacons.values().filter(heard).map(|heard| heard.number)
+        let heard =
+            move |heard: &&Heard| heard.sound.max(heard.at_all).is_some_and(|at| at >= since);
+        self.beacons
+            .values()
+            .filter(heard)
+            .map(|heard| heard.number)
     }
 }
 
@@ -161,20 +182,34 @@
                 }
             }
         }
-        all.iter().map(|c| c.since(now, true).map(|at| now - at)).collect()
+        all.iter()
+            .map(|c| c.since(now, true).map(|at| now - at))
+            .collect()
     }
 
     #[test]
     fn contact_reaches_all_within_the_silence_and_ends_for_the_smaller_side_of_a_cut() {
-        for (members, lost) in [(1, 0.3), (2, 0.3), (5, 0.3), (60, 0.3), (300, 0.3), (3000, 0.0)] {
+        for (members, lost) in [
+            (1, 0.3),
+            (2, 0.3),
+            (5, 0.3),
+            (60, 0.3),
+            (300, 0.3),
+            (3000, 0.0),
+        ] {
             let ages = oldest(members, lost, |_| false);
-            let worst = ages.iter().map(|age| age.unwrap_or(Micros::MAX)).max().unwrap_or(0);
+            let worst = ages
+                .iter()
+                .map(|age| age.unwrap_or(Micros::MAX))
+                .max()
+                .unwrap_or(0);
             assert!(worst < 4 * SECOND, "{members} members: {worst}");
         }
         let beacons: Vec<u64> = fleet(60)[0].beacons.values().map(|h| h.number).collect();
         // Six beacons on one side: ten are with the others.
         let small = |i: u64| {
-            beacons[..6].contains(&number(i)) || i.is_multiple_of(4) && !beacons.contains(&number(i))
+            beacons[..6].contains(&number(i))
+                || i.is_multiple_of(4) && !beacons.contains(&number(i))
         };
         let ages = oldest(60, 0.3, small);
         for (i, age) in (0..).zip(ages) {
--- a/crates/bindings/src/exchange.rs
+++ b/crates/bindings/src/exchange.rs
@@ -24,10 +24,11 @@
     /// # Errors
     /// Why it was refused; nothing of it was taken in.
     pub fn hear(&mut self, now: Micros, from: u64, bytes: &[u8]) -> Result<(), Refused> {
-        let read = Piece::read(bytes).and_then(|piece| match piece.stamp <= now + self.times.skew {
-            true => Ok(piece),
-            false => Err(Refused::Clock),
-        });
+        let read =
+            Piece::read(bytes).and_then(|piece| match piece.stamp <= now + self.times.skew {
+                true => Ok(piece),
+                false => Err(Refused::Clock),
+            });
         let piece = read.inspect_err(|_| self.census.refused += 1)?;
         let (newest, oldest) = (self.times.slot(now + self.times.skew), self.times.slot(now));
         for (process, phase) in piece.phases().filter(|(_, phase)| phase.since.0 <= newest) {
@@ -39,9 +40,13 @@
         for (process, epoch, member) in piece.reports() {
             self.phases.report(process, epoch, member);
             // What an earlier life of this member said holds for this one too.
-            if member == self.member && self.phases.ended(process, epoch) && self.table.holds(process) {
+            if member == self.member
+                && self.phases.ended(process, epoch)
+                && self.table.holds(process)
+            {
                 let phases = &self.phases;
-                self.table.retain(|_, of, word| of != process || !phases.ended(of, word.era));
+                self.table
+                    .retain(|_, of, word| of != process || !phases.ended(of, word.era));
             }
         }
         for (key, process, mut word) in piece.each_word() {
@@ -64,13 +69,19 @@
         if self.phases.whole() {
             self.contact.heard(piece.stamp, &piece.heard);
         }
-        if piece.asks && self.asked.len() < MOST_ASKED && self.asked.iter().all(|(who, _)| *who != from) {
+        if piece.asks
+            && self.asked.len() < MOST_ASKED
+            && self.asked.iter().all(|(who, _)| *who != from)
+        {
             self.asked.push_back((from, None));
         }
         if piece.ends {
             self.asks = 0;
         }
-        if let Some(floor) = piece.floor.filter(|(slot, _)| *slot <= newest + self.times.life_held) {
+        if let Some(floor) = piece
+            .floor
+            .filter(|(slot, _)| *slot <= newest + self.times.life_held)
+        {
             self.table.raise(floor);
         }
         Ok(())
@@ -80,11 +91,17 @@
     /// began; where a quorum was heard and most of it has just started too, nobody there knows more.
     fn follow(&mut self, now: Micros, mono: Micros) {
         let sound = self.hearing.sound();
-        if let Some(at) = self.contact.since(now, sound).filter(|at| sound || *at > self.begun) {
+        if let Some(at) = self
+            .contact
+            .since(now, sound)
+            .filter(|at| sound || *at > self.begun)
+        {
             self.hearing.contact(mono - (now - at));
         } else if !sound && now >= self.begun + self.times.silence {
-            let met =
-                self.contact.met(now).is_some_and(|at| at > self.begun && now - at < self.times.silence);
+            let met = self
+                .contact
+                .met(now)
+                .is_some_and(|at| at > self.begun && now - at < self.times.silence);
             self.hearing.founds(met);
         }
     }
@@ -113,7 +130,10 @@
     fn tell(&mut self, now: Micros) {
         let phases = &self.phases;
         let era = |process| Some(phases.era(process)).filter(|era| !phases.ended(process, *era));
-        for (key, process, word) in self.telling.due_now(now, PULSE, &self.table, &self.times, era) {
+        for (key, process, word) in self
+            .telling
+            .due_now(now, PULSE, &self.table, &self.times, era)
+        {
             self.census.told += 1;
             self.table.merge(key, process, word);
             self.rumours.add(key, process);
@@ -124,8 +144,13 @@
         let (phases, times) = (&self.phases, &self.times);
         self.table.age(slot);
         if phases.iter().next().is_some() {
-            let moved = |key, process, era| phases.moves(key, process, era, times).is_some_and(|m| m <= slot);
-            self.table.retain(|key, process, word| !moved(key, process, word.era));
+            let moved = |key, process, era| {
+                phases
+                    .moves(key, process, era, times)
+                    .is_some_and(|m| m <= slot)
+            };
+            self.table
+                .retain(|key, process, word| !moved(key, process, word.era));
         }
         let left: Vec<_> = phases.iter().filter(|(_, phase)| phase.leaves).collect();
         for (process, phase) in left {
@@ -145,8 +170,14 @@
         piece.asks = self.asks > 0;
         piece.floor = self.table.floor();
         self.asks = self.asks.saturating_sub(1);
-        self.phases.iter().for_each(|(process, phase)| piece.phase(process, phase));
-        let left: Vec<_> = self.phases.iter().filter(|(_, phase)| phase.leaves).collect();
+        self.phases
+            .iter()
+            .for_each(|(process, phase)| piece.phase(process, phase));
+        let left: Vec<_> = self
+            .phases
+            .iter()
+            .filter(|(_, phase)| phase.leaves)
+            .collect();
         self.turn = mix(self.turn, 1);
         for i in 0..left.len() {
             let (process, phase) = left[(i + self.turn as usize % left.len()) % left.len()];
@@ -167,7 +198,11 @@
             }
         }
         over.into_iter().for_each(|of| self.rumours.went(of, true));
-        let base = words.iter().map(|(.., word)| word.ends).max().unwrap_or(slot);
+        let base = words
+            .iter()
+            .map(|(.., word)| word.ends)
+            .max()
+            .unwrap_or(slot);
         let went = piece.news(base, words.into_iter());
         went.into_iter().for_each(|of| self.rumours.went(of, false));
         piece.bytes()
@@ -175,10 +210,16 @@
 
     /// The next turn of the answer to a member that asked.
     fn answer(&mut self, now: Micros) -> Vec<(u64, Vec<u8>)> {
-        let Some((who, from)) = self.asked.pop_front() else { return Vec::new() };
+        let Some((who, from)) = self.asked.pop_front() else {
+            return Vec::new();
+        };
         let (mut words, mut rank) = (Vec::new(), from);
         for at in self.table.below(from).take(ANSWER) {
-            words.extend(self.table.words(at.2).map(|(process, word)| (at.2, process, word)));
+            words.extend(
+                self.table
+                    .words(at.2)
+                    .map(|(process, word)| (at.2, process, word)),
+            );
             rank = Some(at);
         }
         if rank == from {
@@ -187,6 +228,9 @@
             return vec![(who, end.bytes())];
         }
         self.asked.push_back((who, rank));
-        Piece::words(now, words).iter().map(|piece| (who, piece.bytes())).collect()
+        Piece::words(now, words)
+            .iter()
+            .map(|piece| (who, piece.bytes()))
+            .collect()
     }
 }
--- a/crates/bindings/src/hearing.rs
+++ b/crates/bindings/src/hearing.rs
@@ -17,7 +17,11 @@
     /// One that starts. It is `sound` where it founds the fleet; else only after its first contact, as it does not know
     /// which processes left before it came.
     pub fn new(silence: Micros, sound: bool) -> Self {
-        Self { silence, until: None, sound }
+        Self {
+            silence,
+            until: None,
+            sound,
+        }
     }
 
     /// It is in contact with the others at that instant of its monotonic clock.
--- a/crates/bindings/src/histories.rs
+++ b/crates/bindings/src/histories.rs
@@ -27,7 +27,11 @@
 /// Lives as short as they can be beside the spread, so that much ages out in a history.
 fn section() -> BindingsSection {
     let (life_new, life_held) = (Time::ms(6000), Time::ms(12_000));
-    BindingsSection { life_new, life_held, ..BindingsSection::default() }
+    BindingsSection {
+        life_new,
+        life_held,
+        ..BindingsSection::default()
+    }
 }
 
 fn process(name: u64) -> Process {
@@ -97,8 +101,16 @@
             // Two clocks differ by the skew at the most; one history in eight has one that is off by two seconds.
             let half = times.skew / 2;
             let off = i == 0 && world.rng.u8(..8) == 0;
-            let way = if world.rng.bool() { 2_000_000 } else { -2_000_000 };
-            let offset = if off { way } else { world.rng.i64(-half..=half) };
+            let way = if world.rng.bool() {
+                2_000_000
+            } else {
+                -2_000_000
+            };
+            let offset = if off {
+                way
+            } else {
+                world.rng.i64(-half..=half)
+            };
             let node = world.boot(i, offset, true);
             world.nodes.push(node);
         }
@@ -110,12 +122,30 @@
         let (members, life) = (self.cut.len(), self.sent);
         let rates = section().rates(members as u32);
         let number = member(i as u64);
-        let mut bindings = Bindings::new(self.t + offset, self.times, self.capacity, rates, number, founds);
-        (bindings.guards, bindings.telling.guards, bindings.table.guards) =
-            (self.guards, self.guards, self.guards);
+        let mut bindings = Bindings::new(
+            self.t + offset,
+            self.times,
+            self.capacity,
+            rates,
+            number,
+            founds,
+        );
+        (
+            bindings.guards,
+            bindings.telling.guards,
+            bindings.table.guards,
+        ) = (self.guards, self.guards, self.guards);
         bindings.roster(&(0..members as u64).map(member).collect::<Vec<_>>());
         let (booted, steady, under_way) = (self.t, self.t, Vec::new());
-        Node { bindings, life, offset, stopped: false, booted, steady, under_way }
+        Node {
+            bindings,
+            life,
+            offset,
+            stopped: false,
+            booted,
+            steady,
+            under_way,
+        }
     }
 
     fn now(&self, i: usize) -> Micros {
@@ -135,9 +165,14 @@
             if came < repeats && self.rng.f64() >= self.loss {
                 came += 1;
                 self.sent += 1;
-                let late = if self.rng.u8(..40) == 0 { self.rng.i64(0..20_000_000) } else { 0 };
+                let late = if self.rng.u8(..40) == 0 {
+                    self.rng.i64(0..20_000_000)
+                } else {
+                    0
+                };
                 let arrives = at + self.rng.i64(1000..100_000) + if came > 1 { late } else { 0 };
-                self.net.push(Reverse((arrives, self.sent, from, to, bytes.to_vec())));
+                self.net
+                    .push(Reverse((arrives, self.sent, from, to, bytes.to_vec())));
             }
             at += 50_000;
         }
@@ -149,7 +184,10 @@
         // Who was stopped goes on with what it knew before it reads what waits for it.
         self.check();
         self.use_keys();
-        while self.net.peek().is_some_and(|Reverse((at, ..))| *at <= self.t)
+        while self
+            .net
+            .peek()
+            .is_some_and(|Reverse((at, ..))| *at <= self.t)
             && let Some(Reverse((_, _, from, to, bytes))) = self.net.pop()
         {
             self.arrive(from, to, &bytes);
@@ -165,7 +203,13 @@
         if self.nodes[to].stopped {
             // It waits in the socket's buffer.
             self.sent += 1;
-            self.net.push(Reverse((self.t + TICK, self.sent, from, to, bytes.to_vec())));
+            self.net.push(Reverse((
+                self.t + TICK,
+                self.sent,
+                from,
+                to,
+                bytes.to_vec(),
+            )));
             return;
         }
         if self.cut[from][to] {
@@ -188,7 +232,9 @@
         let mono = self.mono(i);
         let told = self.nodes[i].bindings.tick(now, mono);
         for to in (0..self.nodes.len()).filter(|to| *to != i) {
-            told.nearby.iter().for_each(|piece| self.send(i, to, piece, SENDS));
+            told.nearby
+                .iter()
+                .for_each(|piece| self.send(i, to, piece, SENDS));
         }
         for (to, piece) in told.direct {
             self.send(i, to as usize, &piece, 1);
@@ -203,7 +249,11 @@
             }
             let key = self.rng.u64(..KEYS);
             let (now, mono) = (self.now(i), self.mono(i));
-            let bound = self.nodes[i].bindings.picks(now, mono, key, |_| true).first().copied();
+            let bound = self.nodes[i]
+                .bindings
+                .picks(now, mono, key, |_| true)
+                .first()
+                .copied();
             let at = bound.unwrap_or_else(|| process(mix(key, self.rng.u64(..2)) % PROCESSES));
             if bound.is_some() {
                 let until = self.t + self.rng.i64(0..self.times.longest_use);
@@ -213,17 +263,33 @@
             self.nodes[i].bindings.used(now, key, at);
             // A use by a binding that is about to end is told too late: the spread, two clocks and a slot before.
             let late = self.times.slot(now + 2 * self.times.skew) + self.times.spread + 2;
-            let in_time = self.nodes[i].bindings.table.at(key, at).is_some_and(|w| w.ends > late);
-            self.truth.used(self.t, self.times.slot(now), i, (key, at), bound.is_some() && in_time);
+            let in_time = self.nodes[i]
+                .bindings
+                .table
+                .at(key, at)
+                .is_some_and(|w| w.ends > late);
+            self.truth.used(
+                self.t,
+                self.times.slot(now),
+                i,
+                (key, at),
+                bound.is_some() && in_time,
+            );
         }
     }
 
     /// Whoever wants the first process away asks one member, again and again.
     fn ask(&mut self) {
-        let Some(i) = self.asked.filter(|i| !self.nodes[*i].stopped) else { return };
+        let Some(i) = self.asked.filter(|i| !self.nodes[*i].stopped) else {
+            return;
+        };
         let (now, mono) = (self.now(i), self.mono(i));
         // It knows for sure of itself alone; whom it heard of, it knows by itself.
-        if self.nodes[i].bindings.clear(now, mono, process(0), 0, &[member(i as u64)]).clear {
+        if self.nodes[i]
+            .bindings
+            .clear(now, mono, process(0), 0, &[member(i as u64)])
+            .clear
+        {
             self.clear = self.clear.or(Some(self.t));
         }
     }
--- a/crates/bindings/src/histories/checks.rs
+++ b/crates/bindings/src/histories/checks.rs
@@ -66,41 +66,64 @@
             truth.look("a");
             let used = truth.last.get(of).copied();
             if used.is_none_or(|used| last > used) {
-                truth.breach(format!("a: {of:?} at {i} is of slot {last}, last used {used:?}"));
+                truth.breach(format!(
+                    "a: {of:?} at {i} is of slot {last}, last used {used:?}"
+                ));
             }
             if let Some((gone, _)) = truth.held.get(&(i, life, *of)).filter(|(_, alive)| !alive)
                 && word.era == gone.era
                 && word <= gone
             {
-                truth.breach(format!("a: {of:?} at {i} is back by {word:?}, gone with {gone:?}"));
+                truth.breach(format!(
+                    "a: {of:?} at {i} is back by {word:?}, gone with {gone:?}"
+                ));
             }
         }
         for (key, at, word) in &dump {
-            if self.nodes[i].bindings.phases.reported(*at).any(|m| m == self.nodes[i].bindings.member)
+            if self.nodes[i]
+                .bindings
+                .phases
+                .reported(*at)
+                .any(|m| m == self.nodes[i].bindings.member)
                 && self.nodes[i].bindings.phases.ended(*at, word.era)
             {
-                truth.breach(format!("a: {key} at {at:?} is back at {i}, which was clear of it"));
+                truth.breach(format!(
+                    "a: {key} at {at:?} is back at {i}, which was clear of it"
+                ));
             }
         }
         for ((node, _, of), (_, held)) in truth.held.iter_mut().filter(|(k, _)| k.0 == i) {
             *held = *node == i && alive.contains_key(of);
         }
-        truth.held.extend(alive.into_iter().map(|(of, word)| ((i, life, of), (word, true))));
+        truth.held.extend(
+            alive
+                .into_iter()
+                .map(|(of, word)| ((i, life, of), (word, true))),
+        );
     }
 
     fn steady_since(&self, i: usize, j: usize) -> Micros {
         let both = self.nodes[i].steady.max(self.nodes[j].steady);
-        both.max(self.nodes[i].booted).max(self.nodes[j].booted).max(self.joined_since(i, j))
+        both.max(self.nodes[i].booted)
+            .max(self.nodes[j].booted)
+            .max(self.joined_since(i, j))
     }
 
     fn joined_since(&self, i: usize, j: usize) -> Micros {
-        let cut = self.cut[i][j] || self.cut[j][i] || self.nodes[i].stopped || self.nodes[j].stopped;
-        if cut { Micros::MAX / 2 } else { self.joined[i][j].max(self.joined[j][i]) }
+        let cut =
+            self.cut[i][j] || self.cut[j][i] || self.nodes[i].stopped || self.nodes[j].stopped;
+        if cut {
+            Micros::MAX / 2
+        } else {
+            self.joined[i][j].max(self.joined[j][i])
+        }
     }
 
     /// All clocks are as they are to be. What one that is off tells may come to count at some and not at others.
     fn in_time(&self) -> bool {
-        self.nodes.iter().all(|node| node.offset.abs() <= self.times.skew)
+        self.nodes
+            .iter()
+            .all(|node| node.offset.abs() <= self.times.skew)
     }
 
     /// Property b: what was used by its binding lives on with all that hear who used it, but for what skew and slots take.
@@ -112,7 +135,10 @@
         let (now, t) = (self.now(i), self.t);
         // A word may reach one of two alone where a third is cut off from the other: nobody passes it on here.
         let pairs = (0..self.nodes.len()).flat_map(|j| (0..j).map(move |k| (j, k)));
-        let since = pairs.map(|(j, k)| self.steady_since(j, k)).max().unwrap_or(0);
+        let since = pairs
+            .map(|(j, k)| self.steady_since(j, k))
+            .max()
+            .unwrap_or(0);
         // What was bound just before is still on its way.
         let spread = slots(self.times.spread);
         let used: Vec<_> = truth.bound.iter().map(|(of, use_)| (*of, *use_)).collect();
@@ -137,15 +163,23 @@
         let Some(since) = self.clear else { return };
         truth.look("d");
         for key in 0..KEYS {
-            let picked = self.nodes[i].bindings.picks(self.now(i), self.mono(i), key, |_| true);
+            let picked = self.nodes[i]
+                .bindings
+                .picks(self.now(i), self.mono(i), key, |_| true);
             if picked.contains(&process(0)) {
                 let ago = self.t - since;
-                truth
-                    .breach(format!("d: {i} picks by a binding, clear {ago} us ago, asked {:?}", self.asked));
+                truth.breach(format!(
+                    "d: {i} picks by a binding, clear {ago} us ago, asked {:?}",
+                    self.asked
+                ));
             }
         }
         let t = self.t;
-        if self.nodes[i].under_way.iter().any(|(until, at)| *until > t && *at == process(0)) {
+        if self.nodes[i]
+            .under_way
+            .iter()
+            .any(|(until, at)| *until > t && *at == process(0))
+        {
             truth.breach(format!("d: {i} has a request under way by a binding"));
         }
     }
@@ -157,17 +191,23 @@
         for i in 0..self.nodes.len() {
             for j in (0..self.nodes.len()).filter(|j| *j != i) {
                 // A third one may have told one of the two alone.
-                let steady = |k| self.steady_since(i, k).max(self.steady_since(j, k)) + long < self.t;
+                let steady =
+                    |k| self.steady_since(i, k).max(self.steady_since(j, k)) + long < self.t;
                 if !(0..self.nodes.len()).all(steady) || !self.in_time() {
                     continue;
                 }
-                let (edge, slot) = (2 + self.times.slots(self.times.skew), self.times.slot(self.t));
+                let (edge, slot) = (
+                    2 + self.times.slots(self.times.skew),
+                    self.times.slot(self.t),
+                );
                 let held: Vec<_> = self.nodes[i].bindings.dump().collect();
                 for (key, at, word) in held.iter().filter(|(.., w)| w.ends > slot + edge) {
                     truth.look("c");
                     let other = self.nodes[j].bindings.table.at(*key, *at);
                     if other.is_none() {
-                        truth.breach(format!("c: {key} at {at:?} {word:?} is at {i} and not at {j}"));
+                        truth.breach(format!(
+                            "c: {key} at {at:?} {word:?} is at {i} and not at {j}"
+                        ));
                     }
                 }
             }
--- a/crates/bindings/src/histories/events.rs
+++ b/crates/bindings/src/histories/events.rs
@@ -20,7 +20,10 @@
             13..=15 if self.asked.is_none() && !self.nodes[i].stopped => {
                 self.asked = Some(i);
                 let now = self.now(i);
-                self.nodes[i].bindings.leaving(now, process(0), 0).expect("there is room");
+                self.nodes[i]
+                    .bindings
+                    .leaving(now, process(0), 0)
+                    .expect("there is room");
                 self.truth.left.push(process(0));
             }
             16 => {
@@ -60,14 +63,18 @@
 
     /// A member dies and starts again, knowing nothing: of most members at a time one that knows who left is up.
     fn crash(&mut self, i: usize) {
-        let fresh = (0..self.nodes.len()).filter(|j| *j != i && !self.nodes[*j].bindings.hearing.sound());
+        let fresh =
+            (0..self.nodes.len()).filter(|j| *j != i && !self.nodes[*j].bindings.hearing.sound());
         if fresh.count() < (self.nodes.len() - 1) / 2 {
             let offset = self.nodes[i].offset;
             self.nodes[i] = self.boot(i, offset, false);
             // Who asked it asks anew: what a member that died knew is gone with it.
             if self.asked == Some(i) {
                 let now = self.now(i);
-                self.nodes[i].bindings.leaving(now, process(0), 0).expect("there is room");
+                self.nodes[i]
+                    .bindings
+                    .leaving(now, process(0), 0)
+                    .expect("there is room");
             }
         }
     }
@@ -99,7 +106,9 @@
     fn pulse(&mut self, i: usize) {
         let now = self.now(i);
         let pulse = self.nodes[i].bindings.pulse(now);
-        (0..self.nodes.len()).filter(|to| *to != i).for_each(|to| self.send(i, to, &pulse, 1));
+        (0..self.nodes.len())
+            .filter(|to| *to != i)
+            .for_each(|to| self.send(i, to, &pulse, 1));
     }
 
     fn deliver(&mut self) {
--- a/crates/bindings/src/histories/runs.rs
+++ b/crates/bindings/src/histories/runs.rs
@@ -13,7 +13,16 @@
 
 /// Half of the histories have room for all keys, half drop.
 fn one(seed: u64, guards: Guards) -> Found {
-    play(seed, guards, if seed.is_multiple_of(2) { KEYS as usize } else { 10 }, SECONDS)
+    play(
+        seed,
+        guards,
+        if seed.is_multiple_of(2) {
+            KEYS as usize
+        } else {
+            10
+        },
+        SECONDS,
+    )
 }
 
 fn many(seeds: std::ops::Range<u64>) -> HashMap<&'static str, u64> {
@@ -23,7 +32,9 @@
         for seed in seeds.clone().filter(|seed| seed % threads == n) {
             let (found, breach) = one(seed, Guards::ALL);
             assert_eq!(breach, None, "seed {seed}");
-            found.into_iter().for_each(|(property, n)| *looked.entry(property).or_default() += n);
+            found
+                .into_iter()
+                .for_each(|(property, n)| *looked.entry(property).or_default() += n);
         }
         looked
     };
@@ -33,7 +44,9 @@
         let mut all: HashMap<&'static str, u64> = HashMap::new();
         for part in parts {
             let looked: HashMap<&'static str, u64> = part.join().expect("no breach");
-            looked.into_iter().for_each(|(property, n)| *all.entry(property).or_default() += n);
+            looked
+                .into_iter()
+                .for_each(|(property, n)| *all.entry(property).or_default() += n);
         }
         all
     })
@@ -42,7 +55,12 @@
 #[test]
 fn the_properties_hold_in_every_history() {
     let looked = many(0..FEW);
-    assert!(["a", "b", "c", "d"].iter().all(|p| looked.get(p).is_some_and(|n| *n > 100)), "{looked:?}");
+    assert!(
+        ["a", "b", "c", "d"]
+            .iter()
+            .all(|p| looked.get(p).is_some_and(|n| *n > 100)),
+        "{looked:?}"
+    );
 }
 
 #[test]
@@ -60,30 +78,66 @@
 
 #[test]
 fn what_counts_from_when_it_came_comes_back() {
-    missed("a", Guards { ages_from_use: false, ..Guards::ALL });
+    missed(
+        "a",
+        Guards {
+            ages_from_use: false,
+            ..Guards::ALL
+        },
+    );
 }
 
 #[test]
 fn what_is_taken_of_an_epoch_that_ended_comes_back() {
-    missed("a", Guards { refuses_ended: false, ..Guards::ALL });
+    missed(
+        "a",
+        Guards {
+            refuses_ended: false,
+            ..Guards::ALL
+        },
+    );
 }
 
 #[test]
 fn what_is_not_renewed_goes_early() {
-    missed("b", Guards { renews: false, ..Guards::ALL });
+    missed(
+        "b",
+        Guards {
+            renews: false,
+            ..Guards::ALL
+        },
+    );
 }
 
 #[test]
 fn what_is_dropped_by_an_own_order_differs_or_comes_back() {
-    missed("ac", Guards { drops_alike: false, ..Guards::ALL });
+    missed(
+        "ac",
+        Guards {
+            drops_alike: false,
+            ..Guards::ALL
+        },
+    );
 }
 
 #[test]
 fn who_does_not_fall_silent_picks_what_is_clear() {
-    missed("d", Guards { falls_silent: false, ..Guards::ALL });
+    missed(
+        "d",
+        Guards {
+            falls_silent: false,
+            ..Guards::ALL
+        },
+    );
 }
 
 #[test]
 fn a_clear_before_the_silence_is_picked() {
-    missed("d", Guards { waits_for_silence: false, ..Guards::ALL });
+    missed(
+        "d",
+        Guards {
+            waits_for_silence: false,
+            ..Guards::ALL
+        },
+    );
 }
--- a/crates/bindings/src/member.rs
+++ b/crates/bindings/src/member.rs
@@ -46,7 +46,14 @@
 
 impl Bindings {
     /// Those of a member by that number, the same in all its lives, that begins now. One that `founds` the fleet asks nobody.
-    pub fn new(now: Micros, times: Times, keys: usize, rates: Rates, member: u64, founds: bool) -> Self {
+    pub fn new(
+        now: Micros,
+        times: Times,
+        keys: usize,
+        rates: Rates,
+        member: u64,
+        founds: bool,
+    ) -> Self {
         Self {
             table: Table::new(keys, member),
             telling: Telling::new(rates, member),
@@ -82,20 +89,34 @@
 
     /// Where a key is bound, of the processes that may be used, the best first. None where this member may not hear the
     /// others.
-    pub fn picks(&self, now: Micros, mono: Micros, key: u64, may: impl Fn(Process) -> bool) -> Vec<Process> {
+    pub fn picks(
+        &self,
+        now: Micros,
+        mono: Micros,
+        key: u64,
+        may: impl Fn(Process) -> bool,
+    ) -> Vec<Process> {
         let hears = self.hearing.hears(mono) || !self.guards.falls_silent;
         let slot = self.times.slot(now);
         let alive = |process: Process, word: Word| {
             let moves = self.phases.moves(key, process, word.era, &self.times);
             slot < word.ends && moves.is_none_or(|moves| slot < moves) && may(process)
         };
-        if hears && self.phases.whole() { self.table.bound(key, alive) } else { Vec::new() }
+        if hears && self.phases.whole() {
+            self.table.bound(key, alive)
+        } else {
+            Vec::new()
+        }
     }
 
     /// A request that was given a binding to that process begins, or ends for good.
     pub fn under_way(&mut self, process: Process, begins: bool) {
         let requests = self.under_way.entry(process).or_default();
-        *requests = if begins { requests.saturating_add(1) } else { requests.saturating_sub(1) };
+        *requests = if begins {
+            requests.saturating_add(1)
+        } else {
+            requests.saturating_sub(1)
+        };
         if *requests == 0 {
             self.under_way.remove(&process);
         }
@@ -109,7 +130,12 @@
         let (slot, era) = (self.times.slot(now), self.phases.era(process));
         let at = self.table.at(key, process).is_some();
         // Who finds so many places has one to go to: a further one would cost words at each use.
-        let places = || self.table.words(key).filter(|(_, word)| slot < word.ends).count();
+        let places = || {
+            self.table
+                .words(key)
+                .filter(|(_, word)| slot < word.ends)
+                .count()
+        };
         if !self.phases.ended(process, era) && (at || places() < MOST_PLACES) {
             self.telling.used(key, process, slot, at);
         }
@@ -118,7 +144,8 @@
     /// The own list says that those take nothing any more: what was bound there is dropped here, and nothing is taken in.
     pub fn closes(&mut self, closed: HashSet<Process>) {
         if closed.iter().any(|process| !self.closed.contains(process)) {
-            self.table.retain(|_, process, _| !closed.contains(&process));
+            self.table
+                .retain(|_, process, _| !closed.contains(&process));
         }
         self.closed = closed;
     }
@@ -128,11 +155,22 @@
     /// # Errors
     /// Why it cannot.
     pub fn leaving(&mut self, now: Micros, process: Process, epoch: u64) -> Result<(), NotBegun> {
-        if self.phases.iter().any(|(p, phase)| p == process && phase.leaves && phase.epoch == epoch) {
+        if self
+            .phases
+            .iter()
+            .any(|(p, phase)| p == process && phase.leaves && phase.epoch == epoch)
+        {
             return Ok(());
         }
         let since = Reverse(self.times.slot(now));
-        self.phases.merge(process, Phase { epoch, leaves: true, since })
+        self.phases.merge(
+            process,
+            Phase {
+                epoch,
+                leaves: true,
+                since,
+            },
+        )
     }
 
     /// It stays after all, or is back: that epoch, above the one that ended, opens.
@@ -140,7 +178,14 @@
     /// # Errors
     /// Why it cannot.
     pub fn stays(&mut self, now: Micros, process: Process, epoch: u64) -> Result<(), NotBegun> {
-        self.phases.merge(process, Phase { epoch, leaves: false, since: Reverse(self.times.slot(now)) })
+        self.phases.merge(
+            process,
+            Phase {
+                epoch,
+                leaves: false,
+                since: Reverse(self.times.slot(now)),
+            },
+        )
     }
 
     /// How far it is clear, where `running` are all members that are known to run. It is once all of them, this one and all
@@ -153,8 +198,10 @@
         epoch: u64,
         running: &[u64],
     ) -> Clear {
-        let phase =
-            self.phases.iter().find(|(p, phase)| *p == process && phase.epoch == epoch && phase.leaves);
+        let phase = self
+            .phases
+            .iter()
+            .find(|(p, phase)| *p == process && phase.epoch == epoch && phase.leaves);
         let known = phase.is_some();
         // Whoever knows that it leaves uses no binding from then on.
         let moved = phase.is_some_and(|(_, phase)| now >= self.times.moved(phase.since.0));
@@ -164,14 +211,28 @@
         let hears = self.hearing.hears(mono) || !self.guards.falls_silent;
         let mut roster = running.to_vec();
         roster.extend(self.contact.beacons(now - self.times.silence));
-        let all = if hears && mine { self.phases.complete(process, epoch, mono, &roster) } else { None };
-        let waits = if self.guards.waits_for_silence { self.times.clear_after() } else { 0 };
-        Clear { clear: moved && all.is_some_and(|since| mono - since >= waits), known, mine, reported }
+        let all = if hears && mine {
+            self.phases.complete(process, epoch, mono, &roster)
+        } else {
+            None
+        };
+        let waits = if self.guards.waits_for_silence {
+            self.times.clear_after()
+        } else {
+            0
+        };
+        Clear {
+            clear: moved && all.is_some_and(|since| mono - since >= waits),
+            known,
+            mine,
+            reported,
+        }
     }
 
     /// Forgets processes that left and are listed no more.
     pub fn forget(&mut self, now: Micros, listed: impl Fn(Process) -> bool) {
-        self.phases.forget(self.times.slot(now), &self.times, listed);
+        self.phases
+            .forget(self.times.slot(now), &self.times, listed);
     }
 
     /// The slot of an instant.
@@ -181,12 +242,18 @@
 
     /// Processes that leave or have come back, and how many members are clear of each.
     pub fn phases(&self) -> impl Iterator<Item = (Process, Phase, usize)> {
-        self.phases.iter().map(|(process, phase)| (process, phase, self.phases.reported(process).count()))
+        self.phases
+            .iter()
+            .map(|(process, phase)| (process, phase, self.phases.reported(process).count()))
     }
 
     /// All bindings, for whoever audits them: key, process, word.
     pub fn dump(&self) -> impl Iterator<Item = (u64, Process, Word)> {
-        let words = |key| self.table.words(key).map(move |(process, word)| (key, process, word));
+        let words = |key| {
+            self.table
+                .words(key)
+                .map(move |(process, word)| (key, process, word))
+        };
         self.table.below(None).flat_map(move |rank| words(rank.2))
     }
 
--- a/crates/bindings/src/phase.rs
+++ b/crates/bindings/src/phase.rs
@@ -70,7 +70,14 @@
             self.overflowed = true;
             return Err(NotBegun::TooMany);
         }
-        self.known.insert(process, State { phase, reported: BTreeSet::new(), complete: None });
+        self.known.insert(
+            process,
+            State {
+                phase,
+                reported: BTreeSet::new(),
+                complete: None,
+            },
+        );
         Ok(())
     }
 
@@ -100,12 +107,18 @@
             return None;
         }
         let place = mix(key, process.name).rem_euclid(times.moving.unsigned_abs());
-        Some(if phase.leaves { phase.since.0.saturating_add(place.cast_signed()) } else { Slot::MIN })
+        Some(if phase.leaves {
+            phase.since.0.saturating_add(place.cast_signed())
+        } else {
+            Slot::MIN
+        })
     }
 
     /// All that are known.
     pub fn iter(&self) -> impl Iterator<Item = (Process, Phase)> {
-        self.known.iter().map(|(process, state)| (*process, state.phase))
+        self.known
+            .iter()
+            .map(|(process, state)| (*process, state.phase))
     }
 
     /// A member is clear of a process at an epoch. What is said of another epoch, or goes beyond the bound, is dropped.
@@ -121,12 +134,24 @@
 
     /// Members that are clear of a process in the epoch that it leaves.
     pub fn reported(&self, process: Process) -> impl Iterator<Item = u64> + Clone {
-        self.known.get(&process).into_iter().flat_map(|s| s.reported.iter().copied())
+        self.known
+            .get(&process)
+            .into_iter()
+            .flat_map(|s| s.reported.iter().copied())
     }
 
     /// Since when all these members are known to be clear of it at that epoch. Once all were, it stays so.
-    pub fn complete(&mut self, process: Process, epoch: u64, mono: Micros, roster: &[u64]) -> Option<Micros> {
-        let state = self.known.get_mut(&process).filter(|s| s.phase.epoch == epoch && s.phase.leaves)?;
+    pub fn complete(
+        &mut self,
+        process: Process,
+        epoch: u64,
+        mono: Micros,
+        roster: &[u64],
+    ) -> Option<Micros> {
+        let state = self
+            .known
+            .get_mut(&process)
+            .filter(|s| s.phase.epoch == epoch && s.phase.leaves)?;
         if state.complete.is_none() && roster.iter().all(|member| state.reported.contains(member)) {
             state.complete = Some(mono);
         }
@@ -142,7 +167,8 @@
     pub fn forget(&mut self, slot: Slot, times: &Times, listed: impl Fn(Process) -> bool) {
         let long = times.remembered();
         let recent = |phase: &Phase| slot < phase.since.0.saturating_add(long);
-        self.known.retain(|process, s| recent(&s.phase) || s.phase.leaves && listed(*process));
+        self.known
+            .retain(|process, s| recent(&s.phase) || s.phase.leaves && listed(*process));
         self.overflowed &= self.known.len() >= MOST_PHASES;
     }
 }
@@ -152,10 +178,17 @@
     use super::*;
     use crate::section::BindingsSection;
 
-    const P: Process = Process { name: 1, started: 0 };
+    const P: Process = Process {
+        name: 1,
+        started: 0,
+    };
 
     fn leaves(epoch: u64, since: Slot) -> Phase {
-        Phase { epoch, leaves: true, since: Reverse(since) }
+        Phase {
+            epoch,
+            leaves: true,
+            since: Reverse(since),
+        }
     }
 
     #[test]
@@ -164,7 +197,17 @@
         assert!(!phases.ended(P, 0));
         assert_eq!(phases.merge(P, leaves(0, 5)), Ok(()));
         assert!(phases.ended(P, 0));
-        assert_eq!(phases.merge(P, Phase { epoch: 1, leaves: false, since: Reverse(9) }), Ok(()));
+        assert_eq!(
+            phases.merge(
+                P,
+                Phase {
+                    epoch: 1,
+                    leaves: false,
+                    since: Reverse(9)
+                }
+            ),
+            Ok(())
+        );
         assert!(phases.ended(P, 0) && !phases.ended(P, 1));
         assert_eq!(phases.merge(P, leaves(0, 5)), Err(NotBegun::Past));
     }
@@ -175,11 +218,18 @@
         phases.merge(P, leaves(0, 100)).expect("there is room");
         let mut by_slot = BTreeMap::new();
         for key in 0..4096 {
-            *by_slot.entry(phases.moves(key, P, 0, &times).expect("it leaves")).or_insert(0) += 1;
+            *by_slot
+                .entry(phases.moves(key, P, 0, &times).expect("it leaves"))
+                .or_insert(0) += 1;
         }
         assert_eq!(by_slot.keys().next_back(), Some(&(99 + times.moving)));
         phases.merge(P, leaves(17, 100)).expect("it is known");
-        assert!(phases.moves(1, P, 0, &times).is_some_and(|slot| slot >= 100), "of an epoch before");
+        assert!(
+            phases
+                .moves(1, P, 0, &times)
+                .is_some_and(|slot| slot >= 100),
+            "of an epoch before"
+        );
         let even = 4096 / times.moving;
         assert!(by_slot.values().all(|n| *n < even * 3 / 2), "{by_slot:?}");
     }
@@ -196,10 +246,23 @@
         assert_eq!(phases.complete(P, 3, 70, &[7, 8, 9]), Some(60));
         assert_eq!(phases.complete(P, 2, 70, &[]), None);
         for name in 2..=MOST_PHASES as u64 {
-            assert!(phases.merge(Process { name, started: 0 }, leaves(0, 0)).is_ok());
+            assert!(
+                phases
+                    .merge(Process { name, started: 0 }, leaves(0, 0))
+                    .is_ok()
+            );
         }
         assert!(phases.whole());
-        assert_eq!(phases.merge(Process { name: 99, started: 0 }, leaves(0, 0)), Err(NotBegun::TooMany));
+        assert_eq!(
+            phases.merge(
+                Process {
+                    name: 99,
+                    started: 0
+                },
+                leaves(0, 0)
+            ),
+            Err(NotBegun::TooMany)
+        );
         assert!(!phases.whole());
         let times = BindingsSection::default().times();
         phases.forget(1 << 40, &times, |p| p == P);
@@ -208,7 +271,8 @@
         assert!(phases.takes(P, leaves(3, 0), late, &times));
         phases.forget(1 << 40, &times, |_| false);
         assert!(
-            !phases.takes(P, leaves(3, 0), late, &times) && phases.takes(P, leaves(3, 0), late - 1, &times)
+            !phases.takes(P, leaves(3, 0), late, &times)
+                && phases.takes(P, leaves(3, 0), late - 1, &times)
         );
         assert!(phases.whole() && phases.iter().next().is_none());
     }
--- a/crates/bindings/src/piece.rs
+++ b/crates/bindings/src/piece.rs
@@ -62,18 +62,25 @@
 }
 
 fn process((name, started): Name) -> Process {
-    Process { name: u64::from_le_bytes(name), started }
+    Process {
+        name: u64::from_le_bytes(name),
+        started,
+    }
 }
 
 impl Piece {
     /// One written at that instant.
     pub fn at(stamp: Micros) -> Self {
-        Self { stamp, ..Self::default() }
+        Self {
+            stamp,
+            ..Self::default()
+        }
     }
 
     /// Adds a phase.
     pub fn phase(&mut self, of: Process, phase: Phase) {
-        self.phases.push((name(of), phase.epoch, phase.leaves, phase.since.0));
+        self.phases
+            .push((name(of), phase.epoch, phase.leaves, phase.since.0));
     }
 
     /// Adds the members that are clear of a process, as many as fit.
@@ -96,8 +103,17 @@
         let (mut length, mut taken) = (self.bytes().len() + 4, Vec::new());
         for (key, of, word) in words {
             let back = base.saturating_sub(word.ends).max(0).cast_unsigned();
-            let at = self.groups.iter().position(|(n, era, _)| *n == name(of) && *era == word.era);
-            length += 8 + varint(back * 2 + 1) + if at.is_some() { 0 } else { 8 + 10 + varint(word.era) + 2 };
+            let at = self
+                .groups
+                .iter()
+                .position(|(n, era, _)| *n == name(of) && *era == word.era);
+            length += 8
+                + varint(back * 2 + 1)
+                + if at.is_some() {
+                    0
+                } else {
+                    8 + 10 + varint(word.era) + 2
+                };
             if length > LONGEST {
                 break;
             }
@@ -105,7 +121,9 @@
                 self.groups.push((name(of), word.era, Vec::new()));
                 self.groups.len() - 1
             });
-            self.groups[at].2.push((key.to_le_bytes(), back * 2 + u64::from(word.held)));
+            self.groups[at]
+                .2
+                .push((key.to_le_bytes(), back * 2 + u64::from(word.held)));
             taken.push((key, of));
         }
         taken
@@ -115,14 +133,26 @@
     pub fn words(stamp: Micros, mut words: Vec<(u64, Process, Word)>) -> Vec<Self> {
         words.sort_by_key(|(key, process, word)| (*process, word.era, *key));
         let base = words.iter().map(|(.., word)| word.ends).max().unwrap_or(0);
-        let empty = || Self { base, ..Self::at(stamp) };
+        let empty = || Self {
+            base,
+            ..Self::at(stamp)
+        };
         let mut pieces = Vec::new();
         let (mut piece, mut length) = (empty(), empty().bytes().len() + 2);
         for (key, of, word) in words {
             let back = (base - word.ends).cast_unsigned();
             // A key, the slots back, and where it opens a group its head, each at its longest.
-            let same = piece.groups.last().is_some_and(|(n, era, _)| *n == name(of) && *era == word.era);
-            let cost = 8 + varint(back * 2 + 1) + if same { 0 } else { 8 + 10 + varint(word.era) + 2 };
+            let same = piece
+                .groups
+                .last()
+                .is_some_and(|(n, era, _)| *n == name(of) && *era == word.era);
+            let cost = 8
+                + varint(back * 2 + 1)
+                + if same {
+                    0
+                } else {
+                    8 + 10 + varint(word.era) + 2
+                };
             if length + cost > LONGEST {
                 pieces.push(std::mem::replace(&mut piece, empty()));
                 length = empty().bytes().len() + 2 + 8 + 10 + varint(word.era) + 2 + 10;
@@ -165,15 +195,24 @@
 
     /// Phases in it.
     pub fn phases(&self) -> impl Iterator<Item = (Process, Phase)> {
-        let phase = |epoch, leaves, since| Phase { epoch, leaves, since: Reverse(since) };
-        self.phases.iter().map(move |(n, epoch, leaves, since)| (process(*n), phase(*epoch, *leaves, *since)))
+        let phase = |epoch, leaves, since| Phase {
+            epoch,
+            leaves,
+            since: Reverse(since),
+        };
+        self.phases
+            .iter()
+            .map(move |(n, epoch, leaves, since)| (process(*n), phase(*epoch, *leaves, *since)))
     }
 
     /// Who is clear of what at which epoch.
     pub fn reports(&self) -> impl Iterator<Item = (Process, u64, u64)> {
         let of = |(n, epoch, members): &Report| {
             let (of, epoch) = (process(*n), *epoch);
-            members.clone().into_iter().map(move |m| (of, epoch, u64::from_le_bytes(m)))
+            members
+                .clone()
+                .into_iter()
+                .map(move |m| (of, epoch, u64::from_le_bytes(m)))
         };
         self.reports.iter().flat_map(of)
     }
@@ -181,10 +220,21 @@
     /// Words in it; those that lie too far back are passed over.
     pub fn each_word(&self) -> impl Iterator<Item = (u64, Process, Word)> {
         self.groups.iter().flat_map(move |(n, era, listed)| {
-            listed.iter().filter(|(_, packed)| packed / 2 <= FARTHEST).filter_map(move |(key, packed)| {
-                let ends = self.base.checked_sub((packed / 2).cast_signed())?;
-                Some((u64::from_le_bytes(*key), process(*n), Word { era: *era, ends, held: packed % 2 == 1 }))
-            })
+            listed
+                .iter()
+                .filter(|(_, packed)| packed / 2 <= FARTHEST)
+                .filter_map(move |(key, packed)| {
+                    let ends = self.base.checked_sub((packed / 2).cast_signed())?;
+                    Some((
+                        u64::from_le_bytes(*key),
+                        process(*n),
+                        Word {
+                            era: *era,
+                            ends,
+                            held: packed % 2 == 1,
+                        },
+                    ))
+                })
         })
     }
 }
--- a/crates/bindings/src/piece/tests.rs
+++ b/crates/bindings/src/piece/tests.rs
@@ -39,21 +39,66 @@
 
 #[test]
 fn a_full_pulse_fits() {
-    let mut piece = Piece { floor: Some((4_000_000_000, u64::MAX)), ..Piece::at(i64::MAX) };
+    let mut piece = Piece {
+        floor: Some((4_000_000_000, u64::MAX)),
+        ..Piece::at(i64::MAX)
+    };
     for i in 0..crate::phase::MOST_PHASES as u64 {
-        let phase = Phase { epoch: 1000, leaves: true, since: Reverse(4_000_000_000) };
-        piece.phase(Process { name: i, started: 1_900_000_000_000 }, phase);
+        let phase = Phase {
+            epoch: 1000,
+            leaves: true,
+            since: Reverse(4_000_000_000),
+        };
+        piece.phase(
+            Process {
+                name: i,
+                started: 1_900_000_000_000,
+            },
+            phase,
+        );
     }
     let mut contact = crate::contact::Contact::new(0);
     contact.roster((0..100).map(|n| crate::hash(&[n])));
     let sure = contact.told(0, true);
-    piece.heard = (0..crate::contact::MOST_BEACONS).flat_map(|_| sure.first().copied()).collect();
-    piece.report(Process { name: 1, started: 1_900_000_000_000 }, 1000, 0..1000);
-    assert!(piece.bytes().len() <= LONGEST && piece.reports().count() >= 10, "{}", piece.bytes().len());
-    let word = Word { era: 0, ends: 90, held: true };
+    piece.heard = (0..crate::contact::MOST_BEACONS)
+        .flat_map(|_| sure.first().copied())
+        .collect();
+    piece.report(
+        Process {
+            name: 1,
+            started: 1_900_000_000_000,
+        },
+        1000,
+        0..1000,
+    );
+    assert!(
+        piece.bytes().len() <= LONGEST && piece.reports().count() >= 10,
+        "{}",
+        piece.bytes().len()
+    );
+    let word = Word {
+        era: 0,
+        ends: 90,
+        held: true,
+    };
     let mut piece = Piece::at(i64::MAX);
-    let told = piece.news(100, (0..1000).map(|key| (key, Process { name: key % 3, started: 5 }, word)));
+    let told = piece.news(
+        100,
+        (0..1000).map(|key| {
+            (
+                key,
+                Process {
+                    name: key % 3,
+                    started: 5,
+                },
+                word,
+            )
+        }),
+    );
     let read = Piece::read(&piece.bytes()).expect("it fits");
-    assert_eq!((read.each_word().count(), told.len() > 60, read.news), (told.len(), true, true));
+    assert_eq!(
+        (read.each_word().count(), told.len() > 60, read.news),
+        (told.len(), true, true)
+    );
     assert_eq!(Piece::read(&[9, 9]), Err(Refused::Version));
 }
--- a/crates/bindings/src/rumour.rs
+++ b/crates/bindings/src/rumour.rs
@@ -25,7 +25,11 @@
     /// A word is new here.
     pub fn add(&mut self, key: u64, process: Process) {
         if self.left.len() >= MOST && !self.left.contains_key(&(key, process)) {
-            let least = self.left.iter().min_by_key(|(of, left)| (**left, **of)).map(|(of, _)| *of);
+            let least = self
+                .left
+                .iter()
+                .min_by_key(|(of, left)| (**left, **of))
+                .map(|(of, _)| *of);
             least.and_then(|of| self.left.remove(&of));
             self.dropped += 1;
         }
@@ -34,7 +38,11 @@
 
     /// All, those that went least often first.
     pub fn waiting(&self) -> Vec<(u64, Process)> {
-        let mut waiting: Vec<_> = self.left.iter().map(|(of, left)| (Reverse(*left), *of)).collect();
+        let mut waiting: Vec<_> = self
+            .left
+            .iter()
+            .map(|(of, left)| (Reverse(*left), *of))
+            .collect();
         waiting.sort_unstable();
         waiting.into_iter().map(|(_, of)| of).collect()
     }
@@ -61,7 +69,15 @@
 
     #[test]
     fn each_goes_so_often_what_went_least_first_and_they_are_bounded() {
-        let (mut rumours, of) = (Rumours::default(), |key| (key, Process { name: 1, started: 0 }));
+        let (mut rumours, of) = (Rumours::default(), |key| {
+            (
+                key,
+                Process {
+                    name: 1,
+                    started: 0,
+                },
+            )
+        });
         rumours.add(1, of(1).1);
         rumours.went(of(1), false);
         rumours.add(2, of(2).1);
--- a/crates/bindings/src/section.rs
+++ b/crates/bindings/src/section.rs
@@ -70,7 +70,8 @@
     /// # Errors
     /// The key and why its value can't be used.
     pub fn check(&self) -> Result<(), Contradiction> {
-        let wrong = |key: &str, why: &str| Err(Contradiction::new(&format!("fleet.bindings.{key}"), why));
+        let wrong =
+            |key: &str, why: &str| Err(Contradiction::new(&format!("fleet.bindings.{key}"), why));
         let times = self.times();
         let day = 86_400_000_000;
         for (key, time) in [
@@ -136,7 +137,10 @@
 
     /// What may be told, in a fleet of that many members.
     pub fn rates(&self, members: u32) -> Rates {
-        Rates { words_per_s: self.words_per_s, members: f64::from(members.max(2)) }
+        Rates {
+            words_per_s: self.words_per_s,
+            members: f64::from(members.max(2)),
+        }
     }
 }
 
@@ -149,11 +153,35 @@
         let good = BindingsSection::default;
         assert!(good().check().is_ok());
         for (bad, key) in [
-            (BindingsSection { slot: Time::ms(0), ..good() }, "fleet.bindings.slot"),
-            (BindingsSection { life_new: Time::ms(2000), ..good() }, "fleet.bindings.life_new"),
-            (BindingsSection { life_held: Time::ms(5000), ..good() }, "fleet.bindings.life_held"),
+            (
+                BindingsSection {
+                    slot: Time::ms(0),
+                    ..good()
+                },
+                "fleet.bindings.slot",
+            ),
+            (
+                BindingsSection {
+                    life_new: Time::ms(2000),
+                    ..good()
+                },
+                "fleet.bindings.life_new",
+            ),
+            (
+                BindingsSection {
+                    life_held: Time::ms(5000),
+                    ..good()
+                },
+                "fleet.bindings.life_held",
+            ),
             (BindingsSection { keys: 0, ..good() }, "fleet.bindings.keys"),
-            (BindingsSection { words_per_s: f64::NAN, ..good() }, "fleet.bindings.words_per_s"),
+            (
+                BindingsSection {
+                    words_per_s: f64::NAN,
+                    ..good()
+                },
+                "fleet.bindings.words_per_s",
+            ),
         ] {
             let said = bad.check().expect_err(key);
             assert!(said.key == key, "{said:?}");
--- a/crates/bindings/src/table.rs
+++ b/crates/bindings/src/table.rs
@@ -31,7 +31,15 @@
     /// An empty one for at most so many keys.
     pub fn new(most: usize, own: u64) -> Self {
         let (places, ranks) = (HashMap::new(), BTreeSet::new());
-        Self { most: most.max(1), places, ranks, floor: None, dropped: 0, guards: Guards::ALL, own }
+        Self {
+            most: most.max(1),
+            places,
+            ranks,
+            floor: None,
+            dropped: 0,
+            guards: Guards::ALL,
+            own,
+        }
     }
 
     fn rank(&self, key: u64, places: &Places) -> Rank {
@@ -73,7 +81,11 @@
     pub fn raise(&mut self, floor: (Slot, u64)) {
         self.floor = self.floor.max(Some(floor));
         while self.guards.drops_alike
-            && let Some((.., key)) = self.ranks.first().copied().filter(|r| Some((r.0, r.1)) <= self.floor)
+            && let Some((.., key)) = self
+                .ranks
+                .first()
+                .copied()
+                .filter(|r| Some((r.0, r.1)) <= self.floor)
         {
             self.ranks.pop_first();
             self.places.remove(&key);
@@ -85,7 +97,10 @@
     pub fn retain(&mut self, keep: impl Fn(u64, Process, &Word) -> bool) {
         let mut changed = Vec::new();
         for (key, places) in &mut self.places {
-            if places.iter().all(|(process, word)| keep(*key, process, &word)) {
+            if places
+                .iter()
+                .all(|(process, word)| keep(*key, process, &word))
+            {
                 continue;
             }
             let before = places.clone();
@@ -115,18 +130,26 @@
 
     /// Whether a word lies above all that was dropped anywhere; one that does not counts as never told.
     fn stands(&self, key: u64, word: &Word) -> bool {
-        self.floor.is_none_or(|floor| (word.ends, mix(key, 0)) > floor) || !self.guards.drops_alike
+        self.floor
+            .is_none_or(|floor| (word.ends, mix(key, 0)) > floor)
+            || !self.guards.drops_alike
     }
 
     /// The word on a key at a process.
     pub fn at(&self, key: u64, process: Process) -> Option<Word> {
-        self.places.get(&key)?.at(process).filter(|word| self.stands(key, word))
+        self.places
+            .get(&key)?
+            .at(process)
+            .filter(|word| self.stands(key, word))
     }
 
     /// Where a key is bound, of the places that may be used, the best first.
     pub fn bound(&self, key: u64, may: impl Fn(Process, Word) -> bool) -> Vec<Process> {
         let stands = |process, word| self.stands(key, &word) && may(process, word);
-        self.places.get(&key).map(|places| places.bound(key, stands)).unwrap_or_default()
+        self.places
+            .get(&key)
+            .map(|places| places.bound(key, stands))
+            .unwrap_or_default()
     }
 
     /// All words on a key, the one that ends last first.
@@ -137,12 +160,17 @@
 
     /// All keys, the one that ends last first, those below that rank.
     pub fn below(&self, rank: Option<Rank>) -> impl Iterator<Item = Rank> {
-        self.ranks.range(..rank.unwrap_or((Slot::MAX, u64::MAX, u64::MAX))).rev().copied()
+        self.ranks
+            .range(..rank.unwrap_or((Slot::MAX, u64::MAX, u64::MAX)))
+            .rev()
+            .copied()
     }
 
     /// Whether any key has a place at that process.
     pub fn holds(&self, process: Process) -> bool {
-        self.places.values().any(|places| places.at(process).is_some())
+        self.places
+            .values()
+            .any(|places| places.at(process).is_some())
     }
 
     /// Keys in it.
@@ -186,7 +214,13 @@
     #[test]
     fn what_is_past_its_life_leaves_and_no_rank_stays_behind() {
         let times = BindingsSection::default().times();
-        let (mut table, process) = (Table::new(8, 0), Process { name: 1, started: 0 });
+        let (mut table, process) = (
+            Table::new(8, 0),
+            Process {
+                name: 1,
+                started: 0,
+            },
+        );
         table.merge(1, process, Word::of(0, 0, false, &times));
         table.merge(2, process, Word::of(0, 0, true, &times));
         table.age(times.life_new - 1);
--- a/crates/bindings/src/telling.rs
+++ b/crates/bindings/src/telling.rs
@@ -48,7 +48,16 @@
     pub fn new(rates: Rates, member: u64) -> Self {
         let (uses, fresh) = (HashMap::new(), VecDeque::new());
         let guards = Guards::ALL;
-        Self { rates, member, uses, fresh, tokens: LEAST_SAVED, filled: Micros::MAX, dropped: 0, guards }
+        Self {
+            rates,
+            member,
+            uses,
+            fresh,
+            tokens: LEAST_SAVED,
+            filled: Micros::MAX,
+            dropped: 0,
+            guards,
+        }
     }
 
     /// So many members are there.
@@ -60,7 +69,13 @@
     pub fn used(&mut self, key: u64, process: Process, slot: Slot, bound: bool) {
         if bound {
             self.uses.insert((key, process), slot);
-        } else if !self.fresh.iter().rev().take(64).any(|(k, p, _)| (*k, *p) == (key, process)) {
+        } else if !self
+            .fresh
+            .iter()
+            .rev()
+            .take(64)
+            .any(|(k, p, _)| (*k, *p) == (key, process))
+        {
             if self.fresh.len() >= MOST_FRESH {
                 self.fresh.pop_front();
                 self.dropped += 1;
@@ -77,7 +92,8 @@
         let over = ((times.life(word.held) - before) / 2).max(1) * times.slot;
         let drawn = mix(mix(self.member, key), word.ends.cast_unsigned());
         let uniform = (drawn >> 11) as f64 / (1u64 << 53) as f64;
-        let waits = (1.0 + uniform.max(f64::MIN_POSITIVE).ln() / self.rates.members.ln()).clamp(0.0, 1.0);
+        let waits =
+            (1.0 + uniform.max(f64::MIN_POSITIVE).ln() / self.rates.members.ln()).clamp(0.0, 1.0);
         latest * times.slot - over + (waits * over as f64) as Micros
     }
 
@@ -95,7 +111,9 @@
         self.uses.reserve(uses.len());
         for ((key, process), last) in uses {
             let known = table.at(key, process);
-            let Some((word, era)) = known.zip(era(process)) else { continue };
+            let Some((word, era)) = known.zip(era(process)) else {
+                continue;
+            };
             let mine = Word::of(last, era, true, times);
             if mine <= word {
                 continue;
@@ -162,16 +180,34 @@
     #[test]
     fn a_use_that_others_would_not_age_out_is_not_told_and_first_uses_are_rationed() {
         let times = BindingsSection::default().times();
-        let mut telling = Telling::new(Rates { words_per_s: 10.0, members: 10.0 }, 1);
-        let (mut table, process) = (Table::new(10, 0), Process { name: 1, started: 0 });
+        let mut telling = Telling::new(
+            Rates {
+                words_per_s: 10.0,
+                members: 10.0,
+            },
+            1,
+        );
+        let (mut table, process) = (
+            Table::new(10, 0),
+            Process {
+                name: 1,
+                started: 0,
+            },
+        );
         table.merge(7, process, Word::of(100, 0, true, &times));
         telling.used(7, process, 101, true);
         (0..100).for_each(|key| telling.used(1000 + key, process, 101, false));
         let now = 101 * times.slot;
         let told = telling.due_now(now, 0, &table, &times, |_| Some(0));
-        assert_eq!((told.len(), told.iter().any(|(key, ..)| *key == 7)), (LEAST_SAVED as usize, false));
+        assert_eq!(
+            (told.len(), told.iter().any(|(key, ..)| *key == 7)),
+            (LEAST_SAVED as usize, false)
+        );
         let latest = (100 + times.life_held - times.spread - 1) * times.slot;
         let told = telling.due_now(latest, 1, &table, &times, |_| Some(0));
-        assert!(told.contains(&(7, process, Word::of(101, 0, true, &times))), "{told:?}");
+        assert!(
+            told.contains(&(7, process, Word::of(101, 0, true, &times))),
+            "{told:?}"
+        );
     }
 }
--- a/crates/bindings/src/time.rs
+++ b/crates/bindings/src/time.rs
@@ -54,12 +54,17 @@
     /// When all keys of a process that leaves since that slot have moved by everybody's clock, and the last request that went by a
     /// binding has ended.
     pub fn moved(&self, since: Slot) -> Micros {
-        since.saturating_add(self.moving + 1).saturating_mul(self.slot) + 2 * self.skew + self.longest_use
+        since
+            .saturating_add(self.moving + 1)
+            .saturating_mul(self.slot)
+            + 2 * self.skew
+            + self.longest_use
     }
 
     /// Slots for which it is remembered that a process left: until no word on it can be alive at any member.
     pub fn remembered(&self) -> Slot {
-        let longest = self.slots(self.clear_after()) + self.moving + self.life_new.max(self.life_held);
+        let longest =
+            self.slots(self.clear_after()) + self.moving + self.life_new.max(self.life_held);
         2 * longest
     }
 }
@@ -71,7 +76,13 @@
     #[test]
     fn slots_are_counted_from_the_epoch_either_way_and_a_part_of_one_is_one() {
         let t = BindingsSection::default().times();
-        assert_eq!((t.slot(0), t.slot(t.slot - 1), t.slot(t.slot), t.slot(-1)), (0, 0, 1, -1));
-        assert_eq!((t.slots(0), t.slots(1), t.slots(t.slot), t.slots(t.slot + 1)), (0, 1, 1, 2));
+        assert_eq!(
+            (t.slot(0), t.slot(t.slot - 1), t.slot(t.slot), t.slot(-1)),
+            (0, 0, 1, -1)
+        );
+        assert_eq!(
+            (t.slots(0), t.slots(1), t.slots(t.slot), t.slots(t.slot + 1)),
+            (0, 1, 1, 2)
+        );
     }
 }
--- a/crates/bindings/src/word.rs
+++ b/crates/bindings/src/word.rs
@@ -28,7 +28,11 @@
 impl Word {
     /// That of a use in a slot.
     pub fn of(last: Slot, era: u64, held: bool, times: &Times) -> Self {
-        Self { ends: last + times.life(held), era, held }
+        Self {
+            ends: last + times.life(held),
+            era,
+            held,
+        }
     }
 
     /// The slot of the use.
@@ -55,7 +59,8 @@
         }
         // By the same order as the words of one process: else one that was left out would have a part in what is kept.
         self.0.sort_by_key(|place| std::cmp::Reverse(*place));
-        let dropped = self.0.len() > MOST_PLACES && self.0[MOST_PLACES..].contains(&(word, process));
+        let dropped =
+            self.0.len() > MOST_PLACES && self.0[MOST_PLACES..].contains(&(word, process));
         self.0.truncate(MOST_PLACES);
         !dropped
     }
@@ -67,7 +72,10 @@
 
     /// The word on that process.
     pub fn at(&self, process: Process) -> Option<Word> {
-        self.0.iter().find(|(_, p)| *p == process).map(|(word, _)| *word)
+        self.0
+            .iter()
+            .find(|(_, p)| *p == process)
+            .map(|(word, _)| *word)
     }
 
     /// All, the one that ends last first.
@@ -83,8 +91,12 @@
     /// The places at which the key is bound, of those that may be used: first one that it was met at again, then one drawn by
     /// the key, the same at every member.
     pub fn bound(&self, key: u64, may: impl Fn(Process, Word) -> bool) -> Vec<Process> {
-        let rank = |(p, w): &(Process, Word)| (w.held, mix(key, mix(p.name, p.started.unsigned_abs())));
-        let mut bound: Vec<_> = self.iter().filter(|(process, word)| may(*process, *word)).collect();
+        let rank =
+            |(p, w): &(Process, Word)| (w.held, mix(key, mix(p.name, p.started.unsigned_abs())));
+        let mut bound: Vec<_> = self
+            .iter()
+            .filter(|(process, word)| may(*process, *word))
+            .collect();
         bound.sort_by_key(|place| std::cmp::Reverse(rank(place)));
         bound.into_iter().map(|(process, _)| process).collect()
     }
@@ -130,7 +142,16 @@
 
     #[test]
     fn a_key_bound_twice_has_one_winner_and_one_met_again_wins() {
-        let (a, b) = (Process { name: 1, started: 0 }, Process { name: 2, started: 0 });
+        let (a, b) = (
+            Process {
+                name: 1,
+                started: 0,
+            },
+            Process {
+                name: 2,
+                started: 0,
+            },
+        );
         let word = |ends, held| Word { era: 0, ends, held };
         let places = of(&[(a, word(5, true)), (b, word(9, false))]);
         assert_eq!(places.bound(3, |_, _| true).first(), Some(&a));
--- a/crates/common/build.rs
+++ b/crates/common/build.rs
@@ -10,14 +10,19 @@
     if log.exists() {
         println!("cargo::rerun-if-changed={}", log.display());
     }
-    let given = std::env::var("LINENPROXY_COMMIT").ok().filter(|commit| !commit.is_empty());
+    let given = std::env::var("LINENPROXY_COMMIT")
+        .ok()
+        .filter(|commit| !commit.is_empty());
     if let Some(commit) = given.or_else(asked) {
         println!("cargo::rustc-env=LINENPROXY_COMMIT={commit}");
     }
 }
 
 fn asked() -> Option<String> {
-    let output = Command::new("git").args(["rev-parse", "--short=12", "HEAD"]).output().ok()?;
+    let output = Command::new("git")
+        .args(["rev-parse", "--short=12", "HEAD"])
+        .output()
+        .ok()?;
     let commit = String::from_utf8(output.stdout).ok()?.trim().to_owned();
     (output.status.success() && !commit.is_empty()).then_some(commit)
 }
--- a/crates/common/src/cli.rs
+++ b/crates/common/src/cli.rs
@@ -59,11 +59,17 @@
 ) -> Result<T, Exit> {
     let version = format!("{VERSION} (commit {})", COMMIT.unwrap_or("unknown"));
     let command = T::command().version(version).after_help(EXIT_CODES);
-    let matches = command.try_get_matches_from(args).and_then(|matches| T::from_arg_matches(&matches));
+    let matches = command
+        .try_get_matches_from(args)
+        .and_then(|matches| T::from_arg_matches(&matches));
     matches.map_err(|error| {
         // A closed standard output is no reason to say more.
         let _ = error.print();
-        if error.use_stderr() { Exit::Usage } else { Exit::Done }
+        if error.use_stderr() {
+            Exit::Usage
+        } else {
+            Exit::Done
+        }
     })
 }
 
@@ -91,8 +97,9 @@
     fn help_states_every_code() {
         use Exit::*;
         for exit in [Done, Failed, Usage, Data, Unavailable, Software, Io, Config] {
-            let stated =
-                EXIT_CODES.lines().any(|l| l.split_whitespace().next() == Some(&(exit as u8).to_string()));
+            let stated = EXIT_CODES
+                .lines()
+                .any(|l| l.split_whitespace().next() == Some(&(exit as u8).to_string()));
             assert!(stated, "{exit:?}");
         }
     }
--- a/crates/common/src/config.rs
+++ b/crates/common/src/config.rs
@@ -27,7 +27,10 @@
 impl Contradiction {
     /// At `key`, because of `what`.
     pub fn new(key: &str, what: impl Into<String>) -> Self {
-        Self { key: key.to_owned(), what: what.into() }
+        Self {
+            key: key.to_owned(),
+            what: what.into(),
+        }
     }
 }
 
@@ -54,7 +57,11 @@
             write!(f, ": {key}")?;
         }
         // Parsers lay their words out over several lines.
-        write!(f, ": {}", self.what.split_whitespace().collect::<Vec<_>>().join(" "))
+        write!(
+            f,
+            ": {}",
+            self.what.split_whitespace().collect::<Vec<_>>().join(" ")
+        )
     }
 }
 
@@ -66,12 +73,20 @@
 /// The file cannot be read, is not TOML, has keys that nobody knows, values of a wrong kind or unit, or values that
 /// contradict each other.
 pub fn load<T: Configuration>(path: &Path) -> Result<T, Problem> {
-    let unreadable = |what: String| Problem { file: path.to_owned(), line: None, key: None, what };
-    let length = std::fs::metadata(path).map_err(|e| unreadable(format!("cannot read it: {e}")))?.len();
+    let unreadable = |what: String| Problem {
+        file: path.to_owned(),
+        line: None,
+        key: None,
+        what,
+    };
+    let length = std::fs::metadata(path)
+        .map_err(|e| unreadable(format!("cannot read it: {e}")))?
+        .len();
     if length > LONGEST {
         return Err(unreadable(format!("longer than {LONGEST} bytes")));
     }
-    let text = std::fs::read_to_string(path).map_err(|e| unreadable(format!("cannot read it: {e}")))?;
+    let text =
+        std::fs::read_to_string(path).map_err(|e| unreadable(format!("cannot read it: {e}")))?;
     parse(path, &text)
 }
 
@@ -82,19 +97,27 @@
 pub fn parse<T: Configuration>(file: &Path, text: &str) -> Result<T, Problem> {
     let problem = |at: Option<usize>, key: Option<String>, what: String| Problem {
         file: file.to_owned(),
-        line: at.map(|at| text.as_bytes().iter().take(at).filter(|b| **b == b'\n').count() + 1),
+        line: at.map(|at| {
+            text.as_bytes()
+                .iter()
+                .take(at)
+                .filter(|b| **b == b'\n')
+                .count()
+                + 1
+        }),
         key: key.filter(|k| !k.is_empty() && k != "."),
         what,
     };
     let at = |error: &toml::de::Error| error.span().map(|span| span.start);
-    let reader =
-        toml::Deserializer::parse(text).map_err(|e| problem(at(&e), None, e.message().to_owned()))?;
+    let reader = toml::Deserializer::parse(text)
+        .map_err(|e| problem(at(&e), None, e.message().to_owned()))?;
     let read: T = serde_path_to_error::deserialize(reader).map_err(|e| {
         let path = e.path().to_string();
         let error = e.into_inner();
         problem(at(&error), Some(path), error.message().to_owned())
     })?;
-    read.check().map_err(|c| problem(place(text, &c.key), Some(c.key), c.what))?;
+    read.check()
+        .map_err(|c| problem(place(text, &c.key), Some(c.key), c.what))?;
     Ok(read)
 }
 
@@ -103,7 +126,9 @@
     let document = toml::de::DeTable::parse(text).ok()?;
     let (mut table, mut found) = (document.get_ref(), None);
     for part in key.split('.') {
-        let Some((name, value)) = table.iter().find(|(name, _)| name.get_ref() == part) else { break };
+        let Some((name, value)) = table.iter().find(|(name, _)| name.get_ref() == part) else {
+            break;
+        };
         found = Some(name.span().start);
         match value.get_ref() {
             toml::de::DeValue::Table(inner) => table = inner,
@@ -131,7 +156,11 @@
     let nothing = toml::Table::new();
     let names: std::collections::BTreeSet<&String> = old.keys().chain(new.keys()).collect();
     for name in names {
-        let key = if above.is_empty() { name.clone() } else { format!("{above}.{name}") };
+        let key = if above.is_empty() {
+            name.clone()
+        } else {
+            format!("{above}.{name}")
+        };
         match (old.get(name), new.get(name)) {
             (a, b) if a == b => {}
             (Some(toml::Value::Table(a)), Some(toml::Value::Table(b))) => differ(&key, a, b, keys),
@@ -164,14 +193,21 @@
 
     impl Default for Pump {
         fn default() -> Self {
-            Self { least: Time::ms(5), most: Time::ms(250), tank: Size(1024) }
+            Self {
+                least: Time::ms(5),
+                most: Time::ms(250),
+                tank: Size(1024),
+            }
         }
     }
 
     impl Configuration for Sample {
         fn check(&self) -> Result<(), Contradiction> {
             if self.pump.least > self.pump.most {
-                return Err(Contradiction::new("pump.least", format!("above pump.most, {}", self.pump.most)));
+                return Err(Contradiction::new(
+                    "pump.least",
+                    format!("above pump.most, {}", self.pump.most),
+                ));
             }
             Ok(())
         }
@@ -189,19 +225,40 @@
         let read = |text| parse::<Sample>(Path::new("a.toml"), text).expect(text);
         assert_eq!(read(""), Sample::default());
         assert_eq!(read("[pump]\nmost = \"2s\"\n").pump.most, Time::ms(2000));
-        assert_eq!(read(&written(&read("[pump]\ntank = \"3KiB\"\n"))).pump.tank, Size(3072));
+        assert_eq!(
+            read(&written(&read("[pump]\ntank = \"3KiB\"\n"))).pump.tank,
+            Size(3072)
+        );
     }
 
     #[test]
     fn what_is_wrong_is_one_line_with_file_line_and_key() {
         for (text, place) in [
-            ("[pump]\nmoost = \"2s\"\n", "a.toml:2: pump.moost: unknown field"),
+            (
+                "[pump]\nmoost = \"2s\"\n",
+                "a.toml:2: pump.moost: unknown field",
+            ),
             ("\n[pomp]\n", "a.toml:2: pomp: unknown field"),
-            ("[pump]\n\nmost = 250\n", "a.toml:3: pump.most: invalid type"),
-            ("[pump]\nmost = \"250\"\n", "a.toml:2: pump.most: \"250\" is not a time"),
-            ("[pump]\nmost = \"64KiB\"\n", "a.toml:2: pump.most: \"64KiB\" is not a time"),
-            ("[pump]\ntank = \"2s\"\n", "a.toml:2: pump.tank: \"2s\" is not a size"),
-            ("[pump]\nmost = \"2s\"\nleast = \"3s\"\n", "a.toml:3: pump.least: above pump.most, 2s"),
+            (
+                "[pump]\n\nmost = 250\n",
+                "a.toml:3: pump.most: invalid type",
+            ),
+            (
+                "[pump]\nmost = \"250\"\n",
+                "a.toml:2: pump.most: \"250\" is not a time",
+            ),
+            (
+                "[pump]\nmost = \"64KiB\"\n",
+                "a.toml:2: pump.most: \"64KiB\" is not a time",
+            ),
+            (
+                "[pump]\ntank = \"2s\"\n",
+                "a.toml:2: pump.tank: \"2s\" is not a size",
+            ),
+            (
+                "[pump]\nmost = \"2s\"\nleast = \"3s\"\n",
+                "a.toml:3: pump.least: above pump.most, 2s",
+            ),
             ("[pump]\nmost = \"2s\"\nmost = \"3s\"\n", "a.toml:3: "),
             ("[pump]\nmost = \"2", "a.toml:2: "),
             ("[pump\n", "a.toml:1: "),
@@ -212,7 +269,12 @@
         // The value that is left to its default has no line of its own.
         assert!(said("[pump]\nmost = \"1ms\"\n").starts_with("a.toml:1: pump.least: above"));
         let missing = load::<Sample>(Path::new("/nonexistent/a.toml")).expect_err("no file");
-        assert!(missing.to_string().starts_with("/nonexistent/a.toml: cannot read it: "), "{missing}");
+        assert!(
+            missing
+                .to_string()
+                .starts_with("/nonexistent/a.toml: cannot read it: "),
+            "{missing}"
+        );
     }
 
     // What a writer has got to when the signal comes.
@@ -222,7 +284,8 @@
         for length in 0..whole.len() {
             let half = parse::<Sample>(Path::new("a.toml"), &whole[..length]);
             // Cut between lines it is a shorter file; anywhere else it must not be taken.
-            let between = whole[..length].ends_with('\n') || whole[length..].starts_with('\n') || length == 0;
+            let between =
+                whole[..length].ends_with('\n') || whole[length..].starts_with('\n') || length == 0;
             assert_eq!(half.is_ok(), between, "{:?}", &whole[..length]);
         }
     }
--- a/crates/common/src/logging.rs
+++ b/crates/common/src/logging.rs
@@ -62,7 +62,12 @@
 
 impl Default for LogSection {
     fn default() -> Self {
-        Self { format: Format::Text, level: Level::Info, targets: BTreeMap::new(), buffer: Size(64 << 10) }
+        Self {
+            format: Format::Text,
+            level: Level::Info,
+            targets: BTreeMap::new(),
+            buffer: Size(64 << 10),
+        }
     }
 }
 
@@ -82,8 +87,13 @@
     }
 
     fn filter(&self) -> Targets {
-        let targets = self.targets.iter().map(|(target, level)| (target.as_str(), level.filter()));
-        Targets::new().with_default(self.level.filter()).with_targets(targets)
+        let targets = self
+            .targets
+            .iter()
+            .map(|(target, level)| (target.as_str(), level.filter()));
+        Targets::new()
+            .with_default(self.level.filter())
+            .with_targets(targets)
     }
 }
 
@@ -132,11 +142,17 @@
     let layer: Box<dyn Layer<Registry> + Send + Sync> = match section.format {
         Format::Text => {
             let format = Text { program };
-            tracing_subscriber::fmt::layer().with_ansi(false).event_format(format).with_writer(writer).boxed()
+            tracing_subscriber::fmt::layer()
+                .with_ansi(false)
+                .event_format(format)
+                .with_writer(writer)
+                .boxed()
         }
         Format::Json => {
-            let format =
-                tracing_subscriber::fmt::format().json().flatten_event(true).with_current_span(false);
+            let format = tracing_subscriber::fmt::format()
+                .json()
+                .flatten_event(true)
+                .with_current_span(false);
             let fields = tracing_subscriber::fmt::format::JsonFields::new();
             tracing_subscriber::fmt::layer()
                 .event_format(format.with_span_list(false))
@@ -146,8 +162,13 @@
         }
     };
     // Only a second start in one process finds a log there; the first one stays.
-    let _ = tracing_subscriber::registry().with(layer.with_filter(filter)).try_init();
-    Log { filter: handle, lines }
+    let _ = tracing_subscriber::registry()
+        .with(layer.with_filter(filter))
+        .try_init();
+    Log {
+        filter: handle,
+        lines,
+    }
 }
 
 /// `program: words key=value`, and the level before the words where it is not one of every day.
@@ -160,7 +181,12 @@
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
 {
-    fn format_event(&self, ctx: &FmtContext<'_, S, N>, mut to: Writer<'_>, event: &Event<'_>) -> fmt::Result {
+    fn format_event(
+        &self,
+        ctx: &FmtContext<'_, S, N>,
+        mut to: Writer<'_>,
+        event: &Event<'_>,
+    ) -> fmt::Result {
         write!(to, "{}: ", self.program)?;
         if *event.metadata().level() >= tracing::Level::DEBUG {
             write!(to, "debug: ")?;
@@ -182,7 +208,10 @@
     type Writer = Line<'a>;
 
     fn make_writer(&'a self) -> Line<'a> {
-        Line { to: &self.0, bytes: Vec::new() }
+        Line {
+            to: &self.0,
+            bytes: Vec::new(),
+        }
     }
 }
 
@@ -211,7 +240,10 @@
 
     #[test]
     fn levels_hold_by_target() {
-        let mut section = LogSection { level: Level::Warn, ..LogSection::default() };
+        let mut section = LogSection {
+            level: Level::Warn,
+            ..LogSection::default()
+        };
         section.targets.insert("a::b".to_owned(), Level::Debug);
         let filter = section.filter();
         assert!(filter.would_enable("a::b::c", &tracing::Level::DEBUG));
@@ -223,7 +255,10 @@
 
     #[test]
     fn a_buffer_that_holds_no_line_is_refused() {
-        let section = LogSection { buffer: Size(10), ..LogSection::default() };
+        let section = LogSection {
+            buffer: Size(10),
+            ..LogSection::default()
+        };
         assert_eq!(section.check().expect_err("too small").key, "log.buffer");
         assert_eq!(LogSection::default().check(), Ok(()));
     }
--- a/crates/common/src/metering.rs
+++ b/crates/common/src/metering.rs
@@ -31,7 +31,12 @@
 impl Default for MetricsSection {
     fn default() -> Self {
         let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 9464));
-        Self { enabled: false, address, readers: 4, timeout: Time::ms(5000) }
+        Self {
+            enabled: false,
+            address,
+            readers: 4,
+            timeout: Time::ms(5000),
+        }
     }
 }
 
@@ -48,7 +53,10 @@
             ));
         }
         if self.timeout.0.is_zero() {
-            return Err(Contradiction::new("metrics.timeout", "0s leaves no time to answer"));
+            return Err(Contradiction::new(
+                "metrics.timeout",
+                "0s leaves no time to answer",
+            ));
         }
         Ok(())
     }
@@ -56,7 +64,9 @@
 
 /// Bounds of the histograms' buckets, in seconds: from a fast answer on one machine to the longest deadline that
 /// the platform's settings know (4 s), each about twice the one before.
-const BUCKETS: [f64; 13] = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.35, 0.5, 0.8, 1.0, 2.0, 4.0];
+const BUCKETS: [f64; 13] = [
+    0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.35, 0.5, 0.8, 1.0, 2.0, 4.0,
+];
 /// How often samples of histograms are taken out of their queue where nobody reads them, so that it stays short.
 const UPKEEP: Duration = Duration::from_secs(5);
 
@@ -93,13 +103,21 @@
         what: &'static str,
         labels: &[(&'static str, &str)],
     ) -> Counter {
-        self.recorder.describe_counter(KeyName::from(name), None, SharedString::from(what));
-        self.recorder.register_counter(&key(name, labels), &METADATA)
+        self.recorder
+            .describe_counter(KeyName::from(name), None, SharedString::from(what));
+        self.recorder
+            .register_counter(&key(name, labels), &METADATA)
     }
 
     /// A value that goes up and down.
-    pub fn gauge(&self, name: &'static str, what: &'static str, labels: &[(&'static str, &str)]) -> Gauge {
-        self.recorder.describe_gauge(KeyName::from(name), None, SharedString::from(what));
+    pub fn gauge(
+        &self,
+        name: &'static str,
+        what: &'static str,
+        labels: &[(&'static str, &str)],
+    ) -> Gauge {
+        self.recorder
+            .describe_gauge(KeyName::from(name), None, SharedString::from(what));
         self.recorder.register_gauge(&key(name, labels), &METADATA)
     }
 
@@ -110,18 +128,39 @@
         what: &'static str,
         labels: &[(&'static str, &str)],
     ) -> Histogram {
-        self.recorder.describe_histogram(KeyName::from(name), Some(Unit::Seconds), SharedString::from(what));
-        self.recorder.register_histogram(&key(name, labels), &METADATA)
+        self.recorder.describe_histogram(
+            KeyName::from(name),
+            Some(Unit::Seconds),
+            SharedString::from(what),
+        );
+        self.recorder
+            .register_histogram(&key(name, labels), &METADATA)
     }
 
     /// All of them in Prometheus text form, version 0.0.4, with the process's own brought up to date.
     pub fn text(&self) -> String {
         let usage = process::usage();
         for (name, what, value) in [
-            ("process_resident_memory_bytes", "Resident memory.", usage.resident.map(|v| v as f64)),
-            ("process_open_fds", "Descriptors open.", usage.descriptors.map(|v| v as f64)),
-            ("process_max_fds", "Descriptors that may be open.", usage.most_descriptors.map(|v| v as f64)),
-            ("process_cpu_seconds", "Processor time used.", usage.processor),
+            (
+                "process_resident_memory_bytes",
+                "Resident memory.",
+                usage.resident.map(|v| v as f64),
+            ),
+            (
+                "process_open_fds",
+                "Descriptors open.",
+                usage.descriptors.map(|v| v as f64),
+            ),
+            (
+                "process_max_fds",
+                "Descriptors that may be open.",
+                usage.most_descriptors.map(|v| v as f64),
+            ),
+            (
+                "process_cpu_seconds",
+                "Processor time used.",
+                usage.processor,
+            ),
         ] {
             if let Some(value) = value {
                 self.gauge(name, what, &[]).set(value);
@@ -142,7 +181,10 @@
 const METADATA: Metadata<'static> = Metadata::new("linenproxy", Level::INFO, None);
 
 fn key(name: &'static str, labels: &[(&'static str, &str)]) -> Key {
-    let labels: Vec<_> = labels.iter().map(|(name, value)| Label::new(*name, (*value).to_owned())).collect();
+    let labels: Vec<_> = labels
+        .iter()
+        .map(|(name, value)| Label::new(*name, (*value).to_owned()))
+        .collect();
     Key::from_parts(name, labels)
 }
 
@@ -154,7 +196,11 @@
     fn figures_are_written_with_their_words_and_labels() {
         let figures = Figures::new();
         figures
-            .counter("a_requests_total", "Requests.", &[("class", "x\"y"), ("outcome", "served")])
+            .counter(
+                "a_requests_total",
+                "Requests.",
+                &[("class", "x\"y"), ("outcome", "served")],
+            )
             .increment(3);
         let times = figures.seconds("a_duration_seconds", "Times.", &[]);
         times.record(0.15);
@@ -174,16 +220,29 @@
         }
         assert!(text.contains("process_resident_memory_bytes "));
         figures
-            .counter("a_requests_total", "Requests.", &[("class", "x\"y"), ("outcome", "served")])
+            .counter(
+                "a_requests_total",
+                "Requests.",
+                &[("class", "x\"y"), ("outcome", "served")],
+            )
             .increment(1);
-        assert!(figures.text().contains("outcome=\"served\"} 4"), "the same figure goes on");
+        assert!(
+            figures.text().contains("outcome=\"served\"} 4"),
+            "the same figure goes on"
+        );
     }
 
     #[test]
     fn contradictions_are_named() {
-        let none = MetricsSection { readers: 0, ..MetricsSection::default() };
+        let none = MetricsSection {
+            readers: 0,
+            ..MetricsSection::default()
+        };
         assert_eq!(none.check().expect_err("no reader").key, "metrics.readers");
-        let hurried = MetricsSection { timeout: Time::ms(0), ..MetricsSection::default() };
+        let hurried = MetricsSection {
+            timeout: Time::ms(0),
+            ..MetricsSection::default()
+        };
         assert_eq!(hurried.check().expect_err("no time").key, "metrics.timeout");
     }
 }
--- a/crates/common/src/pages.rs
+++ b/crates/common/src/pages.rs
@@ -47,19 +47,31 @@
     /// Metrics in Prometheus text form.
     pub fn metrics(text: String) -> Self {
         let media = "text/plain; version=0.0.4; charset=utf-8";
-        Self { status: StatusCode::OK, media, text }
+        Self {
+            status: StatusCode::OK,
+            media,
+            text,
+        }
     }
 
     /// Something as JSON; none where it cannot be written so.
     pub fn json(status: StatusCode, what: &impl Serialize) -> Option<Self> {
         let text = serde_json::to_string_pretty(what).ok()?;
-        Some(Self { status, media: "application/json", text: text + "\n" })
+        Some(Self {
+            status,
+            media: "application/json",
+            text: text + "\n",
+        })
     }
 
     /// The same for programs, without spaces.
     pub fn compact(what: &impl Serialize) -> Option<Self> {
         let text = serde_json::to_string(what).ok()?;
-        Some(Self { status: StatusCode::OK, media: "application/json", text: text + "\n" })
+        Some(Self {
+            status: StatusCode::OK,
+            media: "application/json",
+            text: text + "\n",
+        })
     }
 
     /// Why a posted body cannot be used, and the key that is wrong.
@@ -110,26 +122,38 @@
             let mut builder = http1::Builder::new();
             builder.timer(TokioTimer::new()).keep_alive(false);
             // What is wrong with a reader is its own concern.
-            let _ = timeout(time, builder.serve_connection(TokioIo::new(stream), service)).await;
+            let _ = timeout(
+                time,
+                builder.serve_connection(TokioIo::new(stream), service),
+            )
+            .await;
             connected.set(connected.get() - 1);
         });
     }
 }
 
-async fn answer<F, P>(request: Request<Incoming>, pages: P) -> Result<Response<Full<Bytes>>, Infallible>
+async fn answer<F, P>(
+    request: Request<Incoming>,
+    pages: P,
+) -> Result<Response<Full<Bytes>>, Infallible>
 where
     P: Fn(Ask) -> F,
     F: Future<Output = Option<Page>>,
 {
     let mut response = Response::new(Full::default());
-    response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+    response
+        .headers_mut()
+        .insert(CONNECTION, HeaderValue::from_static("close"));
     let path = request.uri().path().to_owned();
     let posted = match *request.method() {
         Method::GET => Ok(None),
         Method::POST if request.body().size_hint().lower() > LONGEST_BODY as u64 => {
             Err(StatusCode::PAYLOAD_TOO_LARGE)
         }
-        Method::POST => match Limited::new(request.into_body(), LONGEST_BODY).collect().await {
+        Method::POST => match Limited::new(request.into_body(), LONGEST_BODY)
+            .collect()
+            .await
+        {
             Ok(body) => Ok(Some(body.to_bytes())),
             Err(e) if e.is::<LengthLimitError>() => Err(StatusCode::PAYLOAD_TOO_LARGE),
             Err(_) => Err(StatusCode::BAD_REQUEST),
@@ -141,7 +165,9 @@
         Ok(posted) => match pages(Ask { path, posted }).await {
             Some(page) => {
                 *response.status_mut() = page.status;
-                response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(page.media));
+                response
+                    .headers_mut()
+                    .insert(CONTENT_TYPE, HeaderValue::from_static(page.media));
                 *response.body_mut() = Full::new(Bytes::from(page.text));
             }
             None => *response.status_mut() = StatusCode::NOT_FOUND,
@@ -161,7 +187,10 @@
 
     async fn read(at: SocketAddr, request: &str) -> String {
         let mut stream = TcpStream::connect(at).await.expect("it accepts");
-        stream.write_all(request.as_bytes()).await.expect("it reads");
+        stream
+            .write_all(request.as_bytes())
+            .await
+            .expect("it reads");
         let mut text = String::new();
         // A connection that is closed unread may end as a reset.
         let _ = stream.read_to_string(&mut text).await;
@@ -175,27 +204,40 @@
             .run_until(async {
                 let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
                 let at = listener.local_addr().expect("an address");
-                let section =
-                    MetricsSection { readers: 2, timeout: Time::ms(300), ..MetricsSection::default() };
+                let section = MetricsSection {
+                    readers: 2,
+                    timeout: Time::ms(300),
+                    ..MetricsSection::default()
+                };
                 let bounds = Bounds::of(&section);
                 let page = |ask: Ask| async move {
-                    (ask.path == "/metrics")
-                        .then(|| Page::metrics(format!("a {}\n", ask.posted.map_or(1, |b| b.len()))))
+                    (ask.path == "/metrics").then(|| {
+                        Page::metrics(format!("a {}\n", ask.posted.map_or(1, |b| b.len())))
+                    })
                 };
                 spawn_local(serve(listener, bounds.clone(), page));
                 let get = "GET /metrics HTTP/1.1\r\nHost: a\r\n\r\n";
                 let mut stuck = TcpStream::connect(at).await.expect("it accepts");
                 assert!(read(at, get).await.ends_with("a 1\n"));
-                assert!(read(at, "GET /else HTTP/1.1\r\nHost: a\r\n\r\n").await.starts_with("HTTP/1.1 404 "));
                 assert!(
-                    read(at, "PUT /metrics HTTP/1.1\r\nHost: a\r\n\r\n").await.starts_with("HTTP/1.1 405 ")
+                    read(at, "GET /else HTTP/1.1\r\nHost: a\r\n\r\n")
+                        .await
+                        .starts_with("HTTP/1.1 404 ")
+                );
+                assert!(
+                    read(at, "PUT /metrics HTTP/1.1\r\nHost: a\r\n\r\n")
+                        .await
+                        .starts_with("HTTP/1.1 405 ")
                 );
                 let post = "POST /metrics HTTP/1.1\r\nHost: a\r\nContent-Length: 7\r\n\r\n1234567";
                 assert!(read(at, post).await.ends_with("a 7\n"));
                 let long = "POST /metrics HTTP/1.1\r\nHost: a\r\nContent-Length: 5000\r\n\r\n";
                 assert!(read(at, long).await.starts_with("HTTP/1.1 413 "));
                 // Fewer than are connected: nobody new is let in until the stuck one's time is up.
-                bounds.set(&MetricsSection { readers: 1, ..section });
+                bounds.set(&MetricsSection {
+                    readers: 1,
+                    ..section
+                });
                 assert_eq!(read(at, get).await, "");
                 assert_eq!(stuck.read(&mut [0; 1]).await.expect("an end"), 0);
                 assert!(read(at, get).await.ends_with("a 1\n"));
--- a/crates/common/src/stderr.rs
+++ b/crates/common/src/stderr.rs
@@ -47,7 +47,14 @@
 impl<S: Sink> Lines<S> {
     /// At most `most` bytes wait for `sink`.
     pub fn new(sink: S, program: &'static str, most: usize) -> Self {
-        Self { sink, program, waiting: VecDeque::new(), most, unsaid: 0, dropped: 0 }
+        Self {
+            sink,
+            program,
+            waiting: VecDeque::new(),
+            most,
+            unsaid: 0,
+            dropped: 0,
+        }
     }
 
     /// Writes or keeps a line, which ends with a line break.
@@ -140,7 +147,9 @@
 
         fn take(&mut self, bytes: &[u8]) -> io::Result<usize> {
             let mut pipe = self.lock().expect("no test panics");
-            let Some(room) = pipe.room else { return Err(io::ErrorKind::BrokenPipe.into()) };
+            let Some(room) = pipe.room else {
+                return Err(io::ErrorKind::BrokenPipe.into());
+            };
             let taken = bytes.len().min(room);
             pipe.room = Some(room - taken);
             pipe.got.extend(&bytes[..taken]);
@@ -149,7 +158,10 @@
     }
 
     fn pipe(room: Option<usize>, most: usize) -> (Arc<Mutex<Pipe>>, Lines<Arc<Mutex<Pipe>>>) {
-        let pipe = Arc::new(Mutex::new(Pipe { room, got: Vec::new() }));
+        let pipe = Arc::new(Mutex::new(Pipe {
+            room,
+            got: Vec::new(),
+        }));
         (Arc::clone(&pipe), Lines::new(pipe, "p", most))
     }
 
@@ -163,9 +175,12 @@
         assert!(dropped > 30 && dropped < 50, "{dropped}");
         pipe.lock().expect("no test panics").room = Some(10_000);
         lines.line(b"last\n");
-        let got = String::from_utf8(pipe.lock().expect("no test panics").got.clone()).expect("text");
+        let got =
+            String::from_utf8(pipe.lock().expect("no test panics").got.clone()).expect("text");
         let mut expected: Vec<_> = (0..50 - dropped).map(|n| format!("line {n}")).collect();
-        expected.push(format!("p: {dropped} lines dropped, standard error did not take them"));
+        expected.push(format!(
+            "p: {dropped} lines dropped, standard error did not take them"
+        ));
         expected.push("last".to_owned());
         assert_eq!(got.lines().collect::<Vec<_>>(), expected);
         assert_eq!(lines.dropped(), dropped);
--- a/crates/common/src/units.rs
+++ b/crates/common/src/units.rs
@@ -23,12 +23,15 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let wrong = |why: String| format!("{text:?} is not a time such as \"250ms\" or \"2s\": {why}");
+        let wrong =
+            |why: String| format!("{text:?} is not a time such as \"250ms\" or \"2s\": {why}");
         // The crate takes a bare 0; nothing here is without a unit.
         if text.trim().bytes().all(|b| b.is_ascii_digit()) {
             return Err(wrong("no unit".to_owned()));
         }
-        humantime::parse_duration(text).map(Self).map_err(|e| wrong(e.to_string()))
+        humantime::parse_duration(text)
+            .map(Self)
+            .map_err(|e| wrong(e.to_string()))
     }
 }
 
@@ -36,11 +39,14 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let wrong = |why: &str| format!("{text:?} is not a size such as \"64KiB\" or \"200B\": {why}");
+        let wrong =
+            |why: &str| format!("{text:?} is not a size such as \"64KiB\" or \"200B\": {why}");
         if !text.trim_end().ends_with(['b', 'B']) {
             return Err(wrong("no unit"));
         }
-        text.parse::<bytesize::ByteSize>().map(|size| Self(size.as_u64())).map_err(|e| wrong(&e))
+        text.parse::<bytesize::ByteSize>()
+            .map(|size| Self(size.as_u64()))
+            .map_err(|e| wrong(&e))
     }
 }
 
@@ -56,7 +62,9 @@
 impl fmt::Display for Size {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let units = [(1u64 << 30, "GiB"), (1 << 20, "MiB"), (1 << 10, "KiB")];
-        let unit = units.iter().find(|(bytes, _)| self.0 > 0 && self.0.is_multiple_of(*bytes));
+        let unit = units
+            .iter()
+            .find(|(bytes, _)| self.0 > 0 && self.0.is_multiple_of(*bytes));
         let (bytes, name) = unit.unwrap_or(&(1, "B"));
         write!(f, "{}{name}", self.0 / bytes)
     }
@@ -103,10 +111,25 @@
         for (text, ms) in [("250ms", 250), ("2s", 2000), ("1m 30s", 90_000), ("0s", 0)] {
             assert_eq!(text.parse(), Ok(Time::ms(ms)), "{text}");
         }
-        for (text, bytes) in [("64KiB", 65_536), ("200B", 200), ("1.5MiB", 1_572_864), ("2kB", 2000)] {
+        for (text, bytes) in [
+            ("64KiB", 65_536),
+            ("200B", 200),
+            ("1.5MiB", 1_572_864),
+            ("2kB", 2000),
+        ] {
             assert_eq!(text.parse(), Ok(Size(bytes)), "{text}");
         }
-        for bad in ["", "250", "0", "250 parsecs", "-1s", "64KiB", "ms", "1e400s", "99999999999999999999s"] {
+        for bad in [
+            "",
+            "250",
+            "0",
+            "250 parsecs",
+            "-1s",
+            "64KiB",
+            "ms",
+            "1e400s",
+            "99999999999999999999s",
+        ] {
             assert!(bad.parse::<Time>().is_err(), "{bad}");
         }
         for bad in ["", "64", "64K", "64ms", "-1B", "KiB", "NaNB", "1s"] {
--- a/crates/duties/src/duty.rs
+++ b/crates/duties/src/duty.rs
@@ -37,13 +37,18 @@
 impl Duty {
     /// Whether the holder is of that name and token.
     pub(crate) fn held_by(&self, name: &str, token: u64) -> Option<&Held> {
-        self.held.as_ref().filter(|held| held.by.name == name && held.token == token)
+        self.held
+            .as_ref()
+            .filter(|held| held.by.name == name && held.token == token)
     }
 
     /// The first who waits with a higher rank than the holder's.
     pub(crate) fn wanted_by(&self) -> Option<String> {
         let held = self.held.as_ref()?;
-        self.waiting.first().filter(|w| w.by.rank > held.by.rank).map(|w| w.by.name.clone())
+        self.waiting
+            .first()
+            .filter(|w| w.by.rank > held.by.rank)
+            .map(|w| w.by.name.clone())
     }
 
     /// Takes one who waits out of the row.
--- a/crates/duties/src/holder.rs
+++ b/crates/duties/src/holder.rs
@@ -87,13 +87,23 @@
         }
         let (duty, name) = (self.duty.clone(), self.by.name.clone());
         let event = match (&self.back, self.held) {
-            (Some((token, None)), _) => Event::Release { duty, name, token: *token },
-            (Some((token, Some(heir))), _) => {
-                Event::Transfer { duty, name, token: *token, heir: heir.clone() }
-            }
+            (Some((token, None)), _) => Event::Release {
+                duty,
+                name,
+                token: *token,
+            },
+            (Some((token, Some(heir))), _) => Event::Transfer {
+                duty,
+                name,
+                token: *token,
+                heir: heir.clone(),
+            },
             (None, _) if !self.wants => return None,
             (None, Some((token, ..))) => Event::Renew { duty, name, token },
-            (None, None) => Event::Ask { duty, by: self.by.clone() },
+            (None, None) => Event::Ask {
+                duty,
+                by: self.by.clone(),
+            },
         };
         self.next_ms = now_ms + (self.by.lease_ms / ASKS_AGAIN).max(1);
         self.number += 1;
@@ -101,21 +111,32 @@
             self.open.pop_front();
         }
         self.open.push_back((self.number, now_ms));
-        Some(Word { number: self.number, event })
+        Some(Word {
+            number: self.number,
+            event,
+        })
     }
 
     /// Takes the answer to the word of that number. One that comes late counts from when its word was sent; one to a
     /// word of before a stop counts for nothing.
     pub fn heard(&mut self, now_ms: u64, number: u64, outcome: &Outcome) {
         self.notice_pause(now_ms);
-        let Some(place) = self.open.iter().position(|(open, _)| *open == number) else { return };
+        let Some(place) = self.open.iter().position(|(open, _)| *open == number) else {
+            return;
+        };
         let sent_ms = self.open.remove(place).map_or(0, |(_, sent)| sent);
         self.next_ms = self.next_ms.max(sent_ms + self.by.lease_ms / ASKS);
         match outcome {
-            Outcome::Granted { token, lease_ms, wanted_by } if self.back.is_none() && self.wants => {
+            Outcome::Granted {
+                token,
+                lease_ms,
+                wanted_by,
+            } if self.back.is_none() && self.wants => {
                 let end = sent_ms + lease_ms * (1000 - self.terms.rate_permille.min(1000)) / 1000;
                 // An older answer that comes last takes nothing back.
-                let last = self.held.filter(|(held, last, _)| held == token && *last > end);
+                let last = self
+                    .held
+                    .filter(|(held, last, _)| held == token && *last > end);
                 if last.is_none() && self.held.is_none_or(|(held, ..)| held <= *token) {
                     self.held = Some((*token, end, true));
                     self.wanted_by.clone_from(wanted_by);
@@ -144,7 +165,9 @@
     /// The right to act at this moment. An act that takes long is to be ended before [`Right::until_ms`].
     pub fn may_act(&self, now_ms: u64) -> Option<Right> {
         let (token, until_ms, fresh) = self.held?;
-        let awake = self.beat_ms.is_some_and(|beat| now_ms.saturating_sub(beat) <= self.terms.pause_ms);
+        let awake = self
+            .beat_ms
+            .is_some_and(|beat| now_ms.saturating_sub(beat) <= self.terms.pause_ms);
         (fresh && awake && now_ms < until_ms).then_some(Right { token, until_ms })
     }
 
@@ -171,7 +194,9 @@
     }
 
     fn notice_pause(&mut self, now_ms: u64) {
-        let slept = self.beat_ms.is_some_and(|beat| now_ms.saturating_sub(beat) > self.terms.pause_ms);
+        let slept = self
+            .beat_ms
+            .is_some_and(|beat| now_ms.saturating_sub(beat) > self.terms.pause_ms);
         if slept {
             self.open.clear();
             self.next_ms = now_ms;
@@ -183,6 +208,9 @@
     /// As if the word of that number were sent only now: a fault that the model plants.
     #[cfg(test)]
     pub(crate) fn sent_now(&mut self, now_ms: u64, number: u64) {
-        self.open.iter_mut().filter(|(open, _)| *open == number).for_each(|(_, sent)| *sent = now_ms);
+        self.open
+            .iter_mut()
+            .filter(|(open, _)| *open == number)
+            .for_each(|(_, sent)| *sent = now_ms);
     }
 }
--- a/crates/duties/src/machine.rs
+++ b/crates/duties/src/machine.rs
@@ -27,10 +27,19 @@
             Event::Ask { duty, by } => self.ask(&duty, by),
             Event::Renew { duty, name, token } => self.renew(&duty, &name, token),
             Event::Release { duty, name, token } => self.release(&duty, &name, token, None),
-            Event::Transfer { duty, name, token, heir } => self.release(&duty, &name, token, Some(&heir)),
+            Event::Transfer {
+                duty,
+                name,
+                token,
+                heir,
+            } => self.release(&duty, &name, token, Some(&heir)),
             Event::Withdraw { duty, name } => self.leave(&duty, &name, |_| true),
             Event::Forget { duty, name, asks } => self.leave(&duty, &name, |w| w.asks == asks),
-            Event::Lapse { duty, token, renewals } => self.lapse(&duty, token, renewals),
+            Event::Lapse {
+                duty,
+                token,
+                renewals,
+            } => self.lapse(&duty, token, renewals),
         }
     }
 
@@ -51,22 +60,36 @@
 
     /// Duties whose holder changed after that change.
     pub fn changed_since(&self, change: u64) -> impl Iterator<Item = (&String, &Duty)> {
-        self.duties.iter().filter(move |(_, duty)| duty.changed > change)
+        self.duties
+            .iter()
+            .filter(move |(_, duty)| duty.changed > change)
     }
 
     fn ask(&mut self, name: &str, by: Claimant) -> Outcome {
         if let Err((key, why)) = check(name, &by) {
             return Outcome::Refused(Refusal::Invalid(key.to_owned(), why));
         }
-        if !self.duties.contains_key(name) && self.duties.len() >= MOST_DUTIES && !self.drop_idle() {
+        if !self.duties.contains_key(name) && self.duties.len() >= MOST_DUTIES && !self.drop_idle()
+        {
             return Outcome::Refused(Refusal::Full);
         }
         let duty = self.duties.entry(name.to_owned()).or_default();
-        let lives = duty.held.iter().map(|h| &h.by).chain(duty.waiting.iter().map(|w| &w.by));
-        if lives.into_iter().any(|known| known.name == by.name && known.life > by.life) {
+        let lives = duty
+            .held
+            .iter()
+            .map(|h| &h.by)
+            .chain(duty.waiting.iter().map(|w| &w.by));
+        if lives
+            .into_iter()
+            .any(|known| known.name == by.name && known.life > by.life)
+        {
             return Outcome::Refused(Refusal::OldLife);
         }
-        if let Some(held) = duty.held.as_mut().filter(|h| (&h.by.name, h.by.life) == (&by.name, by.life)) {
+        if let Some(held) = duty
+            .held
+            .as_mut()
+            .filter(|h| (&h.by.name, h.by.life) == (&by.name, by.life))
+        {
             // It counts the lease from this very asking, so who watches must do so too.
             held.renewals += 1;
             (held.by.rank, held.by.zone) = (by.rank, by.zone);
@@ -74,7 +97,11 @@
         }
         // Whoever asks with a new rank stands at the end of that rank.
         let asker = by.name.clone();
-        match duty.waiting.iter_mut().find(|w| w.by.name == asker && w.by.rank == by.rank) {
+        match duty
+            .waiting
+            .iter_mut()
+            .find(|w| w.by.name == asker && w.by.rank == by.rank)
+        {
             Some(known) => (known.by, known.asks) = (by, known.asks + 1),
             None => {
                 let asks = duty.take(&asker).map_or(0, |known| known.asks) + 1;
@@ -89,8 +116,14 @@
     }
 
     fn renew(&mut self, name: &str, holder: &str, token: u64) -> Outcome {
-        match self.duties.get_mut(name).filter(|duty| duty.held_by(holder, token).is_some()) {
-            Some(Duty { held: Some(held), .. }) => held.renewals += 1,
+        match self
+            .duties
+            .get_mut(name)
+            .filter(|duty| duty.held_by(holder, token).is_some())
+        {
+            Some(Duty {
+                held: Some(held), ..
+            }) => held.renewals += 1,
             _ => return Outcome::Refused(Refusal::NotYours),
         }
         self.granted(name)
@@ -98,12 +131,17 @@
 
     /// Gives a duty back, to the heir if one is named.
     fn release(&mut self, name: &str, holder: &str, token: u64, heir: Option<&str>) -> Outcome {
-        let Some(duty) = self.duties.get_mut(name).filter(|duty| duty.held_by(holder, token).is_some())
+        let Some(duty) = self
+            .duties
+            .get_mut(name)
+            .filter(|duty| duty.held_by(holder, token).is_some())
         else {
             return Outcome::Refused(Refusal::NotYours);
         };
         if let Some(heir) = heir {
-            let Some(next) = duty.take(heir) else { return Outcome::Refused(Refusal::NotWaiting) };
+            let Some(next) = duty.take(heir) else {
+                return Outcome::Refused(Refusal::NotWaiting);
+            };
             // However many of a higher rank wait: this one was named.
             duty.waiting.insert(0, next);
         }
@@ -114,7 +152,11 @@
 
     fn lapse(&mut self, name: &str, token: u64, renewals: u64) -> Outcome {
         let ended = |held: &Held| (held.token, held.renewals) == (token, renewals);
-        let Some(duty) = self.duties.get_mut(name).filter(|d| d.held.as_ref().is_some_and(ended)) else {
+        let Some(duty) = self
+            .duties
+            .get_mut(name)
+            .filter(|d| d.held.as_ref().is_some_and(ended))
+        else {
             return Outcome::Ignored;
         };
         duty.held = None;
@@ -123,61 +165,100 @@
     }
 
     fn leave(&mut self, name: &str, who: &str, is: impl Fn(&Waiting) -> bool) -> Outcome {
-        let Some(duty) = self.duties.get_mut(name) else { return Outcome::Ignored };
+        let Some(duty) = self.duties.get_mut(name) else {
+            return Outcome::Ignored;
+        };
         let before = duty.waiting.len();
         duty.waiting.retain(|w| w.by.name != who || !is(w));
-        if duty.waiting.len() < before { Outcome::Taken } else { Outcome::Ignored }
+        if duty.waiting.len() < before {
+            Outcome::Taken
+        } else {
+            Outcome::Ignored
+        }
     }
 
     /// Gives a duty that nobody holds to the first who waits.
     fn fill(&mut self, name: &str) {
-        let Some(duty) = self.duties.get_mut(name).filter(|duty| duty.held.is_none()) else { return };
+        let Some(duty) = self.duties.get_mut(name).filter(|duty| duty.held.is_none()) else {
+            return;
+        };
         self.change += 1;
         duty.changed = self.change;
         if !duty.waiting.is_empty() {
             self.token += 1;
             let Waiting { by, .. } = duty.waiting.remove(0);
-            duty.held = Some(Held { by, token: self.token, renewals: 0 });
+            duty.held = Some(Held {
+                by,
+                token: self.token,
+                renewals: 0,
+            });
         }
     }
 
     /// Makes room where nobody holds a duty and nobody waits for it. The token is common to all, so nothing is lost.
     fn drop_idle(&mut self) -> bool {
         let before = self.duties.len();
-        self.duties.retain(|_, duty| duty.held.is_some() || !duty.waiting.is_empty());
+        self.duties
+            .retain(|_, duty| duty.held.is_some() || !duty.waiting.is_empty());
         self.duties.len() < before
     }
 
     fn granted(&self, name: &str) -> Outcome {
-        let Some((duty, held)) = self.duties.get(name).and_then(|d| Some((d, d.held.as_ref()?))) else {
+        let Some((duty, held)) = self
+            .duties
+            .get(name)
+            .and_then(|d| Some((d, d.held.as_ref()?)))
+        else {
             return Outcome::Ignored;
         };
         let (token, lease_ms) = (held.token, held.by.lease_ms);
-        Outcome::Granted { token, lease_ms, wanted_by: duty.wanted_by() }
+        Outcome::Granted {
+            token,
+            lease_ms,
+            wanted_by: duty.wanted_by(),
+        }
     }
 
     fn answer(&self, name: &str, asker: &str) -> Outcome {
-        let Some(Duty { held: Some(held), waiting, .. }) = self.duties.get(name) else {
+        let Some(Duty {
+            held: Some(held),
+            waiting,
+            ..
+        }) = self.duties.get(name)
+        else {
             return Outcome::Ignored;
         };
         if held.by.name == asker && !waiting.iter().any(|w| w.by.name == asker) {
             return self.granted(name);
         }
-        let before = waiting.iter().position(|w| w.by.name == asker).unwrap_or(waiting.len());
-        Outcome::Waits { holder: held.by.name.clone(), before }
+        let before = waiting
+            .iter()
+            .position(|w| w.by.name == asker)
+            .unwrap_or(waiting.len());
+        Outcome::Waits {
+            holder: held.by.name.clone(),
+            before,
+        }
     }
 }
 
 /// Whether names and lease are within bounds; else the key and why.
 fn check(duty: &str, by: &Claimant) -> Result<(), (&'static str, String)> {
-    let fits = |name: &str| (1..=LONGEST_NAME).contains(&name.len()) && !name.contains(char::is_control);
+    let fits =
+        |name: &str| (1..=LONGEST_NAME).contains(&name.len()) && !name.contains(char::is_control);
     for (key, name) in [("duty", duty), ("name", &by.name)] {
         if !fits(name) {
-            return Err((key, format!("must have 1 to {LONGEST_NAME} bytes and no control characters")));
+            return Err((
+                key,
+                format!("must have 1 to {LONGEST_NAME} bytes and no control characters"),
+            ));
         }
     }
     if !by.zone.is_empty() && !fits(&by.zone) {
-        return Err(("zone", format!("must have at most {LONGEST_NAME} bytes and no control characters")));
+        return Err((
+            "zone",
+            format!("must have at most {LONGEST_NAME} bytes and no control characters"),
+        ));
     }
     let (least, most) = LEASE_MS;
     if !(least..=most).contains(&by.lease_ms) {
--- a/crates/duties/src/model.rs
+++ b/crates/duties/src/model.rs
@@ -63,12 +63,25 @@
 
 fn claimant(who: usize, life: u64) -> Claimant {
     let (name, zone) = (NAMES[who].to_owned(), String::new());
-    Claimant { name, life, zone, rank: 0, lease_ms: LEASE_MS }
+    Claimant {
+        name,
+        life,
+        zone,
+        rank: 0,
+        lease_ms: LEASE_MS,
+    }
 }
 
 fn holder(who: usize, life: u64) -> Holder {
     // A stop ends a holder's right in the model only by its clock and the gate, so that these are what is tried.
-    Holder::new(DUTY, claimant(who, life), Terms { rate_permille: RATE_PERMILLE, pause_ms: 100 * LEASE_MS })
+    Holder::new(
+        DUTY,
+        claimant(who, life),
+        Terms {
+            rate_permille: RATE_PERMILLE,
+            pause_ms: 100 * LEASE_MS,
+        },
+    )
 }
 
 impl Moment {
@@ -77,7 +90,9 @@
     }
 
     fn may_act(&self, who: usize) -> Option<u64> {
-        let right = self.holders[who].may_act(self.clock(who)).filter(|_| !self.stopped[who])?;
+        let right = self.holders[who]
+            .may_act(self.clock(who))
+            .filter(|_| !self.stopped[who])?;
         Some(right.token)
     }
 
@@ -147,9 +162,18 @@
                 .cloned()
                 .map(|(who, life, number, event)| Move::Word(who, life, number, event)),
         );
-        let heard = moment.answers.iter().filter(|(who, ..)| !moment.stopped[*who]).cloned();
+        let heard = moment
+            .answers
+            .iter()
+            .filter(|(who, ..)| !moment.stopped[*who])
+            .cloned();
         actions.extend(heard.map(|(who, number, outcome)| Move::Answer(who, number, outcome)));
-        actions.extend(moment.acts.iter().map(|(token, who)| Move::Effect(*token, *who)));
+        actions.extend(
+            moment
+                .acts
+                .iter()
+                .map(|(token, who)| Move::Effect(*token, *who)),
+        );
         if self.0.forgets {
             actions.push(Move::Forget);
         }
@@ -225,15 +249,18 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one holder", |_, m: &Moment| m.may_act(0).is_none() || m.may_act(1).is_none()),
+            Property::always("one holder", |_, m: &Moment| {
+                m.may_act(0).is_none() || m.may_act(1).is_none()
+            }),
             Property::always("in order", |_, m: &Moment| !m.broken),
             Property::always("tokens grow", |_, m: &Moment| {
                 m.gate.seen(DUTY).is_none_or(|seen| seen >= m.done.0)
             }),
             Property::sometimes("taken again", |_, m: &Moment| m.done.0 >= 2),
             Property::sometimes("refused", |_, m: &Moment| {
-                let refused =
-                    |(.., outcome): &(usize, u64, Outcome)| *outcome == Outcome::Refused(Refusal::NotYours);
+                let refused = |(.., outcome): &(usize, u64, Outcome)| {
+                    *outcome == Outcome::Refused(Refusal::NotYours)
+                };
                 m.answers.iter().any(refused)
             }),
         ]
--- a/crates/duties/src/model/explore.rs
+++ b/crates/duties/src/model/explore.rs
@@ -10,9 +10,18 @@
 
 /// Which rules were seen broken within that many steps, and how many states there are.
 fn explore(planted: Planted, scope: Scope, depth: usize) -> (Vec<&'static str>, usize) {
-    let checker = Lease(planted, scope).checker().threads(4).target_max_depth(depth);
-    let checker = checker.finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
-    let broken = RULES.into_iter().filter(|name| checker.discovery(name).is_some()).collect();
+    let checker = Lease(planted, scope)
+        .checker()
+        .threads(4)
+        .target_max_depth(depth);
+    let checker = checker
+        .finish_when(HasDiscoveries::AnyFailures)
+        .spawn_bfs()
+        .join();
+    let broken = RULES
+        .into_iter()
+        .filter(|name| checker.discovery(name).is_some())
+        .collect();
     (broken, checker.unique_state_count())
 }
 
@@ -36,7 +45,10 @@
 #[test]
 #[ignore = "minutes and gigabytes: the depth that docs/duties.md states"]
 fn no_order_of_words_breaks_a_rule_deeper() {
-    let depth = std::env::var("MODEL_DEPTH").ok().and_then(|text| text.parse().ok()).unwrap_or(8);
+    let depth = std::env::var("MODEL_DEPTH")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(8);
     holds(Scope::ALL, depth, 1_000);
     holds(Scope::HELD, depth, 1_000);
     holds(Scope::NARROW, depth + 3, 1_000);
@@ -46,25 +58,60 @@
 fn breaks(planted: Planted, scope: Scope, rule: &str, depth: usize) {
     let (broken, states) = explore(planted, scope, depth);
     println!("{states} states");
-    assert!(broken.contains(&rule), "{rule:?} holds without what it rests on: {broken:?}");
+    assert!(
+        broken.contains(&rule),
+        "{rule:?} holds without what it rests on: {broken:?}"
+    );
 }
 
 #[test]
 fn without_the_check_of_tokens_a_late_act_is_done() {
-    breaks(Planted { no_gate: true, ..Planted::default() }, Scope::NARROW, "in order", 14);
+    breaks(
+        Planted {
+            no_gate: true,
+            ..Planted::default()
+        },
+        Scope::NARROW,
+        "in order",
+        14,
+    );
 }
 
 #[test]
 fn where_those_who_agree_forget_one_token_is_given_twice() {
-    breaks(Planted { forgets: true, ..Planted::default() }, Scope::EARLY, "one holder", 10);
+    breaks(
+        Planted {
+            forgets: true,
+            ..Planted::default()
+        },
+        Scope::EARLY,
+        "one holder",
+        10,
+    );
 }
 
 #[test]
 fn where_a_leader_does_not_wait_itself_there_are_two_holders() {
-    breaks(Planted { no_wait: true, ..Planted::default() }, Scope::NARROW, "one holder", 10);
+    breaks(
+        Planted {
+            no_wait: true,
+            ..Planted::default()
+        },
+        Scope::NARROW,
+        "one holder",
+        10,
+    );
 }
 
 #[test]
 fn a_lease_counted_from_its_answer_outlives_the_duty() {
-    breaks(Planted { from_answer: true, ..Planted::default() }, Scope::UNHEARD, "one holder", 11);
+    breaks(
+        Planted {
+            from_answer: true,
+            ..Planted::default()
+        },
+        Scope::UNHEARD,
+        "one holder",
+        11,
+    );
 }
--- a/crates/duties/src/model/scope.rs
+++ b/crates/duties/src/model/scope.rs
@@ -27,10 +27,31 @@
 }
 
 impl Scope {
-    pub(in crate::model) const ALL: Scope = Scope { held: false, heard: false, once: false, troubles: true };
-    pub(in crate::model) const HELD: Scope = Scope { held: true, heard: true, once: false, troubles: true };
+    pub(in crate::model) const ALL: Scope = Scope {
+        held: false,
+        heard: false,
+        once: false,
+        troubles: true,
+    };
+    pub(in crate::model) const HELD: Scope = Scope {
+        held: true,
+        heard: true,
+        once: false,
+        troubles: true,
+    };
     /// Enough to see a planted fault far from the beginning.
-    pub(in crate::model) const NARROW: Scope = Scope { held: true, heard: true, once: true, troubles: false };
-    pub(in crate::model) const UNHEARD: Scope = Scope { heard: false, ..Scope::NARROW };
-    pub(in crate::model) const EARLY: Scope = Scope { held: false, ..Scope::UNHEARD };
+    pub(in crate::model) const NARROW: Scope = Scope {
+        held: true,
+        heard: true,
+        once: true,
+        troubles: false,
+    };
+    pub(in crate::model) const UNHEARD: Scope = Scope {
+        heard: false,
+        ..Scope::NARROW
+    };
+    pub(in crate::model) const EARLY: Scope = Scope {
+        held: false,
+        ..Scope::UNHEARD
+    };
 }
--- a/crates/duties/src/watch.rs
+++ b/crates/duties/src/watch.rs
@@ -20,16 +20,28 @@
     /// agreed on decides whether it still holds. At most `most` of them, holders first.
     pub fn due(&mut self, now_ms: u64, duties: &Duties, most: usize) -> Vec<Event> {
         let mut due = Vec::new();
-        self.held.retain(|name, _| duties.duties().get(name).is_some_and(|duty| duty.held.is_some()));
+        self.held.retain(|name, _| {
+            duties
+                .duties()
+                .get(name)
+                .is_some_and(|duty| duty.held.is_some())
+        });
         self.waiting.retain(|(name, who), _| {
-            duties.duties().get(name).is_some_and(|duty| duty.waiting.iter().any(|w| &w.by.name == who))
+            duties
+                .duties()
+                .get(name)
+                .is_some_and(|duty| duty.waiting.iter().any(|w| &w.by.name == who))
         });
         for (name, duty) in duties.duties() {
             if let Some(held) = &duty.held {
                 let seen = (held.token, held.renewals);
                 if silent(&mut self.held, name.clone(), seen, now_ms) >= held.by.lease_ms {
                     let (token, renewals) = seen;
-                    due.push(Event::Lapse { duty: name.clone(), token, renewals });
+                    due.push(Event::Lapse {
+                        duty: name.clone(),
+                        token,
+                        renewals,
+                    });
                 }
             }
         }
@@ -37,7 +49,11 @@
             for w in &duty.waiting {
                 let key = (name.clone(), w.by.name.clone());
                 if silent(&mut self.waiting, key, (w.by.life, w.asks), now_ms) >= w.by.lease_ms {
-                    due.push(Event::Forget { duty: name.clone(), name: w.by.name.clone(), asks: w.asks });
+                    due.push(Event::Forget {
+                        duty: name.clone(),
+                        name: w.by.name.clone(),
+                        asks: w.asks,
+                    });
                 }
             }
         }
@@ -47,7 +63,12 @@
 }
 
 /// For how long `seen` has stood.
-fn silent<K: Ord>(all: &mut BTreeMap<K, (u64, u64, u64)>, key: K, seen: (u64, u64), now_ms: u64) -> u64 {
+fn silent<K: Ord>(
+    all: &mut BTreeMap<K, (u64, u64, u64)>,
+    key: K,
+    seen: (u64, u64),
+    now_ms: u64,
+) -> u64 {
     let entry = all.entry(key).or_insert((seen.0, seen.1, now_ms));
     if (entry.0, entry.1) != seen {
         *entry = (seen.0, seen.1, now_ms);
--- a/crates/duties/tests/histories.rs
+++ b/crates/duties/tests/histories.rs
@@ -13,7 +13,9 @@
     let mut held = vec![false; world.duties()];
     for _ in 0..20 {
         world.play(LEASE_MS / 10, 0)?;
-        held.iter_mut().enumerate().for_each(|(duty, held)| *held |= !world.holders_of(duty).is_empty());
+        held.iter_mut()
+            .enumerate()
+            .for_each(|(duty, held)| *held |= !world.holders_of(duty).is_empty());
     }
     if let Some(duty) = held.iter().position(|held| !held) {
         return Err(format!("nobody holds duty {duty} at the end"));
@@ -22,7 +24,10 @@
 }
 
 fn seeds() -> u64 {
-    std::env::var("DUTY_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(400)
+    std::env::var("DUTY_SEEDS")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(400)
 }
 
 #[test]
@@ -51,7 +56,11 @@
     }
     times.sort_unstable();
     let late = times[times.len() * 99 / 100];
-    println!("{} kills: half within {} ms, 99 in 100 within {late} ms", times.len(), times[times.len() / 2]);
+    println!(
+        "{} kills: half within {} ms, 99 in 100 within {late} ms",
+        times.len(),
+        times[times.len() / 2]
+    );
     assert!(times.len() > 1_000, "{} kills are too few", times.len());
     assert!(late <= 3 * LEASE_MS / 2, "one in a hundred takes {late} ms");
 }
--- a/crates/duties/tests/world/mod.rs
+++ b/crates/duties/tests/world/mod.rs
@@ -11,7 +11,10 @@
 /// How often everybody looks, in milliseconds.
 const STEP_MS: u64 = 10;
 /// Clocks' rates differ by one in a hundred at most, counted in whole milliseconds.
-const TERMS: Terms = Terms { rate_permille: 12, pause_ms: 200 };
+const TERMS: Terms = Terms {
+    rate_permille: 12,
+    pause_ms: 200,
+};
 
 /// One process and its clock.
 pub struct Process {
@@ -24,9 +27,25 @@
 }
 
 enum Wire {
-    Word { from: usize, life: u64, duty: usize, number: u64, event: Event },
-    Answer { to: usize, life: u64, duty: usize, number: u64, outcome: Outcome },
-    Act { from: (usize, u64), duty: usize, token: u64 },
+    Word {
+        from: usize,
+        life: u64,
+        duty: usize,
+        number: u64,
+        event: Event,
+    },
+    Answer {
+        to: usize,
+        life: u64,
+        duty: usize,
+        number: u64,
+        outcome: Outcome,
+    },
+    Act {
+        from: (usize, u64),
+        duty: usize,
+        token: u64,
+    },
 }
 
 /// What was seen over a history.
@@ -64,8 +83,16 @@
 fn holders(name: &str, life: u64, duties: usize) -> Vec<Holder> {
     let rank = u32::from(name.ends_with('0'));
     let (name, zone) = (name.to_owned(), String::new());
-    let by = Claimant { name, life, zone, rank, lease_ms: LEASE_MS };
-    (0..duties).map(|n| Holder::new(&duty(n), by.clone(), TERMS)).collect()
+    let by = Claimant {
+        name,
+        life,
+        zone,
+        rank,
+        lease_ms: LEASE_MS,
+    };
+    (0..duties)
+        .map(|n| Holder::new(&duty(n), by.clone(), TERMS))
+        .collect()
 }
 
 impl World {
@@ -114,34 +141,63 @@
         let copies = [0, 1, 1, 1, 1, 1, 1, 1, 1, 2][self.rng.usize(0..10)];
         for _ in 0..copies {
             // An act is as late as a process that is stopped between its look at the right and the act.
-            let most = if acts || self.late && self.rng.u8(0..20) == 0 { 2 * LEASE_MS } else { 60 };
+            let most = if acts || self.late && self.rng.u8(0..20) == 0 {
+                2 * LEASE_MS
+            } else {
+                60
+            };
             self.sent += 1;
-            self.wire.insert((self.now + self.rng.u64(1..=most), self.sent), wire());
+            self.wire
+                .insert((self.now + self.rng.u64(1..=most), self.sent), wire());
         }
     }
 
     fn deliver(&mut self, wire: Wire) -> Result<(), String> {
         match wire {
-            Wire::Word { from, life, duty, number, event } if self.no_leader_until <= self.now => {
+            Wire::Word {
+                from,
+                life,
+                duty,
+                number,
+                event,
+            } if self.no_leader_until <= self.now => {
                 let outcome = self.machine.apply(event);
-                let answer = || Wire::Answer { to: from, life, duty, number, outcome: outcome.clone() };
+                let answer = || Wire::Answer {
+                    to: from,
+                    life,
+                    duty,
+                    number,
+                    outcome: outcome.clone(),
+                };
                 self.send(answer, false);
             }
             Wire::Word { .. } => {}
-            Wire::Answer { to, life, duty, number, outcome } => {
+            Wire::Answer {
+                to,
+                life,
+                duty,
+                number,
+                outcome,
+            } => {
                 if self.processes[to].life == life && self.runs(to) {
                     let now = self.clock(to);
                     self.processes[to].holders[duty].heard(now, number, &outcome);
                 }
             }
-            Wire::Act { from, duty: n, token } => {
+            Wire::Act {
+                from,
+                duty: n,
+                token,
+            } => {
                 if self.check && self.gates[n].pass(&duty(n), token, 1).is_err() {
                     self.seen.refused += 1;
                     return Ok(());
                 }
                 let (last, by) = self.done[n];
                 if token < last || (token == last && by != from) {
-                    return Err(format!("{from:?} acts by token {token} after {by:?} by {last}"));
+                    return Err(format!(
+                        "{from:?} acts by token {token} after {by:?} by {last}"
+                    ));
                 }
                 self.done[n] = (token, from);
                 self.seen.acts += 1;
@@ -158,7 +214,11 @@
         let end = self.now + lasts_ms;
         while self.now < end {
             self.now += STEP_MS;
-            while let Some(entry) = self.wire.first_entry().filter(|entry| entry.key().0 <= self.now) {
+            while let Some(entry) = self
+                .wire
+                .first_entry()
+                .filter(|entry| entry.key().0 <= self.now)
+            {
                 let wire = entry.remove();
                 self.deliver(wire)?;
             }
@@ -185,12 +245,19 @@
         let (now, life) = (self.clock(who), self.processes[who].life);
         for duty in 0..self.gates.len() {
             if let Some(word) = self.processes[who].holders[duty].beat(now) {
-                let say =
-                    || Wire::Word { from: who, life, duty, number: word.number, event: word.event.clone() };
+                let say = || Wire::Word {
+                    from: who,
+                    life,
+                    duty,
+                    number: word.number,
+                    event: word.event.clone(),
+                };
                 self.send(say, false);
             }
             // Home it goes, where somebody of a higher rank waits.
-            if let Some(heir) = self.processes[who].holders[duty].wanted_by().map(str::to_owned)
+            if let Some(heir) = self.processes[who].holders[duty]
+                .wanted_by()
+                .map(str::to_owned)
                 && self.rng.u8(0..50) == 0
             {
                 self.processes[who].holders[duty].give_back(now, Some(&heir), true);
@@ -198,15 +265,29 @@
             if let Some(right) = self.processes[who].holders[duty].may_act(now)
                 && self.rng.u8(0..8) == 0
             {
-                self.send(|| Wire::Act { from: (who, life), duty, token: right.token }, true);
+                self.send(
+                    || Wire::Act {
+                        from: (who, life),
+                        duty,
+                        token: right.token,
+                    },
+                    true,
+                );
             }
         }
     }
 
     /// Who may act on a duty, of all that run.
     pub fn holders_of(&self, duty: usize) -> Vec<usize> {
-        let may = |who: &usize| self.processes[*who].holders[duty].may_act(self.clock(*who)).is_some();
-        (0..self.processes.len()).filter(|who| self.runs(*who)).filter(may).collect()
+        let may = |who: &usize| {
+            self.processes[*who].holders[duty]
+                .may_act(self.clock(*who))
+                .is_some()
+        };
+        (0..self.processes.len())
+            .filter(|who| self.runs(*who))
+            .filter(may)
+            .collect()
     }
 
     pub fn duties(&self) -> usize {
--- a/crates/duties/tests/world/troubles.rs
+++ b/crates/duties/tests/world/troubles.rs
@@ -44,7 +44,9 @@
     /// # Errors
     /// A rule is broken.
     pub fn take_over(&mut self, duty: usize) -> Result<Option<u64>, String> {
-        let Some(holder) = self.holders_of(duty).first().copied() else { return Ok(None) };
+        let Some(holder) = self.holders_of(duty).first().copied() else {
+            return Ok(None);
+        };
         let from = self.now;
         self.kill(holder, from + 2 * LEASE_MS);
         while self.holders_of(duty).is_empty() && self.now < from + 10 * LEASE_MS {
--- a/crates/fleet/benches/cost.rs
+++ b/crates/fleet/benches/cost.rs
@@ -38,9 +38,20 @@
         return None;
     }
     let header: Header<Member> = PostcardCodec.decode_header(content).ok()?;
-    let Message::Ping(number) = header.message else { return None };
-    let ack = Header { src: header.dst, src_incarnation: 0, dst: header.src, message: Message::Ack(number) };
-    let mut out = frame::begin(&Head { cluster: "linenproxy", sent: now, content: Content::Membership });
+    let Message::Ping(number) = header.message else {
+        return None;
+    };
+    let ack = Header {
+        src: header.dst,
+        src_incarnation: 0,
+        dst: header.src,
+        message: Message::Ack(number),
+    };
+    let mut out = frame::begin(&Head {
+        cluster: "linenproxy",
+        sent: now,
+        content: Content::Membership,
+    });
     PostcardCodec.encode_header(&ack, &mut out).ok()?;
     Some(out)
 }
@@ -52,8 +63,11 @@
     for members in [60, 300, 1000, 10_000] {
         let memory = usage().resident.unwrap_or(0);
         let all: Vec<Member> = (0..members).map(member).collect();
-        let by_address: HashMap<SocketAddr, usize> =
-            all.iter().enumerate().map(|(n, m)| (m.address, n)).collect();
+        let by_address: HashMap<SocketAddr, usize> = all
+            .iter()
+            .enumerate()
+            .map(|(n, m)| (m.address, n))
+            .collect();
         let mut now = EPOCH;
         let mut cores: Vec<Core> = (0..REAL.min(members))
             .map(|n| {
@@ -64,9 +78,16 @@
                     ..FleetSection::default()
                 };
                 let mut core = Core::new(&section, &all[n].name, &all[n].zone, 1, n as u64, now);
-                core.recall(now, all.iter().filter(|m| m.address != all[n].address).cloned());
-                let list =
-                    |endpoint| Listed { endpoint, name: format!("s-{endpoint}"), started: None, ready: true };
+                core.recall(
+                    now,
+                    all.iter().filter(|m| m.address != all[n].address).cloned(),
+                );
+                let list = |endpoint| Listed {
+                    endpoint,
+                    name: format!("s-{endpoint}"),
+                    started: None,
+                    ready: true,
+                };
                 core.listed(now, (0..ENDPOINTS).map(list).collect());
                 core
             })
@@ -77,8 +98,9 @@
             now += SECOND / 100;
             let counted = step >= COUNTED * 100;
             if step == COUNTED * 100 {
-                before =
-                    cores.iter().fold((0, 0), |(b, d), c| (b + c.counts().sent_bytes, d + c.counts().sent));
+                before = cores.iter().fold((0, 0), |(b, d), c| {
+                    (b + c.counts().sent_bytes, d + c.counts().sent)
+                });
             }
             let start = Instant::now();
             for (to, from, bytes) in std::mem::take(&mut mail) {
@@ -90,7 +112,11 @@
                 }
                 if step % 10 == n as i64 % 10 {
                     let endpoint = (step as usize * 7 + n) % ENDPOINTS;
-                    core.witness(now, endpoint, if endpoint < 2 { Sign::Sick } else { Sign::Well });
+                    core.witness(
+                        now,
+                        endpoint,
+                        if endpoint < 2 { Sign::Sick } else { Sign::Well },
+                    );
                 }
             }
             if counted {
@@ -106,10 +132,16 @@
                 }
             }
         }
-        let after = cores.iter().fold((0, 0), |(b, d), c| (b + c.counts().sent_bytes, d + c.counts().sent));
+        let after = cores.iter().fold((0, 0), |(b, d), c| {
+            (b + c.counts().sent_bytes, d + c.counts().sent)
+        });
         let each = (cores.len() as i64 * COUNTED) as f64;
-        let memory = usage().resident.unwrap_or(0).saturating_sub(memory) as f64 / cores.len() as f64 / 1e6;
-        assert!(cores.iter().all(|c| c.members() == members - 1), "somebody was lost");
+        let memory =
+            usage().resident.unwrap_or(0).saturating_sub(memory) as f64 / cores.len() as f64 / 1e6;
+        assert!(
+            cores.iter().all(|c| c.members() == members - 1),
+            "somebody was lost"
+        );
         println!(
             "{members:>7} {:>8.0} {:>12.1} {:>5.0} {memory:>10.2}",
             (after.0 - before.0) as f64 / each,
--- a/crates/fleet/src/carrier.rs
+++ b/crates/fleet/src/carrier.rs
@@ -48,7 +48,11 @@
 
 /// Longest body of a piece that spreads, or of one that does not, in bytes.
 pub fn longest(spreads: bool) -> usize {
-    if spreads { LONGEST_BODY } else { LONGEST_DIRECT }
+    if spreads {
+        LONGEST_BODY
+    } else {
+        LONGEST_DIRECT
+    }
 }
 
 /// Why a piece is not carried.
@@ -162,14 +166,24 @@
     ///
     /// # Errors
     /// Why it may not.
-    pub fn next(&mut self, now: Micros, kind: u8, length: usize, spreads: bool) -> Result<u64, NotCarried> {
+    pub fn next(
+        &mut self,
+        now: Micros,
+        kind: u8,
+        length: usize,
+        spreads: bool,
+    ) -> Result<u64, NotCarried> {
         if !CARRIED.contains(&kind) {
             return Err(NotCarried::Kind);
         }
         if length > longest(spreads) {
             return Err(NotCarried::TooLong);
         }
-        let (tokens, rate) = if spreads { (&mut self.spread, RATE) } else { (&mut self.direct, RATE_DIRECT) };
+        let (tokens, rate) = if spreads {
+            (&mut self.spread, RATE)
+        } else {
+            (&mut self.direct, RATE_DIRECT)
+        };
         if !tokens.take(now, rate, BURST) {
             return Err(NotCarried::TooMany);
         }
@@ -196,17 +210,31 @@
         }
         let had = self.had.entry(life).or_default();
         had.last = now;
-        if had.is_new(letter.sequence) { Came::New } else { Came::Before }
+        if had.is_new(letter.sequence) {
+            Came::New
+        } else {
+            Came::Before
+        }
     }
 
     /// Passes a piece on; false where another made room for it.
     pub fn pass_on(&mut self, kind: u8, letter: Vec<u8>, said: Micros, sends: u8) -> bool {
         let room = self.waiting.len() < MOST;
         if !room {
-            let most_sent = self.waiting.iter().enumerate().min_by_key(|(i, w)| (w.left, *i)).map(|(i, _)| i);
+            let most_sent = self
+                .waiting
+                .iter()
+                .enumerate()
+                .min_by_key(|(i, w)| (w.left, *i))
+                .map(|(i, _)| i);
             most_sent.and_then(|i| self.waiting.remove(i));
         }
-        self.waiting.push_back(Waiting { kind, letter, left: sends, said });
+        self.waiting.push_back(Waiting {
+            kind,
+            letter,
+            left: sends,
+            said,
+        });
         room
     }
 
@@ -222,7 +250,9 @@
 
     /// What waits, the least often passed on first.
     pub fn waiting(&mut self) -> impl Iterator<Item = &mut Waiting> {
-        self.waiting.make_contiguous().sort_by_key(|w| std::cmp::Reverse(w.left));
+        self.waiting
+            .make_contiguous()
+            .sort_by_key(|w| std::cmp::Reverse(w.left));
         self.waiting.iter_mut().filter(|w| w.left > 0)
     }
 
--- a/crates/fleet/src/core.rs
+++ b/crates/fleet/src/core.rs
@@ -120,17 +120,36 @@
         now: Micros,
     ) -> Self {
         let address = section.reached_at();
-        let me = Member { address, name: name.to_owned(), zone: zone.to_owned(), incarnation };
+        let me = Member {
+            address,
+            name: name.to_owned(),
+            zone: zone.to_owned(),
+            incarnation,
+        };
         let (origin, zone) = (hash(name), hash(zone));
-        let foca = Foca::new(me.clone(), foca_config(section), SmallRng::seed_from_u64(seed), PostcardCodec);
+        let foca = Foca::new(
+            me.clone(),
+            foca_config(section),
+            SmallRng::seed_from_u64(seed),
+            PostcardCodec,
+        );
         let v = &section.verdicts;
         Self {
             cluster: section.cluster.clone(),
             networks: section.networks.clone(),
-            seeds: section.seeds.iter().copied().filter(|seed| *seed != address).collect(),
+            seeds: section
+                .seeds
+                .iter()
+                .copied()
+                .filter(|seed| *seed != address)
+                .collect(),
             skew: micros(section.skew),
             verdicts: v.enabled,
-            weights: Weights { bound: micros(v.bound), witnesses: v.witnesses, rest: micros(v.rest) },
+            weights: Weights {
+                bound: micros(v.bound),
+                witnesses: v.witnesses,
+                rest: micros(v.rest),
+            },
             most_out: v.most_out,
             me,
             origin,
@@ -178,7 +197,9 @@
 
     /// When [`Core::tick`] is due next.
     pub fn next(&self) -> Micros {
-        self.timers.first_key_value().map_or(self.next_tick, |((at, _), _)| (*at).min(self.next_tick))
+        self.timers
+            .first_key_value()
+            .map_or(self.next_tick, |((at, _), _)| (*at).min(self.next_tick))
     }
 
     /// What came of it so far; to be taken after each call.
--- a/crates/fleet/src/core/answers.rs
+++ b/crates/fleet/src/core/answers.rs
@@ -20,8 +20,14 @@
             version: e.version.clone(),
             left: e.left.map(|(left, _)| left),
             for_s: Some(seconds(now - e.left.map_or(e.since, |(_, at)| at))),
-            twice: e.twice.filter(|(_, _, sure)| *sure).map(|(other, ..)| other),
-            quarantined_for_s: e.quarantined.filter(|until| *until > now).map(|until| seconds(until - now)),
+            twice: e
+                .twice
+                .filter(|(_, _, sure)| *sure)
+                .map(|(other, ..)| other),
+            quarantined_for_s: e
+                .quarantined
+                .filter(|until| *until > now)
+                .map(|until| seconds(until - now)),
         });
         let mut all: Vec<_> = known.collect();
         all.sort_by(|a, b| a.name.cmp(&b.name));
@@ -56,19 +62,40 @@
     }
 
     fn server(&self, now: Micros, l: &Listed) -> Server {
-        let process = Process { name: hash(&l.name), started: l.started.unwrap_or(0) };
-        let rests = self.resting.get(&l.endpoint).filter(|r| r.process == process);
+        let process = Process {
+            name: hash(&l.name),
+            started: l.started.unwrap_or(0),
+        };
+        let rests = self
+            .resting
+            .get(&l.endpoint)
+            .filter(|r| r.process == process);
         let weighed = self.weighed(now, process, rests.map(|r| r.zones.as_slice()));
         let fresh = |at: &Micros| now - *at < self.weights.bound;
         let data = || self.table.of(process).flat_map(|(_, data)| data);
-        let newest = |sign: Sign| data().filter(|d| d.sign == sign).map(|d| d.seen).filter(fresh).max();
+        let newest = |sign: Sign| {
+            data()
+                .filter(|d| d.sign == sign)
+                .map(|d| d.seen)
+                .filter(fresh)
+                .max()
+        };
         let own = self.own.get(&process);
-        let served = own.and_then(|o| o.served).filter(fresh).max(newest(Sign::Well));
-        let failed = own.filter(|o| o.sign == Sign::Sick).map(|o| o.at).filter(fresh).max(newest(Sign::Sick));
+        let served = own
+            .and_then(|o| o.served)
+            .filter(fresh)
+            .max(newest(Sign::Well));
+        let failed = own
+            .filter(|o| o.sign == Sign::Sick)
+            .map(|o| o.at)
+            .filter(fresh)
+            .max(newest(Sign::Sick));
         let (state, seen) = match (served, failed) {
             _ if weighed.sick && weighed.until > now => (State::Sick, failed),
             // One that only this member finds sick is neither.
-            (Some(served), failed) if failed.is_none_or(|at| at < served) => (State::Well, Some(served)),
+            (Some(served), failed) if failed.is_none_or(|at| at < served) => {
+                (State::Well, Some(served))
+            }
             _ => (State::Unknown, None),
         };
         let since = seen.unwrap_or(self.began);
--- a/crates/fleet/src/core/ask.rs
+++ b/crates/fleet/src/core/ask.rs
@@ -25,8 +25,18 @@
         self.asks = (left - 1, now + ASK_PAUSE);
         for _ in 0..FANOUT {
             let to = self.drawn[self.rng.random_range(0..self.drawn.len())];
-            let mut bytes = frame::begin(&Head { cluster: &self.cluster, sent: now, content: Content::News });
-            if frame::add(&mut bytes, &Piece { kind: ASK, bytes: &[] }) {
+            let mut bytes = frame::begin(&Head {
+                cluster: &self.cluster,
+                sent: now,
+                content: Content::News,
+            });
+            if frame::add(
+                &mut bytes,
+                &Piece {
+                    kind: ASK,
+                    bytes: &[],
+                },
+            ) {
                 self.send(to, bytes);
             }
         }
@@ -39,7 +49,12 @@
         }
         let mut data: Vec<Datum> = Vec::new();
         for process in self.table.processes() {
-            let of: Vec<Datum> = self.table.of(process).flat_map(|(_, data)| data).copied().collect();
+            let of: Vec<Datum> = self
+                .table
+                .of(process)
+                .flat_map(|(_, data)| data)
+                .copied()
+                .collect();
             if of.iter().any(|d| d.sign == Sign::Sick) {
                 data.extend(of);
             }
@@ -47,11 +62,23 @@
         data.sort_by_key(|d| Reverse(d.seen));
         let mut data = data.into_iter().peekable();
         for _ in 0..ANSWER {
-            let mut bytes = frame::begin(&Head { cluster: &self.cluster, sent: now, content: Content::News });
+            let mut bytes = frame::begin(&Head {
+                cluster: &self.cluster,
+                sent: now,
+                content: Content::News,
+            });
             let mut any = false;
             while let Some(datum) = data.peek() {
-                let Ok(piece) = postcard::to_stdvec(datum) else { break };
-                if !frame::add(&mut bytes, &Piece { kind: EVIDENCE, bytes: &piece }) {
+                let Ok(piece) = postcard::to_stdvec(datum) else {
+                    break;
+                };
+                if !frame::add(
+                    &mut bytes,
+                    &Piece {
+                        kind: EVIDENCE,
+                        bytes: &piece,
+                    },
+                ) {
                     break;
                 }
                 data.next();
--- a/crates/fleet/src/core/carry.rs
+++ b/crates/fleet/src/core/carry.rs
@@ -25,11 +25,27 @@
     ///
     /// # Errors
     /// Why it is not sent.
-    pub fn carry_to(&mut self, now: Micros, to: u64, kind: u8, bytes: &[u8]) -> Result<(), NotCarried> {
+    pub fn carry_to(
+        &mut self,
+        now: Micros,
+        to: u64,
+        kind: u8,
+        bytes: &[u8],
+    ) -> Result<(), NotCarried> {
         let to = *self.by_origin.get(&to).ok_or(NotCarried::Nobody)?;
         let letter = self.letter(now, kind, bytes, false)?;
-        let mut frame = frame::begin(&Head { cluster: &self.cluster, sent: now, content: Content::News });
-        if !frame::add(&mut frame, &Piece { kind, bytes: &letter }) {
+        let mut frame = frame::begin(&Head {
+            cluster: &self.cluster,
+            sent: now,
+            content: Content::News,
+        });
+        if !frame::add(
+            &mut frame,
+            &Piece {
+                kind,
+                bytes: &letter,
+            },
+        ) {
             return Err(NotCarried::TooLong);
         }
         self.send(to, frame);
@@ -48,11 +64,24 @@
         drawn
     }
 
-    fn letter(&mut self, now: Micros, kind: u8, body: &[u8], spreads: bool) -> Result<Vec<u8>, NotCarried> {
+    fn letter(
+        &mut self,
+        now: Micros,
+        kind: u8,
+        body: &[u8],
+        spreads: bool,
+    ) -> Result<Vec<u8>, NotCarried> {
         let sequence = self.carrier.next(now, kind, body.len(), spreads)?;
         self.counts.carried += 1;
         let (origin, incarnation) = (self.origin, self.me.incarnation);
-        let letter = Letter { origin, incarnation, sequence, said: now, spreads, body };
+        let letter = Letter {
+            origin,
+            incarnation,
+            sequence,
+            said: now,
+            spreads,
+            body,
+        };
         postcard::to_stdvec(&letter).map_err(|_| NotCarried::TooLong)
     }
 
@@ -65,14 +94,35 @@
 
     /// Says to some that it leaves; they pass it on.
     pub(super) fn farewell(&mut self, now: Micros) {
-        let (origin, incarnation, sequence) = (self.origin, self.me.incarnation, self.carrier.last());
-        let letter = Letter { origin, incarnation, sequence, said: now, spreads: true, body: &[] };
-        let Ok(letter) = postcard::to_stdvec(&letter) else { return };
+        let (origin, incarnation, sequence) =
+            (self.origin, self.me.incarnation, self.carrier.last());
+        let letter = Letter {
+            origin,
+            incarnation,
+            sequence,
+            said: now,
+            spreads: true,
+            body: &[],
+        };
+        let Ok(letter) = postcard::to_stdvec(&letter) else {
+            return;
+        };
         for to in self.neighbours(2 * FANOUT) {
             let to = self.by_origin.get(&to).copied();
-            let mut frame = frame::begin(&Head { cluster: &self.cluster, sent: now, content: Content::News });
-            if let Some(to) = to.filter(|_| frame::add(&mut frame, &Piece { kind: FAREWELL, bytes: &letter }))
-            {
+            let mut frame = frame::begin(&Head {
+                cluster: &self.cluster,
+                sent: now,
+                content: Content::News,
+            });
+            if let Some(to) = to.filter(|_| {
+                frame::add(
+                    &mut frame,
+                    &Piece {
+                        kind: FAREWELL,
+                        bytes: &letter,
+                    },
+                )
+            }) {
                 self.send(to, frame);
             }
         }
@@ -93,7 +143,12 @@
             }
             return;
         }
-        if !letter.spreads && self.members.get(&from).is_none_or(|known| known.origin != letter.origin) {
+        if !letter.spreads
+            && self
+                .members
+                .get(&from)
+                .is_none_or(|known| known.origin != letter.origin)
+        {
             return self.drop_one(Dropped::Forged);
         }
         if letter.said > now + self.skew {
--- a/crates/fleet/src/core/inbound.rs
+++ b/crates/fleet/src/core/inbound.rs
@@ -11,7 +11,8 @@
     /// A datagram came from there.
     pub fn datagram(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) {
         self.counts.received += 1;
-        let known = self.networks.iter().any(|net| net.contains(&from.ip())) || self.seeds.contains(&from);
+        let known =
+            self.networks.iter().any(|net| net.contains(&from.ip())) || self.seeds.contains(&from);
         if !known {
             return self.drop_one(Dropped::Unknown);
         }
@@ -32,13 +33,19 @@
                 }
                 for piece in frame::pieces(content) {
                     match piece {
-                        Ok(Piece { kind: EVIDENCE, bytes }) => match postcard::from_bytes::<Datum>(bytes) {
+                        Ok(Piece {
+                            kind: EVIDENCE,
+                            bytes,
+                        }) => match postcard::from_bytes::<Datum>(bytes) {
                             Ok(datum) => self.heard(now, datum),
                             Err(_) => self.drop_one(Dropped::Malformed),
                         },
                         Ok(Piece { kind: ASK, .. }) => self.answer(now, from),
                         Ok(Piece { kind: VIEW, bytes }) => self.viewed(now, head.sent, from, bytes),
-                        Ok(Piece { kind: FAREWELL, bytes }) => self.carried(now, from, FAREWELL, bytes),
+                        Ok(Piece {
+                            kind: FAREWELL,
+                            bytes,
+                        }) => self.carried(now, from, FAREWELL, bytes),
                         Ok(Piece { kind, bytes }) if CARRIED.contains(&kind) => {
                             self.carried(now, from, kind, bytes);
                         }
--- a/crates/fleet/src/core/judge.rs
+++ b/crates/fleet/src/core/judge.rs
@@ -31,16 +31,31 @@
                 return true;
             }
             // Only who is a member now, and in the zone that it speaks for.
-            let known = self.by_origin.get(&d.origin).and_then(|address| self.members.get(address));
-            known.is_some_and(|k| k.zone == d.zone) && !doubted(d.origin) && !self.quarantined(now, d.origin)
+            let known = self
+                .by_origin
+                .get(&d.origin)
+                .and_then(|address| self.members.get(address));
+            known.is_some_and(|k| k.zone == d.zone)
+                && !doubted(d.origin)
+                && !self.quarantined(now, d.origin)
         };
         let members = |zone: u64| self.in_zone.get(&zone).copied().unwrap_or(0);
-        weigh(self.table.of(process), now, self.zone, rests, &self.weights, counts, members)
+        weigh(
+            self.table.of(process),
+            now,
+            self.zone,
+            rests,
+            &self.weights,
+            counts,
+            members,
+        )
     }
 
     /// Looks at an endpoint anew, and tells the module where that changes something.
     pub(super) fn look(&mut self, now: Micros, endpoint: usize) {
-        let Some(process) = self.processes.get(&endpoint).copied() else { return };
+        let Some(process) = self.processes.get(&endpoint).copied() else {
+            return;
+        };
         let was = self.resting.get(&endpoint).filter(|r| r.process == process);
         let weighed = self.weighed(now, process, was.map(|r| r.zones.as_slice()));
         let most = (self.most_out * self.ready as f64) as usize;
@@ -48,7 +63,11 @@
             if was.is_some() {
                 self.resting.remove(&endpoint);
                 let rest = if weighed.served { Rest::Over } else { Rest::No };
-                self.effects.words.push(Word { endpoint, rest, until: now + self.weights.rest });
+                self.effects.words.push(Word {
+                    endpoint,
+                    rest,
+                    until: now + self.weights.rest,
+                });
             }
             return;
         }
@@ -62,9 +81,14 @@
                 let others = self
                     .members
                     .values()
-                    .filter(|k| weighed.zones.contains(&k.zone) && self.tries(now, k.origin, k.zone))
+                    .filter(|k| {
+                        weighed.zones.contains(&k.zone) && self.tries(now, k.origin, k.zone)
+                    })
                     .map(|k| k.origin);
-                (slot, chosen(process, slot, others.chain(std::iter::once(self.origin))))
+                (
+                    slot,
+                    chosen(process, slot, others.chain(std::iter::once(self.origin))),
+                )
             }
         };
         let trial = slot.is_some_and(|slot| {
@@ -84,10 +108,24 @@
         if changed {
             self.counts.rests += u64::from(was.is_none());
             self.counts.trials += u64::from(trial);
-            self.effects.words.push(Word { endpoint, rest, until });
+            self.effects.words.push(Word {
+                endpoint,
+                rest,
+                until,
+            });
             let zones = weighed.zones;
             self.wake(now);
-            self.resting.insert(endpoint, Resting { process, since, rest, until, chosen, zones });
+            self.resting.insert(
+                endpoint,
+                Resting {
+                    process,
+                    since,
+                    rest,
+                    until,
+                    chosen,
+                    zones,
+                },
+            );
         } else if let Some(r) = self.resting.get_mut(&endpoint) {
             r.chosen = chosen;
         }
@@ -100,8 +138,12 @@
         if now >= self.next_sweep {
             self.next_sweep = now + SECOND;
             self.table.drop_before(now - self.weights.bound);
-            looked
-                .extend(self.table.processes().filter_map(|p| self.listed.get(&p.name)).map(|l| l.endpoint));
+            looked.extend(
+                self.table
+                    .processes()
+                    .filter_map(|p| self.listed.get(&p.name))
+                    .map(|l| l.endpoint),
+            );
             looked.sort_unstable();
             looked.dedup();
         }
--- a/crates/fleet/src/core/membership.rs
+++ b/crates/fleet/src/core/membership.rs
@@ -28,19 +28,26 @@
 }
 
 pub(super) fn foca_config(section: &FleetSection) -> foca::Config {
-    let mut config = foca::Config::new_lan(NonZeroU32::new(section.members).unwrap_or(NonZeroU32::MIN));
+    let mut config =
+        foca::Config::new_lan(NonZeroU32::new(section.members).unwrap_or(NonZeroU32::MIN));
     let usize_of = |n| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
     config.max_packet_size = usize_of(LONGEST - MOST_HEAD);
     // Four probes: with three datagrams in ten lost, hardly anybody is taken for dead who is not.
     config.suspect_to_down_after = Duration::from_secs(4);
     config.probe_rtt = Duration::from_millis(400);
     // A cut that heals is found out within some seconds, at the cost of two datagrams in that time.
-    config.periodic_announce_to_down_members =
-        Some(foca::PeriodicParams { frequency: Duration::from_secs(5), num_members: usize_of(2) });
-    config.periodic_announce =
-        Some(foca::PeriodicParams { frequency: Duration::from_secs(30), num_members: usize_of(1) });
+    config.periodic_announce_to_down_members = Some(foca::PeriodicParams {
+        frequency: Duration::from_secs(5),
+        num_members: usize_of(2),
+    });
+    config.periodic_announce = Some(foca::PeriodicParams {
+        frequency: Duration::from_secs(30),
+        num_members: usize_of(1),
+    });
     config.remove_down_after = Some(Duration::from_secs(600));
-    config.max_transmissions = config.max_transmissions.max(NonZeroU8::new(6).unwrap_or(NonZeroU8::MIN));
+    config.max_transmissions = config
+        .max_transmissions
+        .max(NonZeroU8::new(6).unwrap_or(NonZeroU8::MIN));
     config
 }
 
@@ -50,7 +57,11 @@
         match postcard::take_from_bytes::<Header<Member>>(content) {
             Ok((header, _)) if header.src.address == from => {
                 if !header.src.name.is_empty() {
-                    self.hears(now, hash(&header.src.zone), matches!(header.message, Message::Ack(_)));
+                    self.hears(
+                        now,
+                        hash(&header.src.zone),
+                        matches!(header.message, Message::Ack(_)),
+                    );
                 }
             }
             Ok(_) => return self.drop_one(Dropped::Unknown),
@@ -65,7 +76,11 @@
     /// Carries out what foca wants.
     pub(super) fn follow(&mut self, now: Micros) {
         while let Some((to, content)) = self.runtime.to_send() {
-            let head = Head { cluster: &self.cluster, sent: now, content: Content::Membership };
+            let head = Head {
+                cluster: &self.cluster,
+                sent: now,
+                content: Content::Membership,
+            };
             let mut bytes = frame::begin(&head);
             bytes.extend_from_slice(&content);
             self.send(to.address, bytes);
@@ -73,7 +88,8 @@
         while let Some((after, timer)) = self.runtime.to_schedule() {
             self.timer_number += 1;
             let after = Micros::try_from(after.as_micros()).unwrap_or(SECOND);
-            self.timers.insert((now.saturating_add(after), self.timer_number), timer);
+            self.timers
+                .insert((now.saturating_add(after), self.timer_number), timer);
         }
         while let Some(told) = self.runtime.to_notify() {
             match told {
@@ -85,7 +101,9 @@
                     }
                 }
                 OwnedNotification::Rejoin(me) => self.me = me,
-                OwnedNotification::Active | OwnedNotification::Idle | OwnedNotification::Defunct => {}
+                OwnedNotification::Active
+                | OwnedNotification::Idle
+                | OwnedNotification::Defunct => {}
             }
         }
     }
@@ -95,10 +113,20 @@
         self.digest = None;
         let counts = self.says() && self.stands;
         if self.roster.up(now, &member, counts) {
-            self.effects.notes.push(Note::Quarantined { name: member.name.clone() });
+            self.effects.notes.push(Note::Quarantined {
+                name: member.name.clone(),
+            });
         }
         let (address, origin, zone) = (member.address, hash(&member.name), hash(&member.zone));
-        self.members.insert(address, Known { member, origin, zone, since: now });
+        self.members.insert(
+            address,
+            Known {
+                member,
+                origin,
+                zone,
+                since: now,
+            },
+        );
         self.drawn.push(address);
         self.by_origin.insert(origin, address);
         *self.in_zone.entry(zone).or_default() += 1;
@@ -109,14 +137,18 @@
         if let Some(known) = self.members.get(address) {
             let how = self.left_how(known.zone);
             if self.roster.down(now, &known.member, how) && self.stands {
-                self.effects.notes.push(Note::Quarantined { name: known.member.name.clone() });
+                self.effects.notes.push(Note::Quarantined {
+                    name: known.member.name.clone(),
+                });
             }
         }
         self.down(address);
     }
 
     fn down(&mut self, address: &SocketAddr) {
-        let Some(known) = self.members.remove(address) else { return };
+        let Some(known) = self.members.remove(address) else {
+            return;
+        };
         self.digest = None;
         self.drawn.retain(|a| a != address);
         if self.by_origin.get(&known.origin) == Some(address) {
@@ -128,7 +160,12 @@
     }
 
     pub(super) fn ask_seeds(&mut self, now: Micros) {
-        self.next_ask = now + if self.members.is_empty() { SEEDS } else { SEEDS_AGAIN };
+        self.next_ask = now
+            + if self.members.is_empty() {
+                SEEDS
+            } else {
+                SEEDS_AGAIN
+            };
         // A start asks a few at once; later on one is enough.
         let count = if self.members.is_empty() { FANOUT } else { 1 };
         for _ in 0..count.min(self.seeds.len()) {
--- a/crates/fleet/src/core/news.rs
+++ b/crates/fleet/src/core/news.rs
@@ -26,7 +26,8 @@
 impl Core {
     pub(super) fn pass_on(&mut self, now: Micros, datum: Datum) {
         self.news.retain(|n| {
-            (n.datum.origin, n.datum.process, n.datum.zone) != (datum.origin, datum.process, datum.zone)
+            (n.datum.origin, n.datum.process, n.datum.zone)
+                != (datum.origin, datum.process, datum.zone)
         });
         if self.news.len() >= MOST_NEWS {
             self.news.pop_front();
@@ -43,7 +44,8 @@
 
     /// Passes on news: the ones that left least often come first.
     pub(super) fn gossip(&mut self, now: Micros) {
-        self.news.retain(|n| n.left > 0 && now - n.datum.seen < self.weights.bound);
+        self.news
+            .retain(|n| n.left > 0 && now - n.datum.seen < self.weights.bound);
         self.carrier.expire(now, self.skew);
         if (self.news.is_empty() && self.carrier.is_empty()) || self.drawn.is_empty() {
             return;
@@ -51,22 +53,43 @@
         for _ in 0..FANOUT.min(self.drawn.len()) {
             let to = self.drawn[self.rng.random_range(0..self.drawn.len())];
             self.news.make_contiguous().sort_by_key(|n| Reverse(n.left));
-            let head = Head { cluster: &self.cluster, sent: now, content: Content::News };
+            let head = Head {
+                cluster: &self.cluster,
+                sent: now,
+                content: Content::News,
+            };
             let mut bytes = frame::begin(&head);
             let mut any = false;
             if let Some(view) = self.view_due(now) {
-                any = frame::add(&mut bytes, &Piece { kind: VIEW, bytes: &view });
+                any = frame::add(
+                    &mut bytes,
+                    &Piece {
+                        kind: VIEW,
+                        bytes: &view,
+                    },
+                );
             }
             for news in self.news.iter_mut().filter(|n| n.left > 0) {
-                let Ok(datum) = postcard::to_stdvec(&news.datum) else { continue };
-                if !frame::add(&mut bytes, &Piece { kind: EVIDENCE, bytes: &datum }) {
+                let Ok(datum) = postcard::to_stdvec(&news.datum) else {
+                    continue;
+                };
+                if !frame::add(
+                    &mut bytes,
+                    &Piece {
+                        kind: EVIDENCE,
+                        bytes: &datum,
+                    },
+                ) {
                     break;
                 }
                 news.left -= 1;
                 any = true;
             }
             for waiting in self.carrier.waiting() {
-                let piece = Piece { kind: waiting.kind, bytes: &waiting.letter };
+                let piece = Piece {
+                    kind: waiting.kind,
+                    bytes: &waiting.letter,
+                };
                 // A shorter one may still fit.
                 if frame::add(&mut bytes, &piece) {
                     waiting.left -= 1;
--- a/crates/fleet/src/core/others.rs
+++ b/crates/fleet/src/core/others.rs
@@ -34,11 +34,19 @@
             Some((Left::SaidSo, at)) => now - *at >= RETURNS,
             _ => false,
         };
-        let mut known: Vec<u64> =
-            self.roster.entries().filter(|(_, e)| !left(&e.left)).map(|(origin, _)| origin).collect();
+        let mut known: Vec<u64> = self
+            .roster
+            .entries()
+            .filter(|(_, e)| !left(&e.left))
+            .map(|(origin, _)| origin)
+            .collect();
         if !known.is_empty() || self.seeds.is_empty() {
             known.push(self.origin);
         }
-        Others { running, known, bindings: self.standing().kind.may().bindings }
+        Others {
+            running,
+            known,
+            bindings: self.standing().kind.may().bindings,
+        }
     }
 }
--- a/crates/fleet/src/core/report.rs
+++ b/crates/fleet/src/core/report.rs
@@ -27,7 +27,11 @@
     /// All that on-call wants to see.
     pub fn census(&self, now: Micros) -> Census {
         let seconds = |us: Micros| (us as f64 / SECOND as f64 * 1000.0).round() / 1000.0;
-        let name_of = |origin: u64| match self.by_origin.get(&origin).and_then(|a| self.members.get(a)) {
+        let name_of = |origin: u64| match self
+            .by_origin
+            .get(&origin)
+            .and_then(|a| self.members.get(a))
+        {
             Some(known) => known.member.name.clone(),
             None if origin == self.origin => self.me.name.clone(),
             None => format!("{origin:016x}"),
@@ -61,12 +65,25 @@
             me: member(&self.me, None),
             doubts_itself: self.doubts_itself(now),
             standing: self.standing().clone(),
-            cut: self.standing().cut.iter().map(|(zone, way)| (self.zone_name(*zone), *way)).collect(),
+            cut: self
+                .standing()
+                .cut
+                .iter()
+                .map(|(zone, way)| (self.zone_name(*zone), *way))
+                .collect(),
             roster: self.roster_census(now),
-            members: self.members.values().map(|k| member(&k.member, Some(k.since))).collect(),
+            members: self
+                .members
+                .values()
+                .map(|k| member(&k.member, Some(k.since)))
+                .collect(),
             rests: rests.collect(),
             evidence: self.table.len(),
-            dropped: REASONS.iter().map(|why| why.word()).zip(self.counts.dropped).collect(),
+            dropped: REASONS
+                .iter()
+                .map(|why| why.word())
+                .zip(self.counts.dropped)
+                .collect(),
             counts: self.counts.clone(),
         }
     }
--- a/crates/fleet/src/core/standing.rs
+++ b/crates/fleet/src/core/standing.rs
@@ -51,7 +51,9 @@
 
     /// The version of the program, as others' rosters show it; to be said before it runs.
     pub fn set_version(&mut self, version: &str) {
-        let end = (0..=LONGEST_VERSION.min(version.len())).rev().find(|n| version.is_char_boundary(*n));
+        let end = (0..=LONGEST_VERSION.min(version.len()))
+            .rev()
+            .find(|n| version.is_char_boundary(*n));
         self.version = version[..end.unwrap_or(0)].to_owned();
     }
 
@@ -62,7 +64,10 @@
 
     /// Where the endpoints of the own list stand, by their numbers: what they say of a zone that is not heard.
     pub fn placed<'a>(&mut self, zones: impl Iterator<Item = (usize, &'a str)>) {
-        self.placed = zones.take(super::witness::MOST_ENDPOINTS).map(|(e, zone)| (e, hash(zone))).collect();
+        self.placed = zones
+            .take(super::witness::MOST_ENDPOINTS)
+            .map(|(e, zone)| (e, hash(zone)))
+            .collect();
     }
 
     /// Somebody of that zone is heard: an answer to what this one sent, or not.
@@ -92,24 +97,40 @@
             return;
         }
         let (members, me) = (&self.members, self.me.address);
-        for (name, addresses) in self.roster.twice(now, |at| at == me || members.contains_key(&at)) {
+        for (name, addresses) in self
+            .roster
+            .twice(now, |at| at == me || members.contains_key(&at))
+        {
             self.effects.notes.push(Note::Twice { name, addresses });
         }
         if now >= self.next_view {
-            let told = if self.standing().kind == Kind::Whole { TOLD } else { 2 * TOLD };
+            let told = if self.standing().kind == Kind::Whole {
+                TOLD
+            } else {
+                2 * TOLD
+            };
             (self.next_view, self.views_due) = (now + BEAT, told);
             self.roster.expire(now);
         }
         let zones = self.zone_facts(now);
         let was = self.standing().clone();
-        let lost = |core: &Self| zones.iter().map(|z| core.watch.lost(z.zone)).collect::<Vec<_>>();
+        let lost = |core: &Self| {
+            zones
+                .iter()
+                .map(|z| core.watch.lost(z.zone))
+                .collect::<Vec<_>>()
+        };
         let lost_before = lost(self);
         let asks = self.watch.step(now, self.zone, &zones);
         for ((z, before), after) in zones.iter().zip(lost_before).zip(lost(self)) {
             match (before, after) {
-                (false, true) => self.roster.relabel(z.zone, now - MISSED_WITH, Left::Failed, Left::CutOff),
+                (false, true) => {
+                    self.roster
+                        .relabel(z.zone, now - MISSED_WITH, Left::Failed, Left::CutOff)
+                }
                 (true, false) if z.running == 0 => {
-                    self.roster.relabel(z.zone, Micros::MIN, Left::CutOff, Left::Failed);
+                    self.roster
+                        .relabel(z.zone, Micros::MIN, Left::CutOff, Left::Failed);
                 }
                 _ => {}
             }
@@ -119,7 +140,11 @@
         }
         if *self.standing() != was {
             let standing = self.standing().clone();
-            let zones = standing.cut.iter().map(|(zone, way)| (self.zone_name(*zone), *way)).collect();
+            let zones = standing
+                .cut
+                .iter()
+                .map(|(zone, way)| (self.zone_name(*zone), *way))
+                .collect();
             self.effects.notes.push(Note::Standing { standing, zones });
         }
         self.next_tick = self.next_tick.min(self.watch.next());
@@ -131,16 +156,28 @@
         let own = zones.entry(self.zone).or_default();
         (own.0, own.1) = (own.0 + 1, own.1 + 1);
         let facts = zones.into_iter().map(|(zone, (running, known))| {
-            let there = || self.listed.values().filter(|l| self.placed.get(&l.endpoint) == Some(&zone));
+            let there = || {
+                self.listed
+                    .values()
+                    .filter(|l| self.placed.get(&l.endpoint) == Some(&zone))
+            };
             let (served, named) = if self.watch.silent(zone) {
                 let process = |l: &crate::effects::Listed| self.processes.get(&l.endpoint).copied();
-                let served =
-                    there().filter_map(process).filter_map(|p: Process| self.own.get(&p)?.served).max();
+                let served = there()
+                    .filter_map(process)
+                    .filter_map(|p: Process| self.own.get(&p)?.served)
+                    .max();
                 (served, fresh.then(|| there().any(|l| l.ready)))
             } else {
                 (None, None)
             };
-            Zone { zone, running, known, served, listed: named }
+            Zone {
+                zone,
+                running,
+                known,
+                served,
+                listed: named,
+            }
         });
         facts.collect()
     }
@@ -159,18 +196,34 @@
         };
         let asked: Vec<(Member, bool)> = {
             let entries = self.roster.entries().map(|(_, e)| e).filter(there);
-            let mut all: Vec<_> = entries.map(|e| (e.member.clone(), e.left.is_none())).collect();
+            let mut all: Vec<_> = entries
+                .map(|e| (e.member.clone(), e.left.is_none()))
+                .collect();
             // A map has no order that a seed repeats.
             all.sort_by_key(|(m, _)| m.address);
-            (0..count.min(all.len())).map(|_| all.swap_remove(self.rng.random_range(0..all.len()))).collect()
+            (0..count.min(all.len()))
+                .map(|_| all.swap_remove(self.rng.random_range(0..all.len())))
+                .collect()
         };
         for (dst, runs) in asked {
             self.asked = self.asked.wrapping_add(1);
-            let message = if runs { Message::Ping(self.asked) } else { Message::Announce };
+            let message = if runs {
+                Message::Ping(self.asked)
+            } else {
+                Message::Announce
+            };
             let (to, src) = (dst.address, self.me.clone());
-            let header = Header { src, src_incarnation: 0, dst, message };
-            let begun =
-                frame::begin(&Head { cluster: &self.cluster, sent: now, content: Content::Membership });
+            let header = Header {
+                src,
+                src_incarnation: 0,
+                dst,
+                message,
+            };
+            let begun = frame::begin(&Head {
+                cluster: &self.cluster,
+                sent: now,
+                content: Content::Membership,
+            });
             if let Ok(bytes) = postcard::to_extend(&header, begun) {
                 self.send(to, bytes);
             }
@@ -194,14 +247,25 @@
         };
         let age = |at: Micros| u16::try_from((now - at) / 1000).unwrap_or(u16::MAX);
         let pairs = self.watch.heard.pairs(now - TELLS);
-        let pairs = pairs.map(|((by, whom), at)| (place(by), place(whom), age(at))).collect();
-        let view = View { origin: self.origin, version: &self.version, parts, members, zones, pairs };
+        let pairs = pairs
+            .map(|((by, whom), at)| (place(by), place(whom), age(at)))
+            .collect();
+        let view = View {
+            origin: self.origin,
+            version: &self.version,
+            parts,
+            members,
+            zones,
+            pairs,
+        };
         postcard::to_stdvec(&view).ok()
     }
 
     fn digest(&mut self) -> Digest {
         let origins = self.members.values().map(|k| k.origin);
-        *self.digest.get_or_insert_with(|| Digest::of(origins.chain(std::iter::once(self.origin))))
+        *self
+            .digest
+            .get_or_insert_with(|| Digest::of(origins.chain(std::iter::once(self.origin))))
     }
 
     /// Tells the views that are due and found no other datagram.
@@ -213,14 +277,30 @@
             // A few draws find one of the wanted zone, unless it is small.
             let mut to = draw(self);
             for _ in 0..2 * FANOUT {
-                if self.members.get(&to).is_some_and(|k| (k.zone == zone) == here) {
+                if self
+                    .members
+                    .get(&to)
+                    .is_some_and(|k| (k.zone == zone) == here)
+                {
                     break;
                 }
                 to = draw(self);
             }
-            let mut bytes = frame::begin(&Head { cluster: &self.cluster, sent: now, content: Content::News });
-            let Some(view) = self.view_due(now) else { break };
-            if frame::add(&mut bytes, &Piece { kind: VIEW, bytes: &view }) {
+            let mut bytes = frame::begin(&Head {
+                cluster: &self.cluster,
+                sent: now,
+                content: Content::News,
+            });
+            let Some(view) = self.view_due(now) else {
+                break;
+            };
+            if frame::add(
+                &mut bytes,
+                &Piece {
+                    kind: VIEW,
+                    bytes: &view,
+                },
+            ) {
                 self.send(to, bytes);
             }
         }
@@ -231,7 +311,9 @@
         let Ok(view) = postcard::from_bytes::<View<'_>>(bytes) else {
             return self.drop_one(Dropped::Malformed);
         };
-        let Some((origin, zone)) = self.members.get(&from).map(|k| (k.origin, k.zone)) else { return };
+        let Some((origin, zone)) = self.members.get(&from).map(|k| (k.origin, k.zone)) else {
+            return;
+        };
         if view.origin != origin || view.version.len() > LONGEST_VERSION {
             return self.drop_one(Dropped::Forged);
         }
@@ -240,14 +322,19 @@
         }
         self.roster.version(origin, view.version);
         for (by, whom, age) in view.pairs {
-            if let (Some(by), Some(whom)) =
-                (view.zones.get(usize::from(by)), view.zones.get(usize::from(whom)))
-            {
-                self.watch.heard.told(now, self.skew, *by, *whom, sent - Micros::from(age) * 1000);
+            if let (Some(by), Some(whom)) = (
+                view.zones.get(usize::from(by)),
+                view.zones.get(usize::from(whom)),
+            ) {
+                self.watch
+                    .heard
+                    .told(now, self.skew, *by, *whom, sent - Micros::from(age) * 1000);
             }
         }
         if !self.watch.silent(zone) {
-            let differs = self.digest().differs(&Digest::read(view.parts, view.members));
+            let differs = self
+                .digest()
+                .differs(&Digest::read(view.parts, view.members));
             self.watch.views.compared(now, differs);
         }
     }
@@ -260,6 +347,10 @@
     /// How one leaves that is missed now.
     pub(super) fn left_how(&self, zone: u64) -> Left {
         let all = self.standing().kind == Kind::Alone;
-        if self.watch.lost(zone) || all { Left::CutOff } else { Left::Failed }
+        if self.watch.lost(zone) || all {
+            Left::CutOff
+        } else {
+            Left::Failed
+        }
     }
 }
--- a/crates/fleet/src/core/witness.rs
+++ b/crates/fleet/src/core/witness.rs
@@ -32,11 +32,18 @@
         self.ready = list.iter().filter(|l| l.ready).count();
         for entry in list.into_iter().take(MOST_ENDPOINTS) {
             let name = hash(&entry.name);
-            self.processes.insert(entry.endpoint, Process { name, started: entry.started.unwrap_or(0) });
+            self.processes.insert(
+                entry.endpoint,
+                Process {
+                    name,
+                    started: entry.started.unwrap_or(0),
+                },
+            );
             self.listed.insert(name, entry);
         }
         let processes = &self.processes;
-        self.own.retain(|process, _| processes.values().any(|p| p == process));
+        self.own
+            .retain(|process, _| processes.values().any(|p| p == process));
         let gone: Vec<usize> = self
             .resting
             .iter()
@@ -45,39 +52,71 @@
             .collect();
         for endpoint in gone {
             self.resting.remove(&endpoint);
-            self.effects.words.push(Word { endpoint, rest: Rest::No, until: now });
+            self.effects.words.push(Word {
+                endpoint,
+                rest: Rest::No,
+                until: now,
+            });
         }
     }
 
     /// This member was served by an endpoint, or was not.
     pub fn witness(&mut self, now: Micros, endpoint: usize, sign: Sign) {
-        let Some(process) = self.processes.get(&endpoint).copied().filter(|_| self.verdicts) else { return };
+        let Some(process) = self
+            .processes
+            .get(&endpoint)
+            .copied()
+            .filter(|_| self.verdicts)
+        else {
+            return;
+        };
         if now < self.overslept_until {
             return;
         }
-        let own = self.own.entry(process).or_insert(Own { sign, at: now, said: None, served: None });
+        let own = self.own.entry(process).or_insert(Own {
+            sign,
+            at: now,
+            said: None,
+            served: None,
+        });
         (own.sign, own.at) = (sign, now);
         if sign == Sign::Well {
             own.served = Some(now);
         }
-        let said = own.said.is_some_and(|(what, at)| what == sign && now - at < self.weights.rest);
+        let said = own
+            .said
+            .is_some_and(|(what, at)| what == sign && now - at < self.weights.rest);
         let resting = self.resting.contains_key(&endpoint);
         let fresh = |d: &&Datum| now - d.seen < self.weights.bound;
         let zone = self.zone;
         let alike = |sign: Sign| {
             let here = self.table.of(process).filter(|(of, _)| *of == zone);
-            here.flat_map(|(_, data)| data).filter(fresh).filter(|d| d.sign == sign).count()
+            here.flat_map(|(_, data)| data)
+                .filter(fresh)
+                .filter(|d| d.sign == sign)
+                .count()
         };
         let worth_saying = match sign {
             Sign::Sick => resting || alike(Sign::Sick) <= ENOUGH,
             // Nobody doubts it where nobody found it sick, and two who were served since are enough.
             Sign::Well => {
                 let here = || {
-                    let here = self.table.of(process).filter(|(of, _)| *of == zone || resting);
+                    let here = self
+                        .table
+                        .of(process)
+                        .filter(|(of, _)| *of == zone || resting);
                     here.flat_map(|(_, data)| data).filter(fresh)
                 };
-                let sick = here().filter(|d| d.sign == Sign::Sick).map(|d| d.seen).max();
-                sick.is_some_and(|sick| here().filter(|d| d.sign == Sign::Well && d.seen > sick).count() < 2)
+                let sick = here()
+                    .filter(|d| d.sign == Sign::Sick)
+                    .map(|d| d.seen)
+                    .max();
+                sick.is_some_and(|sick| {
+                    here()
+                        .filter(|d| d.sign == Sign::Well && d.seen > sick)
+                        .count()
+                        < 2
+                })
             }
         };
         if said
@@ -109,7 +148,11 @@
 
     /// It finds most of what it has tried of late sick: likely the fault lies with itself.
     pub(super) fn doubts_itself(&self, now: Micros) -> bool {
-        let fresh = || self.own.values().filter(|own| now - own.at < self.weights.bound);
+        let fresh = || {
+            self.own
+                .values()
+                .filter(|own| now - own.at < self.weights.bound)
+        };
         let sick = fresh().filter(|own| own.sign == Sign::Sick).count();
         sick >= DOUBTED_LEAST && sick as f64 > DOUBTED * fresh().count() as f64
     }
@@ -128,8 +171,10 @@
         if now - datum.seen >= self.weights.bound {
             return self.drop_one(Dropped::Stale);
         }
-        let Some((endpoint, started)) =
-            self.listed.get(&datum.process.name).map(|l| (l.endpoint, l.started.unwrap_or(0)))
+        let Some((endpoint, started)) = self
+            .listed
+            .get(&datum.process.name)
+            .map(|l| (l.endpoint, l.started.unwrap_or(0)))
         else {
             return self.drop_one(Dropped::Unlisted);
         };
--- a/crates/fleet/src/evidence.rs
+++ b/crates/fleet/src/evidence.rs
@@ -60,7 +60,8 @@
             *self.sick_by.entry(datum.origin).or_default() += 1;
         }
         data.insert(at, datum);
-        data.drain(KEPT.min(data.len())..).for_each(|d| uncounted(&mut self.sick_by, &d));
+        data.drain(KEPT.min(data.len())..)
+            .for_each(|d| uncounted(&mut self.sick_by, &d));
         Merged::New { alike }
     }
 
@@ -71,13 +72,18 @@
 
     /// What is known of a process, zone by zone, the newest first.
     pub fn of(&self, process: Process) -> impl Iterator<Item = (u64, &[Datum])> {
-        self.of.range((process, 0)..=(process, u64::MAX)).map(|((_, zone), data)| (*zone, data.as_slice()))
+        self.of
+            .range((process, 0)..=(process, u64::MAX))
+            .map(|((_, zone), data)| (*zone, data.as_slice()))
     }
 
     /// Processes of which anything is known.
     pub fn processes(&self) -> impl Iterator<Item = Process> {
         let mut last = None;
-        self.of.keys().map(|(process, _)| *process).filter(move |p| last.replace(*p) != Some(*p))
+        self.of
+            .keys()
+            .map(|(process, _)| *process)
+            .filter(move |p| last.replace(*p) != Some(*p))
     }
 
     /// Drops what was seen before `since`.
@@ -120,16 +126,27 @@
     use proptest::prelude::*;
 
     fn data() -> impl Strategy<Value = Vec<Datum>> {
-        let datum = (0u64..12, 0u64..2, 0u64..6, 0u64..2, 0i64..30, 0u64..2, any::<bool>());
-        let datum = datum.prop_map(|(origin, incarnation, sequence, zone, seen, name, well)| Datum {
-            origin,
-            incarnation,
-            sequence,
-            zone,
-            seen,
-            process: Process { name, started: 0 },
-            sign: if well { Sign::Well } else { Sign::Sick },
-        });
+        let datum = (
+            0u64..12,
+            0u64..2,
+            0u64..6,
+            0u64..2,
+            0i64..30,
+            0u64..2,
+            any::<bool>(),
+        );
+        let datum =
+            datum.prop_map(
+                |(origin, incarnation, sequence, zone, seen, name, well)| Datum {
+                    origin,
+                    incarnation,
+                    sequence,
+                    zone,
+                    seen,
+                    process: Process { name, started: 0 },
+                    sign: if well { Sign::Well } else { Sign::Sick },
+                },
+            );
         proptest::collection::vec(datum, 0..60)
     }
 
@@ -185,7 +202,10 @@
 
     #[test]
     fn the_newest_of_each_origin_are_kept_and_what_is_too_old_goes() {
-        let process = Process { name: 1, started: 0 };
+        let process = Process {
+            name: 1,
+            started: 0,
+        };
         let datum = |origin, seen, sign| Datum {
             origin,
             incarnation: 1,
@@ -196,15 +216,32 @@
             sign,
         };
         let mut table = Table::default();
-        assert_eq!(table.merge(datum(1, 5, Sign::Sick)), Merged::New { alike: 0 });
-        assert_eq!(table.merge(datum(1, 4, Sign::Well)), Merged::Known, "it has said something else since");
-        assert_eq!(table.merge(datum(2, 4, Sign::Sick)), Merged::New { alike: 1 });
-        assert_eq!(table.merge(datum(1, 9, Sign::Well)), Merged::New { alike: 0 });
+        assert_eq!(
+            table.merge(datum(1, 5, Sign::Sick)),
+            Merged::New { alike: 0 }
+        );
+        assert_eq!(
+            table.merge(datum(1, 4, Sign::Well)),
+            Merged::Known,
+            "it has said something else since"
+        );
+        assert_eq!(
+            table.merge(datum(2, 4, Sign::Sick)),
+            Merged::New { alike: 1 }
+        );
+        assert_eq!(
+            table.merge(datum(1, 9, Sign::Well)),
+            Merged::New { alike: 0 }
+        );
         for origin in 3..20 {
             table.merge(datum(origin, origin as i64 + 10, Sign::Sick));
         }
         assert_eq!(table.len(), KEPT);
-        let kept: Vec<u64> = table.of(process).flat_map(|(_, data)| data).map(|d| d.origin).collect();
+        let kept: Vec<u64> = table
+            .of(process)
+            .flat_map(|(_, data)| data)
+            .map(|d| d.origin)
+            .collect();
         assert_eq!(kept, [19, 18, 17, 16, 15, 14], "others have seen it later");
         table.drop_before(29);
         assert_eq!(table.processes().count(), 1);
@@ -225,8 +262,16 @@
             process: Process { name, started: 0 },
             sign: Sign::Sick,
         };
-        (0..MOST as u64).for_each(|name| assert_eq!(table.merge(datum(name)), Merged::New { alike: 0 }));
+        (0..MOST as u64)
+            .for_each(|name| assert_eq!(table.merge(datum(name)), Merged::New { alike: 0 }));
         assert_eq!(table.merge(datum(MOST as u64)), Merged::Full);
-        assert_eq!(table.merge(Datum { seen: 2, sequence: 2, ..datum(0) }), Merged::New { alike: 0 });
+        assert_eq!(
+            table.merge(Datum {
+                seen: 2,
+                sequence: 2,
+                ..datum(0)
+            }),
+            Merged::New { alike: 0 }
+        );
     }
 }
