--- a/crates/fleet/src/frame.rs
+++ b/crates/fleet/src/frame.rs
@@ -124,7 +124,9 @@
 
 /// Adds a piece, where there is still room for it.
 pub fn add(bytes: &mut Vec<u8>, piece: &Piece<'_>) -> bool {
-    let Ok(piece) = postcard::to_stdvec(piece) else { return false };
+    let Ok(piece) = postcard::to_stdvec(piece) else {
+        return false;
+    };
     let fits = bytes.len() + piece.len() <= LONGEST;
     if fits {
         bytes.extend_from_slice(&piece);
@@ -141,11 +143,14 @@
         return Err(Dropped::TooLong);
     }
     let rest = bytes.strip_prefix(MAGIC).ok_or(Dropped::Malformed)?;
-    let [version, least, rest @ ..] = rest else { return Err(Dropped::Malformed) };
+    let [version, least, rest @ ..] = rest else {
+        return Err(Dropped::Malformed);
+    };
     if *least > VERSION || least > version {
         return Err(Dropped::Version);
     }
-    let (head, content) = postcard::take_from_bytes::<Head<'_>>(rest).map_err(|_| Dropped::Malformed)?;
+    let (head, content) =
+        postcard::take_from_bytes::<Head<'_>>(rest).map_err(|_| Dropped::Malformed)?;
     if head.cluster != cluster {
         return Err(Dropped::Cluster);
     }
@@ -177,19 +182,29 @@
     use proptest::prelude::*;
 
     fn head() -> Head<'static> {
-        Head { cluster: "a", sent: 7, content: Content::News }
+        Head {
+            cluster: "a",
+            sent: 7,
+            content: Content::News,
+        }
     }
 
     #[test]
     fn what_is_written_is_read_and_what_is_not_for_us_has_its_reason() {
         let mut bytes = begin(&head());
-        let piece = Piece { kind: EVIDENCE, bytes: &[1, 2, 3] };
+        let piece = Piece {
+            kind: EVIDENCE,
+            bytes: &[1, 2, 3],
+        };
         assert!(add(&mut bytes, &piece) && add(&mut bytes, &piece));
         let (read_head, content) = read(&bytes, "a").expect("it is good");
         assert_eq!(read_head, head());
         assert_eq!(pieces(content).collect::<Vec<_>>(), [Ok(piece), Ok(piece)]);
         assert_eq!(read(&bytes, "b").map(|_| ()), Err(Dropped::Cluster));
-        assert_eq!(read(&[0; LONGEST + 1], "a").map(|_| ()), Err(Dropped::TooLong));
+        assert_eq!(
+            read(&[0; LONGEST + 1], "a").map(|_| ()),
+            Err(Dropped::TooLong)
+        );
         assert_eq!(read(b"LPF", "a").map(|_| ()), Err(Dropped::Malformed));
         assert_eq!(read(b"", "a").map(|_| ()), Err(Dropped::Malformed));
         while add(&mut bytes, &piece) {}
@@ -200,11 +215,25 @@
     fn a_later_version_is_read_as_far_as_it_says_it_can_be() {
         let mut later = begin(&head());
         // Version 2 has a kind of its own, and says that readers of version 1 understand the rest.
-        assert!(add(&mut later, &Piece { kind: 200, bytes: &[9; 40] }));
-        assert!(add(&mut later, &Piece { kind: EVIDENCE, bytes: &[5] }));
+        assert!(add(
+            &mut later,
+            &Piece {
+                kind: 200,
+                bytes: &[9; 40]
+            }
+        ));
+        assert!(add(
+            &mut later,
+            &Piece {
+                kind: EVIDENCE,
+                bytes: &[5]
+            }
+        ));
         later[3] = 2;
         let (_, content) = read(&later, "a").expect("it can be read");
-        let kinds: Vec<u8> = pieces(content).filter_map(|p| p.ok().map(|p| p.kind)).collect();
+        let kinds: Vec<u8> = pieces(content)
+            .filter_map(|p| p.ok().map(|p| p.kind))
+            .collect();
         assert_eq!(kinds, [200, EVIDENCE]);
         later[4] = 2;
         assert_eq!(read(&later, "a").map(|_| ()), Err(Dropped::Version));
@@ -212,7 +241,12 @@
 
     #[test]
     fn reasons_stand_in_the_order_of_their_numbers_and_have_words_of_their_own() {
-        assert!(REASONS.iter().enumerate().all(|(n, why)| *why as usize == n));
+        assert!(
+            REASONS
+                .iter()
+                .enumerate()
+                .all(|(n, why)| *why as usize == n)
+        );
         let words: std::collections::BTreeSet<_> = REASONS.iter().map(|why| why.word()).collect();
         assert_eq!(words.len(), REASONS.len());
     }
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -20,7 +20,12 @@
 impl Member {
     /// Someone of whom only the address is known.
     pub fn at(address: SocketAddr) -> Self {
-        Self { address, name: String::new(), zone: String::new(), incarnation: 0 }
+        Self {
+            address,
+            name: String::new(),
+            zone: String::new(),
+            incarnation: 0,
+        }
     }
 }
 
@@ -30,7 +35,10 @@
     type Addr = SocketAddr;
 
     fn renew(&self) -> Option<Self> {
-        Some(Self { incarnation: self.incarnation + 1, ..self.clone() })
+        Some(Self {
+            incarnation: self.incarnation + 1,
+            ..self.clone()
+        })
     }
 
     fn addr(&self) -> SocketAddr {
--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/roster.rs
@@ -108,7 +108,9 @@
     /// That one is missed. True where it is quarantined from now on.
     pub fn down(&mut self, now: Micros, member: &Member, how: Left) -> bool {
         let origin = hash(&member.name);
-        let Some(entry) = self.entries.get_mut(&origin) else { return false };
+        let Some(entry) = self.entries.get_mut(&origin) else {
+            return false;
+        };
         if entry.member.address != member.address {
             // The other one of the name goes on.
             entry.twice = None;
@@ -124,8 +126,14 @@
 
     fn flapped(&mut self, now: Micros, origin: u64) -> bool {
         let most = self.entries.len() / MOST_FLAPPING;
-        let held = self.entries.values().filter(|e| e.quarantined.is_some_and(|until| until > now)).count();
-        let Some(entry) = self.entries.get_mut(&origin) else { return false };
+        let held = self
+            .entries
+            .values()
+            .filter(|e| e.quarantined.is_some_and(|until| until > now))
+            .count();
+        let Some(entry) = self.entries.get_mut(&origin) else {
+            return false;
+        };
         let (count, last) = entry.flaps;
         entry.flaps = (if now - last > CALM { 1 } else { count + 1 }, now);
         let flaps = entry.flaps.0;
@@ -138,7 +146,9 @@
 
     /// That life said that it leaves.
     pub fn said_so(&mut self, origin: u64, incarnation: u64) {
-        let Some(entry) = self.entries.get_mut(&origin) else { return };
+        let Some(entry) = self.entries.get_mut(&origin) else {
+            return;
+        };
         entry.said_so = Some(incarnation);
         if entry.member.incarnation == incarnation
             && let Some((left, _)) = &mut entry.left
@@ -191,12 +201,16 @@
 
     /// Its word does not count for now.
     pub fn quarantined(&self, now: Micros, origin: u64) -> bool {
-        self.entries.get(&origin).and_then(|e| e.quarantined).is_some_and(|until| until > now)
+        self.entries
+            .get(&origin)
+            .and_then(|e| e.quarantined)
+            .is_some_and(|until| until > now)
     }
 
     /// Forgets those who left long ago.
     pub fn expire(&mut self, now: Micros) {
-        self.entries.retain(|_, e| e.left.is_none_or(|(_, at)| now - at < FORGOTTEN));
+        self.entries
+            .retain(|_, e| e.left.is_none_or(|(_, at)| now - at < FORGOTTEN));
     }
 
     /// Who is known, by hash of the name.
--- a/crates/fleet/src/section.rs
+++ b/crates/fleet/src/section.rs
@@ -114,13 +114,22 @@
 impl Default for Verdicts {
     fn default() -> Self {
         // Three of the longest deadlines that the platform knows (4 s); the longest aim (1 s).
-        Self { enabled: true, bound: Time::ms(12_000), witnesses: 3, most_out: 0.5, rest: Time::ms(1000) }
+        Self {
+            enabled: true,
+            bound: Time::ms(12_000),
+            witnesses: 3,
+            most_out: 0.5,
+            rest: Time::ms(1000),
+        }
     }
 }
 
 impl Default for Affinity {
     fn default() -> Self {
-        Self { enabled: false, ahead: 4.0 }
+        Self {
+            enabled: false,
+            ahead: 4.0,
+        }
     }
 }
 
@@ -143,10 +152,16 @@
             return wrong("fleet.members", "1 to 10000");
         }
         if self.advertise.is_none() && self.listen.ip().is_unspecified() {
-            return wrong("fleet.advertise", "needed where fleet.listen is no single address");
+            return wrong(
+                "fleet.advertise",
+                "needed where fleet.listen is no single address",
+            );
         }
         if self.verdicts.witnesses < 2 {
-            return wrong("fleet.verdicts.witnesses", "at least 2: one alone may be what is wrong");
+            return wrong(
+                "fleet.verdicts.witnesses",
+                "at least 2: one alone may be what is wrong",
+            );
         }
         if !(0.0..=0.9).contains(&self.verdicts.most_out) {
             return wrong("fleet.verdicts.most_out", "0 to 0.9");
@@ -198,9 +213,18 @@
             section.check().expect_err("it is wrong").key
         };
         assert_eq!(key(|s| s.cluster.clear()), "fleet.cluster");
-        assert_eq!(key(|s| s.verdicts.witnesses = 1), "fleet.verdicts.witnesses");
-        assert_eq!(key(|s| s.verdicts.bound = Time::ms(3999)), "fleet.verdicts.bound");
-        assert_eq!(key(|s| s.listen.set_ip([0, 0, 0, 0].into())), "fleet.advertise");
+        assert_eq!(
+            key(|s| s.verdicts.witnesses = 1),
+            "fleet.verdicts.witnesses"
+        );
+        assert_eq!(
+            key(|s| s.verdicts.bound = Time::ms(3999)),
+            "fleet.verdicts.bound"
+        );
+        assert_eq!(
+            key(|s| s.listen.set_ip([0, 0, 0, 0].into())),
+            "fleet.advertise"
+        );
         assert_eq!(key(|s| s.affinity.ahead = -1.0), "fleet.affinity.ahead");
         assert_eq!(key(|s| s.bindings.enabled = true), "fleet.bindings.enabled");
         assert_eq!(key(|s| s.bindings.keys = 0), "fleet.bindings.keys");
--- a/crates/fleet/src/standing.rs
+++ b/crates/fleet/src/standing.rs
@@ -81,15 +81,51 @@
 
 /// The table.
 pub const TABLE: [(Kind, May); 5] = [
-    (Kind::Whole, may(Verdicts::Shared, Trials::Shared, Bindings::Used, Answers::Yes)),
-    (Kind::Disputed, may(Verdicts::Shared, Trials::Shared, Bindings::Used, Answers::Yes)),
-    (Kind::Cut, may(Verdicts::Shared, Trials::Side, Bindings::RunOut, Answers::Larger)),
-    (Kind::Alone, may(Verdicts::Heeded, Trials::Own, Bindings::RunOut, Answers::No)),
-    (Kind::Unwell, may(Verdicts::Heeded, Trials::None, Bindings::Idle, Answers::No)),
+    (
+        Kind::Whole,
+        may(
+            Verdicts::Shared,
+            Trials::Shared,
+            Bindings::Used,
+            Answers::Yes,
+        ),
+    ),
+    (
+        Kind::Disputed,
+        may(
+            Verdicts::Shared,
+            Trials::Shared,
+            Bindings::Used,
+            Answers::Yes,
+        ),
+    ),
+    (
+        Kind::Cut,
+        may(
+            Verdicts::Shared,
+            Trials::Side,
+            Bindings::RunOut,
+            Answers::Larger,
+        ),
+    ),
+    (
+        Kind::Alone,
+        may(Verdicts::Heeded, Trials::Own, Bindings::RunOut, Answers::No),
+    ),
+    (
+        Kind::Unwell,
+        may(Verdicts::Heeded, Trials::None, Bindings::Idle, Answers::No),
+    ),
 ];
 
 const fn may(verdicts: Verdicts, trials: Trials, bindings: Bindings, answers: Answers) -> May {
-    May { verdicts, trials, affinity: true, bindings, answers }
+    May {
+        verdicts,
+        trials,
+        affinity: true,
+        bindings,
+        answers,
+    }
 }
 
 impl Kind {
@@ -183,12 +219,20 @@
             Answers::No => "no",
         };
         let affinity = if may.affinity { "yes" } else { "no" };
-        format!("| {} | {verdicts} | {trials} | {affinity} | {bindings} | {answers} |", kind.word())
+        format!(
+            "| {} | {verdicts} | {trials} | {affinity} | {bindings} | {answers} |",
+            kind.word()
+        )
     }
 
     #[test]
     fn the_page_has_the_table_of_the_code_and_each_kind_stands_at_its_number() {
-        assert!(TABLE.iter().enumerate().all(|(n, (kind, _))| *kind as usize == n));
+        assert!(
+            TABLE
+                .iter()
+                .enumerate()
+                .all(|(n, (kind, _))| *kind as usize == n)
+        );
         let page = include_str!("../../../docs/fleet.md");
         let written: Vec<&str> = page
             .lines()
@@ -201,7 +245,11 @@
 
     #[test]
     fn only_the_larger_side_of_a_cut_answers() {
-        let cut = |larger| Standing { kind: Kind::Cut, cut: vec![(1, Way::Both)], larger };
+        let cut = |larger| Standing {
+            kind: Kind::Cut,
+            cut: vec![(1, Way::Both)],
+            larger,
+        };
         assert!(cut(Some(true)).answers() && !cut(Some(false)).answers() && !cut(None).answers());
         assert!(Standing::default().answers());
     }
--- a/crates/fleet/src/standing_health.rs
+++ b/crates/fleet/src/standing_health.rs
@@ -27,7 +27,9 @@
 impl Health {
     /// A timer that was due then runs now. True where so much was missed that what was last heard says nothing.
     pub fn woke(&mut self, now: Micros, due: Micros) -> bool {
-        let Some(at) = self.at.replace(now) else { return true };
+        let Some(at) = self.at.replace(now) else {
+            return true;
+        };
         let gone = (now - at).max(0) as f64 / SECOND as f64;
         self.lateness = (self.lateness - gone * FORGOTTEN).max(0.0);
         let late = now - due;
--- a/crates/fleet/src/standing_heard.rs
+++ b/crates/fleet/src/standing_heard.rs
@@ -82,11 +82,16 @@
 
     /// Somebody other than of zone `here` heard that zone since then.
     pub fn elsewhere(&self, here: u64, zone: u64, since: Micros) -> bool {
-        self.pairs.iter().any(|((by, whom), at)| *whom == zone && *by != here && *by != zone && *at > since)
+        self.pairs
+            .iter()
+            .any(|((by, whom), at)| *whom == zone && *by != here && *by != zone && *at > since)
     }
 
     /// Zones and what is known of each pair, newest stamps not older than `since`.
     pub fn pairs(&self, since: Micros) -> impl Iterator<Item = ((u64, u64), Micros)> {
-        self.pairs.iter().filter(move |(_, at)| **at >= since).map(|(pair, at)| (*pair, *at))
+        self.pairs
+            .iter()
+            .filter(move |(_, at)| **at >= since)
+            .map(|(pair, at)| (*pair, *at))
     }
 }
--- a/crates/fleet/src/standing_views.rs
+++ b/crates/fleet/src/standing_views.rs
@@ -25,7 +25,10 @@
 impl Digest {
     /// Of these members, the one that sees them included.
     pub fn of(origins: impl Iterator<Item = u64>) -> Self {
-        let mut digest = Self { parts: [0; PARTS], members: 0 };
+        let mut digest = Self {
+            parts: [0; PARTS],
+            members: 0,
+        };
         for origin in origins {
             digest.members += 1;
             // Names are hashed already: low bits choose the part, others are what is mixed in.
@@ -36,7 +39,10 @@
 
     /// As it was written.
     pub fn read(parts: [u8; PARTS], members: u32) -> Self {
-        Self { parts, members: members as usize }
+        Self {
+            parts,
+            members: members as usize,
+        }
     }
 
     /// To be written.
@@ -47,7 +53,12 @@
     /// Whether two views differ by more than they may: so many balls thrown into the parts leave the others empty
     /// (linear counting: Whang et al., ACM TODS 15, 1990, p. 208).
     pub fn differs(&self, other: &Self) -> bool {
-        let same = self.parts.iter().zip(&other.parts).filter(|(a, b)| a == b).count();
+        let same = self
+            .parts
+            .iter()
+            .zip(&other.parts)
+            .filter(|(a, b)| a == b)
+            .count();
         let members = self.members.max(other.members) as f64;
         let by = PARTS as f64 * (PARTS as f64 / same.max(1) as f64).ln();
         same == 0 || by > ALIKE * members
@@ -102,7 +113,9 @@
         assert!(!digest(0..60).differs(&digest(0..60)) && !digest(0..60).differs(&digest(0..59)));
         assert!(digest(0..60).differs(&digest(0..50)) && digest(0..60).differs(&digest(10..60)));
         assert!(digest(0..6).differs(&digest(0..5)), "one of six");
-        assert!(!digest(0..1000).differs(&digest(0..980)) && digest(0..1000).differs(&digest(0..850)));
+        assert!(
+            !digest(0..1000).differs(&digest(0..980)) && digest(0..1000).differs(&digest(0..850))
+        );
         let (parts, members) = digest(0..9).parts();
         assert_eq!(Digest::read(parts, members), digest(0..9));
     }
--- a/crates/fleet/src/standing_watch.rs
+++ b/crates/fleet/src/standing_watch.rs
@@ -33,7 +33,12 @@
 impl Watch {
     /// Begins; nobody has been heard.
     pub fn new(now: Micros) -> Self {
-        Self { baseline: now, alone: Some(None), next: now, ..Self::default() }
+        Self {
+            baseline: now,
+            alone: Some(None),
+            next: now,
+            ..Self::default()
+        }
     }
 
     /// The standing that was concluded last.
@@ -74,7 +79,8 @@
             return asks;
         }
         let all: usize = zones.iter().map(|z| z.known).sum();
-        self.zones.retain(|zone, _| zones.iter().any(|z| z.zone == *zone));
+        self.zones
+            .retain(|zone, _| zones.iter().any(|z| z.zone == *zone));
         let (mut there, mut died, mut doubted, mut lost_at) = (0, 0, 0, None);
         let mut cut: Vec<(u64, Way)> = Vec::new();
         for z in zones.iter().filter(|z| z.zone != here) {
@@ -138,6 +144,13 @@
         if !self.joined {
             return 0;
         }
-        self.asking.round(now, if self.alone.is_some() { ROUND_LOST } else { ROUND })
+        self.asking.round(
+            now,
+            if self.alone.is_some() {
+                ROUND_LOST
+            } else {
+                ROUND
+            },
+        )
     }
 }
--- a/crates/fleet/src/standing_zone.rs
+++ b/crates/fleet/src/standing_zone.rs
@@ -133,14 +133,19 @@
         let (from, to) = (age(heard.last(here, z.zone)), age(heard.last(z.zone, here)));
         let small = z.known < FEW || z.known * SMALL_PART < all;
         let doubted = !small && (from > DOUBT || to > DOUBT_TOLD);
-        let (mut ask, mut lost) = (0, (z.running == 0 && z.known > 0, z.running == 0 && z.known > 0));
+        let (mut ask, mut lost) = (
+            0,
+            (z.running == 0 && z.known > 0, z.running == 0 && z.known > 0),
+        );
         if !small {
             // What is asked now cannot have been answered yet.
             let before = self.asking.asked;
             let own = age(heard.own(z.zone)).min(age(heard.acked(z.zone)));
             if doubted || own >= OWN_LOST / 2 {
                 let gone = self.silent.is_some_and(|s| s.heard_since.is_none());
-                ask = self.asking.round(now, if gone { ROUND_LOST } else { ROUND });
+                ask = self
+                    .asking
+                    .round(now, if gone { ROUND_LOST } else { ROUND });
             } else {
                 self.asking.asked = 0;
             }
@@ -162,7 +167,14 @@
         };
         match (&mut self.silent, way) {
             (None, None) => {}
-            (None, Some(way)) => self.silent = Some(Silent { at: now, way, died: false, heard_since: None }),
+            (None, Some(way)) => {
+                self.silent = Some(Silent {
+                    at: now,
+                    way,
+                    died: false,
+                    heard_since: None,
+                })
+            }
             (Some(silent), Some(way)) => (silent.way, silent.heard_since) = (way, None),
             (Some(silent), None) => {
                 if !doubted {
@@ -183,7 +195,11 @@
         }
         let calm = (DOUBT - from).min(DOUBT_TOLD - to).max(0) + 1;
         let next = now + if doubted { ROUND / 2 } else { calm };
-        Looked { ask, doubted: doubted && self.silent.is_none(), next }
+        Looked {
+            ask,
+            doubted: doubted && self.silent.is_none(),
+            next,
+        }
     }
 }
 
@@ -194,7 +210,12 @@
     #[test]
     fn a_zone_is_lost_only_once_enough_probes_had_time_to_be_answered_and_soon_enough() {
         let (mut followed, mut heard) = (Followed::default(), Heard::default());
-        let z = Zone { zone: 2, running: 20, known: 20, ..Zone::default() };
+        let z = Zone {
+            zone: 2,
+            running: 20,
+            known: 20,
+            ..Zone::default()
+        };
         heard.came(0, 1, 2, true);
         let mut sent = Vec::new();
         let lost_at = (0..40).map(|tenth| tenth * SECOND / 10).find(|&now| {
@@ -204,7 +225,11 @@
         });
         let at = lost_at.expect("nothing is heard of it");
         assert!(at <= LOST_TOLD, "{at}");
-        let answerable: usize = sent.iter().filter(|(then, _)| at - then >= ROUND).map(|(_, n)| n).sum();
+        let answerable: usize = sent
+            .iter()
+            .filter(|(then, _)| at - then >= ROUND)
+            .map(|(_, n)| n)
+            .sum();
         assert!(answerable >= ASKED as usize, "{answerable} of {sent:?}");
     }
 }
--- a/crates/fleet/src/tokens.rs
+++ b/crates/fleet/src/tokens.rs
@@ -12,7 +12,10 @@
 impl Tokens {
     /// Full from the start.
     pub fn new(now: Micros, most: f64) -> Self {
-        Self { left: most, at: now }
+        Self {
+            left: most,
+            at: now,
+        }
     }
 
     /// Takes one where there is one: `rate` come a second, up to `most`.
--- a/crates/fleet/src/udp.rs
+++ b/crates/fleet/src/udp.rs
@@ -59,8 +59,14 @@
         let (offset, now) = (section.offset(), clock());
         // Members that start at once must not draw alike.
         let seed = hash(name) ^ now.unsigned_abs();
-        let core =
-            Core::new(section, name, zone, incarnation.unwrap_or(now.unsigned_abs()), seed, now + offset);
+        let core = Core::new(
+            section,
+            name,
+            zone,
+            incarnation.unwrap_or(now.unsigned_abs()),
+            seed,
+            now + offset,
+        );
         Ok(Self {
             core: Rc::new(RefCell::new(core)),
             socket: Rc::new(socket),
@@ -90,7 +96,10 @@
             let _ = self.socket.send_to(&bytes, to);
         }
         if !effects.words.is_empty() {
-            effects.words.iter_mut().for_each(|word| word.until -= self.offset);
+            effects
+                .words
+                .iter_mut()
+                .for_each(|word| word.until -= self.offset);
             (self.told)(effects.words);
         }
         if !effects.carried.is_empty() {
--- a/crates/fleet/src/udp/driver.rs
+++ b/crates/fleet/src/udp/driver.rs
@@ -41,7 +41,9 @@
                 watched = self.socket.try_clone().and_then(Watched::from_std).ok();
             }
             let most = if watched.is_some() { Micros::MAX } else { TICK };
-            let sleeps = sleep(Duration::from_micros(u64::try_from(wait.min(most)).unwrap_or(0)));
+            let sleeps = sleep(Duration::from_micros(
+                u64::try_from(wait.min(most)).unwrap_or(0),
+            ));
             let came = async {
                 match &watched {
                     Some(socket) => socket.readable().await,
@@ -68,7 +70,9 @@
                 None => self.socket.recv_from(bytes),
             };
             match came {
-                Ok((length, from)) => self.with(|core, now| core.datagram(now, from, &bytes[..length])),
+                Ok((length, from)) => {
+                    self.with(|core, now| core.datagram(now, from, &bytes[..length]))
+                }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return false,
                 // An earlier send that was refused shows here; the socket itself stays good.
                 Err(_) => {}
--- a/crates/fleet/src/verdict.rs
+++ b/crates/fleet/src/verdict.rs
@@ -41,7 +41,10 @@
 impl Tally {
     fn of(data: &[Datum]) -> Self {
         let well = data.iter().filter(|d| d.sign == Sign::Well).count();
-        Self { sick: data.len() - well, well }
+        Self {
+            sick: data.len() - well,
+            well,
+        }
     }
 
     /// More than twice as many found it sick as were served since: one that errs, or lies, does not keep the others out,
@@ -99,7 +102,11 @@
     all.truncate(crate::evidence::KEPT);
     let tally = Tally::of(&all);
     // Few members have fewer witnesses to offer; one alone is none.
-    let witnesses = if rests.is_some() { 1 } else { weights.witnesses.min(offered).max(2) };
+    let witnesses = if rests.is_some() {
+        1
+    } else {
+        weights.witnesses.min(offered).max(2)
+    };
     let mut sick_at = all.iter().filter(|d| d.sign == Sign::Sick).map(|d| d.seen);
     let last_needed = sick_at.nth(witnesses - 1).unwrap_or(0);
     Weighed {
@@ -117,21 +124,46 @@
     use crate::SECOND;
     use crate::evidence::Process;
 
-    const P: Process = Process { name: 1, started: 0 };
-    const W: Weights = Weights { bound: 12 * SECOND, witnesses: 3, rest: SECOND };
+    const P: Process = Process {
+        name: 1,
+        started: 0,
+    };
+    const W: Weights = Weights {
+        bound: 12 * SECOND,
+        witnesses: 3,
+        rest: SECOND,
+    };
 
     fn datum(zone: u64, origin: u64, seen: Micros, sign: Sign) -> Datum {
-        Datum { origin, incarnation: 1, sequence: 1, zone, seen, process: P, sign }
+        Datum {
+            origin,
+            incarnation: 1,
+            sequence: 1,
+            zone,
+            seen,
+            process: P,
+            sign,
+        }
     }
 
     fn weighed(zones: &[(u64, Vec<Datum>)], now: Micros, own: u64, rests: bool) -> Weighed {
         let rests = rests.then_some([own]);
         let data = zones.iter().map(|(zone, data)| (*zone, data.as_slice()));
-        weigh(data, now, own, rests.as_ref().map(|z| z.as_slice()), &W, |_| true, |_| 20)
+        weigh(
+            data,
+            now,
+            own,
+            rests.as_ref().map(|z| z.as_slice()),
+            &W,
+            |_| true,
+            |_| 20,
+        )
     }
 
     fn sick(zone: u64, n: u64) -> Vec<Datum> {
-        (0..n).map(|i| datum(zone, zone * 100 + i, i as Micros, Sign::Sick)).collect()
+        (0..n)
+            .map(|i| datum(zone, zone * 100 + i, i as Micros, Sign::Sick))
+            .collect()
     }
 
     #[test]
@@ -147,7 +179,10 @@
         // Where some of the own zone are served, one that was not changes nothing.
         let mixed = vec![datum(2, 200, 5, Sign::Sick), datum(2, 201, 6, Sign::Well)];
         assert!(!weighed(&[(1, sick(1, 6)), (2, mixed)], now, 2, false).sick);
-        assert!(!weighed(&[(1, sick(1, 3))], 12 * SECOND + 1, 1, false).sick, "past its bound");
+        assert!(
+            !weighed(&[(1, sick(1, 3))], 12 * SECOND + 1, 1, false).sick,
+            "past its bound"
+        );
     }
 
     #[test]
--- a/crates/fleet/tests/carried.rs
+++ b/crates/fleet/tests/carried.rs
@@ -27,9 +27,15 @@
         lan.run(8 * SECOND);
         for member in 0..18 {
             let mut came: Vec<u8> = lan.carried[member].iter().map(|c| c.bytes[0]).collect();
-            assert!(lan.carried[member].iter().all(|c| c.origin == hash(&format!("n{}", c.bytes[0] % 18))));
             assert!(
-                lan.carried[member].iter().all(|c| c.kind == KIND + c.bytes[0] % 3 && c.bytes.len() == 20)
+                lan.carried[member]
+                    .iter()
+                    .all(|c| c.origin == hash(&format!("n{}", c.bytes[0] % 18)))
+            );
+            assert!(
+                lan.carried[member]
+                    .iter()
+                    .all(|c| c.kind == KIND + c.bytes[0] % 3 && c.bytes.len() == 20)
             );
             let all = came.len();
             came.sort_unstable();
@@ -49,27 +55,53 @@
     let mut lan = Lan::new(9, 2);
     lan.run(10 * SECOND);
     let to = hash("n4");
-    assert_eq!(lan.with(0, |core, now| core.carry_to(now, to, KIND, b"x")), Some(Ok(())));
+    assert_eq!(
+        lan.with(0, |core, now| core.carry_to(now, to, KIND, b"x")),
+        Some(Ok(()))
+    );
     lan.run(SECOND);
     let who: Vec<usize> = (0..9).filter(|m| !lan.carried[*m].is_empty()).collect();
     assert_eq!(who, [4]);
     let nobody = lan.with(0, |core, now| core.carry_to(now, hash("n99"), KIND, b"x"));
     assert_eq!(nobody, Some(Err(NotCarried::Nobody)));
     let neighbours = lan.with(0, |core, _| core.neighbours(3)).expect("it runs");
-    assert!((2..=3).contains(&neighbours.len()) && !neighbours.contains(&hash("n0")), "{neighbours:?}");
+    assert!(
+        (2..=3).contains(&neighbours.len()) && !neighbours.contains(&hash("n0")),
+        "{neighbours:?}"
+    );
     // Member 1 speaks for member 0, as if to member 4 alone.
     let forged = letter(&lan, "n0", 1_000, false);
     let now = lan.now;
     lan.with(4, |core, _| core.datagram(now, address(1), &forged));
-    assert_eq!((lan.carried[4].len(), lan.dropped(4, Dropped::Forged)), (1, 1));
+    assert_eq!(
+        (lan.carried[4].len(), lan.dropped(4, Dropped::Forged)),
+        (1, 1)
+    );
 }
 
 fn letter(lan: &Lan, origin: &str, sequence: u64, spreads: bool) -> Vec<u8> {
     let (incarnation, said) = (EPOCH.unsigned_abs(), lan.now);
-    let letter = Letter { origin: hash(origin), incarnation, sequence, said, spreads, body: b"x" };
+    let letter = Letter {
+        origin: hash(origin),
+        incarnation,
+        sequence,
+        said,
+        spreads,
+        body: b"x",
+    };
     let letter = postcard::to_stdvec(&letter).expect("it can be written");
-    let mut bytes = frame::begin(&Head { cluster: "linenproxy", sent: lan.now, content: Content::News });
-    assert!(frame::add(&mut bytes, &Piece { kind: KIND, bytes: &letter }));
+    let mut bytes = frame::begin(&Head {
+        cluster: "linenproxy",
+        sent: lan.now,
+        content: Content::News,
+    });
+    assert!(frame::add(
+        &mut bytes,
+        &Piece {
+            kind: KIND,
+            bytes: &letter
+        }
+    ));
     bytes
 }
 
@@ -84,7 +116,9 @@
     let long = lan.with(0, |core, now| core.carry(now, KIND, &[0; LONGEST_BODY + 1]));
     assert_eq!(long, Some(Err(NotCarried::TooLong)));
     let taken = |lan: &mut Lan| {
-        (0..200).filter(|_| lan.with(0, |core, now| core.carry(now, KIND, &[7; 8])) == Some(Ok(()))).count()
+        (0..200)
+            .filter(|_| lan.with(0, |core, now| core.carry(now, KIND, &[7; 8])) == Some(Ok(())))
+            .count()
     };
     assert_eq!(taken(&mut lan), 40);
     lan.run(SECOND);
@@ -95,10 +129,18 @@
     let mut late = letter(&lan, "n1", 1_000, true);
     lan.run(6 * SECOND);
     let content = late.split_off(
-        frame::begin(&Head { cluster: "linenproxy", sent: lan.now - 6 * SECOND, content: Content::News })
-            .len(),
+        frame::begin(&Head {
+            cluster: "linenproxy",
+            sent: lan.now - 6 * SECOND,
+            content: Content::News,
+        })
+        .len(),
     );
-    let mut late = frame::begin(&Head { cluster: "linenproxy", sent: lan.now, content: Content::News });
+    let mut late = frame::begin(&Head {
+        cluster: "linenproxy",
+        sent: lan.now,
+        content: Content::News,
+    });
     late.extend(content);
     lan.with(0, |core, now| core.datagram(now, address(1), &late));
     assert_eq!(lan.dropped(0, Dropped::Stale), 1);
--- a/crates/fleet/tests/lan/mod.rs
+++ b/crates/fleet/tests/lan/mod.rs
@@ -55,16 +55,32 @@
 }
 
 pub fn address(member: usize) -> SocketAddr {
-    SocketAddr::from((Ipv4Addr::new(127, 0, (member / 250) as u8, (member % 250 + 1) as u8), 7946))
+    SocketAddr::from((
+        Ipv4Addr::new(127, 0, (member / 250) as u8, (member % 250 + 1) as u8),
+        7946,
+    ))
 }
 
 pub fn section(member: usize, members: usize) -> FleetSection {
-    let seeds = (0..members.min(4)).filter(|seed| *seed != member).map(address).collect();
-    FleetSection { enabled: true, listen: address(member), seeds, ..FleetSection::default() }
+    let seeds = (0..members.min(4))
+        .filter(|seed| *seed != member)
+        .map(address)
+        .collect();
+    FleetSection {
+        enabled: true,
+        listen: address(member),
+        seeds,
+        ..FleetSection::default()
+    }
 }
 
 pub fn listed(endpoint: usize) -> Listed {
-    Listed { endpoint, name: format!("s-{endpoint}"), started: None, ready: true }
+    Listed {
+        endpoint,
+        name: format!("s-{endpoint}"),
+        started: None,
+        ready: true,
+    }
 }
 
 impl Lan {
@@ -110,7 +126,10 @@
         (0..members).for_each(|member| lan.start(member));
         let all: Vec<Member> = (0..members).map(|m| lan.member(m)).collect();
         for member in 0..members {
-            let others = all.iter().filter(|other| other.address != address(member)).cloned();
+            let others = all
+                .iter()
+                .filter(|other| other.address != address(member))
+                .cloned();
             lan.with(member, |core, now| core.recall(now, others));
         }
         lan.run(10 * SECOND);
@@ -121,12 +140,21 @@
     fn member(&self, member: usize) -> Member {
         let incarnation = (self.now + self.offsets[member]).unsigned_abs();
         let zone = ["a", "b", "c"][member % 3].to_owned();
-        Member { address: address(member), name: format!("n{member}"), zone, incarnation }
+        Member {
+            address: address(member),
+            name: format!("n{member}"),
+            zone,
+            incarnation,
+        }
     }
 
     /// What each member that runs takes its standing for.
     pub fn standings(&self) -> Vec<Kind> {
-        self.cores.iter().flatten().map(|core| core.standing().kind).collect()
+        self.cores
+            .iter()
+            .flatten()
+            .map(|core| core.standing().kind)
+            .collect()
     }
 
     /// Starts a member, again if it runs.
@@ -136,7 +164,14 @@
         let mut section = section(member, self.cores.len());
         section.members = section.members.max(self.cores.len() as u32);
         section.standing.enabled = self.standing;
-        let mut core = Core::new(&section, &format!("n{member}"), zone, now.unsigned_abs(), seed, now);
+        let mut core = Core::new(
+            &section,
+            &format!("n{member}"),
+            zone,
+            now.unsigned_abs(),
+            seed,
+            now,
+        );
         core.listed(now, (0..ENDPOINTS).map(listed).collect());
         core.placed((0..ENDPOINTS).map(|e| (e, ["a", "b", "c"][e % 3])));
         self.due[member] = self.now;
@@ -144,13 +179,22 @@
         self.words[member].clear();
     }
 
-    pub fn with<T>(&mut self, member: usize, what: impl FnOnce(&mut Core, Micros) -> T) -> Option<T> {
+    pub fn with<T>(
+        &mut self,
+        member: usize,
+        what: impl FnOnce(&mut Core, Micros) -> T,
+    ) -> Option<T> {
         let now = self.now + self.offsets[member];
         let core = self.cores[member].as_mut()?;
         let result = what(core, now);
         let effects = core.effects();
         self.due[member] = core.next() - self.offsets[member];
-        self.notes.extend(effects.notes.into_iter().map(|note| (self.now, member, note)));
+        self.notes.extend(
+            effects
+                .notes
+                .into_iter()
+                .map(|note| (self.now, member, note)),
+        );
         for (to, bytes) in effects.datagrams {
             self.post(address(member), to, bytes);
         }
@@ -166,17 +210,24 @@
 
     pub fn post(&mut self, from: SocketAddr, to: SocketAddr, bytes: Vec<u8>) {
         let member = |at: SocketAddr| self.places.get(&at).copied();
-        let (Some(source), Some(to)) = (member(from), member(to)) else { return };
+        let (Some(source), Some(to)) = (member(from), member(to)) else {
+            return;
+        };
         if self.isolated.contains(&source) || self.isolated.contains(&to) {
             return;
         }
         if self.cuts.contains(&(source % 3, to % 3)) || self.rng.random_bool(self.lost) {
             return;
         }
-        for _ in 0..if self.rng.random_bool(self.repeated) { 2 } else { 1 } {
+        for _ in 0..if self.rng.random_bool(self.repeated) {
+            2
+        } else {
+            1
+        } {
             self.number += 1;
             let at = self.now + self.rng.random_range(200..=2000 + self.late);
-            self.mail.push(Reverse((at, self.number, to, from, bytes.clone())));
+            self.mail
+                .push(Reverse((at, self.number, to, from, bytes.clone())));
         }
     }
 
@@ -190,13 +241,19 @@
             });
             let tick = tick.min();
             let mail = self.mail.peek().map(|Reverse((at, ..))| *at);
-            let next = [tick.map(|t| t.0), mail].into_iter().flatten().min().filter(|at| *at < until);
+            let next = [tick.map(|t| t.0), mail]
+                .into_iter()
+                .flatten()
+                .min()
+                .filter(|at| *at < until);
             let Some(next) = next else { break };
             self.now = self.now.max(next);
             if mail.is_some_and(|at| at <= self.now) {
                 if let Some(Reverse((_, number, to, from, bytes))) = self.mail.pop() {
                     match self.stopped[to] {
-                        till if till > self.now => self.mail.push(Reverse((till, number, to, from, bytes))),
+                        till if till > self.now => {
+                            self.mail.push(Reverse((till, number, to, from, bytes)))
+                        }
                         _ => drop(self.with(to, |core, now| core.datagram(now, from, &bytes))),
                     }
                 }
@@ -215,13 +272,18 @@
 
     /// Members that let an endpoint rest.
     pub fn resting(&self, endpoint: usize) -> Vec<usize> {
-        let rests =
-            |m: &usize| self.words[*m].get(&endpoint).is_some_and(|w| w.until > self.now + self.offsets[*m]);
+        let rests = |m: &usize| {
+            self.words[*m]
+                .get(&endpoint)
+                .is_some_and(|w| w.until > self.now + self.offsets[*m])
+        };
         (0..self.cores.len()).filter(rests).collect()
     }
 
     pub fn dropped(&self, member: usize, why: Dropped) -> u64 {
-        self.cores[member].as_ref().map_or(0, |core| core.counts().dropped[why as usize])
+        self.cores[member]
+            .as_ref()
+            .map_or(0, |core| core.counts().dropped[why as usize])
     }
 
     pub fn known(&self) -> Vec<usize> {
@@ -231,13 +293,34 @@
     /// Evidence in another's name, or in the own one.
     pub fn forge(&mut self, by: usize, origin: usize, endpoint: usize, sequence: u64) {
         let incarnation = u64::MAX / 2;
-        let process = Process { name: hash(&format!("s-{endpoint}")), started: 0 };
+        let process = Process {
+            name: hash(&format!("s-{endpoint}")),
+            started: 0,
+        };
         let zone = hash(["a", "b", "c"][origin % 3]);
         let origin = hash(&format!("n{origin}"));
-        let datum = Datum { origin, incarnation, sequence, zone, seen: self.now, process, sign: Sign::Sick };
+        let datum = Datum {
+            origin,
+            incarnation,
+            sequence,
+            zone,
+            seen: self.now,
+            process,
+            sign: Sign::Sick,
+        };
         let bytes = postcard::to_stdvec(&datum).expect("it can be written");
-        let mut frame = frame::begin(&Head { cluster: "linenproxy", sent: self.now, content: Content::News });
-        assert!(frame::add(&mut frame, &Piece { kind: EVIDENCE, bytes: &bytes }));
+        let mut frame = frame::begin(&Head {
+            cluster: "linenproxy",
+            sent: self.now,
+            content: Content::News,
+        });
+        assert!(frame::add(
+            &mut frame,
+            &Piece {
+                kind: EVIDENCE,
+                bytes: &bytes
+            }
+        ));
         for to in 0..self.cores.len() {
             self.post(address(by), address(to), frame.clone());
         }
--- a/crates/fleet/tests/membership.rs
+++ b/crates/fleet/tests/membership.rs
@@ -17,7 +17,11 @@
         (lan.lost, lan.repeated, lan.late) = (0.3, 0.2, 100_000);
         lan.run(15 * SECOND);
         // With three in ten lost, somebody may be taken for dead until he hears of it.
-        assert!(lan.known().iter().all(|n| *n >= 15), "seed {seed}: {:?}", lan.known());
+        assert!(
+            lan.known().iter().all(|n| *n >= 15),
+            "seed {seed}: {:?}",
+            lan.known()
+        );
         lan.lost = 0.0;
         lan.run(10 * SECOND);
         assert_eq!(lan.known(), [17; 18], "seed {seed}");
@@ -80,14 +84,25 @@
 fn strangers_and_other_fleets_are_dropped_and_later_forms_read_as_far_as_they_can_be() {
     let mut lan = Lan::new(6, 10);
     lan.run(10 * SECOND);
-    let head = Head { cluster: "linenproxy", sent: lan.now, content: Content::News };
+    let head = Head {
+        cluster: "linenproxy",
+        sent: lan.now,
+        content: Content::News,
+    };
     let stranger: SocketAddr = "127.9.9.9:1".parse().expect("an address");
     let outside: SocketAddr = "192.0.2.1:7946".parse().expect("an address");
     let good = frame::begin(&head);
     lan.with(0, |core, now| {
         core.datagram(now, stranger, &good);
         core.datagram(now, outside, &good);
-        core.datagram(now, address(1), &frame::begin(&Head { cluster: "other", ..head.clone() }));
+        core.datagram(
+            now,
+            address(1),
+            &frame::begin(&Head {
+                cluster: "other",
+                ..head.clone()
+            }),
+        );
         core.datagram(now, address(1), &[0; 1300]);
         core.datagram(now, address(1), b"LPF\x01\x01");
     });
@@ -106,12 +121,27 @@
             sequence: 1,
             zone: hash(["a", "b", "c"][origin % 3]),
             seen: now,
-            process: Process { name: hash("s-4"), started: 0 },
+            process: Process {
+                name: hash("s-4"),
+                started: 0,
+            },
             sign: Sign::Sick,
         };
         let bytes = postcard::to_stdvec(&datum).expect("it can be written");
-        assert!(frame::add(&mut later, &Piece { kind: 99, bytes: &[1; 30] }));
-        assert!(frame::add(&mut later, &Piece { kind: EVIDENCE, bytes: &bytes }));
+        assert!(frame::add(
+            &mut later,
+            &Piece {
+                kind: 99,
+                bytes: &[1; 30]
+            }
+        ));
+        assert!(frame::add(
+            &mut later,
+            &Piece {
+                kind: EVIDENCE,
+                bytes: &bytes
+            }
+        ));
         lan.with(0, |core, now| core.datagram(now, address(origin), &later));
     }
     assert_eq!(lan.dropped(0, Dropped::Kind), 3);
@@ -150,8 +180,14 @@
         section.verdicts.enabled = false;
         let now = lan.now + 1;
         lan.due[member] = now;
-        lan.cores[member] =
-            Some(Core::new(&section, &format!("n{member}"), "a", now.unsigned_abs(), member as u64, now));
+        lan.cores[member] = Some(Core::new(
+            &section,
+            &format!("n{member}"),
+            "a",
+            now.unsigned_abs(),
+            member as u64,
+            now,
+        ));
     }
     lan.run(10 * SECOND);
     assert_eq!(lan.known(), [5; 6]);
--- a/crates/fleet/tests/roster.rs
+++ b/crates/fleet/tests/roster.rs
@@ -26,15 +26,35 @@
     lan.cores[17] = Some(Core::new(&section, "n7", "b", now.unsigned_abs(), 1, now));
     lan.due[17] = now;
     lan.run(40 * SECOND);
-    let census = lan.cores[0].as_ref().map(|core| core.census(lan.now)).expect("it runs");
-    let of = |name: &str| census.roster.iter().find(|e| e.name == name).expect("it is known");
-    assert_eq!((of("n4").left, of("n5").left, of("n6").left), (Some(Left::SaidSo), Some(Left::Failed), None));
+    let census = lan.cores[0]
+        .as_ref()
+        .map(|core| core.census(lan.now))
+        .expect("it runs");
+    let of = |name: &str| {
+        census
+            .roster
+            .iter()
+            .find(|e| e.name == name)
+            .expect("it is known")
+    };
+    assert_eq!(
+        (of("n4").left, of("n5").left, of("n6").left),
+        (Some(Left::SaidSo), Some(Left::Failed), None)
+    );
     assert!(of("n7").twice.is_some());
     let told = |n: &Note| matches!(n, Note::Twice { name, addresses } if name == "n7" && addresses.contains(&lan::address(17)));
-    let by: std::collections::BTreeSet<usize> =
-        lan.notes.iter().filter(|(.., n)| told(n)).map(|(_, m, _)| *m).collect();
+    let by: std::collections::BTreeSet<usize> = lan
+        .notes
+        .iter()
+        .filter(|(.., n)| told(n))
+        .map(|(_, m, _)| *m)
+        .collect();
     assert!(by.len() >= 14, "{by:?}");
-    assert_eq!(lan.notes.iter().filter(|(.., n)| told(n)).count(), by.len(), "each says it once");
+    assert_eq!(
+        lan.notes.iter().filter(|(.., n)| told(n)).count(),
+        by.len(),
+        "each says it once"
+    );
 }
 
 /// Who fails again and again is quarantined: its word does not count, for longer each time, and it is still a member.
@@ -48,11 +68,22 @@
         lan.run(3 * SECOND);
     }
     let told = |n: &Note| matches!(n, Note::Quarantined { name } if name == "n5");
-    assert!(lan.notes.iter().filter(|(.., n)| told(n)).count() >= 2 * 15, "the third time and the fourth");
-    assert!(!lan.notes.iter().any(|(.., n)| matches!(n, Note::Quarantined { name } if name != "n5")));
+    assert!(
+        lan.notes.iter().filter(|(.., n)| told(n)).count() >= 2 * 15,
+        "the third time and the fourth"
+    );
+    assert!(
+        !lan.notes
+            .iter()
+            .any(|(.., n)| matches!(n, Note::Quarantined { name } if name != "n5"))
+    );
     lan.sees([5, 6, 7], 4, Sign::Sick);
     lan.run(SECOND);
-    assert!(lan.resting(4).iter().all(|m| *m == 5), "two witnesses are not enough: {:?}", lan.resting(4));
+    assert!(
+        lan.resting(4).iter().all(|m| *m == 5),
+        "two witnesses are not enough: {:?}",
+        lan.resting(4)
+    );
     lan.sees([8], 4, Sign::Sick);
     lan.run(SECOND);
     assert!(lan.resting(4).len() >= 16);
--- a/crates/fleet/tests/standing.rs
+++ b/crates/fleet/tests/standing.rs
@@ -22,9 +22,21 @@
 
 /// A member's cuts by zone, in their order, and whether it is on the larger side.
 fn cut(lan: &Lan, member: usize) -> (Vec<(char, Way)>, Option<bool>) {
-    let standing = lan.cores[member].as_ref().map(|core| core.standing().clone()).unwrap_or_default();
-    let name = |zone: u64| ['a', 'b', 'c'].into_iter().find(|z| hash(&z.to_string()) == zone).unwrap_or('?');
-    let mut zones: Vec<_> = standing.cut.iter().map(|(zone, way)| (name(*zone), *way)).collect();
+    let standing = lan.cores[member]
+        .as_ref()
+        .map(|core| core.standing().clone())
+        .unwrap_or_default();
+    let name = |zone: u64| {
+        ['a', 'b', 'c']
+            .into_iter()
+            .find(|z| hash(&z.to_string()) == zone)
+            .unwrap_or('?')
+    };
+    let mut zones: Vec<_> = standing
+        .cut
+        .iter()
+        .map(|(zone, way)| (name(*zone), *way))
+        .collect();
     zones.sort_unstable_by_key(|(zone, _)| *zone);
     (zones, standing.larger)
 }
@@ -36,32 +48,63 @@
     for (seed, lost) in [(1, 0.0), (2, 0.0), (3, 0.3)] {
         let mut lan = Lan::settled(60, seed);
         lan.run(20 * SECOND);
-        assert!(lan.notes.is_empty() && all_are(&lan, Kind::Whole), "seed {seed}: {:?}", lan.notes);
+        assert!(
+            lan.notes.is_empty() && all_are(&lan, Kind::Whole),
+            "seed {seed}: {:?}",
+            lan.notes
+        );
         lan.lost = lost;
         lan.cuts = [both(0, 1), both(0, 2)].concat();
         lan.run(3 * PERIOD);
-        assert!(all_are(&lan, Kind::Cut), "seed {seed}: {:?}", lan.standings());
+        assert!(
+            all_are(&lan, Kind::Cut),
+            "seed {seed}: {:?}",
+            lan.standings()
+        );
         lan.run(2 * SECOND);
-        let sides: Vec<_> =
-            (0..60).filter(|m| cut(&lan, *m).1 != Some(m % 3 != 0)).map(|m| (m, cut(&lan, m))).collect();
+        let sides: Vec<_> = (0..60)
+            .filter(|m| cut(&lan, *m).1 != Some(m % 3 != 0))
+            .map(|m| (m, cut(&lan, m)))
+            .collect();
         assert!(sides.is_empty(), "seed {seed}: {sides:?}");
         let wrong = |lan: &Lan, m: usize| match m % 3 {
             0 => cut(lan, m).0 != [('b', Way::Both), ('c', Way::Both)],
             _ => cut(lan, m).0 != [('a', Way::Both)],
         };
-        assert_eq!((0..60).filter(|m| wrong(&lan, *m)).count(), 0, "seed {seed}");
+        assert_eq!(
+            (0..60).filter(|m| wrong(&lan, *m)).count(),
+            0,
+            "seed {seed}"
+        );
         // Long enough that membership has given them up.
         lan.run(30 * SECOND);
         assert!(all_are(&lan, Kind::Cut), "seed {seed}");
         assert!(lost > 0.0 || lan.cores.iter().flatten().all(|c| c.members() < 45));
         (lan.lost, lan.cuts) = (0.0, Vec::new());
-        let sent = |lan: &Lan| lan.cores.iter().flatten().map(|c| c.counts().sent_bytes).collect::<Vec<_>>();
+        let sent = |lan: &Lan| {
+            lan.cores
+                .iter()
+                .flatten()
+                .map(|c| c.counts().sent_bytes)
+                .collect::<Vec<_>>()
+        };
         let before = sent(&lan);
         lan.run(15 * SECOND);
-        assert!(all_are(&lan, Kind::Whole), "seed {seed}: {:?}", lan.standings());
+        assert!(
+            all_are(&lan, Kind::Whole),
+            "seed {seed}: {:?}",
+            lan.standings()
+        );
         assert_eq!(lan.known(), [59; 60], "seed {seed}");
-        let most = sent(&lan).iter().zip(before).map(|(now, before)| now - before).max();
-        assert!(most.is_some_and(|bytes| bytes < 15 * 4_000), "{most:?} bytes in 15 s");
+        let most = sent(&lan)
+            .iter()
+            .zip(before)
+            .map(|(now, before)| now - before)
+            .max();
+        assert!(
+            most.is_some_and(|bytes| bytes < 15 * 4_000),
+            "{most:?} bytes in 15 s"
+        );
     }
 }
 
@@ -72,17 +115,30 @@
     lan.cuts = vec![(0, 1)];
     lan.run(3 * PERIOD);
     let of = |lan: &Lan, zone: usize, way: (char, Way)| {
-        (zone..60).step_by(3).filter(|m| cut(lan, *m).0 == [way]).count()
+        (zone..60)
+            .step_by(3)
+            .filter(|m| cut(lan, *m).0 == [way])
+            .count()
     };
     assert!((0..60).all(|m| lan.standings()[m] == [Kind::Cut, Kind::Cut, Kind::Whole][m % 3]));
     // Which way it is comes through the third zone, and then stays.
     lan.run(7 * PERIOD);
     for _ in 0..20 {
-        assert_eq!((of(&lan, 0, ('b', Way::ToThem)), of(&lan, 1, ('a', Way::FromThem))), (20, 20));
+        assert_eq!(
+            (
+                of(&lan, 0, ('b', Way::ToThem)),
+                of(&lan, 1, ('a', Way::FromThem))
+            ),
+            (20, 20)
+        );
         lan.run(PERIOD);
     }
     // Both sides hear two zones of three.
-    assert!((0..60).filter(|m| m % 3 != 2).all(|m| cut(&lan, m).1 == Some(true)));
+    assert!(
+        (0..60)
+            .filter(|m| m % 3 != 2)
+            .all(|m| cut(&lan, m).1 == Some(true))
+    );
 }
 
 /// Three zones without any way between them: each is cut from two, and none is the larger side.
@@ -103,7 +159,9 @@
     let mut lan = Lan::settled(18, 6);
     lan.isolated = vec![7];
     lan.run(3 * PERIOD);
-    let alone: Vec<usize> = (0..18).filter(|m| lan.standings()[*m] == Kind::Alone).collect();
+    let alone: Vec<usize> = (0..18)
+        .filter(|m| lan.standings()[*m] == Kind::Alone)
+        .collect();
     assert_eq!(alone, [7]);
     assert!((0..18).all(|m| m == 7 || lan.standings()[m] == Kind::Whole));
     lan.run(20 * SECOND);
@@ -125,13 +183,20 @@
     lan.run(25 * SECOND);
     assert!(all_are(&lan, Kind::Whole));
     let kinds = |m: usize| {
-        lan.notes.iter().filter(move |n| n.1 == m).map(|n| match &n.2 {
-            Note::Standing { standing, .. } => Some(standing.kind),
-            _ => None,
-        })
+        lan.notes
+            .iter()
+            .filter(move |n| n.1 == m)
+            .map(|n| match &n.2 {
+                Note::Standing { standing, .. } => Some(standing.kind),
+                _ => None,
+            })
     };
     for m in 0..3 {
-        assert!(kinds(m).all(|k| matches!(k, Some(Kind::Unwell | Kind::Whole))), "{:?}", lan.notes);
+        assert!(
+            kinds(m).all(|k| matches!(k, Some(Kind::Unwell | Kind::Whole))),
+            "{:?}",
+            lan.notes
+        );
     }
     assert!((3..18).all(|m| kinds(m).count() == 0), "{:?}", lan.notes);
 }
@@ -144,7 +209,9 @@
     (0..18).step_by(3).for_each(|m| lan.cores[m] = None);
     for second in 0..40 {
         let list: Vec<_> = (0..lan::ENDPOINTS).map(listed).collect();
-        let list = list.into_iter().filter(|l| second < 20 || l.endpoint % 3 != 0);
+        let list = list
+            .into_iter()
+            .filter(|l| second < 20 || l.endpoint % 3 != 0);
         let list: Vec<_> = list.collect();
         for member in (0..18).filter(|m| m % 3 != 0) {
             lan.with(member, |core, now| {
@@ -154,8 +221,16 @@
         }
         lan.run(SECOND);
         match second {
-            3..19 => assert!(all_are(&lan, Kind::Cut), "second {second}: {:?}", lan.standings()),
-            23.. => assert!(all_are(&lan, Kind::Whole), "second {second}: {:?}", lan.standings()),
+            3..19 => assert!(
+                all_are(&lan, Kind::Cut),
+                "second {second}: {:?}",
+                lan.standings()
+            ),
+            23.. => assert!(
+                all_are(&lan, Kind::Whole),
+                "second {second}: {:?}",
+                lan.standings()
+            ),
             _ => {}
         }
     }
@@ -166,12 +241,16 @@
 fn members_without_standing_are_heard_and_answer() {
     let mut lan = Lan::settled(60, 9);
     lan.standing = false;
-    (0..60).filter(|m| m / 3 % 3 == 0).for_each(|m| lan.start(m));
+    (0..60)
+        .filter(|m| m / 3 % 3 == 0)
+        .for_each(|m| lan.start(m));
     lan.run(20 * SECOND);
     assert!(all_are(&lan, Kind::Whole), "{:?}", lan.standings());
     lan.cuts = [both(0, 1), both(0, 2)].concat();
     lan.run(4 * PERIOD);
-    let wrong = (0..60).filter(|m| (m / 3 % 3 != 0) != (lan.standings()[*m] == Kind::Cut)).count();
+    let wrong = (0..60)
+        .filter(|m| (m / 3 % 3 != 0) != (lan.standings()[*m] == Kind::Cut))
+        .count();
     assert_eq!(wrong, 0);
 }
 
@@ -184,15 +263,35 @@
     lan.sees([0], 6, Sign::Sick);
     lan.run(SECOND);
     let states = |lan: &Lan| {
-        let told = lan.cores[0].as_ref().map(|core| core.servers(lan.now)).expect("it runs");
-        assert!(told.answers && told.standing == "whole" && told.member == "n0" && told.zone == "a");
+        let told = lan.cores[0]
+            .as_ref()
+            .map(|core| core.servers(lan.now))
+            .expect("it runs");
+        assert!(
+            told.answers && told.standing == "whole" && told.member == "n0" && told.zone == "a"
+        );
         assert_eq!(told.servers.len(), lan::ENDPOINTS);
-        [4, 5, 6, 7]
-            .map(|n| told.servers.iter().find(|s| s.name == format!("s-{n}")).map(|s| (s.state, s.age_ms)))
+        [4, 5, 6, 7].map(|n| {
+            told.servers
+                .iter()
+                .find(|s| s.name == format!("s-{n}"))
+                .map(|s| (s.state, s.age_ms))
+        })
     };
     let seen = states(&lan);
-    assert_eq!(seen[..2], [Some((State::Sick, 1000)), Some((State::Well, 1000))]);
-    assert!(seen[2..].iter().all(|s| s.is_some_and(|(state, age)| state == State::Unknown && age > 15_000)));
+    assert_eq!(
+        seen[..2],
+        [Some((State::Sick, 1000)), Some((State::Well, 1000))]
+    );
+    assert!(
+        seen[2..]
+            .iter()
+            .all(|s| s.is_some_and(|(state, age)| state == State::Unknown && age > 15_000))
+    );
     lan.run(12 * SECOND);
-    assert!(states(&lan).iter().all(|s| s.is_some_and(|(state, _)| state == State::Unknown)));
+    assert!(
+        states(&lan)
+            .iter()
+            .all(|s| s.is_some_and(|(state, _)| state == State::Unknown))
+    );
 }
--- a/crates/fleet/tests/standing_long.rs
+++ b/crates/fleet/tests/standing_long.rs
@@ -10,7 +10,10 @@
 
 /// A number from the environment, for runs by hand.
 fn asked(name: &str, usually: usize) -> usize {
-    std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(usually)
+    std::env::var(name)
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(usually)
 }
 
 /// Nothing is cut, and three datagrams in ten are lost: fewer than one of 1,000 member-hours has a member that takes itself
@@ -25,11 +28,16 @@
         lan.lost = 0.3;
         lan.run(minutes as i64 * 60 * SECOND);
         for (at, member, note) in &lan.notes {
-            let Note::Standing { standing, .. } = note else { continue };
+            let Note::Standing { standing, .. } = note else {
+                continue;
+            };
             match standing.kind {
                 Kind::Cut | Kind::Alone => {
                     wrong += 1;
-                    println!("seed {seed}, {} s: n{member} {standing:?}", (at - lan::EPOCH) / SECOND);
+                    println!(
+                        "seed {seed}, {} s: n{member} {standing:?}",
+                        (at - lan::EPOCH) / SECOND
+                    );
                 }
                 Kind::Disputed | Kind::Unwell => others += 1,
                 Kind::Whole => {}
@@ -37,8 +45,13 @@
         }
     }
     let hours = (60 * pieces * minutes) as f64 / 60.0;
-    println!("{hours:.0} member-hours: {wrong} times cut or alone, {others} times disputed or unwell");
-    assert!((wrong as f64) < (hours / 1000.0).max(1.0), "{wrong} in {hours} member-hours");
+    println!(
+        "{hours:.0} member-hours: {wrong} times cut or alone, {others} times disputed or unwell"
+    );
+    assert!(
+        (wrong as f64) < (hours / 1000.0).max(1.0),
+        "{wrong} in {hours} member-hours"
+    );
 }
 
 /// A zone is cut from a large fleet: all conclude it within three probe periods, and all are whole some time after it heals.
@@ -58,15 +71,31 @@
                 concluded = concluded.or(Some(tenth));
             }
         }
-        println!("{members} members, seed {seed}: concluded by all after {concluded:?} tenths of a second");
+        println!(
+            "{members} members, seed {seed}: concluded by all after {concluded:?} tenths of a second"
+        );
         assert_eq!(wrong(&lan, Kind::Cut), 0, "seed {seed}");
         lan.run(2 * SECOND);
         lan.cuts.clear();
-        let sent = |lan: &Lan| lan.cores.iter().flatten().map(|c| c.counts().sent_bytes).collect::<Vec<_>>();
+        let sent = |lan: &Lan| {
+            lan.cores
+                .iter()
+                .flatten()
+                .map(|c| c.counts().sent_bytes)
+                .collect::<Vec<_>>()
+        };
         let before = sent(&lan);
         lan.run(15 * SECOND);
-        let most = sent(&lan).iter().zip(before).map(|(now, before)| now - before).max().unwrap_or(0);
-        println!("healed: {} are not whole after 15 s; {most} bytes by one", wrong(&lan, Kind::Whole));
+        let most = sent(&lan)
+            .iter()
+            .zip(before)
+            .map(|(now, before)| now - before)
+            .max()
+            .unwrap_or(0);
+        println!(
+            "healed: {} are not whole after 15 s; {most} bytes by one",
+            wrong(&lan, Kind::Whole)
+        );
         assert_eq!(wrong(&lan, Kind::Whole), 0, "seed {seed}");
         assert!(most < 15 * 36_000, "{most} bytes in 15 s");
     }
--- a/crates/fleet/tests/verdicts.rs
+++ b/crates/fleet/tests/verdicts.rs
@@ -20,25 +20,38 @@
         lan.sees([0, 1, 2], 4, Sign::Sick);
         lan.run(SECOND);
         assert_eq!(lan.resting(4).len(), 18, "seed {seed}");
-        assert!((0..ENDPOINTS).filter(|e| *e != 4).all(|e| lan.resting(e).is_empty()));
+        assert!(
+            (0..ENDPOINTS)
+                .filter(|e| *e != 4)
+                .all(|e| lan.resting(e).is_empty())
+        );
         // Trials that fail keep it resting, by few of them.
         let mut trials = 0;
         for _ in 0..100 {
             lan.run(SECOND / 10);
             for member in 0..18 {
-                if lan.words[member].get(&4).is_some_and(|w| w.rest == Rest::Trial) {
+                if lan.words[member]
+                    .get(&4)
+                    .is_some_and(|w| w.rest == Rest::Trial)
+                {
                     trials += 1;
                     lan.sees([member], 4, Sign::Sick);
                 }
             }
         }
-        assert!((1..=8).contains(&trials), "{trials} trials in 10 s, seed {seed}");
+        assert!(
+            (1..=8).contains(&trials),
+            "{trials} trials in 10 s, seed {seed}"
+        );
         assert_eq!(lan.resting(4).len(), 18, "seed {seed}");
         // Trials that succeed end it.
         for _ in 0..200 {
             lan.run(SECOND / 10);
             for member in 0..18 {
-                if lan.words[member].get(&4).is_some_and(|w| w.rest == Rest::Trial) {
+                if lan.words[member]
+                    .get(&4)
+                    .is_some_and(|w| w.rest == Rest::Trial)
+                {
                     lan.sees([member], 4, Sign::Well);
                 }
             }
@@ -57,7 +70,10 @@
     assert_eq!(lan.resting(4).len(), 9);
     lan.run(12 * SECOND);
     assert_eq!(lan.resting(4), NOBODY);
-    assert!(lan.words.iter().all(BTreeMap::is_empty), "the words were taken back");
+    assert!(
+        lan.words.iter().all(BTreeMap::is_empty),
+        "the words were taken back"
+    );
 }
 
 /// One member, whatever it says and however often, in its own name or in another's, makes nothing rest.
@@ -88,9 +104,14 @@
     }
     lan.run(2 * SECOND);
     // Each of them spoke of some before it began to doubt itself; the zone's others doubt it of those too.
-    let resting: usize = (0..ENDPOINTS).map(|e| lan.resting(e).iter().filter(|m| **m % 3 != 0).count()).sum();
+    let resting: usize = (0..ENDPOINTS)
+        .map(|e| lan.resting(e).iter().filter(|m| **m % 3 != 0).count())
+        .sum();
     assert_eq!(resting, 0, "other zones follow nobody there");
-    let said: u64 = [0, 3, 6].iter().map(|m| lan.cores[*m].as_ref().map_or(0, |c| c.counts().said)).sum();
+    let said: u64 = [0, 3, 6]
+        .iter()
+        .map(|m| lan.cores[*m].as_ref().map_or(0, |c| c.counts().said))
+        .sum();
     assert!(said <= 15, "{said} of 30");
 }
 
@@ -116,7 +137,10 @@
     for _ in 0..200 {
         lan.run(SECOND / 10);
         for member in 0..18 {
-            if lan.words[member].get(&3).is_some_and(|w| w.rest == Rest::Trial) {
+            if lan.words[member]
+                .get(&3)
+                .is_some_and(|w| w.rest == Rest::Trial)
+            {
                 lan.sees([member], 3, Sign::Well);
             }
         }
@@ -150,12 +174,20 @@
     lan.run(SECOND);
     assert_eq!(lan.resting(4).len(), 9);
     let started = Some(lan.now);
-    let list: Vec<Listed> =
-        (0..ENDPOINTS).map(|e| Listed { started: started.filter(|_| e == 4), ..listed(e) }).collect();
+    let list: Vec<Listed> = (0..ENDPOINTS)
+        .map(|e| Listed {
+            started: started.filter(|_| e == 4),
+            ..listed(e)
+        })
+        .collect();
     for member in 0..8 {
         lan.with(member, |core, now| core.listed(now, list.clone()));
     }
-    assert_eq!(lan.resting(4), [8], "only who does not know of it yet lets it rest");
+    assert_eq!(
+        lan.resting(4),
+        [8],
+        "only who does not know of it yet lets it rest"
+    );
     lan.sees([0, 1, 2], 4, Sign::Well);
     lan.run(2 * SECOND);
     assert_eq!(lan.resting(4), [8]);
@@ -168,11 +200,20 @@
     lan.run(10 * SECOND);
     for endpoint in 0..ENDPOINTS {
         // Each by others, so that nobody is doubted.
-        lan.sees((0..4).map(|n| (endpoint * 4 + n * 5) % 18), endpoint, Sign::Sick);
+        lan.sees(
+            (0..4).map(|n| (endpoint * 4 + n * 5) % 18),
+            endpoint,
+            Sign::Sick,
+        );
     }
     lan.run(2 * SECOND);
     for member in 0..18 {
-        let rests = (0..ENDPOINTS).filter(|e| lan.resting(*e).contains(&member)).count();
-        assert!((1..=ENDPOINTS / 2).contains(&rests), "member {member}: {rests}");
+        let rests = (0..ENDPOINTS)
+            .filter(|e| lan.resting(*e).contains(&member))
+            .count();
+        assert!(
+            (1..=ENDPOINTS / 2).contains(&rests),
+            "member {member}: {rests}"
+        );
     }
 }
--- a/crates/lab/pairs/recorder/later.rs
+++ b/crates/lab/pairs/recorder/later.rs
@@ -17,5 +17,9 @@
 
 /// What was carried here.
 pub fn carried(effects: &Effects) -> Vec<String> {
-    effects.carried.iter().map(|piece| format!("carried {} {}", piece.kind, hex(&piece.bytes))).collect()
+    effects
+        .carried
+        .iter()
+        .map(|piece| format!("carried {} {}", piece.kind, hex(&piece.bytes)))
+        .collect()
 }
--- a/crates/lab/pairs/recorder/lines.rs
+++ b/crates/lab/pairs/recorder/lines.rs
@@ -30,11 +30,13 @@
 
 /// Bytes as text.
 pub fn hex(bytes: &[u8]) -> String {
-    bytes.iter().fold(String::with_capacity(2 * bytes.len()), |mut text, byte| {
-        // Writing to a string cannot fail.
-        let _ = write!(text, "{byte:02x}");
-        text
-    })
+    bytes
+        .iter()
+        .fold(String::with_capacity(2 * bytes.len()), |mut text, byte| {
+            // Writing to a string cannot fail.
+            let _ = write!(text, "{byte:02x}");
+            text
+        })
 }
 
 /// Text as bytes.
@@ -42,7 +44,13 @@
 /// # Errors
 /// It is none.
 pub fn bytes(hex: &str) -> Result<Vec<u8>, String> {
-    let byte = |at: usize| hex.get(at..at + 2).and_then(|two| u8::from_str_radix(two, 16).ok());
-    let all = (0..hex.len()).step_by(2).map(byte).collect::<Option<Vec<u8>>>();
+    let byte = |at: usize| {
+        hex.get(at..at + 2)
+            .and_then(|two| u8::from_str_radix(two, 16).ok())
+    };
+    let all = (0..hex.len())
+        .step_by(2)
+        .map(byte)
+        .collect::<Option<Vec<u8>>>();
     all.ok_or_else(|| "not hexadecimal".to_owned())
 }
--- a/crates/lab/pairs/recorder/member.rs
+++ b/crates/lab/pairs/recorder/member.rs
@@ -26,11 +26,25 @@
     pub fn line(&mut self, line: &str) -> Result<Vec<String>, String> {
         let words: Vec<&str> = line.split(' ').collect();
         if let ["start", name, zone, incarnation, seed, now, address, seeds] = words[..] {
-            let mut section =
-                FleetSection { enabled: true, listen: read(address)?, ..FleetSection::default() };
-            section.seeds = seeds.split(',').filter(|s| *s != "-").map(read).collect::<Result<_, _>>()?;
+            let mut section = FleetSection {
+                enabled: true,
+                listen: read(address)?,
+                ..FleetSection::default()
+            };
+            section.seeds = seeds
+                .split(',')
+                .filter(|s| *s != "-")
+                .map(read)
+                .collect::<Result<_, _>>()?;
             later::prepare(&mut section);
-            let core = Core::new(&section, name, zone, read(incarnation)?, read(seed)?, read(now)?);
+            let core = Core::new(
+                &section,
+                name,
+                zone,
+                read(incarnation)?,
+                read(seed)?,
+                read(now)?,
+            );
             self.core = Some(core);
             return Ok(Vec::new());
         }
@@ -39,14 +53,26 @@
             ["list", now, names] => {
                 let listed = |(endpoint, name): (usize, &str)| {
                     let name = name.to_owned();
-                    Listed { endpoint, name, started: None, ready: true }
+                    Listed {
+                        endpoint,
+                        name,
+                        started: None,
+                        ready: true,
+                    }
                 };
-                core.listed(read(now)?, names.split(',').enumerate().map(listed).collect());
+                core.listed(
+                    read(now)?,
+                    names.split(',').enumerate().map(listed).collect(),
+                );
             }
             ["tick", now] => core.tick(read(now)?),
             ["datagram", now, from, hex] => core.datagram(read(now)?, read(from)?, &bytes(hex)?),
             ["witness", now, endpoint, served] => {
-                let sign = if served == "1" { Sign::Well } else { Sign::Sick };
+                let sign = if served == "1" {
+                    Sign::Well
+                } else {
+                    Sign::Sick
+                };
                 core.witness(read(now)?, read(endpoint)?, sign);
             }
             ["carry", now, kind, hex] => later::carry(core, read(now)?, read(kind)?, &bytes(hex)?),
@@ -65,8 +91,18 @@
         }
         let effects = core.effects();
         let mut answers = later::carried(&effects);
-        answers.extend(effects.datagrams.iter().map(|(to, bytes)| format!("datagram {to} {}", hex(bytes))));
-        answers.extend(effects.words.iter().map(|word| format!("word {} {:?}", word.endpoint, word.rest)));
+        answers.extend(
+            effects
+                .datagrams
+                .iter()
+                .map(|(to, bytes)| format!("datagram {to} {}", hex(bytes))),
+        );
+        answers.extend(
+            effects
+                .words
+                .iter()
+                .map(|word| format!("word {} {:?}", word.endpoint, word.rest)),
+        );
         Ok(answers)
     }
 }
--- a/crates/lab/pairs/recorder/steward.rs
+++ b/crates/lab/pairs/recorder/steward.rs
@@ -23,13 +23,20 @@
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        self.0.iter().flat_map(|(at, order)| [at.to_le_bytes(), order.to_le_bytes()]).flatten().collect()
+        self.0
+            .iter()
+            .flat_map(|(at, order)| [at.to_le_bytes(), order.to_le_bytes()])
+            .flatten()
+            .collect()
     }
 
     fn restore(&mut self, snapshot: &[u8]) -> Result<(), String> {
         let line = |both: &[u8]| {
             let (at, order) = both.split_at_checked(8)?;
-            Some((i64::from_le_bytes(at.try_into().ok()?), u64::from_le_bytes(order.try_into().ok()?)))
+            Some((
+                i64::from_le_bytes(at.try_into().ok()?),
+                u64::from_le_bytes(order.try_into().ok()?),
+            ))
         };
         let lines = snapshot.chunks(16).map(line).collect::<Option<_>>();
         self.0 = lines.ok_or_else(|| "no book".to_owned())?;
@@ -57,11 +64,16 @@
         let mut answers = Vec::new();
         match words[..] {
             ["start", name, id, run, founds, file] => {
-                let opened = linenproxy_store::open(Path::new(file), name).map_err(|e| e.to_string())?;
+                let opened =
+                    linenproxy_store::open(Path::new(file), name).map_err(|e| e.to_string())?;
                 answers.extend(opened.aside.map(|aside| format!("aside {:?}", aside.why)));
                 let shelf = Shelf::open(opened.store, read(id)?).map_err(|e| e.to_string())?;
-                let options =
-                    Options { name: name.to_owned(), run: read(run)?, patience: PATIENCE, least: LEAST };
+                let options = Options {
+                    name: name.to_owned(),
+                    run: read(run)?,
+                    patience: PATIENCE,
+                    least: LEAST,
+                };
                 let node = Node::new(shelf, Book::default(), options, founds == "1");
                 self.node = Some(node.map_err(|e| e.to_string())?);
                 return Ok(answers);
@@ -90,11 +102,19 @@
                 }
             }
             ["state"] => {
-                let lines = node.machine().0.iter().fold(String::new(), |mut text, (at, order)| {
-                    let _ = write!(text, "{at}:{order},");
-                    text
-                });
-                return Ok(vec![format!("state {} {} {lines}-", node.id(), node.acts())]);
+                let lines = node
+                    .machine()
+                    .0
+                    .iter()
+                    .fold(String::new(), |mut text, (at, order)| {
+                        let _ = write!(text, "{at}:{order},");
+                        text
+                    });
+                return Ok(vec![format!(
+                    "state {} {} {lines}-",
+                    node.id(),
+                    node.acts()
+                )]);
             }
             _ => return Err(format!("cannot read {line:?}")),
         }
@@ -103,7 +123,12 @@
             let bytes = encode(message).ok_or("a message without form")?;
             answers.push(format!("message {} {}", message.to, hex(&bytes)));
         }
-        answers.extend(effects.answers.iter().map(|(ticket, _)| format!("agreed {ticket}")));
+        answers.extend(
+            effects
+                .answers
+                .iter()
+                .map(|(ticket, _)| format!("agreed {ticket}")),
+        );
         Ok(answers)
     }
 }
--- a/crates/lab/src/agent.rs
+++ b/crates/lab/src/agent.rs
@@ -50,23 +50,41 @@
         addresses: Arc<Vec<SocketAddr>>,
         (mood, catalogue): (watch::Receiver<Mood>, Catalogue),
     ) -> Arc<Self> {
-        let known = plan.directory.known.iter().map(|server| (*server, State::Active { since: None }));
+        let known = plan
+            .directory
+            .known
+            .iter()
+            .map(|server| (*server, State::Active { since: None }));
         let told = Mutex::new(known.collect());
-        Arc::new(Self { plan, clock, record, sidecar, addresses, mood, catalogue, told })
+        Arc::new(Self {
+            plan,
+            clock,
+            record,
+            sidecar,
+            addresses,
+            mood,
+            catalogue,
+            told,
+        })
     }
 
     /// Listens on a port of the system's choice on that host, until it is told to end.
     pub fn listen(self: &Arc<Self>, host: IpAddr) -> io::Result<(SocketAddr, AbortHandle)> {
         let listener = std::net::TcpListener::bind((host, 0))?;
         listener.set_nonblocking(true)?;
-        let (listener, address) = (TcpListener::from_std(listener.try_clone()?)?, listener.local_addr()?);
+        let (listener, address) = (
+            TcpListener::from_std(listener.try_clone()?)?,
+            listener.local_addr()?,
+        );
         let this = Arc::clone(self);
         let task = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let this = Arc::clone(&this);
                 let service = service_fn(move |request| Arc::clone(&this).answer(request));
                 tokio::spawn(async move {
-                    let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
+                    let _ = http1::Builder::new()
+                        .serve_connection(TokioIo::new(stream), service)
+                        .await;
                 });
             }
         });
@@ -75,12 +93,23 @@
 
     /// The list as it is known at the beginning, for the sidecar's configuration.
     pub fn known(&self) -> serde_json::Value {
-        self.list(&self.catalogue.with(|directory| directory.whole(0)), 0, true)
+        self.list(
+            &self.catalogue.with(|directory| directory.whole(0)),
+            0,
+            true,
+        )
     }
 
     fn list(&self, entries: &[(usize, State)], heard: usize, whole: bool) -> serde_json::Value {
         let address = |server: usize| self.addresses[server];
-        listing::list(&self.plan, entries, heard, whole, address, self.clock.began_ms())
+        listing::list(
+            &self.plan,
+            entries,
+            heard,
+            whole,
+            address,
+            self.clock.began_ms(),
+        )
     }
 
     async fn answer(
@@ -89,9 +118,17 @@
     ) -> Result<Response<Full<Bytes>>, Infallible> {
         let query = request.uri().query().unwrap_or("").to_owned();
         let number = |name: &str| {
-            query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')?.parse::<u64>().ok())
+            query.split('&').find_map(|pair| {
+                pair.strip_prefix(name)?
+                    .strip_prefix('=')?
+                    .parse::<u64>()
+                    .ok()
+            })
         };
-        let (after, wait) = (number("after"), number("wait_ms").unwrap_or(0).saturating_mul(1000));
+        let (after, wait) = (
+            number("after"),
+            number("wait_ms").unwrap_or(0).saturating_mul(1000),
+        );
         let until = self.clock.now().saturating_add(wait.min(LONGEST_WATCH));
         let (mut mood, mut changes) = (self.mood.clone(), self.catalogue.subscribe());
         let text = loop {
@@ -104,22 +141,34 @@
             }
             let lag = self.plan.sidecars[self.sidecar].list_lag;
             changes.borrow_and_update();
-            let heard = self.catalogue.with(|directory| directory.heard(self.clock.now(), lag));
+            let heard = self
+                .catalogue
+                .with(|directory| directory.heard(self.clock.now(), lag));
             // Version 1 is what is known before the first change; one that it does not know of is from elsewhere.
-            let since =
-                after.and_then(|after| usize::try_from(after).ok()?.checked_sub(1)).filter(|s| *s <= heard);
+            let since = after
+                .and_then(|after| usize::try_from(after).ok()?.checked_sub(1))
+                .filter(|s| *s <= heard);
             let Some(since) = since else {
-                break self.tell(&self.catalogue.with(|directory| directory.whole(heard)), heard, true);
+                break self.tell(
+                    &self.catalogue.with(|directory| directory.whole(heard)),
+                    heard,
+                    true,
+                );
             };
             if since < heard || self.clock.now() >= until {
                 break self.tell(
-                    &self.catalogue.with(|directory| directory.between(since, heard)),
+                    &self
+                        .catalogue
+                        .with(|directory| directory.between(since, heard)),
                     heard,
                     false,
                 );
             }
-            let next =
-                self.catalogue.with(|directory| directory.next(heard, lag)).unwrap_or(Us::MAX).min(until);
+            let next = self
+                .catalogue
+                .with(|directory| directory.next(heard, lag))
+                .unwrap_or(Us::MAX)
+                .min(until);
             tokio::select! {
                 () = self.clock.until(next) => {}
                 Ok(()) = mood.changed() => {}
@@ -134,12 +183,23 @@
         let text = self.list(entries, heard, whole).to_string();
         let mut told = self.told.lock().unwrap_or_else(PoisonError::into_inner);
         let listed = |server: &usize| entries.iter().any(|(i, _)| i == server);
-        let missing: Vec<usize> = told.keys().copied().filter(|i| whole && !listed(i)).collect();
+        let missing: Vec<usize> = told
+            .keys()
+            .copied()
+            .filter(|i| whole && !listed(i))
+            .collect();
         let gone = missing.into_iter().map(|i| (i, State::Left));
         let (now, sidecar) = (self.clock.now(), self.sidecar);
         for (server, state) in entries.iter().copied().chain(gone) {
             if told.insert(server, state) != Some(state) {
-                self.record.note(now, Seen::Told { sidecar, server, state });
+                self.record.note(
+                    now,
+                    Seen::Told {
+                        sidecar,
+                        server,
+                        state,
+                    },
+                );
             }
         }
         text
--- a/crates/lab/src/apps.rs
+++ b/crates/lab/src/apps.rs
@@ -21,7 +21,8 @@
 use tokio::time::{Instant, sleep, timeout_at};
 
 /// Bodies of requests that have one.
-const BODY: &str = "{\"entry\":\"0000000000000000000000000000000000000000000000000000000000000000\"}";
+const BODY: &str =
+    "{\"entry\":\"0000000000000000000000000000000000000000000000000000000000000000\"}";
 /// Longest hold-off that clients honour, as the settings state it.
 const LONGEST_HOLD_OFF: Us = 2_000_000;
 
@@ -52,7 +53,10 @@
                 lateness.saturating_record(self.clock.now().saturating_sub(arrival.at).max(1));
             }
             let (this, pool) = (Arc::clone(&self), Arc::clone(&pools[arrival.sidecar]));
-            tasks.spawn(async move { this.request(number, &this.plan.arrivals[number], pool).await });
+            tasks.spawn(async move {
+                this.request(number, &this.plan.arrivals[number], pool)
+                    .await
+            });
             while tasks.try_join_next().is_some() {}
             progress(number + 1);
         }
@@ -66,9 +70,16 @@
             let request = try_number(number, attempt);
             let at = self.sidecars[arrival.sidecar];
             let until = Instant::now() + Duration::from_micros(arrival.patience);
-            let Some(end) = self.attempt(request, number, arrival, at, &pool, until, attempt > 0).await
+            let Some(end) = self
+                .attempt(request, number, arrival, at, &pool, until, attempt > 0)
+                .await
             else {
-                self.record.note(self.clock.now(), Seen::Unreached { sidecar: arrival.sidecar });
+                self.record.note(
+                    self.clock.now(),
+                    Seen::Unreached {
+                        sidecar: arrival.sidecar,
+                    },
+                );
                 if !self.again(arrival, attempt, None).await {
                     return;
                 }
@@ -76,15 +87,31 @@
             };
             let now = self.clock.now();
             let (seen, hold_off, over) = match end {
-                End::Answered { status, genuine, hold_off } => {
-                    (Seen::Answered { request, status, genuine }, hold_off, status == 200)
-                }
+                End::Answered {
+                    status,
+                    genuine,
+                    hold_off,
+                } => (
+                    Seen::Answered {
+                        request,
+                        status,
+                        genuine,
+                    },
+                    hold_off,
+                    status == 200,
+                ),
                 End::Lost => (Seen::Lost { request }, None, false),
                 End::GaveUp => (Seen::GaveUp { request }, None, false),
             };
             // What may have run is not for a client to repeat either.
             let harmless = match CLASSES[arrival.class].repeat {
-                Repeat::Never => matches!(seen, Seen::Answered { status: 429 | 503, .. }),
+                Repeat::Never => matches!(
+                    seen,
+                    Seen::Answered {
+                        status: 429 | 503,
+                        ..
+                    }
+                ),
                 Repeat::Safe | Repeat::Keyed => true,
             };
             self.record.note(now, seen);
@@ -96,7 +123,9 @@
 
     /// Waits before a further try; whether there is to be one.
     async fn again(&self, arrival: &Arrival, attempt: u32, hold_off: Option<Us>) -> bool {
-        let Some(wait) = arrival.waits.get(attempt as usize) else { return false };
+        let Some(wait) = arrival.waits.get(attempt as usize) else {
+            return false;
+        };
         let wait = hold_off.map_or(*wait, |told| told.min(LONGEST_HOLD_OFF).max(*wait));
         let left = (arrival.at + CLASSES[arrival.class].deadline).saturating_sub(self.clock.now());
         if wait >= left {
@@ -120,7 +149,12 @@
     ) -> Option<End> {
         let taken = || {
             let until = self.clock.now().saturating_add(arrival.patience);
-            Seen::Taken { request, arrival: number, sidecar: arrival.sidecar, until }
+            Seen::Taken {
+                request,
+                arrival: number,
+                sidecar: arrival.sidecar,
+                until,
+            }
         };
         let mut noted = false;
         // A kept connection may be closed by the sidecar in the moment it is used again: the client then sends the
@@ -128,8 +162,15 @@
         if let Some(sender) = idle(pool) {
             noted = true;
             self.record.note(self.clock.now(), taken());
-            match timeout_at(until, exchange(sender, self.message(request, arrival, repeat, until)?, request))
-                .await
+            match timeout_at(
+                until,
+                exchange(
+                    sender,
+                    self.message(request, arrival, repeat, until)?,
+                    request,
+                ),
+            )
+            .await
             {
                 Err(_) => return Some(End::GaveUp),
                 Ok(Ok((end, sender))) => {
@@ -148,8 +189,15 @@
         if !noted {
             self.record.note(self.clock.now(), taken());
         }
-        match timeout_at(until, exchange(sender, self.message(request, arrival, repeat, until)?, request))
-            .await
+        match timeout_at(
+            until,
+            exchange(
+                sender,
+                self.message(request, arrival, repeat, until)?,
+                request,
+            ),
+        )
+        .await
         {
             Err(_) => Some(End::GaveUp),
             Ok(Ok((end, sender))) => {
@@ -189,6 +237,9 @@
             }
             Repeat::Never => (Method::POST, BODY),
         };
-        builder.method(method).body(Full::new(Bytes::from_static(body.as_bytes()))).ok()
+        builder
+            .method(method)
+            .body(Full::new(Bytes::from_static(body.as_bytes())))
+            .ok()
     }
 }
--- a/crates/lab/src/apps/connection.rs
+++ b/crates/lab/src/apps/connection.rs
@@ -23,7 +23,11 @@
 
 /// How a try ended.
 pub(super) enum End {
-    Answered { status: u16, genuine: bool, hold_off: Option<Us> },
+    Answered {
+        status: u16,
+        genuine: bool,
+        hold_off: Option<Us>,
+    },
     Lost,
     GaveUp,
 }
@@ -36,14 +40,18 @@
 
 pub(super) fn keep(pool: &Pool, sender: Option<Sender>) {
     if let Some(sender) = sender {
-        pool.lock().unwrap_or_else(PoisonError::into_inner).push((sender, Instant::now()));
+        pool.lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push((sender, Instant::now()));
     }
 }
 
 pub(super) async fn open(at: SocketAddr) -> std::io::Result<Sender> {
     let stream = TcpStream::connect(at).await?;
     stream.set_nodelay(true)?;
-    let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(std::io::Error::other)?;
+    let (sender, connection) = handshake(TokioIo::new(stream))
+        .await
+        .map_err(std::io::Error::other)?;
     tokio::spawn(connection);
     Ok(sender)
 }
@@ -70,13 +78,34 @@
         }
     })?;
     let (status, hold_off) = (response.status().as_u16(), hold_off(&response));
-    let body = response.into_body().collect().await.map_err(|_| Failure::Broken)?.to_bytes();
-    let genuine = status != 200 || body.starts_with(format!("{{\"done\":\"{request:016x}\"").as_bytes());
+    let body = response
+        .into_body()
+        .collect()
+        .await
+        .map_err(|_| Failure::Broken)?
+        .to_bytes();
+    let genuine =
+        status != 200 || body.starts_with(format!("{{\"done\":\"{request:016x}\"").as_bytes());
     let sender = sender.ready().await.is_ok().then_some(sender);
-    Ok((End::Answered { status, genuine, hold_off }, sender))
+    Ok((
+        End::Answered {
+            status,
+            genuine,
+            hold_off,
+        },
+        sender,
+    ))
 }
 
 fn hold_off<B>(response: &Response<B>) -> Option<Us> {
-    let seconds: f64 = response.headers().get("retry-after")?.to_str().ok()?.parse().ok()?;
-    (0.0..1e6).contains(&seconds).then_some((seconds * 1e6) as Us)
+    let seconds: f64 = response
+        .headers()
+        .get("retry-after")?
+        .to_str()
+        .ok()?
+        .parse()
+        .ok()?;
+    (0.0..1e6)
+        .contains(&seconds)
+        .then_some((seconds * 1e6) as Us)
 }
--- a/crates/lab/src/audit.rs
+++ b/crates/lab/src/audit.rs
@@ -115,7 +115,11 @@
 fn processes(record: &[Entry], findings: &mut Vec<Finding>) {
     for (at, seen) in record {
         if let Seen::StewardBroken { what } = seen {
-            findings.push(Finding { rule: Rule::Process, at: *at, what: what.clone() });
+            findings.push(Finding {
+                rule: Rule::Process,
+                at: *at,
+                what: what.clone(),
+            });
         }
         if let Seen::SidecarFault { sidecar, what } = seen {
             findings.push(Finding {
--- a/crates/lab/src/audit/ageing.rs
+++ b/crates/lab/src/audit/ageing.rs
@@ -48,12 +48,21 @@
     let mut closed: HashSet<usize> = HashSet::new();
     for (at, seen) in record {
         match seen {
-            Seen::Attempt { number, request: Some(request), server, .. } => {
+            Seen::Attempt {
+                number,
+                request: Some(request),
+                server,
+                ..
+            } => {
                 if let Some(arrival) = plan.arrivals.get(arrival_of(*request)) {
                     of.insert(*number, (arrival.key, *server));
                 }
             }
-            Seen::AttemptAnswered { number, status: 200, .. } => {
+            Seen::AttemptAnswered {
+                number,
+                status: 200,
+                ..
+            } => {
                 if let Some(of) = of.remove(number) {
                     used.entry(of).or_default().push(*at);
                 }
@@ -65,7 +74,11 @@
             Seen::SidecarDown { sidecar, .. } => drop(members.remove(sidecar)),
             Seen::Dump(dump) => {
                 // By a clock that is off it tells of other slots.
-                if plan.sidecars.get(dump.sidecar).is_some_and(|s| s.clock_offset_ms != 0) {
+                if plan
+                    .sidecars
+                    .get(dump.sidecar)
+                    .is_some_and(|s| s.clock_offset_ms != 0)
+                {
                     continue;
                 }
                 let member = members.entry(dump.sidecar).or_default();
@@ -88,21 +101,41 @@
     used: &HashMap<(u64, usize), Vec<Us>>,
     findings: &mut Vec<Finding>,
 ) {
-    let mut broken = |what: String| findings.push(Finding { rule: Rule::Ageing, at, what });
-    let now: HashMap<Binding, i64> = alive(dump).map(|held| ((held.place, held.epoch), held.ends)).collect();
+    let mut broken = |what: String| {
+        findings.push(Finding {
+            rule: Rule::Ageing,
+            at,
+            what,
+        })
+    };
+    let now: HashMap<Binding, i64> = alive(dump)
+        .map(|held| ((held.place, held.epoch), held.ends))
+        .collect();
     for held in alive(dump) {
         let (binding, sidecar) = ((held.place, held.epoch), dump.sidecar);
-        if member.gone.get(&binding).is_some_and(|gone| held.ends <= *gone) {
-            broken(format!("{:?} was gone at sidecar {sidecar} and is back", held.place));
+        if member
+            .gone
+            .get(&binding)
+            .is_some_and(|gone| held.ends <= *gone)
+        {
+            broken(format!(
+                "{:?} was gone at sidecar {sidecar} and is back",
+                held.place
+            ));
         }
         let life = if held.again { LIFE_AGAIN } else { LIFE_NEW };
         // The beginning of the slot of its last use, on the clock of the play.
         let last = (held.ends - life) * SLOT as i64 - (began_ms * 1000) as i64;
-        let truly = used.get(&(held.place.key, held.place.server)).and_then(|times| times.last());
+        let truly = used
+            .get(&(held.place.key, held.place.server))
+            .and_then(|times| times.last());
         let latest = truly.map_or(i64::MIN, |at| (*at + SKEW + SLACK) as i64);
         if last > latest {
             let late = truly.map(|at| last - *at as i64);
-            broken(format!("{:?} at sidecar {sidecar} tells of a use {late:?} us after any", held.place));
+            broken(format!(
+                "{:?} at sidecar {sidecar} tells of a use {late:?} us after any",
+                held.place
+            ));
         }
     }
     for (binding, ends) in member.held.drain() {
@@ -118,7 +151,12 @@
 fn differs(members: &BTreeMap<usize, Member>, closed: &HashSet<usize>) -> Option<Finding> {
     let (mut looked, mut missed) = (0, 0);
     let (mut first, mut example) = (0, String::new());
-    let ends = members.values().filter_map(|m| m.dumps.last()).map(|(at, _)| *at).max().unwrap_or(0);
+    let ends = members
+        .values()
+        .filter_map(|m| m.dumps.last())
+        .map(|(at, _)| *at)
+        .max()
+        .unwrap_or(0);
     let needs = SPREAD + SLACK;
     let mut round = needs;
     while round <= ends {
@@ -137,8 +175,10 @@
         let mut held: HashMap<Place, usize> = HashMap::new();
         let edge = ((needs + 2 * SKEW) / SLOT) as i64 + 2;
         for (then, _) in &heard {
-            for h in
-                then.held.iter().filter(|h| h.ends > then.slot + edge && !closed.contains(&h.place.server))
+            for h in then
+                .held
+                .iter()
+                .filter(|h| h.ends > then.slot + edge && !closed.contains(&h.place.server))
             {
                 *held.entry(h.place).or_default() += 1;
             }
@@ -149,7 +189,8 @@
             alive(now).for_each(|h| places.entry(h.place.key).or_default().push(h.place));
             for place in held.keys() {
                 let here = places.get(&place.key);
-                let (has, full) = here.map_or((false, false), |p| (p.contains(place), p.len() >= PLACES));
+                let (has, full) =
+                    here.map_or((false, false), |p| (p.contains(place), p.len() >= PLACES));
                 looked += 1;
                 if !has && !full {
                     missed += 1;
@@ -165,7 +206,9 @@
     (looked >= LEAST && part > MISSED).then(|| Finding {
         rule: Rule::Ageing,
         at: first,
-        what: format!("{missed} of {looked} bindings that most held were missing at some: first {example}"),
+        what: format!(
+            "{missed} of {looked} bindings that most held were missing at some: first {example}"
+        ),
     })
 }
 
@@ -179,7 +222,10 @@
 
     /// Ten members that hold the same fifty bindings, each used once and told of; every second one dump of each.
     fn play(change: impl Fn(usize, i64, &mut Dump)) -> Vec<Finding> {
-        let experiment = Experiment { name: "ageing".to_owned(), ..Experiment::default() };
+        let experiment = Experiment {
+            name: "ageing".to_owned(),
+            ..Experiment::default()
+        };
         let mut plan = draw(&experiment, 1);
         plan.arrivals.truncate(50);
         let mut record = Vec::new();
@@ -187,16 +233,47 @@
             arrival.key = number as u64;
             let (number, server) = (number as u64, number % 5);
             let request = Some(number << 4);
-            record.push((1, Seen::Attempt { number, request, sidecar: 0, server, began: 1 }));
-            record.push((2, Seen::AttemptAnswered { number, status: 200, unprocessed: false }));
+            record.push((
+                1,
+                Seen::Attempt {
+                    number,
+                    request,
+                    sidecar: 0,
+                    server,
+                    began: 1,
+                },
+            ));
+            record.push((
+                2,
+                Seen::AttemptAnswered {
+                    number,
+                    status: 200,
+                    unprocessed: false,
+                },
+            ));
         }
         for second in 0..40 {
             for sidecar in 0..10 {
-                let place = |key: u64| Place { key, server: key as usize % 5, started_ms: 0 };
-                let held = |key| Held { place: place(key), epoch: 0, ends: FIRST + LIFE_AGAIN, again: true };
+                let place = |key: u64| Place {
+                    key,
+                    server: key as usize % 5,
+                    started_ms: 0,
+                };
+                let held = |key| Held {
+                    place: place(key),
+                    epoch: 0,
+                    ends: FIRST + LIFE_AGAIN,
+                    again: true,
+                };
                 let slot = FIRST + second * 2;
                 let held = (0..50).map(held).filter(|h| slot < h.ends).collect();
-                let mut dump = Dump { sidecar, slot, hears: true, held, picks: Vec::new() };
+                let mut dump = Dump {
+                    sidecar,
+                    slot,
+                    hears: true,
+                    held,
+                    picks: Vec::new(),
+                };
                 change(sidecar, second, &mut dump);
                 record.push((second as Us * 1_000_000 + 3, Seen::Dump(Box::new(dump))));
             }
@@ -218,8 +295,13 @@
 
     #[test]
     fn what_comes_back_goes_early_or_was_never_used_is_found() {
-        let words =
-            |findings: Vec<Finding>| findings.into_iter().map(|f| f.what).collect::<Vec<_>>().join("; ");
+        let words = |findings: Vec<Finding>| {
+            findings
+                .into_iter()
+                .map(|f| f.what)
+                .collect::<Vec<_>>()
+                .join("; ")
+        };
         let back = play(|sidecar, second, dump| {
             if sidecar == 2 && second == 9 {
                 dump.held.clear()
--- a/crates/lab/src/audit/answers.rs
+++ b/crates/lab/src/audit/answers.rs
@@ -18,7 +18,9 @@
     let mut ups: HashMap<usize, Vec<Us>> = HashMap::new();
     for (at, seen) in record {
         match seen {
-            Seen::SidecarDown { sidecar, killed } => downs.entry(*sidecar).or_default().push((*at, *killed)),
+            Seen::SidecarDown { sidecar, killed } => {
+                downs.entry(*sidecar).or_default().push((*at, *killed))
+            }
             Seen::SidecarTold { sidecar } => told.entry(*sidecar).or_default().push(*at),
             Seen::SidecarUp { sidecar } => ups.entry(*sidecar).or_default().push(*at),
             _ => {}
@@ -26,14 +28,15 @@
     }
     let excused = |sidecar: usize, taken: Us, at: Us| {
         let killed = downs.get(&sidecar).is_some_and(|downs| {
-            downs
-                .iter()
-                .any(|(down, killed)| *killed && (taken..=at.saturating_add(site::SLACK)).contains(down))
+            downs.iter().any(|(down, killed)| {
+                *killed && (taken..=at.saturating_add(site::SLACK)).contains(down)
+            })
         });
         // Past that, new ones need not be taken any more, until its next life is ready.
         let stopping = told.get(&sidecar).is_some_and(|told| {
             let back = |since: Us| {
-                ups.get(&sidecar).is_some_and(|ups| ups.iter().any(|u| since < *u && *u <= taken))
+                ups.get(&sidecar)
+                    .is_some_and(|ups| ups.iter().any(|u| since < *u && *u <= taken))
             };
             told.iter().any(|t| taken > t + STOP_GRACE && !back(*t))
         });
@@ -43,15 +46,23 @@
     for (at, seen) in record {
         end = *at;
         let request = match seen {
-            Seen::Taken { request, sidecar, .. } => {
+            Seen::Taken {
+                request, sidecar, ..
+            } => {
                 open.insert(*request, (*sidecar, *at));
                 continue;
             }
-            Seen::Answered { request, .. } | Seen::Lost { request } | Seen::GaveUp { request } => *request,
+            Seen::Answered { request, .. } | Seen::Lost { request } | Seen::GaveUp { request } => {
+                *request
+            }
             _ => continue,
         };
         let Some((sidecar, taken)) = open.remove(&request) else {
-            let what = if closed.contains(&request) { "was answered twice" } else { "was never taken" };
+            let what = if closed.contains(&request) {
+                "was answered twice"
+            } else {
+                "was never taken"
+            };
             findings.push(Finding {
                 rule: Rule::Answers,
                 at: *at,
@@ -62,18 +73,28 @@
         closed.insert(request);
         let broken = match seen {
             Seen::Lost { .. } if !excused(sidecar, taken, *at) => "ended without a whole answer",
-            Seen::Answered { status: 200, genuine: false, .. } => {
-                "was served with what no server made for it"
-            }
+            Seen::Answered {
+                status: 200,
+                genuine: false,
+                ..
+            } => "was served with what no server made for it",
             _ => continue,
         };
         let what = format!("try {request:016x} at sidecar {sidecar} {broken}");
-        findings.push(Finding { rule: Rule::Answers, at: *at, what });
+        findings.push(Finding {
+            rule: Rule::Answers,
+            at: *at,
+            what,
+        });
     }
     for (request, (sidecar, taken)) in open {
         if !excused(sidecar, taken, end) {
             let what = format!("try {request:016x} at sidecar {sidecar} was never answered");
-            findings.push(Finding { rule: Rule::Answers, at: taken, what });
+            findings.push(Finding {
+                rule: Rule::Answers,
+                at: taken,
+                what,
+            });
         }
     }
 }
--- a/crates/lab/src/audit/capacity.rs
+++ b/crates/lab/src/audit/capacity.rs
@@ -40,13 +40,20 @@
         };
         let away = self.servers.iter().filter(missing).count();
         if away > self.kept.most_away {
-            return Some(format!("{away} servers are away of {} at most", self.kept.most_away));
+            return Some(format!(
+                "{away} servers are away of {} at most",
+                self.kept.most_away
+            ));
         }
         if there(None) < self.kept.keep {
-            return Some(format!("{} of capacity is there and {} must stay", there(None), self.kept.keep));
+            return Some(format!(
+                "{} of capacity is there and {} must stay",
+                there(None),
+                self.kept.keep
+            ));
         }
-        let zone =
-            (0..self.kept.keep_zone.len()).find(|zone| there(Some(*zone)) < self.kept.keep_zone[*zone])?;
+        let zone = (0..self.kept.keep_zone.len())
+            .find(|zone| there(Some(*zone)) < self.kept.keep_zone[*zone])?;
         Some(format!(
             "{} is there in zone {zone} and {} must stay",
             there(Some(zone)),
@@ -58,7 +65,9 @@
 /// Holds the agreement against the acts of a play. The least part of the capacity that was there at any time comes
 /// second, deaths included.
 pub fn capacities(plan: &Plan, record: &[Entry]) -> (Vec<Finding>, f64) {
-    let Some(kept) = &plan.kept else { return (Vec::new(), 1.0) };
+    let Some(kept) = &plan.kept else {
+        return (Vec::new(), 1.0);
+    };
     let servers = plan.servers.iter().filter(|spec| spec.first);
     let server = |weight, zone| Server {
         weight,
@@ -69,12 +78,21 @@
         up: 0,
         served: false,
     };
-    let mut count = Count { kept, servers: servers.map(|spec| server(capacity(spec), spec.zone)).collect() };
+    let mut count = Count {
+        kept,
+        servers: servers
+            .map(|spec| server(capacity(spec), spec.zone))
+            .collect(),
+    };
     let whole: u64 = count.servers.iter().map(|s| s.weight).sum();
     let (mut findings, mut least, mut short_since) = (Vec::new(), whole, None::<Us>);
     let mut of_attempt: HashMap<u64, usize> = HashMap::new();
     for (at, seen) in record {
-        for s in count.servers.iter_mut().filter(|s| s.by_act && s.served && s.dead.is_none()) {
+        for s in count
+            .servers
+            .iter_mut()
+            .filter(|s| s.by_act && s.served && s.dead.is_none())
+        {
             s.by_act = *at + site::SLACK < s.up + site::WARM_WITHIN;
         }
         // What was short and could be helped by calling back what drains has to be helped in time.
@@ -85,18 +103,32 @@
                     "{drains} servers still drain {} ms after a death that the agreement has no room for",
                     (at - since) / 1000
                 );
-                findings.push(Finding { rule: Rule::Capacity, at: *at, what });
+                findings.push(Finding {
+                    rule: Rule::Capacity,
+                    at: *at,
+                    what,
+                });
             }
             short_since = None;
         }
         match seen {
-            Seen::Acted { act, server, window, accepted: true, .. } => {
-                let Some(s) = count.servers.get_mut(*server) else { continue };
+            Seen::Acted {
+                act,
+                server,
+                window,
+                accepted: true,
+                ..
+            } => {
+                let Some(s) = count.servers.get_mut(*server) else {
+                    continue;
+                };
                 let was = *s;
                 match act {
                     Act::Drain => (s.drains, s.by_act) = (!was.by_act || was.drains, true),
                     Act::Take => (s.drains, s.by_act) = (false, true),
-                    Act::Return | Act::CallBack if was.drains => (s.drains, s.by_act) = (false, false),
+                    Act::Return | Act::CallBack if was.drains => {
+                        (s.drains, s.by_act) = (false, false)
+                    }
                     Act::Return | Act::CallBack => {}
                 }
                 let known = |since: Us| *at > since + kept.answered_within;
@@ -105,11 +137,17 @@
                     && let Some(short) = count.short(known)
                 {
                     let what = format!("server {server} went away for window {window}: {short}");
-                    findings.push(Finding { rule: Rule::Capacity, at: *at, what });
+                    findings.push(Finding {
+                        rule: Rule::Capacity,
+                        at: *at,
+                        what,
+                    });
                 }
             }
             Seen::ServerDown { server } | Seen::ServerSilent { server, on: true } => {
-                let Some(s) = count.servers.get_mut(*server) else { continue };
+                let Some(s) = count.servers.get_mut(*server) else {
+                    continue;
+                };
                 s.dead = s.dead.or(Some(*at));
                 if !s.by_act && count.short(|_| true).is_some() {
                     short_since = short_since.or(Some(*at));
@@ -124,8 +162,14 @@
                 }
             }
             Seen::Attempt { number, server, .. } => drop(of_attempt.insert(*number, *server)),
-            Seen::AttemptAnswered { number, status: 200, .. } => {
-                let server = of_attempt.remove(number).and_then(|server| count.servers.get_mut(server));
+            Seen::AttemptAnswered {
+                number,
+                status: 200,
+                ..
+            } => {
+                let server = of_attempt
+                    .remove(number)
+                    .and_then(|server| count.servers.get_mut(server));
                 if let Some(s) = server.filter(|s| s.by_act && !s.drains && s.dead.is_none()) {
                     s.served = true;
                 }
@@ -135,7 +179,12 @@
         if count.short(|_| true).is_none() {
             short_since = None;
         }
-        let there = count.servers.iter().filter(|s| !s.by_act && s.dead.is_none()).map(|s| s.weight).sum();
+        let there = count
+            .servers
+            .iter()
+            .filter(|s| !s.by_act && s.dead.is_none())
+            .map(|s| s.weight)
+            .sum();
         least = least.min(there);
     }
     (findings, least as f64 / whole.max(1) as f64)
@@ -150,7 +199,13 @@
 
     /// Servers of one weight, of which two may be away.
     fn plan() -> Plan {
-        let mut plan = draw(&Experiment { name: "a".to_owned(), ..Experiment::default() }, 1);
+        let mut plan = draw(
+            &Experiment {
+                name: "a".to_owned(),
+                ..Experiment::default()
+            },
+            1,
+        );
         plan.servers.iter_mut().for_each(|spec| spec.kind = 1);
         let weight = capacity(&plan.servers[0]);
         let keep = weight * (plan.servers.len() as u64 - 2);
@@ -167,29 +222,72 @@
     }
 
     fn acted(at: Us, act: Act, server: usize) -> Entry {
-        (at, Seen::Acted { act, server, window: 1, token: at, accepted: true })
+        (
+            at,
+            Seen::Acted {
+                act,
+                server,
+                window: 1,
+                token: at,
+                accepted: true,
+            },
+        )
     }
 
     fn broken(record: &[Entry]) -> Vec<Us> {
-        capacities(&plan(), record).0.iter().map(|finding| finding.at).collect()
+        capacities(&plan(), record)
+            .0
+            .iter()
+            .map(|finding| finding.at)
+            .collect()
     }
 
     #[test]
     fn two_may_be_away_a_third_not_and_one_that_was_only_returned_is_still_away() {
         let two = [acted(1, Act::Drain, 0), acted(2, Act::Drain, 1)];
         assert_eq!(broken(&two), Vec::<Us>::new());
-        assert_eq!(broken(&[&two[..], &[acted(3, Act::Drain, 2)]].concat()), [3]);
-        assert_eq!(broken(&[&two[..], &[acted(3, Act::Take, 2)]].concat()), [3], "taken without a drain");
         assert_eq!(
-            broken(&[&two[..], &[acted(3, Act::CallBack, 1), acted(4, Act::Drain, 2)]].concat()),
+            broken(&[&two[..], &[acted(3, Act::Drain, 2)]].concat()),
+            [3]
+        );
+        assert_eq!(
+            broken(&[&two[..], &[acted(3, Act::Take, 2)]].concat()),
+            [3],
+            "taken without a drain"
+        );
+        assert_eq!(
+            broken(
+                &[
+                    &two[..],
+                    &[acted(3, Act::CallBack, 1), acted(4, Act::Drain, 2)]
+                ]
+                .concat()
+            ),
             Vec::<Us>::new()
         );
-        let back = [acted(3, Act::Take, 0), acted(4, Act::Return, 0), (5, Seen::ServerUp { server: 0 })];
-        assert_eq!(broken(&[&two[..], &back, &[acted(6, Act::Drain, 2)]].concat()), [6]);
+        let back = [
+            acted(3, Act::Take, 0),
+            acted(4, Act::Return, 0),
+            (5, Seen::ServerUp { server: 0 }),
+        ];
+        assert_eq!(
+            broken(&[&two[..], &back, &[acted(6, Act::Drain, 2)]].concat()),
+            [6]
+        );
         let served = |at| {
-            let answered = Seen::AttemptAnswered { number: 1, status: 200, unprocessed: false };
+            let answered = Seen::AttemptAnswered {
+                number: 1,
+                status: 200,
+                unprocessed: false,
+            };
             let drain = acted(at + 2, Act::Drain, 2);
-            let attempt = Seen::Attempt { number: 1, request: None, sidecar: 0, server: 0, began: at };
+            let attempt = Seen::Attempt {
+                number: 1,
+                request: None,
+                sidecar: 0,
+                server: 0,
+                began: at,
+            };
             broken(&[&two[..], &back, &[(at, attempt), (at + 1, answered), drain]].concat())
         };
         assert_eq!(served(6), [8], "it serves and is cold");
@@ -206,10 +304,24 @@
             Vec::<Us>::new(),
             "nobody could know yet"
         );
-        assert_eq!(broken(&[&one[..], &[acted(late, Act::Drain, 1)]].concat()), [late]);
-        let two = [acted(1, Act::Drain, 0), acted(2, Act::Drain, 1), (3, Seen::ServerDown { server: 5 })];
+        assert_eq!(
+            broken(&[&one[..], &[acted(late, Act::Drain, 1)]].concat()),
+            [late]
+        );
+        let two = [
+            acted(1, Act::Drain, 0),
+            acted(2, Act::Drain, 1),
+            (3, Seen::ServerDown { server: 5 }),
+        ];
         let end = (late, Seen::Probe { server: 7 });
-        assert_eq!(broken(&[&two[..], std::slice::from_ref(&end)].concat()), [late], "both drain on");
-        assert_eq!(broken(&[&two[..], &[acted(SECOND, Act::CallBack, 1), end]].concat()), Vec::<Us>::new());
+        assert_eq!(
+            broken(&[&two[..], std::slice::from_ref(&end)].concat()),
+            [late],
+            "both drain on"
+        );
+        assert_eq!(
+            broken(&[&two[..], &[acted(SECOND, Act::CallBack, 1), end]].concat()),
+            Vec::<Us>::new()
+        );
     }
 }
--- a/crates/lab/src/audit/clear.rs
+++ b/crates/lab/src/audit/clear.rs
@@ -17,16 +17,29 @@
     let mut away: HashSet<usize> = HashSet::new();
     for (at, seen) in record {
         match seen {
-            Seen::Attempt { number, server, sidecar, .. } => {
+            Seen::Attempt {
+                number,
+                server,
+                sidecar,
+                ..
+            } => {
                 of.insert(*number, *server);
-                runs.entry(*server).or_default().insert(*number, (*at, *sidecar));
+                runs.entry(*server)
+                    .or_default()
+                    .insert(*number, (*at, *sidecar));
             }
             Seen::AttemptAnswered { number, .. } | Seen::AttemptSwallowed { number } => {
                 if let Some(server) = of.remove(number) {
                     runs.entry(server).or_default().remove(number);
                 }
             }
-            Seen::Acted { act: Act::Take, server, window, accepted: true, .. } if away.insert(*server) => {
+            Seen::Acted {
+                act: Act::Take,
+                server,
+                window,
+                accepted: true,
+                ..
+            } if away.insert(*server) => {
                 let mut there = runs.remove(server).unwrap_or_default();
                 there.retain(|_, (came, _)| *at < *came + site::longest_deadline());
                 if let Some((came, sidecar)) = there.values().max() {
@@ -37,18 +50,33 @@
                         there.len(),
                         (at - came) / 1000
                     );
-                    findings.push(Finding { rule: Rule::Clear, at: *at, what });
+                    findings.push(Finding {
+                        rule: Rule::Clear,
+                        at: *at,
+                        what,
+                    });
                 }
             }
             // What ran there, or was sent by it, ended with it.
             Seen::ServerDown { server } => drop(runs.remove(server)),
             Seen::SidecarDown { sidecar, .. } => {
-                runs.values_mut().for_each(|there| there.retain(|_, (_, from)| from != sidecar));
+                runs.values_mut()
+                    .for_each(|there| there.retain(|_, (_, from)| from != sidecar));
             }
-            Seen::Acted { act: Act::Drain, server, accepted: true, .. } => {
+            Seen::Acted {
+                act: Act::Drain,
+                server,
+                accepted: true,
+                ..
+            } => {
                 drained.entry(*server).or_insert(*at);
             }
-            Seen::Acted { act: Act::CallBack | Act::Return, server, accepted: true, .. } => {
+            Seen::Acted {
+                act: Act::CallBack | Act::Return,
+                server,
+                accepted: true,
+                ..
+            } => {
                 drained.remove(server);
             }
             Seen::ServerUp { server } => drop(away.remove(server)),
@@ -73,14 +101,20 @@
             Seen::ServerUp { server } | Seen::Stays { server } => drop(clear.remove(server)),
             Seen::Dump(dump) => {
                 for (server, started, last) in &dump.picks {
-                    let since = clear.get(server).filter(|since| *started == 0 && *last > **since + SLACK);
+                    let since = clear
+                        .get(server)
+                        .filter(|since| *started == 0 && *last > **since + SLACK);
                     if let Some(since) = since.filter(|_| found.insert((dump.sidecar, *server))) {
                         let late = (last - since) / 1000;
                         let what = format!(
                             "sidecar {} picked server {server} by a binding {late} ms after it was clear",
                             dump.sidecar
                         );
-                        findings.push(Finding { rule: Rule::Clear, at: *at, what });
+                        findings.push(Finding {
+                            rule: Rule::Clear,
+                            at: *at,
+                            what,
+                        });
                     }
                 }
             }
@@ -96,15 +130,56 @@
 
     #[test]
     fn what_runs_at_a_server_that_is_taken_was_not_waited_for() {
-        let attempt = (1, Seen::Attempt { number: 1, request: None, sidecar: 0, server: 3, began: 1 });
-        let answered = (2, Seen::AttemptAnswered { number: 1, status: 200, unprocessed: false });
-        let take = (3, Seen::Acted { act: Act::Take, server: 3, window: 1, token: 1, accepted: true });
+        let attempt = (
+            1,
+            Seen::Attempt {
+                number: 1,
+                request: None,
+                sidecar: 0,
+                server: 3,
+                began: 1,
+            },
+        );
+        let answered = (
+            2,
+            Seen::AttemptAnswered {
+                number: 1,
+                status: 200,
+                unprocessed: false,
+            },
+        );
+        let take = (
+            3,
+            Seen::Acted {
+                act: Act::Take,
+                server: 3,
+                window: 1,
+                token: 1,
+                accepted: true,
+            },
+        );
         assert_eq!(clears(&[attempt.clone(), take.clone()]).len(), 1);
         assert_eq!(clears(&[attempt.clone(), answered, take.clone()]), []);
-        let (killed, late) =
-            ((2, Seen::SidecarDown { sidecar: 0, killed: true }), site::longest_deadline() + 1);
-        assert_eq!(clears(&[attempt.clone(), killed, take.clone()]), [], "its sidecar is gone");
-        assert_eq!(clears(&[attempt, (late, take.1)]), [], "nobody waits for it any more");
+        let (killed, late) = (
+            (
+                2,
+                Seen::SidecarDown {
+                    sidecar: 0,
+                    killed: true,
+                },
+            ),
+            site::longest_deadline() + 1,
+        );
+        assert_eq!(
+            clears(&[attempt.clone(), killed, take.clone()]),
+            [],
+            "its sidecar is gone"
+        );
+        assert_eq!(
+            clears(&[attempt, (late, take.1)]),
+            [],
+            "nobody waits for it any more"
+        );
     }
 
     #[test]
@@ -122,11 +197,25 @@
                 })),
             )
         };
-        let cleared = (2_000_000, Seen::Cleared { server: 4, token: 7 });
+        let cleared = (
+            2_000_000,
+            Seen::Cleared {
+                server: 4,
+                token: 7,
+            },
+        );
         let stays = (2_100_000, Seen::Stays { server: 4 });
-        assert_eq!(picks(&[dump(1, 1), cleared.clone(), dump(3_000_000, 1_900_000)]), []);
         assert_eq!(
-            picks(&[cleared.clone(), dump(3_000_000, 2_500_000), dump(4_000_000, 3_500_000)]).len(),
+            picks(&[dump(1, 1), cleared.clone(), dump(3_000_000, 1_900_000)]),
+            []
+        );
+        assert_eq!(
+            picks(&[
+                cleared.clone(),
+                dump(3_000_000, 2_500_000),
+                dump(4_000_000, 3_500_000)
+            ])
+            .len(),
             1
         );
         assert_eq!(picks(&[cleared, stays, dump(3_000_000, 2_500_000)]), []);
--- a/crates/lab/src/audit/cold.rs
+++ b/crates/lab/src/audit/cold.rs
@@ -11,7 +11,9 @@
     let arrivals: HashMap<Try, usize> = record
         .iter()
         .filter_map(|(_, seen)| match seen {
-            Seen::Taken { request, arrival, .. } => Some((*request, *arrival)),
+            Seen::Taken {
+                request, arrival, ..
+            } => Some((*request, *arrival)),
             _ => None,
         })
         .collect();
@@ -24,20 +26,32 @@
                 started.insert(*server, *at);
                 windows.remove(server);
             }
-            Seen::Attempt { server, request, .. } => {
-                let Some(start) = started.get(server).copied().filter(|s| at - s < site::WARM_WITHIN) else {
+            Seen::Attempt {
+                server, request, ..
+            } => {
+                let Some(start) = started
+                    .get(server)
+                    .copied()
+                    .filter(|s| at - s < site::WARM_WITHIN)
+                else {
+                    continue;
+                };
+                let Some(arrival) = request.and_then(|r| arrivals.get(&r)) else {
                     continue;
                 };
-                let Some(arrival) = request.and_then(|r| arrivals.get(&r)) else { continue };
                 let window = windows.entry(*server).or_default();
                 window.push_back((*at, plan.arrivals[*arrival].work));
-                while window.front().is_some_and(|(sent, _)| at - sent > site::TIP_AFTER) {
+                while window
+                    .front()
+                    .is_some_and(|(sent, _)| at - sent > site::TIP_AFTER)
+                {
                     window.pop_front();
                 }
                 let spec = &plan.servers[*server];
                 let age = (at - start) as f64 / site::WARM_WITHIN as f64;
-                let capacity =
-                    f64::from(spec.cores) * spec.speed * (site::COLD_SHARE + (1.0 - site::COLD_SHARE) * age);
+                let capacity = f64::from(spec.cores)
+                    * spec.speed
+                    * (site::COLD_SHARE + (1.0 - site::COLD_SHARE) * age);
                 let most = site::OVERLOAD * capacity * site::TIP_AFTER as f64 * site::COLD_SLACK;
                 let sent: f64 = window.iter().map(|(_, work)| work).sum();
                 if sent > most && found.insert((*server, start)) {
@@ -46,7 +60,11 @@
                         (at - start) / 1000,
                         sent / (capacity * site::TIP_AFTER as f64)
                     );
-                    findings.push(Finding { rule: Rule::Cold, at: *at, what });
+                    findings.push(Finding {
+                        rule: Rule::Cold,
+                        at: *at,
+                        what,
+                    });
                 }
             }
             _ => {}
--- a/crates/lab/src/audit/listed.rs
+++ b/crates/lab/src/audit/listed.rs
@@ -12,21 +12,40 @@
     let mut tries: BTreeSet<Try> = BTreeSet::new();
     for (at, seen) in record {
         match seen {
-            Seen::Told { sidecar, server, state: State::Active { .. } } => {
+            Seen::Told {
+                sidecar,
+                server,
+                state: State::Active { .. },
+            } => {
                 named.insert((*sidecar, *server));
             }
             Seen::Taken { request, .. } => {
                 tries.insert(*request);
             }
-            Seen::Attempt { request, sidecar, server, .. } => {
+            Seen::Attempt {
+                request,
+                sidecar,
+                server,
+                ..
+            } => {
                 if !known.contains(server) && !named.contains(&(*sidecar, *server)) {
-                    let what =
-                        format!("sidecar {sidecar} sent to server {server}, which its list never named");
-                    findings.push(Finding { rule: Rule::Listed, at: *at, what });
+                    let what = format!(
+                        "sidecar {sidecar} sent to server {server}, which its list never named"
+                    );
+                    findings.push(Finding {
+                        rule: Rule::Listed,
+                        at: *at,
+                        what,
+                    });
                 }
                 if request.is_none_or(|request| !tries.contains(&request)) {
-                    let what = format!("sidecar {sidecar} sent server {server} what no client had sent");
-                    findings.push(Finding { rule: Rule::Listed, at: *at, what });
+                    let what =
+                        format!("sidecar {sidecar} sent server {server} what no client had sent");
+                    findings.push(Finding {
+                        rule: Rule::Listed,
+                        at: *at,
+                        what,
+                    });
                 }
             }
             _ => {}
--- a/crates/lab/src/audit/repeats.rs
+++ b/crates/lab/src/audit/repeats.rs
@@ -25,10 +25,17 @@
             });
         };
         match seen {
-            Seen::Taken { request, arrival, .. } => {
+            Seen::Taken {
+                request, arrival, ..
+            } => {
                 classes.insert(*request, CLASSES[plan.arrivals[*arrival].class].repeat);
             }
-            Seen::Attempt { number, request: Some(request), server, .. } => {
+            Seen::Attempt {
+                number,
+                request: Some(request),
+                server,
+                ..
+            } => {
                 let attempts = sent.entry(*request).or_default();
                 of.insert(*number, *request);
                 let ran = || attempts.iter().filter(|s| s.may_have_run);
@@ -39,27 +46,52 @@
                             format!("must not run twice and was sent again, to server {server}"),
                         );
                     }
-                    Some(Repeat::Keyed) if ran().any(|s| at - s.at > site::KEY_TIME + site::SLACK) => {
+                    Some(Repeat::Keyed)
+                        if ran().any(|s| at - s.at > site::KEY_TIME + site::SLACK) =>
+                    {
                         broken(
                             *request,
-                            format!("was sent again when its key was forgotten, to server {server}"),
+                            format!(
+                                "was sent again when its key was forgotten, to server {server}"
+                            ),
                         );
                     }
                     _ => {}
                 }
-                attempts.push(Sent { number: *number, at: *at, may_have_run: true });
+                attempts.push(Sent {
+                    number: *number,
+                    at: *at,
+                    may_have_run: true,
+                });
                 if attempts.len() == site::MOST_ATTEMPTS + 1 {
-                    broken(*request, format!("was sent {} times", site::MOST_ATTEMPTS + 1));
+                    broken(
+                        *request,
+                        format!("was sent {} times", site::MOST_ATTEMPTS + 1),
+                    );
                 }
             }
-            Seen::AttemptAnswered { number, unprocessed: true, .. } => {
+            Seen::AttemptAnswered {
+                number,
+                unprocessed: true,
+                ..
+            } => {
                 let attempts = of.get(number).and_then(|request| sent.get_mut(request));
-                for s in attempts.into_iter().flatten().filter(|s| s.number == *number) {
+                for s in attempts
+                    .into_iter()
+                    .flatten()
+                    .filter(|s| s.number == *number)
+                {
                     s.may_have_run = false;
                 }
             }
-            Seen::Answered { request, status: 429 | 503, .. } => {
-                let ran = sent.get(request).is_some_and(|s| s.iter().any(|s| s.may_have_run));
+            Seen::Answered {
+                request,
+                status: 429 | 503,
+                ..
+            } => {
+                let ran = sent
+                    .get(request)
+                    .is_some_and(|s| s.iter().any(|s| s.may_have_run));
                 if ran && classes.get(request) == Some(&Repeat::Never) {
                     broken(
                         *request,
--- a/crates/lab/src/bin/linenproxy-lab/main.rs
+++ b/crates/lab/src/bin/linenproxy-lab/main.rs
@@ -31,17 +31,28 @@
         Ok(call) => call,
         Err(exit) => return exit.into(),
     };
-    if let What::Keep { parent, program, words } = &call.what {
+    if let What::Keep {
+        parent,
+        program,
+        words,
+    } = &call.what
+    {
         return say(&keep(*parent, program, words), Exit::Software).into();
     }
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(WORKERS).enable_all().build();
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(WORKERS)
+        .enable_all()
+        .build();
     let runtime = match runtime {
         Ok(runtime) => runtime,
         Err(e) => return say(&format!("cannot start the runtime: {e}"), Exit::Unavailable).into(),
     };
     let exit = runtime.block_on(async {
         let interrupted = async {
-            let (int, term) = (signal(SignalKind::interrupt()), signal(SignalKind::terminate()));
+            let (int, term) = (
+                signal(SignalKind::interrupt()),
+                signal(SignalKind::terminate()),
+            );
             match (int, term) {
                 (Ok(mut int), Ok(mut term)) => {
                     tokio::select! { _ = int.recv() => {}, _ = term.recv() => {} }
@@ -78,7 +89,11 @@
         What::Run(run) => {
             let launch = Some(kept(program(run.program)?, run.played.ready_within));
             let mut experiment = read(&run.played.file)?;
-            for mix in experiment.variant.iter_mut().filter_map(|variant| variant.mix.as_mut()) {
+            for mix in experiment
+                .variant
+                .iter_mut()
+                .filter_map(|variant| variant.mix.as_mut())
+            {
                 let built = folder(&run.builds, &mix.revision).join("tinflow");
                 mix.program = Some(program(mix.program.take().or(Some(built)))?);
             }
@@ -87,14 +102,21 @@
         What::Sim(sim) => {
             let mut experiment = read(&sim.played.file)?;
             let t = &mut experiment.topology;
-            (t.sidecars, t.servers) = (sim.sidecars.unwrap_or(t.sidecars), sim.servers.unwrap_or(t.servers));
+            (t.sidecars, t.servers) = (
+                sim.sidecars.unwrap_or(t.sidecars),
+                sim.servers.unwrap_or(t.servers),
+            );
             config::Configuration::check(&experiment)
                 .map_err(|c| say(&format!("{}: {}", c.key, c.what), Exit::Usage))?;
             played(&experiment, &sim.played, None).await
         }
         What::Compare(both) => {
             let mut experiment = read(&both.played.file)?;
-            let config = experiment.variant.first().map(|v| v.config.clone()).unwrap_or_default();
+            let config = experiment
+                .variant
+                .first()
+                .map(|v| v.config.clone())
+                .unwrap_or_default();
             let variant = |name: &str, program: &Path| Variant {
                 name: name.to_owned(),
                 program: Some(program.to_owned()),
@@ -102,8 +124,16 @@
                 ..Variant::default()
             };
             experiment.variant = vec![variant("old", &both.old), variant("new", &both.new)];
-            experiment.bounds.measure.retain(|b| b.variant.is_none() && b.against.is_none());
-            played(&experiment, &both.played, Some(kept(both.new.clone(), both.played.ready_within))).await
+            experiment
+                .bounds
+                .measure
+                .retain(|b| b.variant.is_none() && b.against.is_none());
+            played(
+                &experiment,
+                &both.played,
+                Some(kept(both.new.clone(), both.played.ready_within)),
+            )
+            .await
         }
         What::Keep { .. } => Ok(Exit::Usage),
         What::Pair { what } => pair::pair(what),
@@ -120,7 +150,11 @@
 /// Brings up a program so that it ends with this process.
 fn kept(program: PathBuf, within: Time) -> Launch {
     let keeper = std::env::current_exe().ok();
-    Launch::Program(Bringing { program, keeper, within: within.0 })
+    Launch::Program(Bringing {
+        program,
+        keeper,
+        within: within.0,
+    })
 }
 
 fn read(file: &Path) -> Result<Experiment, Exit> {
@@ -129,18 +163,31 @@
 
 /// The sidecar's program: the one that was named, or the one beside this.
 fn program(named: Option<PathBuf>) -> Result<PathBuf, Exit> {
-    let beside = || std::env::current_exe().ok().map(|own| own.with_file_name("tinflow"));
-    let program = named.or_else(beside).ok_or_else(|| say(&"name the sidecars' --program", Exit::Usage))?;
+    let beside = || {
+        std::env::current_exe()
+            .ok()
+            .map(|own| own.with_file_name("tinflow"))
+    };
+    let program = named
+        .or_else(beside)
+        .ok_or_else(|| say(&"name the sidecars' --program", Exit::Usage))?;
     if !program.is_file() {
         return Err(say(
-            &format!("there is no program {}; name one by --program", program.display()),
+            &format!(
+                "there is no program {}; name one by --program",
+                program.display()
+            ),
             Exit::Io,
         ));
     }
     Ok(program)
 }
 
-async fn played(experiment: &Experiment, how: &Played, launch: Option<Launch>) -> Result<Exit, Exit> {
+async fn played(
+    experiment: &Experiment,
+    how: &Played,
+    launch: Option<Launch>,
+) -> Result<Exit, Exit> {
     let logs;
     let folder = match &how.out {
         Some(out) => {
@@ -149,13 +196,16 @@
             out.as_path()
         }
         None => {
-            logs = tempfile::tempdir().map_err(|e| say(&format!("cannot make a folder: {e}"), Exit::Io))?;
+            logs = tempfile::tempdir()
+                .map_err(|e| say(&format!("cannot make a folder: {e}"), Exit::Io))?;
             logs.path()
         }
     };
     let (shown, plays) = (Cell::new(None), how.plays);
     let told = |play: usize, variant: &str, progress: Progress| {
-        let due = shown.get().is_none_or(|last: Instant| last.elapsed() >= REFRESH);
+        let due = shown
+            .get()
+            .is_none_or(|last: Instant| last.elapsed() >= REFRESH);
         if due && std::io::stderr().is_terminal() {
             shown.set(Some(Instant::now()));
             let Progress { sent, all } = progress;
@@ -166,7 +216,13 @@
             );
         }
     };
-    let order = Order { experiment, seed: how.seed, plays: how.plays.max(1), launch, folder };
+    let order = Order {
+        experiment,
+        seed: how.seed,
+        plays: how.plays.max(1),
+        launch,
+        folder,
+    };
     let comparison = compare(order, told).await;
     if std::io::stderr().is_terminal() {
         let _ = write!(std::io::stderr(), "\r\x1b[K");
@@ -180,7 +236,15 @@
                 .map_err(|e| say(&format!("cannot write {}: {e}", file.display()), Exit::Io))?;
         }
     }
-    let text = if how.json { json + "\n" } else { table(&comparison) };
+    let text = if how.json {
+        json + "\n"
+    } else {
+        table(&comparison)
+    };
     let _ = std::io::stdout().write_all(text.as_bytes());
-    Ok(if comparison.passed { Exit::Done } else { Exit::Failed })
+    Ok(if comparison.passed {
+        Exit::Done
+    } else {
+        Exit::Failed
+    })
 }
--- a/crates/lab/src/bin/linenproxy-lab/pair.rs
+++ b/crates/lab/src/bin/linenproxy-lab/pair.rs
@@ -81,22 +81,46 @@
 
 pub fn pair(what: Pair) -> Result<Exit, Exit> {
     match what {
-        Pair::Build { names, builds, pins, within } => {
+        Pair::Build {
+            names,
+            builds,
+            pins,
+            within,
+        } => {
             let pins = read(&pins)?;
             let all = || pins.revision.iter().map(|r| r.name.clone()).collect();
             for name in if names.is_empty() { all() } else { names } {
                 let revision = named(&pins, &name)?;
-                let folder =
-                    build(Path::new("."), revision, &builds, within.0).map_err(|e| say(&e, exit_of(&e)))?;
-                tell(&format!("{name} ({:.7}): {}", revision.commit, folder.display()));
+                let folder = build(Path::new("."), revision, &builds, within.0)
+                    .map_err(|e| say(&e, exit_of(&e)))?;
+                tell(&format!(
+                    "{name} ({:.7}): {}",
+                    revision.commit,
+                    folder.display()
+                ));
             }
             Ok(Exit::Done)
         }
-        Pair::Hold { name, builds, pins, histories, first } => {
+        Pair::Hold {
+            name,
+            builds,
+            pins,
+            histories,
+            first,
+        } => {
             let pins = read(&pins)?;
-            hold(named(&pins, &name)?, &builds, first..first.saturating_add(histories))
+            hold(
+                named(&pins, &name)?,
+                &builds,
+                first..first.saturating_add(histories),
+            )
         }
-        Pair::Mix { name, builds, seed, record } => mix(&builds.join(name), seed, record.as_deref()),
+        Pair::Mix {
+            name,
+            builds,
+            seed,
+            record,
+        } => mix(&builds.join(name), seed, record.as_deref()),
         Pair::Record { file, histories } => {
             let mut text = String::new();
             for number in 0..histories {
@@ -113,7 +137,10 @@
 fn hold(revision: &Revision, builds: &Path, numbers: std::ops::Range<u64>) -> Result<Exit, Exit> {
     let program = builds.join(&revision.name).join("linenproxy-wirehost");
     if !program.is_file() {
-        return Err(say(&format!("{} is not built: see pair build", program.display()), Exit::Io));
+        return Err(say(
+            &format!("{} is not built: see pair build", program.display()),
+            Exit::Io,
+        ));
     }
     let (mut lines, mut played, mut unmeant) = (0, BTreeMap::<Kind, [u64; 2]>::new(), 0);
     for number in numbers {
@@ -130,15 +157,23 @@
             unmeant += u64::from(!meant);
             // The first of each kind, and each that nobody means.
             if !meant || count[1] == 1 {
-                tell(&format!("history {number} ({kind:?}), meant: {meant}, {parting}"));
+                tell(&format!(
+                    "history {number} ({kind:?}), meant: {meant}, {parting}"
+                ));
             }
         }
     }
     for (kind, [all, differ]) in played {
         tell(&format!("{kind:?}: {differ} of {all} histories differ"));
     }
-    tell(&format!("{lines} lines of answers, {unmeant} histories differ without being meant to"));
-    Ok(if unmeant == 0 { Exit::Done } else { Exit::Failed })
+    tell(&format!(
+        "{lines} lines of answers, {unmeant} histories differ without being meant to"
+    ));
+    Ok(if unmeant == 0 {
+        Exit::Done
+    } else {
+        Exit::Failed
+    })
 }
 
 fn mix(build: &Path, seed: u64, record: Option<&Path>) -> Result<Exit, Exit> {
@@ -148,11 +183,22 @@
     // By turns, so that each zone has both: a third, half, two thirds, all.
     for old in [3, 5, 6, lan::MEMBERS] {
         let mut programs = [None; lan::MEMBERS];
-        programs.iter_mut().take(old).for_each(|place| *place = Some(member.as_path()));
+        programs
+            .iter_mut()
+            .take(old)
+            .for_each(|place| *place = Some(member.as_path()));
         let came = lan::play(&programs, seed).map_err(failed)?;
         let found = lan::judge(&came, |place| place < old);
-        tell(&format!("members, {old} of {} old: {}", lan::MEMBERS, lan::sum(&came)));
-        wrong.extend(found.into_iter().map(|what| format!("{old} old members: {what}")));
+        tell(&format!(
+            "members, {old} of {} old: {}",
+            lan::MEMBERS,
+            lan::sum(&came)
+        ));
+        wrong.extend(
+            found
+                .into_iter()
+                .map(|what| format!("{old} old members: {what}")),
+        );
         if let Some(folder) = record.filter(|_| old == lan::MEMBERS) {
             write(&folder.join("member.txt"), &came[0].told)?;
         }
@@ -175,9 +221,15 @@
         wrong.extend(stewards::judge(&came));
         if let Some(record) = record {
             let folder = tempfile::tempdir().map_err(failed)?;
-            let came = stewards::play(folder.path(), &[[old, old, old]], RECORDED).map_err(failed)?;
-            let steps: Vec<&String> = came.told[2].iter().filter(|line| line.starts_with("step ")).collect();
-            let last = steps[steps.len().saturating_sub(MESSAGES)..].iter().map(|line| (*line).clone());
+            let came =
+                stewards::play(folder.path(), &[[old, old, old]], RECORDED).map_err(failed)?;
+            let steps: Vec<&String> = came.told[2]
+                .iter()
+                .filter(|line| line.starts_with("step "))
+                .collect();
+            let last = steps[steps.len().saturating_sub(MESSAGES)..]
+                .iter()
+                .map(|line| (*line).clone());
             let lines: Vec<String> = std::iter::once(came.books[2].clone()).chain(last).collect();
             write(&record.join("steward.txt"), &lines)?;
             let file = std::fs::read(folder.path().join("steward-2.redb")).map_err(failed)?;
@@ -185,7 +237,11 @@
         }
     }
     wrong.iter().for_each(|what| tell(what));
-    Ok(if wrong.is_empty() { Exit::Done } else { Exit::Failed })
+    Ok(if wrong.is_empty() {
+        Exit::Done
+    } else {
+        Exit::Failed
+    })
 }
 
 fn write(file: &Path, lines: &[String]) -> Result<(), Exit> {
@@ -198,7 +254,8 @@
 }
 
 fn named<'a>(pins: &'a Pins, name: &str) -> Result<&'a Revision, Exit> {
-    pins.revision(name).ok_or_else(|| say(&format!("no revision is pinned as {name}"), Exit::Usage))
+    pins.revision(name)
+        .ok_or_else(|| say(&format!("no revision is pinned as {name}"), Exit::Usage))
 }
 
 fn exit_of(error: &BuildError) -> Exit {
--- a/crates/lab/src/bin/linenproxy-lab/table.rs
+++ b/crates/lab/src/bin/linenproxy-lab/table.rs
@@ -15,17 +15,32 @@
         for variant in &comparison.variants {
             text += &format!("{:>14}", figure(variant.measures[&measure].mean));
         }
-        for d in comparison.differences.iter().filter(|d| d.measure == measure) {
+        for d in comparison
+            .differences
+            .iter()
+            .filter(|d| d.measure == measure)
+        {
             if let Some((low, high)) = d.difference.low.zip(d.difference.high) {
-                text += &format!("   {} ({} to {})", figure(d.difference.mean), figure(low), figure(high));
+                text += &format!(
+                    "   {} ({} to {})",
+                    figure(d.difference.mean),
+                    figure(low),
+                    figure(high)
+                );
             }
         }
     }
     for judged in &comparison.bounds {
         let b = &judged.bound;
-        let against = b.against.as_ref().map(|a| format!(" over {a}")).unwrap_or_default();
-        let limit =
-            |word: &str, x: Option<f64>| x.map(|x| format!(", {word} {}", figure(x))).unwrap_or_default();
+        let against = b
+            .against
+            .as_ref()
+            .map(|a| format!(" over {a}"))
+            .unwrap_or_default();
+        let limit = |word: &str, x: Option<f64>| {
+            x.map(|x| format!(", {word} {}", figure(x)))
+                .unwrap_or_default()
+        };
         text += &format!(
             "\nbound: {} of {}{against} is {}{}{}: {}",
             b.measure.name(),
@@ -39,7 +54,10 @@
     for variant in &comparison.variants {
         for (play, finding) in variant.findings.iter().take(20) {
             let (name, at) = (&variant.name, finding.at as f64 / 1e6);
-            text += &format!("\nbroken: {name}, play {play}, {at:.3} s, {}: {}", finding.rule, finding.what);
+            text += &format!(
+                "\nbroken: {name}, play {play}, {at:.3} s, {}: {}",
+                finding.rule, finding.what
+            );
         }
     }
     text + &format!(
@@ -47,6 +65,10 @@
         comparison.plays,
         comparison.seed,
         comparison.voided,
-        if comparison.passed { "passed" } else { "FAILED" }
+        if comparison.passed {
+            "passed"
+        } else {
+            "FAILED"
+        }
     )
 }
--- a/crates/lab/src/bin/linenproxy-lab/up.rs
+++ b/crates/lab/src/bin/linenproxy-lab/up.rs
@@ -21,7 +21,10 @@
 
 /// Brings it up until it is told to end.
 pub async fn bring_up(up: Up) -> Result<Exit, Exit> {
-    let mut experiment = Experiment { name: "up".to_owned(), ..Experiment::default() };
+    let mut experiment = Experiment {
+        name: "up".to_owned(),
+        ..Experiment::default()
+    };
     (experiment.topology.sidecars, experiment.topology.servers) = (up.sidecars, up.servers);
     (experiment.load.rate, experiment.load.lasts) = (up.rate, up.lasts);
     let config = match &up.config {
@@ -29,21 +32,38 @@
             .map_err(|e| say(&format!("cannot read {}: {e}", file.display()), Exit::Io))?,
         None => String::new(),
     };
-    experiment.variant = vec![Variant { name: "up".to_owned(), config, ..Variant::default() }];
+    experiment.variant = vec![Variant {
+        name: "up".to_owned(),
+        config,
+        ..Variant::default()
+    }];
     config::Configuration::check(&experiment)
         .map_err(|c| say(&format!("{}: {}", c.key, c.what), Exit::Usage))?;
     let launch = kept(program(up.program)?, Time(READY_WITHIN));
-    let folder = tempfile::tempdir().map_err(|e| say(&format!("cannot make a folder: {e}"), Exit::Io))?;
+    let folder =
+        tempfile::tempdir().map_err(|e| say(&format!("cannot make a folder: {e}"), Exit::Io))?;
     let plan = Arc::new(draw(&experiment, fastrand::u64(..)));
     let (sender, _progress) = watch::channel(Progress::default());
     let record = Record::default();
-    let played = play(&experiment, &plan, &experiment.variant[0], &launch, folder.path(), &sender, &record);
+    let played = play(
+        &experiment,
+        &plan,
+        &experiment.variant[0],
+        &launch,
+        folder.path(),
+        &sender,
+        &record,
+    );
     let mut live = Live::new(&plan, record.clone());
     let show = async {
         loop {
             let since = Instant::now();
             sleep(REFRESH).await;
-            let home = if std::io::stdout().is_terminal() { "\x1b[H\x1b[J" } else { "" };
+            let home = if std::io::stdout().is_terminal() {
+                "\x1b[H\x1b[J"
+            } else {
+                ""
+            };
             let head = format!(
                 "{} sidecars, {} servers, logs in {}; Ctrl-C ends all\n\n",
                 up.sidecars,
--- a/crates/lab/src/catalogue.rs
+++ b/crates/lab/src/catalogue.rs
@@ -16,21 +16,41 @@
 impl Catalogue {
     /// As it was drawn.
     pub fn new(directory: Directory) -> Self {
-        Self { directory: Arc::new(Mutex::new(directory)), changes: Arc::new(watch::channel(0).0) }
+        Self {
+            directory: Arc::new(Mutex::new(directory)),
+            changes: Arc::new(watch::channel(0).0),
+        }
     }
 
     /// Reads the list.
     pub fn with<T>(&self, what: impl FnOnce(&Directory) -> T) -> T {
-        what(&self.directory.lock().unwrap_or_else(PoisonError::into_inner))
+        what(
+            &self
+                .directory
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner),
+        )
     }
 
     /// A server's state changes now. What was drawn of it for later no longer comes: the platform has it in hand.
     pub fn set(&self, now: Us, server: usize, state: State) {
-        let mut directory = self.directory.lock().unwrap_or_else(PoisonError::into_inner);
-        directory.changes.retain(|change| change.at <= now || change.server != server);
+        let mut directory = self
+            .directory
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        directory
+            .changes
+            .retain(|change| change.at <= now || change.server != server);
         // Nobody has heard of what comes later, so that no version changes its meaning.
         let place = directory.changes.partition_point(|change| change.at <= now);
-        directory.changes.insert(place, Change { at: now, server, state });
+        directory.changes.insert(
+            place,
+            Change {
+                at: now,
+                server,
+                state,
+            },
+        );
         drop(directory);
         self.changes.send_modify(|number| *number += 1);
     }
@@ -38,9 +58,13 @@
     /// When a server's process that is listed at `now` started, as the list has it.
     pub fn since(&self, now: Us, server: usize) -> Option<Us> {
         self.with(|directory| {
-            let earlier = directory.changes.iter().take_while(|change| change.at <= now);
-            let last =
-                earlier.filter(|change| change.server == server).filter_map(|change| match change.state {
+            let earlier = directory
+                .changes
+                .iter()
+                .take_while(|change| change.at <= now);
+            let last = earlier
+                .filter(|change| change.server == server)
+                .filter_map(|change| match change.state {
                     State::Active { since } => Some(since),
                     State::Leaving | State::Left => None,
                 });
@@ -61,9 +85,18 @@
     #[test]
     fn the_platform_changes_what_was_drawn_and_no_version_that_was_heard() {
         let active = |since| State::Active { since };
-        let drawn = [(5, 0, State::Left), (20, 0, active(Some(20))), (20, 1, State::Left)];
-        let changes = drawn.map(|(at, server, state)| Change { at, server, state }).to_vec();
-        let catalogue = Catalogue::new(Directory { known: vec![0, 1, 2], changes });
+        let drawn = [
+            (5, 0, State::Left),
+            (20, 0, active(Some(20))),
+            (20, 1, State::Left),
+        ];
+        let changes = drawn
+            .map(|(at, server, state)| Change { at, server, state })
+            .to_vec();
+        let catalogue = Catalogue::new(Directory {
+            known: vec![0, 1, 2],
+            changes,
+        });
         let heard = catalogue.with(|d| (d.heard(10, 0), d.whole(d.heard(10, 0))));
         catalogue.set(10, 0, State::Leaving);
         assert_eq!(catalogue.with(|d| d.whole(heard.0)), heard.1);
@@ -74,7 +107,11 @@
         );
         catalogue.set(31, 0, active(Some(31)));
         assert_eq!(
-            (catalogue.since(30, 0), catalogue.since(31, 0), catalogue.since(31, 2)),
+            (
+                catalogue.since(30, 0),
+                catalogue.since(31, 0),
+                catalogue.since(31, 2)
+            ),
             (None, Some(31), None)
         );
     }
--- a/crates/lab/src/comparison.rs
+++ b/crates/lab/src/comparison.rs
@@ -158,7 +158,10 @@
 ///
 /// # Errors
 /// A play cannot be played, or the machine is too slow.
-pub async fn compare(order: Order<'_>, told: impl Fn(usize, &str, Progress)) -> Result<Comparison, Failure> {
+pub async fn compare(
+    order: Order<'_>,
+    told: impl Fn(usize, &str, Progress),
+) -> Result<Comparison, Failure> {
     let experiment = order.experiment;
     let mut tallies: Vec<Vec<Tally>> = vec![Vec::new(); experiment.variant.len()];
     let mut voided = 0;
@@ -170,17 +173,29 @@
             for variant in &experiment.variant {
                 let tally = match &order.launch {
                     None => {
-                        told(number, &variant.name, Progress { sent: 0, all: plan.arrivals.len() });
+                        told(
+                            number,
+                            &variant.name,
+                            Progress {
+                                sent: 0,
+                                all: plan.arrivals.len(),
+                            },
+                        );
                         simulate(experiment, &plan, variant).map_err(Failure::Config)?
                     }
                     Some(launch) => {
                         let folder = order.folder.join(format!("{}-{number}", variant.name));
                         std::fs::create_dir_all(&folder).map_err(|e| {
-                            Failure::Play(PlayError::Io(format!("cannot make {}", folder.display()), e))
+                            Failure::Play(PlayError::Io(
+                                format!("cannot make {}", folder.display()),
+                                e,
+                            ))
                         })?;
                         let (sender, mut progress) = watch::channel(Progress::default());
                         let record = Record::default();
-                        let played = play(experiment, &plan, variant, launch, &folder, &sender, &record);
+                        let played = play(
+                            experiment, &plan, variant, launch, &folder, &sender, &record,
+                        );
                         tokio::pin!(played);
                         loop {
                             tokio::select! {
@@ -192,15 +207,23 @@
                 };
                 round.push(tally);
             }
-            let lateness = round.iter().map(|t| t.measures[&Measure::LatenessMs]).fold(0.0, f64::max);
+            let lateness = round
+                .iter()
+                .map(|t| t.measures[&Measure::LatenessMs])
+                .fold(0.0, f64::max);
             if lateness <= experiment.bounds.lateness.0.as_secs_f64() * 1e3 {
-                tallies.iter_mut().zip(round).for_each(|(all, tally)| all.push(tally));
+                tallies
+                    .iter_mut()
+                    .zip(round)
+                    .for_each(|(all, tally)| all.push(tally));
                 break;
             }
             voided += 1;
             again += 1;
             if again > AGAIN {
-                return Err(Failure::Late { lateness_ms: lateness });
+                return Err(Failure::Late {
+                    lateness_ms: lateness,
+                });
             }
         }
     }
@@ -213,23 +236,45 @@
     use crate::experiment::Variant;
 
     async fn simulated(bounds: &[MeasureBound]) -> Comparison {
-        let variant = |name: &str| Variant { name: name.to_owned(), ..Variant::default() };
-        let mut experiment = Experiment { name: "a".to_owned(), ..Experiment::default() };
+        let variant = |name: &str| Variant {
+            name: name.to_owned(),
+            ..Variant::default()
+        };
+        let mut experiment = Experiment {
+            name: "a".to_owned(),
+            ..Experiment::default()
+        };
         experiment.variant = vec![variant("one"), variant("two")];
         experiment.bounds.measure = bounds.to_vec();
         let folder = Path::new("/nonexistent");
-        let order = Order { experiment: &experiment, seed: 1, plays: 2, launch: None, folder };
+        let order = Order {
+            experiment: &experiment,
+            seed: 1,
+            plays: 2,
+            launch: None,
+            folder,
+        };
         compare(order, |_, _, _| {}).await.expect("it is played")
     }
 
     fn bound(against: Option<&str>, least: Option<f64>, most: Option<f64>) -> MeasureBound {
         let (variant, against) = (Some("two".to_owned()), against.map(str::to_owned));
-        MeasureBound { measure: Measure::Served, variant, against, least, most }
+        MeasureBound {
+            measure: Measure::Served,
+            variant,
+            against,
+            least,
+            most,
+        }
     }
 
     #[tokio::test]
     async fn the_same_against_itself_differs_by_nothing_and_a_bound_that_is_missed_fails() {
-        let good = simulated(&[bound(Some("one"), Some(1.0), Some(1.0)), bound(None, Some(0.1), None)]).await;
+        let good = simulated(&[
+            bound(Some("one"), Some(1.0), Some(1.0)),
+            bound(None, Some(0.1), None),
+        ])
+        .await;
         assert!(good.passed && good.bounds.len() == 2, "{:?}", good.bounds);
         assert!(good.differences.iter().all(|d| d.difference.mean == 0.0));
         assert_eq!(good.differences.len(), Measure::ALL.len());
--- a/crates/lab/src/datagrams.rs
+++ b/crates/lab/src/datagrams.rs
@@ -45,11 +45,19 @@
     if !link.net.passes(link.from, link.to) || fastrand::f64() < faults.lost {
         return Vec::new();
     }
-    let copies = if fastrand::f64() < faults.repeated { 2 } else { 1 };
+    let copies = if fastrand::f64() < faults.repeated {
+        2
+    } else {
+        1
+    };
     let late = |_| {
         let delay = Duration::from_micros(link.net.delay(link.from, link.to));
         delay
-            + if fastrand::f64() < faults.held_up { HELD_UP.mul_f64(fastrand::f64()) } else { Duration::ZERO }
+            + if fastrand::f64() < faults.held_up {
+                HELD_UP.mul_f64(fastrand::f64())
+            } else {
+                Duration::ZERO
+            }
     };
     (0..copies).map(late).collect()
 }
@@ -72,7 +80,9 @@
         };
         let faults = *faults.borrow();
         for delay in datagram(&link, faults) {
-            let Ok(permit) = Arc::clone(&under_way).try_acquire_owned() else { break };
+            let Ok(permit) = Arc::clone(&under_way).try_acquire_owned() else {
+                break;
+            };
             let (out, piece) = (Arc::clone(&out), bytes[..length].to_vec());
             tokio::spawn(async move {
                 sleep(delay).await;
--- a/crates/lab/src/directory.rs
+++ b/crates/lab/src/directory.rs
@@ -39,22 +39,30 @@
 impl Directory {
     /// How many changes an agent that is `lag` late has heard of at `now`.
     pub fn heard(&self, now: Us, lag: Us) -> usize {
-        self.changes.partition_point(|change| change.at.saturating_add(lag) <= now)
+        self.changes
+            .partition_point(|change| change.at.saturating_add(lag) <= now)
     }
 
     /// When such an agent next hears of something, after so many changes.
     pub fn next(&self, heard: usize, lag: Us) -> Option<Us> {
-        self.changes.get(heard).map(|change| change.at.saturating_add(lag))
+        self.changes
+            .get(heard)
+            .map(|change| change.at.saturating_add(lag))
     }
 
     /// The whole list after so many changes: every server that is not gone.
     pub fn whole(&self, heard: usize) -> Vec<(usize, State)> {
-        let mut list: std::collections::BTreeMap<usize, State> =
-            self.known.iter().map(|server| (*server, State::Active { since: None })).collect();
+        let mut list: std::collections::BTreeMap<usize, State> = self
+            .known
+            .iter()
+            .map(|server| (*server, State::Active { since: None }))
+            .collect();
         for change in &self.changes[..heard] {
             list.insert(change.server, change.state);
         }
-        list.into_iter().filter(|(_, state)| *state != State::Left).collect()
+        list.into_iter()
+            .filter(|(_, state)| *state != State::Left)
+            .collect()
     }
 
     /// What has changed between two such counts: the newest state of each server.
@@ -74,16 +82,37 @@
     fn an_agent_hears_late_and_in_order() {
         let active = State::Active { since: Some(9) };
         let changes = vec![
-            Change { at: 5, server: 0, state: State::Leaving },
-            Change { at: 9, server: 2, state: active },
-            Change { at: 20, server: 0, state: State::Left },
+            Change {
+                at: 5,
+                server: 0,
+                state: State::Leaving,
+            },
+            Change {
+                at: 9,
+                server: 2,
+                state: active,
+            },
+            Change {
+                at: 20,
+                server: 0,
+                state: State::Left,
+            },
         ];
-        let directory = Directory { known: vec![0, 1], changes };
-        assert_eq!([0, 14, 15, 19, 30].map(|now| directory.heard(now, 10)), [0, 0, 1, 2, 3]);
+        let directory = Directory {
+            known: vec![0, 1],
+            changes,
+        };
+        assert_eq!(
+            [0, 14, 15, 19, 30].map(|now| directory.heard(now, 10)),
+            [0, 0, 1, 2, 3]
+        );
         assert_eq!(directory.next(1, 10), Some(19));
         assert_eq!(directory.next(3, 10), None);
         let old = State::Active { since: None };
-        assert_eq!(directory.whole(2), [(0, State::Leaving), (1, old), (2, active)]);
+        assert_eq!(
+            directory.whole(2),
+            [(0, State::Leaving), (1, old), (2, active)]
+        );
         assert_eq!(directory.whole(3), [(1, old), (2, active)]);
         assert_eq!(directory.between(0, 3), [(0, State::Left), (2, active)]);
     }
--- a/crates/lab/src/door.rs
+++ b/crates/lab/src/door.rs
@@ -29,7 +29,11 @@
 const PAUSE: Duration = Duration::from_millis(20);
 
 fn listen(at: SocketAddr) -> io::Result<TcpListener> {
-    let socket = if at.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+    let socket = if at.is_ipv4() {
+        TcpSocket::new_v4()
+    } else {
+        TcpSocket::new_v6()
+    }?;
     socket.set_reuseaddr(true)?;
     socket.bind(at)?;
     socket.listen(BACKLOG as u32)
@@ -47,10 +51,19 @@
 
 impl Door {
     /// Binds a port of the system's choice on that host.
-    pub fn bind(host: std::net::IpAddr, life: watch::Receiver<Life>, link: Link) -> io::Result<Self> {
+    pub fn bind(
+        host: std::net::IpAddr,
+        life: watch::Receiver<Life>,
+        link: Link,
+    ) -> io::Result<Self> {
         let reserved = Reserved::on(host)?;
         let listener = listen(reserved.address())?;
-        Ok(Self { listener: Some(listener), reserved, life, link })
+        Ok(Self {
+            listener: Some(listener),
+            reserved,
+            life,
+            link,
+        })
     }
 
     /// Where it is.
@@ -138,8 +151,15 @@
     /// An echo behind a door, in zone 1, for who dials in zone 0.
     async fn echo() -> (SocketAddr, Net, watch::Sender<Life>) {
         let net = Net::new(&Network::default());
-        let (life, lives) = watch::channel(Life { up: true, number: 1 });
-        let link = Link { net: net.clone(), from: 0, to: 1 };
+        let (life, lives) = watch::channel(Life {
+            up: true,
+            number: 1,
+        });
+        let link = Link {
+            net: net.clone(),
+            from: 0,
+            to: 1,
+        };
         let door = Door::bind(HOST, lives.clone(), link.clone()).expect("a free port");
         let address = door.address();
         tokio::spawn(door.run(move |stream, number| {
@@ -171,7 +191,10 @@
     async fn what_is_said_comes_back_and_a_close_is_passed_on() {
         let (address, _net, _life) = echo().await;
         let mut stream = TcpStream::connect(address).await.expect("it is up");
-        assert_eq!(said(&mut stream, b"hello").await.expect("an echo"), b"hello");
+        assert_eq!(
+            said(&mut stream, b"hello").await.expect("an echo"),
+            b"hello"
+        );
         stream.shutdown().await.expect("it closes");
         assert_eq!(stream.read(&mut [0; 8]).await.expect("a close"), 0);
     }
@@ -179,8 +202,10 @@
     #[tokio::test]
     async fn a_cut_says_nothing_and_breaks_only_what_was_said_into_it() {
         let (address, net, _life) = echo().await;
-        let (mut idle, mut busy) =
-            (TcpStream::connect(address).await.expect("up"), TcpStream::connect(address).await.expect("up"));
+        let (mut idle, mut busy) = (
+            TcpStream::connect(address).await.expect("up"),
+            TcpStream::connect(address).await.expect("up"),
+        );
         for stream in [&mut idle, &mut busy] {
             said(stream, b"before").await.expect("an echo");
         }
@@ -188,24 +213,42 @@
         let into = timeout(Duration::from_millis(200), said(&mut busy, b"into")).await;
         assert!(into.is_err(), "something was said: {into:?}");
         // The door hears of the cut in its own time; from then on nothing comes up.
-        let comes_up =
-            async || timeout(Duration::from_millis(200), TcpStream::connect(address)).await.is_ok();
+        let comes_up = async || {
+            timeout(Duration::from_millis(200), TcpStream::connect(address))
+                .await
+                .is_ok()
+        };
         let mut tries = 0;
         while comes_up().await {
             tries += 1;
             assert!(tries < 50, "connections still come up");
         }
         net.cut(1, Way::In, false);
-        assert!(timeout(LONG, busy.read(&mut [0; 1])).await.expect("an end").is_err(), "no reset");
+        assert!(
+            timeout(LONG, busy.read(&mut [0; 1]))
+                .await
+                .expect("an end")
+                .is_err(),
+            "no reset"
+        );
         assert_eq!(
-            timeout(LONG, said(&mut idle, b"after")).await.expect("an echo").expect("an echo"),
+            timeout(LONG, said(&mut idle, b"after"))
+                .await
+                .expect("an echo")
+                .expect("an echo"),
             b"after"
         );
-        let mut fresh = timeout(LONG, TcpStream::connect(address)).await.expect("in time").expect("it is up");
+        let mut fresh = timeout(LONG, TcpStream::connect(address))
+            .await
+            .expect("in time")
+            .expect("it is up");
         let mut echoed = said(&mut fresh, b"again").await;
         while echoed.is_err() {
             // It came into the queue while that was being cleared.
-            fresh = timeout(LONG, TcpStream::connect(address)).await.expect("in time").expect("it is up");
+            fresh = timeout(LONG, TcpStream::connect(address))
+                .await
+                .expect("in time")
+                .expect("it is up");
             echoed = said(&mut fresh, b"again").await;
         }
         assert_eq!(echoed.expect("an echo"), b"again");
@@ -216,13 +259,28 @@
         let (address, _net, life) = echo().await;
         let mut stream = TcpStream::connect(address).await.expect("it is up");
         said(&mut stream, b"before").await.expect("an echo");
-        life.send_replace(Life { up: false, number: 1 });
-        assert!(timeout(LONG, stream.read(&mut [0; 1])).await.expect("an end").is_err(), "no reset");
+        life.send_replace(Life {
+            up: false,
+            number: 1,
+        });
+        assert!(
+            timeout(LONG, stream.read(&mut [0; 1]))
+                .await
+                .expect("an end")
+                .is_err(),
+            "no reset"
+        );
         while TcpStream::connect(address).await.is_ok() {}
         // Nobody else gets its port meanwhile: the system picks a free one as who does not allow reuse asks for it.
         let other = TcpSocket::new_v4().expect("a socket");
-        assert_eq!(other.bind(address).expect_err("it is kept").kind(), io::ErrorKind::AddrInUse);
-        life.send_replace(Life { up: true, number: 2 });
+        assert_eq!(
+            other.bind(address).expect_err("it is kept").kind(),
+            io::ErrorKind::AddrInUse
+        );
+        life.send_replace(Life {
+            up: true,
+            number: 2,
+        });
         let mut back = loop {
             match TcpStream::connect(address).await {
                 Ok(stream) => break stream,
--- a/crates/lab/src/draw.rs
+++ b/crates/lab/src/draw.rs
@@ -52,14 +52,22 @@
     let (t, l) = (&experiment.topology, &experiment.load);
     let mut rng = stream(seed, 1);
     let groups = t.servers.div_ceil(t.group).max(t.zones);
-    let mut servers: Vec<ServerSpec> =
-        (0..t.servers).map(|i| server(&mut rng, i % groups % t.zones, i % groups, i % KINDS.len())).collect();
+    let mut servers: Vec<ServerSpec> = (0..t.servers)
+        .map(|i| server(&mut rng, i % groups % t.zones, i % groups, i % KINDS.len()))
+        .collect();
     let limits = (0..groups)
-        .map(|_| if rng.f64() < t.limited { between(&mut rng, site::LIMITED) } else { 1.0 })
+        .map(|_| {
+            if rng.f64() < t.limited {
+                between(&mut rng, site::LIMITED)
+            } else {
+                1.0
+            }
+        })
         .collect();
     let mut rng = stream(seed, 2);
-    let weights: Vec<f64> =
-        (0..t.sidecars).map(|_| (l.uneven * UNEVEN_SPREAD * normal(&mut rng)).exp()).collect();
+    let weights: Vec<f64> = (0..t.sidecars)
+        .map(|_| (l.uneven * UNEVEN_SPREAD * normal(&mut rng)).exp())
+        .collect();
     let mean = weights.iter().sum::<f64>() / weights.len() as f64;
     let lag = |rng: &mut Rng| {
         let [least, most] = experiment.network.list_delay.map(us);
@@ -133,7 +141,10 @@
     use linenproxy_common::units::Time;
 
     fn experiment() -> Experiment {
-        Experiment { name: "a".to_owned(), ..Experiment::default() }
+        Experiment {
+            name: "a".to_owned(),
+            ..Experiment::default()
+        }
     }
 
     #[test]
@@ -155,7 +166,14 @@
         let faulty = draw(&with, 7);
         assert_eq!(faulty.arrivals, plain.arrivals);
         assert_eq!(faulty.servers[..12], plain.servers[..]);
-        assert_eq!((faulty.servers.len(), faulty.steps.len(), faulty.directory.changes.len()), (18, 12, 18));
+        assert_eq!(
+            (
+                faulty.servers.len(),
+                faulty.steps.len(),
+                faulty.directory.changes.len()
+            ),
+            (18, 12, 18)
+        );
         assert!(faulty.steps.windows(2).all(|two| two[0].0 <= two[1].0));
     }
 
@@ -168,10 +186,13 @@
         let deviation = plan.arrivals.len() as f64 / expected - 1.0;
         assert!(deviation.abs() < 0.06, "{deviation}");
         let most = plan.sidecars.iter().map(|s| s.share).fold(0.0, f64::max);
-        assert!(most > 3.0, "uneven traffic has a sidecar of {most} times the mean");
+        assert!(
+            most > 3.0,
+            "uneven traffic has a sidecar of {most} times the mean"
+        );
         for (i, class) in CLASSES.iter().enumerate() {
-            let part =
-                plan.arrivals.iter().filter(|a| a.class == i).count() as f64 / plan.arrivals.len() as f64;
+            let part = plan.arrivals.iter().filter(|a| a.class == i).count() as f64
+                / plan.arrivals.len() as f64;
             assert!((part - class.share).abs() < 0.03, "{}: {part}", class.name);
         }
     }
--- a/crates/lab/src/draw/arrivals.rs
+++ b/crates/lab/src/draw/arrivals.rs
@@ -13,10 +13,17 @@
 
 /// Poisson arrivals of each sidecar, whose rate wanders in a wave of its own; thinned from the highest rate (Lewis
 /// and Shedler, Naval Research Logistics Quarterly 26, 1979, p. 403).
-pub(super) fn arrivals(experiment: &Experiment, sidecars: &[SidecarSpec], seed: u64) -> Vec<Arrival> {
+pub(super) fn arrivals(
+    experiment: &Experiment,
+    sidecars: &[SidecarSpec],
+    seed: u64,
+) -> Vec<Arrival> {
     let l = &experiment.load;
     let mut rng = stream(seed, 4);
-    let works: Vec<f64> = CLASSES.iter().map(|c| between(&mut rng, c.work) * l.work).collect();
+    let works: Vec<f64> = CLASSES
+        .iter()
+        .map(|c| between(&mut rng, c.work) * l.work)
+        .collect();
     let popularity: Vec<f64> = (0..l.keys)
         .scan(0.0, |sum, rank| {
             *sum += 1.0 / (rank + 1) as f64;
@@ -51,7 +58,8 @@
                 class,
                 key: popularity.partition_point(|sum| *sum < place) as u64,
                 work: (works[class] * spread).max(1000.0),
-                patience: (between(&mut rng, site::PATIENCE) * CLASSES[class].deadline as f64) as Us,
+                patience: (between(&mut rng, site::PATIENCE) * CLASSES[class].deadline as f64)
+                    as Us,
                 waits: [(); 2].map(|()| between(&mut rng, CLIENT_WAIT) as Us),
             });
         }
--- a/crates/lab/src/draw/faults.rs
+++ b/crates/lab/src/draw/faults.rs
@@ -32,20 +32,27 @@
         for (n, i) in chosen.into_iter().enumerate() {
             let (from, to) = match fault.kind {
                 FaultKind::ServersDie => (Step::ServerDown(i), Step::ServerUp(i)),
-                FaultKind::ServersSilent => (Step::ServerSilent(i, true), Step::ServerSilent(i, false)),
+                FaultKind::ServersSilent => {
+                    (Step::ServerSilent(i, true), Step::ServerSilent(i, false))
+                }
                 FaultKind::ServersSlow => (Step::ServerSlow(i, size), Step::ServerSlow(i, 1.0)),
                 FaultKind::ServersFail => (Step::ServerFails(i, size), Step::ServerFails(i, 0.0)),
                 FaultKind::SidecarsKill => (Step::SidecarKill(i), Step::SidecarStart(i)),
-                FaultKind::ReturnsNever => {
-                    (Step::Returns(i, Returns::Never), Step::Returns(i, Returns::Well))
-                }
-                FaultKind::ReturnsTwice => {
-                    (Step::Returns(i, Returns::Twice), Step::Returns(i, Returns::Well))
+                FaultKind::ReturnsNever => (
+                    Step::Returns(i, Returns::Never),
+                    Step::Returns(i, Returns::Well),
+                ),
+                FaultKind::ReturnsTwice => (
+                    Step::Returns(i, Returns::Twice),
+                    Step::Returns(i, Returns::Well),
+                ),
+                FaultKind::ReturnsLate => (
+                    Step::Returns(i, Returns::Late((size * 1000.0) as Us)),
+                    Step::Returns(i, Returns::Well),
+                ),
+                FaultKind::SidecarsPause => {
+                    (Step::SidecarPause(i, true), Step::SidecarPause(i, false))
                 }
-                FaultKind::ReturnsLate => {
-                    (Step::Returns(i, Returns::Late((size * 1000.0) as Us)), Step::Returns(i, Returns::Well))
-                }
-                FaultKind::SidecarsPause => (Step::SidecarPause(i, true), Step::SidecarPause(i, false)),
                 FaultKind::SidecarsClock => {
                     self.sidecars[i].clock_offset_ms = size as i64;
                     continue;
@@ -56,9 +63,18 @@
                 }
                 FaultKind::ServersLeave => {
                     let gone = until + self.list_lag + DRAINS_FOR;
-                    self.steps.extend([(at, Step::ServerLeaves(i)), (gone, Step::ServerDown(i))]);
-                    self.changes.push(Change { at: until, server: i, state: State::Leaving });
-                    self.changes.push(Change { at: gone, server: i, state: State::Left });
+                    self.steps
+                        .extend([(at, Step::ServerLeaves(i)), (gone, Step::ServerDown(i))]);
+                    self.changes.push(Change {
+                        at: until,
+                        server: i,
+                        state: State::Leaving,
+                    });
+                    self.changes.push(Change {
+                        at: gone,
+                        server: i,
+                        state: State::Left,
+                    });
                     continue;
                 }
                 FaultKind::ServersReplace => {
@@ -69,7 +85,11 @@
             };
             self.steps.extend([(at, from), (until, to)]);
             if fault.kind == FaultKind::ServersDie {
-                self.changes.push(Change { at, server: i, state: State::Left });
+                self.changes.push(Change {
+                    at,
+                    server: i,
+                    state: State::Left,
+                });
                 self.changes.push(Change {
                     at: until,
                     server: i,
@@ -84,7 +104,9 @@
             }
             FaultKind::NetworkSlow => (Step::Slow((size * 1000.0) as Us), Step::Slow(0)),
             FaultKind::NetworkResets => (Step::Resets(size), Step::Resets(0.0)),
-            kind @ (FaultKind::DatagramsLost | FaultKind::DatagramsRepeated | FaultKind::DatagramsLate) => {
+            kind @ (FaultKind::DatagramsLost
+            | FaultKind::DatagramsRepeated
+            | FaultKind::DatagramsLate) => {
                 (Step::Datagrams(kind, size), Step::Datagrams(kind, 0.0))
             }
             FaultKind::MemberLies => (Step::Lies(true), Step::Lies(false)),
@@ -100,29 +122,59 @@
     fn chosen(&mut self, fault: &Fault) -> Vec<usize> {
         let there = |zone: usize| fault.zone.is_none_or(|z| z == zone);
         let mut all: Vec<usize> = match fault.kind.of_sidecars() {
-            true => (0..self.sidecars.len()).filter(|i| there(self.sidecars[*i].zone)).collect(),
+            true => (0..self.sidecars.len())
+                .filter(|i| there(self.sidecars[*i].zone))
+                .collect(),
             false => {
-                let first = self.servers.iter().enumerate().filter(|(_, s)| s.first && there(s.zone));
+                let first = self
+                    .servers
+                    .iter()
+                    .enumerate()
+                    .filter(|(_, s)| s.first && there(s.zone));
                 first.map(|(i, _)| i).collect()
             }
         };
         self.rng.shuffle(&mut all);
         let part = fault.part.unwrap_or(1.0);
-        all.truncate((all.len() as f64 * part).round().max(f64::from(u8::from(part > 0.0))) as usize);
+        all.truncate(
+            (all.len() as f64 * part)
+                .round()
+                .max(f64::from(u8::from(part > 0.0))) as usize,
+        );
         all
     }
 
     fn replace(&mut self, old: usize, at: Us) {
         let new = self.servers.len();
-        let (zone, group, kind) = (self.servers[old].zone, self.servers[old].group, self.servers[old].kind);
-        let spec = ServerSpec { first: false, ..server(&mut self.rng, zone, group, kind) };
+        let (zone, group, kind) = (
+            self.servers[old].zone,
+            self.servers[old].group,
+            self.servers[old].kind,
+        );
+        let spec = ServerSpec {
+            first: false,
+            ..server(&mut self.rng, zone, group, kind)
+        };
         self.servers.push(spec);
         let gone = at + self.list_lag + DRAINS_FOR;
-        self.steps.extend([(at, Step::ServerUp(new)), (gone, Step::ServerDown(old))]);
+        self.steps
+            .extend([(at, Step::ServerUp(new)), (gone, Step::ServerDown(old))]);
         self.changes.extend([
-            Change { at, server: new, state: State::Active { since: Some(at) } },
-            Change { at, server: old, state: State::Leaving },
-            Change { at: gone, server: old, state: State::Left },
+            Change {
+                at,
+                server: new,
+                state: State::Active { since: Some(at) },
+            },
+            Change {
+                at,
+                server: old,
+                state: State::Leaving,
+            },
+            Change {
+                at: gone,
+                server: old,
+                state: State::Left,
+            },
         ]);
     }
 }
--- a/crates/lab/src/dumps.rs
+++ b/crates/lab/src/dumps.rs
@@ -62,7 +62,11 @@
     let held = |b: &Value| {
         let started_ms = b["started_ms"].as_i64()?;
         Some(Held {
-            place: Place { key: b["key"].as_u64()?, server: server(b)?, started_ms },
+            place: Place {
+                key: b["key"].as_u64()?,
+                server: server(b)?,
+                started_ms,
+            },
             epoch: b["epoch"].as_u64()?,
             ends: b["ends"].as_i64()?,
             again: b["held"].as_bool()?,
@@ -70,20 +74,32 @@
     };
     let picks = |p: &Value| {
         let ago = Us::try_from(p["last_ms_ago"].as_i64()?).ok()? * 1000;
-        Some((server(p)?, p["started_ms"].as_i64()?, now.saturating_sub(ago)))
+        Some((
+            server(p)?,
+            p["started_ms"].as_i64()?,
+            now.saturating_sub(ago),
+        ))
     };
     Some(Dump {
         sidecar,
         slot: page["slot"].as_i64()?,
         hears: page["hears"].as_bool()?,
-        held: page["bindings"].as_array()?.iter().filter_map(held).collect(),
+        held: page["bindings"]
+            .as_array()?
+            .iter()
+            .filter_map(held)
+            .collect(),
         picks: page["picks"].as_array()?.iter().filter_map(picks).collect(),
     })
 }
 
 /// Follows one sidecar for good.
 pub async fn follow(sidecar: usize, at: SocketAddr, plan: Arc<Plan>, clock: Clock, record: Record) {
-    let names = plan.servers.iter().enumerate().map(|(number, spec)| (spec.name.clone(), number));
+    let names = plan
+        .servers
+        .iter()
+        .enumerate()
+        .map(|(number, spec)| (spec.name.clone(), number));
     let servers: HashMap<String, usize> = names.collect();
     // Not all at once.
     sleep(EVERY * (sidecar % 10) as u32 / 10).await;
@@ -109,8 +125,20 @@
         let page = json!({"slot": 8, "hears": true, "bindings": [binding("a"), binding("b"), {"key": 1}],
             "picks": [{"server": "a", "started_ms": 5, "count": 2, "last_ms_ago": 4}]});
         let dump = read(2, 10_000, &page, &servers).expect("it is a page");
-        let place = Place { key: 7, server: 3, started_ms: 5 };
-        assert_eq!(dump.held, [Held { place, epoch: 1, ends: 9, again: true }]);
+        let place = Place {
+            key: 7,
+            server: 3,
+            started_ms: 5,
+        };
+        assert_eq!(
+            dump.held,
+            [Held {
+                place,
+                epoch: 1,
+                ends: 9,
+                again: true
+            }]
+        );
         assert_eq!((dump.sidecar, dump.picks), (2, vec![(3, 5, 6000)]));
         assert_eq!(read(2, 0, &json!({"slot": 8}), &servers), None);
     }
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -9,7 +9,9 @@
 use crate::outcome::Measure;
 pub use fault::{Fault, FaultKind, Way};
 use linenproxy_common::units::Time;
-pub use maintenance::{Agreed, Blackout, Carried, StewardFault, StewardFaultKind, Stewards, Who, Window};
+pub use maintenance::{
+    Agreed, Blackout, Carried, StewardFault, StewardFaultKind, Stewards, Who, Window,
+};
 pub use mix::{Mix, Roll, Version};
 use serde::{Deserialize, Serialize};
 use std::path::PathBuf;
@@ -146,26 +148,50 @@
 
 impl Default for Topology {
     fn default() -> Self {
-        Self { sidecars: 6, servers: 12, zones: 3, group: 4, limited: 0.4, connections: 512 }
+        Self {
+            sidecars: 6,
+            servers: 12,
+            zones: 3,
+            group: 4,
+            limited: 0.4,
+            connections: 512,
+        }
     }
 }
 
 impl Default for Load {
     fn default() -> Self {
         let (lasts, warmup) = (Time::ms(20_000), Time::ms(2000));
-        Self { rate: 10.0, uneven: 0.5, wander: 0.2, lasts, warmup, keys: 500, work: 1.0 }
+        Self {
+            rate: 10.0,
+            uneven: 0.5,
+            wander: 0.2,
+            lasts,
+            warmup,
+            keys: 500,
+            work: 1.0,
+        }
     }
 }
 
 impl Default for Network {
     fn default() -> Self {
-        let [inside, between, jitter] = [200, 2000, 200].map(|us| Time(std::time::Duration::from_micros(us)));
-        Self { inside, between, jitter, list_delay: [Time::ms(1000), Time::ms(3000)] }
+        let [inside, between, jitter] =
+            [200, 2000, 200].map(|us| Time(std::time::Duration::from_micros(us)));
+        Self {
+            inside,
+            between,
+            jitter,
+            list_delay: [Time::ms(1000), Time::ms(3000)],
+        }
     }
 }
 
 impl Default for Bounds {
     fn default() -> Self {
-        Self { lateness: Time::ms(30), measure: Vec::new() }
+        Self {
+            lateness: Time::ms(30),
+            measure: Vec::new(),
+        }
     }
 }
--- a/crates/lab/src/experiment/check.rs
+++ b/crates/lab/src/experiment/check.rs
@@ -13,7 +13,12 @@
         let wrong = |key: &str, what: &str| Err(Contradiction::new(key, what));
         let (t, l) = (&self.topology, &self.load);
         let part = |x: f64| (0.0..=1.0).contains(&x);
-        if self.name.is_empty() || !self.name.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-') {
+        if self.name.is_empty()
+            || !self
+                .name
+                .bytes()
+                .all(|b| b.is_ascii_alphanumeric() || b == b'-')
+        {
             return wrong("name", "letters, digits and hyphens, at least one");
         }
         if !(1..=MOST_SIDECARS).contains(&t.sidecars) {
@@ -26,15 +31,24 @@
             return wrong("topology.zones", "1 to 3, and no more than servers");
         }
         if t.group == 0 || t.connections == 0 || !part(t.limited) {
-            return wrong("topology", "group and connections above 0, limited from 0 to 1");
+            return wrong(
+                "topology",
+                "group and connections above 0, limited from 0 to 1",
+            );
         }
         if !(0.01..=1000.0).contains(&l.rate)
             || l.rate * t.sidecars as f64 * l.lasts.0.as_secs_f64() > MOST_REQUESTS
         {
-            return wrong("load.rate", "0.01 to 1000 a second, and no more than 5 million requests in all");
+            return wrong(
+                "load.rate",
+                "0.01 to 1000 a second, and no more than 5 million requests in all",
+            );
         }
         if !part(l.uneven) || !part(l.wander) || l.keys == 0 || !(0.01..=100.0).contains(&l.work) {
-            return wrong("load", "uneven and wander from 0 to 1, keys above 0, work from 0.01 to 100");
+            return wrong(
+                "load",
+                "uneven and wander from 0 to 1, keys above 0, work from 0.01 to 100",
+            );
         }
         if l.warmup >= l.lasts {
             return wrong("load.warmup", "it must end before load.lasts does");
@@ -47,7 +61,10 @@
                 return wrong("fault", "at must lie before load.lasts");
             }
             if fault.zone.is_some_and(|z| z >= t.zones) || fault.part.is_some_and(|p| !part(p)) {
-                return wrong("fault", "zone must be one of topology.zones, part from 0 to 1");
+                return wrong(
+                    "fault",
+                    "zone must be one of topology.zones, part from 0 to 1",
+                );
             }
             let sized = matches!(
                 fault.kind,
@@ -61,7 +78,9 @@
                     | FaultKind::DatagramsRepeated
                     | FaultKind::DatagramsLate
             );
-            if sized != fault.size.is_some() || fault.size.is_some_and(|s| !(0.0..=1e4).contains(&s)) {
+            if sized != fault.size.is_some()
+                || fault.size.is_some_and(|s| !(0.0..=1e4).contains(&s))
+            {
                 return wrong(
                     "fault",
                     "size belongs to servers-slow, servers-fail, network-slow, network-resets, returns-late, sidecars-clock and datagrams-*",
@@ -82,26 +101,47 @@
                     "at must lie before load.lasts, servers and times be above 0, zone one of topology.zones",
                 );
             }
-            if window.length.0.is_zero() || window.latest.is_some_and(|latest| latest <= window.at) {
+            if window.length.0.is_zero() || window.latest.is_some_and(|latest| latest <= window.at)
+            {
                 return wrong("window", "length must be above 0, latest after at");
             }
         }
         if let Some(agreed) = &self.agreement
             && (!part(agreed.keep) || !part(agreed.keep_zone) || agreed.most_away == 0)
         {
-            return wrong("agreement", "keep and keep_zone from 0 to 1, most_away above 0");
+            return wrong(
+                "agreement",
+                "keep and keep_zone from 0 to 1, most_away above 0",
+            );
         }
-        let asked = self.variant.iter().any(|variant| variant.windows == Carried::Asked);
+        let asked = self
+            .variant
+            .iter()
+            .any(|variant| variant.windows == Carried::Asked);
         if asked != self.stewards.is_some() || (asked && self.agreement.is_none()) {
-            return wrong("stewards", "they belong to windows = \"asked\", and need an agreement");
+            return wrong(
+                "stewards",
+                "they belong to windows = \"asked\", and need an agreement",
+            );
         }
-        if self.stewards.as_ref().is_some_and(|stewards| ![3, 5].contains(&stewards.count)) {
+        if self
+            .stewards
+            .as_ref()
+            .is_some_and(|stewards| ![3, 5].contains(&stewards.count))
+        {
             return wrong("stewards.count", "3 or 5");
         }
         if let Some(stewards) = &self.stewards
-            && stewards.count < stewards.clock_offset_ms.len().max(stewards.disk_delay.len())
+            && stewards.count
+                < stewards
+                    .clock_offset_ms
+                    .len()
+                    .max(stewards.disk_delay.len())
         {
-            return wrong("stewards", "clock_offset_ms and disk_delay have one entry a steward at most");
+            return wrong(
+                "stewards",
+                "clock_offset_ms and disk_delay have one entry a steward at most",
+            );
         }
         let mut names: Vec<&str> = self.variant.iter().map(|v| v.name.as_str()).collect();
         if names.is_empty() || names.iter().any(|n| n.is_empty()) {
@@ -116,7 +156,10 @@
                 return wrong("bounds.measure", "least or most is needed");
             }
         }
-        self.variant.iter().filter_map(|v| v.mix.as_ref()).try_for_each(|mix| mix.check(l.lasts))?;
+        self.variant
+            .iter()
+            .filter_map(|v| v.mix.as_ref())
+            .try_for_each(|mix| mix.check(l.lasts))?;
         names.sort_unstable();
         if names.windows(2).any(|two| two[0] == two[1]) {
             return wrong("variant", "two have the same name");
@@ -134,20 +177,33 @@
     #[test]
     fn bad_files_get_one_plain_line_with_the_place() {
         let good = "name = \"a\"\n[[variant]]\nname = \"today\"\n";
-        let read = |text: &str| parse::<Experiment>(Path::new("a.toml"), text).map_err(|p| p.to_string());
+        let read =
+            |text: &str| parse::<Experiment>(Path::new("a.toml"), text).map_err(|p| p.to_string());
         assert_eq!(read(good).map(|e| e.variant.len()), Ok(1));
         for (more, place) in [
             ("[topology]\nzones = 9\n", "a.toml:5: topology.zones: "),
-            ("[topology]\nsidecrs = 9\n", "a.toml:5: topology.sidecrs: unknown field"),
+            (
+                "[topology]\nsidecrs = 9\n",
+                "a.toml:5: topology.sidecrs: unknown field",
+            ),
             ("[load]\nlasts = \"5 parsecs\"\n", "a.toml:5: load.lasts: "),
             ("[load]\nwarmup = \"20s\"\n", "a.toml:5: load.warmup: "),
-            ("[[fault]]\nkind = \"servers-die\"\nat = \"99s\"\nlasts = \"1s\"\n", "a.toml:4: fault: "),
+            (
+                "[[fault]]\nkind = \"servers-die\"\nat = \"99s\"\nlasts = \"1s\"\n",
+                "a.toml:4: fault: ",
+            ),
             (
                 "[[fault]]\nkind = \"servers-vanish\"\nat = \"1s\"\nlasts = \"1s\"\n",
                 "a.toml:5: fault[0].kind: ",
             ),
-            ("[[variant]]\nname = \"today\"\n", "a.toml:2: variant: two have the same name"),
-            ("[[bounds.measure]]\nmeasure = \"served\"\n", "a.toml:4: bounds.measure: "),
+            (
+                "[[variant]]\nname = \"today\"\n",
+                "a.toml:2: variant: two have the same name",
+            ),
+            (
+                "[[bounds.measure]]\nmeasure = \"served\"\n",
+                "a.toml:4: bounds.measure: ",
+            ),
         ] {
             let said = read(&format!("{good}{more}")).expect_err(more);
             assert!(said.starts_with(place) && !said.contains('\n'), "{said}");
--- a/crates/lab/src/experiment/fault.rs
+++ b/crates/lab/src/experiment/fault.rs
@@ -95,6 +95,9 @@
 impl FaultKind {
     /// Whether it concerns sidecars rather than servers.
     pub fn of_sidecars(self) -> bool {
-        matches!(self, Self::SidecarsKill | Self::SidecarsRoll | Self::SidecarsPause | Self::SidecarsClock)
+        matches!(
+            self,
+            Self::SidecarsKill | Self::SidecarsRoll | Self::SidecarsPause | Self::SidecarsClock
+        )
     }
 }
--- a/crates/lab/src/experiment/maintenance.rs
+++ b/crates/lab/src/experiment/maintenance.rs
@@ -117,7 +117,13 @@
 impl Default for Stewards {
     fn default() -> Self {
         let (config, fault) = (String::new(), Vec::new());
-        Self { count: 3, config, fault, clock_offset_ms: Vec::new(), disk_delay: Vec::new() }
+        Self {
+            count: 3,
+            config,
+            fault,
+            clock_offset_ms: Vec::new(),
+            disk_delay: Vec::new(),
+        }
     }
 }
 
--- a/crates/lab/src/experiment/mix.rs
+++ b/crates/lab/src/experiment/mix.rs
@@ -57,7 +57,10 @@
             return Err(Contradiction::new("variant.mix", "part from 0 to 1"));
         }
         if self.roll.iter().any(|roll| roll.at >= lasts) {
-            return Err(Contradiction::new("variant.mix.roll", "at must lie before load.lasts"));
+            return Err(Contradiction::new(
+                "variant.mix.roll",
+                "at must lie before load.lasts",
+            ));
         }
         Ok(())
     }
--- a/crates/lab/src/fleetpages.rs
+++ b/crates/lab/src/fleetpages.rs
@@ -64,7 +64,9 @@
             });
             tokio::spawn(async move {
                 // What is wrong with a connection concerns its other end alone.
-                let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
+                let _ = http1::Builder::new()
+                    .serve_connection(TokioIo::new(stream), service)
+                    .await;
             });
         }
     }
