--- a/crates/lab/src/fronts.rs
+++ b/crates/lab/src/fronts.rs
@@ -60,20 +60,39 @@
             let (own, front) = host(member);
             let socket = UdpSocket::bind((front, 0)).await?;
             let own = Reserved::on(own)?;
-            addresses.push(Address { own: own.address(), front: socket.local_addr()? });
+            addresses.push(Address {
+                own: own.address(),
+                front: socket.local_addr()?,
+            });
             reserved.push(own);
             sockets.push(socket);
         }
         let sockets = Arc::new(sockets);
-        let by_own: Arc<HashMap<SocketAddr, usize>> =
-            Arc::new(addresses.iter().enumerate().map(|(member, a)| (a.own, member)).collect());
-        let (zones, under_way) = (Arc::new(zones.to_vec()), Arc::new(Semaphore::new(UNDER_WAY)));
+        let by_own: Arc<HashMap<SocketAddr, usize>> = Arc::new(
+            addresses
+                .iter()
+                .enumerate()
+                .map(|(member, a)| (a.own, member))
+                .collect(),
+        );
+        let (zones, under_way) = (
+            Arc::new(zones.to_vec()),
+            Arc::new(Semaphore::new(UNDER_WAY)),
+        );
         let (mut tasks, sent) = (Vec::new(), Arc::new(AtomicU64::new(0)));
         for (to, address) in addresses.iter().enumerate() {
-            let (sockets, by_own, zones) = (Arc::clone(&sockets), Arc::clone(&by_own), Arc::clone(&zones));
+            let (sockets, by_own, zones) = (
+                Arc::clone(&sockets),
+                Arc::clone(&by_own),
+                Arc::clone(&zones),
+            );
             let sent = Arc::clone(&sent);
-            let (net, faults, under_way, own) =
-                (net.clone(), faults.clone(), Arc::clone(&under_way), address.own);
+            let (net, faults, under_way, own) = (
+                net.clone(),
+                faults.clone(),
+                Arc::clone(&under_way),
+                address.own,
+            );
             let task = tokio::spawn(async move {
                 let mut bytes = vec![0; LONGEST];
                 loop {
@@ -82,12 +101,20 @@
                         continue;
                     };
                     // Whoever is no member has no front, and so no way in.
-                    let Some(from) = by_own.get(&from).copied() else { continue };
+                    let Some(from) = by_own.get(&from).copied() else {
+                        continue;
+                    };
                     sent.fetch_add(length as u64, Ordering::Relaxed);
-                    let link = Link { net: net.clone(), from: zones[from], to: zones[to] };
+                    let link = Link {
+                        net: net.clone(),
+                        from: zones[from],
+                        to: zones[to],
+                    };
                     let faults = *faults.borrow();
                     for delay in datagram(&link, faults) {
-                        let Ok(permit) = Arc::clone(&under_way).try_acquire_owned() else { break };
+                        let Ok(permit) = Arc::clone(&under_way).try_acquire_owned() else {
+                            break;
+                        };
                         let (sockets, piece) = (Arc::clone(&sockets), bytes[..length].to_vec());
                         tokio::spawn(async move {
                             sleep(delay).await;
@@ -100,7 +127,14 @@
             });
             tasks.push(task.abort_handle());
         }
-        Ok((Self { addresses, _reserved: reserved, bytes: sent }, tasks))
+        Ok((
+            Self {
+                addresses,
+                _reserved: reserved,
+                bytes: sent,
+            },
+            tasks,
+        ))
     }
 
     /// Bytes of the datagrams that members have sent.
@@ -111,8 +145,20 @@
     /// The section of a member that the lab itself runs.
     pub fn member(&self, member: usize) -> FleetSection {
         let Address { own, front } = self.addresses[member];
-        let seeds = self.addresses.iter().map(|a| a.front).filter(|a| *a != front).take(SEEDS).collect();
-        FleetSection { enabled: true, listen: own, advertise: Some(front), seeds, ..FleetSection::default() }
+        let seeds = self
+            .addresses
+            .iter()
+            .map(|a| a.front)
+            .filter(|a| *a != front)
+            .take(SEEDS)
+            .collect();
+        FleetSection {
+            enabled: true,
+            listen: own,
+            advertise: Some(front),
+            seeds,
+            ..FleetSection::default()
+        }
     }
 
     /// What stands for `{fleet}` in the product configuration of a member whose clock is so many milliseconds off.
@@ -125,12 +171,21 @@
 pub fn section(addresses: &[Address], member: usize, clock_offset_ms: i64) -> String {
     let Address { own, front } = addresses[member];
     // Those after it, so that no few of them have to be there for all.
-    let seeds =
-        (1..addresses.len().min(SEEDS + 1)).map(|n| addresses[(member + n * n) % addresses.len()].front);
-    let seeds: Vec<String> = seeds.filter(|seed| *seed != front).map(|seed| format!("\"{seed}\"")).collect();
-    let clock =
-        if clock_offset_ms == 0 { String::new() } else { format!("clock_offset = {clock_offset_ms}\n") };
-    format!("listen = \"{own}\"\nadvertise = \"{front}\"\nseeds = [{}]\n{clock}", seeds.join(", "))
+    let seeds = (1..addresses.len().min(SEEDS + 1))
+        .map(|n| addresses[(member + n * n) % addresses.len()].front);
+    let seeds: Vec<String> = seeds
+        .filter(|seed| *seed != front)
+        .map(|seed| format!("\"{seed}\""))
+        .collect();
+    let clock = if clock_offset_ms == 0 {
+        String::new()
+    } else {
+        format!("clock_offset = {clock_offset_ms}\n")
+    };
+    format!(
+        "listen = \"{own}\"\nadvertise = \"{front}\"\nseeds = [{}]\n{clock}",
+        seeds.join(", ")
+    )
 }
 
 #[cfg(test)]
@@ -147,15 +202,26 @@
     async fn members_know_each_other_by_their_fronts_and_a_cut_parts_zones() {
         let net = Net::new(&Network::default());
         let (_faults, told) = watch::channel(Datagrams::default());
-        let host = |_| (IpAddr::V4(Ipv4Addr::new(127, 0, 0, 3)), IpAddr::V4(Ipv4Addr::LOCALHOST));
-        let (fronts, _tasks) = Fronts::open(&[0, 1], host, &net, &told).await.expect("free ports");
+        let host = |_| {
+            (
+                IpAddr::V4(Ipv4Addr::new(127, 0, 0, 3)),
+                IpAddr::V4(Ipv4Addr::LOCALHOST),
+            )
+        };
+        let (fronts, _tasks) = Fronts::open(&[0, 1], host, &net, &told)
+            .await
+            .expect("free ports");
         let [a, b] = [fronts.addresses[0], fronts.addresses[1]];
-        let (one, two) =
-            (UdpSocket::bind(a.own).await.expect("its own"), UdpSocket::bind(b.own).await.expect("its own"));
+        let (one, two) = (
+            UdpSocket::bind(a.own).await.expect("its own"),
+            UdpSocket::bind(b.own).await.expect("its own"),
+        );
         let mut bytes = [0; 8];
         one.send_to(&[1], b.front).await.expect("it goes out");
-        let (length, from) =
-            timeout(LONG, two.recv_from(&mut bytes)).await.expect("in time").expect("it comes");
+        let (length, from) = timeout(LONG, two.recv_from(&mut bytes))
+            .await
+            .expect("in time")
+            .expect("it comes");
         assert_eq!((length, from), (1, a.front));
         // What is sent into a cut, or by a stranger, never comes: the next to come is the one after.
         net.cut(0, Way::Out, true);
@@ -166,17 +232,31 @@
         stranger.send_to(&[3], b.front).await.expect("it goes out");
         read_up(b.front).await;
         one.send_to(&[4], b.front).await.expect("it goes out");
-        timeout(LONG, two.recv_from(&mut bytes)).await.expect("in time").expect("it comes");
+        timeout(LONG, two.recv_from(&mut bytes))
+            .await
+            .expect("in time")
+            .expect("it comes");
         assert_eq!(bytes[0], 4);
     }
 
     #[test]
     fn everyone_is_told_of_some_others() {
         let at = |n: u16| SocketAddr::from((Ipv4Addr::LOCALHOST, n));
-        let addresses: Vec<Address> = (1..=10).map(|n| Address { own: at(n), front: at(100 + n) }).collect();
+        let addresses: Vec<Address> = (1..=10)
+            .map(|n| Address {
+                own: at(n),
+                front: at(100 + n),
+            })
+            .collect();
         let text = section(&addresses, 0, 2000);
-        assert!(text.contains("listen = \"127.0.0.1:1\"") && text.contains("clock_offset = 2000"), "{text}");
-        assert!(text.contains("\"127.0.0.1:102\"") && !text.contains("seeds = [\"127.0.0.1:101\""), "{text}");
+        assert!(
+            text.contains("listen = \"127.0.0.1:1\"") && text.contains("clock_offset = 2000"),
+            "{text}"
+        );
+        assert!(
+            text.contains("\"127.0.0.1:102\"") && !text.contains("seeds = [\"127.0.0.1:101\""),
+            "{text}"
+        );
         assert!(!section(&addresses, 3, 0).contains("clock_offset"));
     }
 }
--- a/crates/lab/src/leaving.rs
+++ b/crates/lab/src/leaving.rs
@@ -30,7 +30,13 @@
         // What was said before that is no answer of then.
         let answer = ask(at, "POST", "/fleet/leaving", Some(&body), WITHIN).await;
         if answer.is_some_and(|(status, page)| status == 200 && page["clear"] == true) {
-            record.note(clock.now(), Seen::Cleared { server: leaves.server, token: leaves.token });
+            record.note(
+                clock.now(),
+                Seen::Cleared {
+                    server: leaves.server,
+                    token: leaves.token,
+                },
+            );
             return;
         }
         sleep(EVERY).await;
--- a/crates/lab/src/liar.rs
+++ b/crates/lab/src/liar.rs
@@ -17,7 +17,9 @@
 const NAME: &str = "liar";
 
 fn now() -> Micros {
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let unix = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     Micros::try_from(unix.as_micros()).unwrap_or(0)
 }
 
@@ -30,7 +32,9 @@
     others: Vec<SocketAddr>,
     lies: watch::Receiver<bool>,
 ) {
-    let Ok(socket) = UdpSocket::bind(section.listen).await else { return };
+    let Ok(socket) = UdpSocket::bind(section.listen).await else {
+        return;
+    };
     let began = now();
     let mut core = Core::new(&section, NAME, zone, began.unsigned_abs(), 1, began);
     let (mut bytes, mut sequence) = (vec![0; 65_536], 0);
@@ -51,7 +55,11 @@
         }
         let seen = now();
         for chunk in servers.chunks(10) {
-            let head = Head { cluster: &section.cluster, sent: seen, content: Content::News };
+            let head = Head {
+                cluster: &section.cluster,
+                sent: seen,
+                content: Content::News,
+            };
             let mut frame = frame::begin(&head);
             for server in chunk {
                 sequence += 1;
@@ -61,11 +69,20 @@
                     sequence,
                     zone: hash(zone),
                     seen,
-                    process: Process { name: hash(server), started: 0 },
+                    process: Process {
+                        name: hash(server),
+                        started: 0,
+                    },
                     sign: Sign::Sick,
                 };
                 if let Ok(bytes) = postcard::to_stdvec(&datum) {
-                    frame::add(&mut frame, &Piece { kind: EVIDENCE, bytes: &bytes });
+                    frame::add(
+                        &mut frame,
+                        &Piece {
+                            kind: EVIDENCE,
+                            bytes: &bytes,
+                        },
+                    );
                 }
             }
             for other in &others {
--- a/crates/lab/src/listing.rs
+++ b/crates/lab/src/listing.rs
@@ -7,7 +7,12 @@
 use serde_json::{Value, json};
 
 /// Unix time in milliseconds at which the play began, and what an entry is called on the wire.
-pub fn entry(spec: &ServerSpec, state: State, address: std::net::SocketAddr, began_ms: u64) -> Value {
+pub fn entry(
+    spec: &ServerSpec,
+    state: State,
+    address: std::net::SocketAddr,
+    began_ms: u64,
+) -> Value {
     let (status, since) = match state {
         State::Active { since } => ("active", started_ms(since, began_ms)),
         State::Leaving => ("leaving", 0),
@@ -42,7 +47,9 @@
     address: impl Fn(usize) -> std::net::SocketAddr,
     began_ms: u64,
 ) -> Value {
-    let entries: Vec<Value> =
-        entries.iter().map(|(i, state)| entry(&plan.servers[*i], *state, address(*i), began_ms)).collect();
+    let entries: Vec<Value> = entries
+        .iter()
+        .map(|(i, state)| entry(&plan.servers[*i], *state, address(*i), began_ms))
+        .collect();
     json!({"index": heard + 1, "snapshot": whole, "endpoints": entries})
 }
--- a/crates/lab/src/live.rs
+++ b/crates/lab/src/live.rs
@@ -22,7 +22,14 @@
 impl<'a> Live<'a> {
     /// From the beginning.
     pub fn new(plan: &'a Plan, record: Record) -> Self {
-        Self { plan, record, seen: 0, arrivals: HashMap::new(), served: 0, asked: 0 }
+        Self {
+            plan,
+            record,
+            seen: 0,
+            arrivals: HashMap::new(),
+            served: 0,
+            asked: 0,
+        }
     }
 
     /// The table of what happened since the last one, `seconds` ago.
@@ -35,13 +42,19 @@
         let (mut handshakes, mut told) = (0_u64, 0_u64);
         for (at, seen) in &entries {
             match seen {
-                Seen::Taken { request, arrival, .. } => {
+                Seen::Taken {
+                    request, arrival, ..
+                } => {
                     self.arrivals.insert(*request, (*arrival, *at));
                     by_class[self.plan.arrivals[*arrival].class].0 += 1;
                     self.asked += 1;
                 }
-                Seen::Answered { request, status, .. } => {
-                    let Some((arrival, _)) = self.arrivals.remove(request) else { continue };
+                Seen::Answered {
+                    request, status, ..
+                } => {
+                    let Some((arrival, _)) = self.arrivals.remove(request) else {
+                        continue;
+                    };
                     let arrival = &self.plan.arrivals[arrival];
                     let of = &mut by_class[arrival.class];
                     if *status == 200 {
@@ -60,11 +73,21 @@
                     by_server[*server].0 += 1;
                     of_attempt.insert(*number, *server);
                 }
-                Seen::AttemptAnswered { number, unprocessed: true, .. } => {
-                    of_attempt.get(number).into_iter().for_each(|server| by_server[*server].1 += 1);
+                Seen::AttemptAnswered {
+                    number,
+                    unprocessed: true,
+                    ..
+                } => {
+                    of_attempt
+                        .get(number)
+                        .into_iter()
+                        .for_each(|server| by_server[*server].1 += 1);
                 }
                 Seen::AttemptSwallowed { number } => {
-                    of_attempt.get(number).into_iter().for_each(|server| by_server[*server].2 += 1);
+                    of_attempt
+                        .get(number)
+                        .into_iter()
+                        .for_each(|server| by_server[*server].2 += 1);
                 }
                 Seen::Handshake { .. } => handshakes += 1,
                 Seen::Told { .. } => told += 1,
@@ -73,12 +96,17 @@
         }
         let mut text = String::new();
         // Writing to a text cannot fail.
-        let _ = writeln!(text, "class       asked/s  served/s  not served/s   median ms   99 % ms");
+        let _ = writeln!(
+            text,
+            "class       asked/s  served/s  not served/s   median ms   99 % ms"
+        );
         for (class, (asked, served, not, times)) in CLASSES.iter().zip(&mut by_class) {
             times.sort_unstable();
             let at = |part: f64| {
                 let place = (times.len() as f64 * part) as usize;
-                times.get(place.min(times.len().saturating_sub(1))).map_or(0.0, |us| *us as f64 / 1e3)
+                times
+                    .get(place.min(times.len().saturating_sub(1)))
+                    .map_or(0.0, |us| *us as f64 / 1e3)
             };
             let _ = writeln!(
                 text,
@@ -98,7 +126,9 @@
             self.served,
             handshakes as f64 / seconds
         );
-        for (spec, (attempts, turned, swallowed)) in self.plan.servers.iter().zip(&by_server).take(SHOWN) {
+        for (spec, (attempts, turned, swallowed)) in
+            self.plan.servers.iter().zip(&by_server).take(SHOWN)
+        {
             let _ = writeln!(
                 text,
                 "{:<12}{:<8}{:>10.1}{:>15.1}{:>16.1}",
@@ -125,17 +155,47 @@
         let record = Record::default();
         let mut live = Live::new(&plan, record.clone());
         let request = 7;
-        record.note(1000, Seen::Taken { request, arrival: 0, sidecar: 0, until: 9000 });
+        record.note(
+            1000,
+            Seen::Taken {
+                request,
+                arrival: 0,
+                sidecar: 0,
+                until: 9000,
+            },
+        );
         record.note(
             2000,
-            Seen::Attempt { number: 1, request: Some(request), sidecar: 0, server: 0, began: 1500 },
+            Seen::Attempt {
+                number: 1,
+                request: Some(request),
+                sidecar: 0,
+                server: 0,
+                began: 1500,
+            },
+        );
+        record.note(
+            3000,
+            Seen::Answered {
+                request,
+                status: 200,
+                genuine: true,
+            },
         );
-        record.note(3000, Seen::Answered { request, status: 200, genuine: true });
         let line = |text: &str, start: &str| {
-            let found = text.lines().find(|l| l.starts_with(start)).expect("the line is there");
-            found.split_whitespace().map(str::to_owned).collect::<Vec<_>>()
+            let found = text
+                .lines()
+                .find(|l| l.starts_with(start))
+                .expect("the line is there");
+            found
+                .split_whitespace()
+                .map(str::to_owned)
+                .collect::<Vec<_>>()
         };
-        let (class, server) = (CLASSES[plan.arrivals[0].class].name, plan.servers[0].name.clone());
+        let (class, server) = (
+            CLASSES[plan.arrivals[0].class].name,
+            plan.servers[0].name.clone(),
+        );
         let first = live.table(0.5);
         assert_eq!(line(&first, class)[1..4], ["2.0", "2.0", "0.0"]);
         assert_eq!(line(&first, &server)[2..], ["2.0", "0.0", "0.0"]);
--- a/crates/lab/src/net.rs
+++ b/crates/lab/src/net.rs
@@ -20,14 +20,18 @@
 impl Clock {
     /// The play begins now.
     pub fn begin(&self) {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let began = (Instant::now(), u64::try_from(unix.as_millis()).unwrap_or(0));
         self.0.send_replace(Some(began));
     }
 
     /// Microseconds since it began.
     pub fn now(&self) -> Us {
-        self.0.borrow().map_or(0, |(start, _)| Us::try_from(start.elapsed().as_micros()).unwrap_or(Us::MAX))
+        self.0.borrow().map_or(0, |(start, _)| {
+            Us::try_from(start.elapsed().as_micros()).unwrap_or(Us::MAX)
+        })
     }
 
     /// Unix time in milliseconds at which it began; 0 until it has.
@@ -37,7 +41,13 @@
 
     /// Waits for its beginning, and then until so long after that.
     pub async fn until(&self, at: Us) {
-        let began = self.0.subscribe().wait_for(Option::is_some).await.ok().and_then(|began| *began);
+        let began = self
+            .0
+            .subscribe()
+            .wait_for(Option::is_some)
+            .await
+            .ok()
+            .and_then(|began| *began);
         match began {
             // Further than the timer's reach is never.
             Some((start, _)) => match start.checked_add(Duration::from_micros(at)) {
@@ -68,7 +78,11 @@
     /// With nothing wrong.
     pub fn new(calm: &Network) -> Self {
         let changes = Arc::new(watch::channel(0).0);
-        Self { calm: Arc::new(calm.clone()), faults: Arc::default(), changes }
+        Self {
+            calm: Arc::new(calm.clone()),
+            faults: Arc::default(),
+            changes,
+        }
     }
 
     fn with<T>(&self, what: impl FnOnce(&mut Faults) -> T) -> T {
@@ -118,7 +132,11 @@
     /// How long a piece takes that way.
     pub fn delay(&self, from: usize, to: usize) -> Us {
         let calm = &self.calm;
-        let base = if from == to { calm.inside } else { calm.between };
+        let base = if from == to {
+            calm.inside
+        } else {
+            calm.between
+        };
         let jitter = Us::try_from(calm.jitter.0.as_micros()).unwrap_or(0);
         let base = Us::try_from(base.0.as_micros()).unwrap_or(0);
         base + fastrand::u64(0..=jitter) + self.with(|faults| faults.slow)
--- a/crates/lab/src/observer.rs
+++ b/crates/lab/src/observer.rs
@@ -34,7 +34,9 @@
     loop {
         sleep(EVERY).await;
         let page = ask(at, "GET", "/fleet", None, WITHIN).await;
-        let Some(stands) = page.and_then(|(_, page)| standing(&page)) else { continue };
+        let Some(stands) = page.and_then(|(_, page)| standing(&page)) else {
+            continue;
+        };
         if last.replace(stands) != Some(stands) {
             record.note(clock.now(), Seen::Standing { sidecar, stands });
         }
@@ -49,7 +51,13 @@
     #[test]
     fn a_standing_is_read_by_itself_or_with_its_particulars() {
         assert_eq!(standing(&json!({"standing": "whole"})), Some(Stands::Whole));
-        assert_eq!(standing(&json!({"standing": {"kind": "cut", "larger": true}})), Some(Stands::Cut));
-        assert_eq!([json!({}), json!({"standing": "odd"})].map(|page| standing(&page)), [None, None]);
+        assert_eq!(
+            standing(&json!({"standing": {"kind": "cut", "larger": true}})),
+            Some(Stands::Cut)
+        );
+        assert_eq!(
+            [json!({}), json!({"standing": "odd"})].map(|page| standing(&page)),
+            [None, None]
+        );
     }
 }
--- a/crates/lab/src/outcome.rs
+++ b/crates/lab/src/outcome.rs
@@ -129,7 +129,10 @@
 
     /// Its name in files.
     pub fn name(self) -> String {
-        serde_json::to_value(self).ok().and_then(|v| v.as_str().map(str::to_owned)).unwrap_or_default()
+        serde_json::to_value(self)
+            .ok()
+            .and_then(|v| v.as_str().map(str::to_owned))
+            .unwrap_or_default()
     }
 }
 
@@ -139,8 +142,12 @@
 
     #[test]
     fn each_has_a_name_of_its_own() {
-        let names: std::collections::BTreeSet<String> = Measure::ALL.iter().map(|m| m.name()).collect();
+        let names: std::collections::BTreeSet<String> =
+            Measure::ALL.iter().map(|m| m.name()).collect();
         assert_eq!(names.len(), Measure::ALL.len());
-        assert!(names.contains("served_worst_second") && names.contains("p99_ms"), "{names:?}");
+        assert!(
+            names.contains("served_worst_second") && names.contains("p99_ms"),
+            "{names:?}"
+        );
     }
 }
--- a/crates/lab/src/page.rs
+++ b/crates/lab/src/page.rs
@@ -36,8 +36,15 @@
             .body(Full::new(Bytes::from(content)));
         let response = sender.send_request(request.ok()?).await.ok()?;
         let status = response.status().as_u16();
-        let content = Limited::new(response.into_body(), LONGEST).collect().await.ok()?.to_bytes();
-        Some((status, serde_json::from_slice(&content).unwrap_or(Value::Null)))
+        let content = Limited::new(response.into_body(), LONGEST)
+            .collect()
+            .await
+            .ok()?
+            .to_bytes();
+        Some((
+            status,
+            serde_json::from_slice(&content).unwrap_or(Value::Null),
+        ))
     };
     timeout(within, asked).await.ok().flatten()
 }
--- a/crates/lab/src/pairs/builds.rs
+++ b/crates/lab/src/pairs/builds.rs
@@ -65,15 +65,27 @@
         move |e| BuildError::Io(what, e)
     };
     // Its steps run in other folders.
-    let target = std::path::absolute(folder(builds, &revision.name)).map_err(io("the folder of builds"))?;
+    let target =
+        std::path::absolute(folder(builds, &revision.name)).map_err(io("the folder of builds"))?;
     let stamp = target.join("commit");
-    let programs =
-        || revision.program.iter().map(|p| p.name.as_str()).chain([MEMBER]).map(|p| target.join(p));
-    if fs::read_to_string(&stamp).is_ok_and(|c| c == revision.commit) && programs().all(|p| p.is_file()) {
+    let programs = || {
+        revision
+            .program
+            .iter()
+            .map(|p| p.name.as_str())
+            .chain([MEMBER])
+            .map(|p| target.join(p))
+    };
+    if fs::read_to_string(&stamp).is_ok_and(|c| c == revision.commit)
+        && programs().all(|p| p.is_file())
+    {
         return Ok(target);
     }
     let commit = format!("{}^{{commit}}", revision.commit);
-    let known = git(repository).args(["cat-file", "-e", &commit]).stderr(Stdio::null()).status();
+    let known = git(repository)
+        .args(["cat-file", "-e", &commit])
+        .stderr(Stdio::null())
+        .status();
     if !known.map_err(io("git"))?.success() {
         return Err(BuildError::Unknown(revision.commit.clone()));
     }
@@ -84,23 +96,58 @@
     fs::create_dir_all(&sources).map_err(io("a folder for the sources"))?;
     let archive = target.join("sources.tar");
     let mut out = git(repository);
-    let out = out.args(["archive", "--format=tar", "-o"]).arg(&archive).arg(&revision.commit);
+    let out = out
+        .args(["archive", "--format=tar", "-o"])
+        .arg(&archive)
+        .arg(&revision.commit);
     step("git archive", out, until)?;
-    step("tar", Command::new("tar").arg("-xf").arg(&archive).arg("-C").arg(&sources), until)?;
+    step(
+        "tar",
+        Command::new("tar")
+            .arg("-xf")
+            .arg(&archive)
+            .arg("-C")
+            .arg(&sources),
+        until,
+    )?;
     for program in &revision.program {
         let mut cargo = Command::new(std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into()));
-        cargo.current_dir(&sources).args(["build", "--locked", "--all-features", "--profile", PROFILE]);
-        cargo.args(["-p", &program.package, "--bin", &program.name, "--target-dir"]);
+        cargo.current_dir(&sources).args([
+            "build",
+            "--locked",
+            "--all-features",
+            "--profile",
+            PROFILE,
+        ]);
+        cargo.args([
+            "-p",
+            &program.package,
+            "--bin",
+            &program.name,
+            "--target-dir",
+        ]);
         step("cargo build", cargo.arg(target.join("target")), until)?;
         let built = target.join("target").join(PROFILE).join(&program.name);
         fs::copy(&built, target.join(&program.name)).map_err(io("a program that was built"))?;
     }
     for recorder in recorders(&sources).map_err(io("a part that talks in lines"))? {
         let mut cargo = Command::new(std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into()));
-        cargo.current_dir(&sources).args(["build", "--locked", "--profile", PROFILE]);
-        cargo.args(["-p", recorder.package, "--example", recorder.name, "--target-dir"]);
+        cargo
+            .current_dir(&sources)
+            .args(["build", "--locked", "--profile", PROFILE]);
+        cargo.args([
+            "-p",
+            recorder.package,
+            "--example",
+            recorder.name,
+            "--target-dir",
+        ]);
         step("cargo build", cargo.arg(target.join("target")), until)?;
-        let built = target.join("target").join(PROFILE).join("examples").join(recorder.name);
+        let built = target
+            .join("target")
+            .join(PROFILE)
+            .join("examples")
+            .join(recorder.name);
         fs::copy(&built, target.join(recorder.name)).map_err(io("a part that talks in lines"))?;
     }
     fs::write(&stamp, &revision.commit).map_err(io("the commit's name"))?;
@@ -132,12 +179,26 @@
     let carries = sources.join("crates/fleet/src/carrier.rs").is_file();
     let later = if carries { "later.rs" } else { "earlier.rs" };
     let files = [("member.rs", "member.rs"), (later, "later.rs")];
-    lay("fleet", MEMBER, &files, &format!("mod later;\nmod lines;\nmod member;\n\n{}", serves("member")))?;
-    let mut all = vec![Recorder { package: "linenproxy-fleet", name: MEMBER }];
+    lay(
+        "fleet",
+        MEMBER,
+        &files,
+        &format!(
+            "mod later;\nmod lines;\nmod member;\n\n{}",
+            serves("member")
+        ),
+    )?;
+    let mut all = vec![Recorder {
+        package: "linenproxy-fleet",
+        name: MEMBER,
+    }];
     if sources.join("crates/steward/src/agreement").is_dir() {
         let main = format!("mod lines;\nmod steward;\n\n{}", serves("steward"));
         lay("steward", STEWARD, &[("steward.rs", "steward.rs")], &main)?;
-        all.push(Recorder { package: "linenproxy-steward", name: STEWARD });
+        all.push(Recorder {
+            package: "linenproxy-steward",
+            name: STEWARD,
+        });
     }
     Ok(all)
 }
--- a/crates/lab/src/pairs/feed.rs
+++ b/crates/lab/src/pairs/feed.rs
@@ -22,8 +22,16 @@
 
 impl std::fmt::Display for Parting {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let Self { line, theirs, ours, told } = self;
-        write!(f, "line {line}: theirs {theirs:?}, ours {ours:?}, told {told:?}")
+        let Self {
+            line,
+            theirs,
+            ours,
+            told,
+        } = self;
+        write!(
+            f,
+            "line {line}: theirs {theirs:?}, ours {ours:?}, told {told:?}"
+        )
     }
 }
 
@@ -32,7 +40,11 @@
 /// # Errors
 /// It cannot be started, or ends with a failure.
 pub fn answers(program: &Path, told: &str) -> io::Result<String> {
-    let mut child = Command::new(program).env_clear().stdin(Stdio::piped()).stdout(Stdio::piped()).spawn()?;
+    let mut child = Command::new(program)
+        .env_clear()
+        .stdin(Stdio::piped())
+        .stdout(Stdio::piped())
+        .spawn()?;
     let (Some(mut into), Some(mut out)) = (child.stdin.take(), child.stdout.take()) else {
         return Err(io::Error::other("it has no pipes"));
     };
@@ -41,7 +53,12 @@
     let (written, read) = thread::scope(|scope| {
         let writer = scope.spawn(move || into.write_all(told.as_bytes()));
         let read = out.read_to_string(&mut text);
-        (writer.join().unwrap_or_else(|_| Err(io::Error::other("the writer panicked"))), read)
+        (
+            writer
+                .join()
+                .unwrap_or_else(|_| Err(io::Error::other("the writer panicked"))),
+            read,
+        )
     });
     let status = child.wait()?;
     written?;
@@ -63,9 +80,19 @@
         line += 1;
         let (own, other) = (ours.next(), others.next());
         if own != other || own.is_none() {
-            let told = history.told.split("\ngo\n").nth(batch).unwrap_or_default().to_owned();
+            let told = history
+                .told
+                .split("\ngo\n")
+                .nth(batch)
+                .unwrap_or_default()
+                .to_owned();
             let text = |line: Option<&str>| line.unwrap_or_default().to_owned();
-            return Some(Parting { line, theirs: text(other), ours: text(own), told });
+            return Some(Parting {
+                line,
+                theirs: text(other),
+                ours: text(own),
+                told,
+            });
         }
         batch += usize::from(own.is_some_and(|line| line.starts_with("next ")));
     }
--- a/crates/lab/src/pairs/histories.rs
+++ b/crates/lab/src/pairs/histories.rs
@@ -71,7 +71,10 @@
 pub fn experiment(history: u64) -> Experiment {
     let mut rng = fastrand::Rng::with_seed(history);
     let kind = Kind::of(history);
-    let mut e = Experiment { name: format!("history-{history}"), ..Experiment::default() };
+    let mut e = Experiment {
+        name: format!("history-{history}"),
+        ..Experiment::default()
+    };
     let t = &mut e.topology;
     t.zones = rng.usize(1..=3);
     (t.sidecars, t.servers) = (rng.usize(2..=5), rng.usize(6..=12));
@@ -122,7 +125,15 @@
     let way = (kind == ZoneCut).then(|| [Way::In, Way::Out, Way::Both][rng.usize(..3)]);
     let zone = way.map(|_| rng.usize(..zones));
     let (at, lasts) = (Time::ms(rng.u64(500..3500)), Time::ms(rng.u64(300..2500)));
-    Fault { kind, at, lasts, zone, part: Some(0.1 + rng.f64() * 0.7), size, way }
+    Fault {
+        kind,
+        at,
+        lasts,
+        zone,
+        part: Some(0.1 + rng.f64() * 0.7),
+        size,
+        way,
+    }
 }
 
 /// Plays that history with the module of today, and hands over what passed between it and the sidecars as the simulator's
@@ -133,7 +144,11 @@
 pub fn history(number: u64) -> Result<Written, Problem> {
     let experiment = experiment(number);
     let plan = draw(&experiment, number);
-    let names: Vec<String> = plan.servers.iter().map(|server| server.name.clone()).collect();
+    let names: Vec<String> = plan
+        .servers
+        .iter()
+        .map(|server| server.name.clone())
+        .collect();
     let mut written = Written::new(names);
     simulate_tapped(&experiment, &plan, &Variant::default(), Some(&mut written))?;
     Ok(written)
--- a/crates/lab/src/pairs/lan.rs
+++ b/crates/lab/src/pairs/lan.rs
@@ -76,14 +76,31 @@
     let members = programs.iter().map(member).collect::<io::Result<_>>()?;
     let came = vec![Came::default(); MEMBERS];
     let rng = fastrand::Rng::with_seed(seed);
-    let mut lan = Lan { members, came, mail: BinaryHeap::new(), number: 0, rng, now: BEGIN };
-    let names: Vec<String> = (0..ENDPOINTS).map(|endpoint| format!("s-{endpoint}")).collect();
+    let mut lan = Lan {
+        members,
+        came,
+        mail: BinaryHeap::new(),
+        number: 0,
+        rng,
+        now: BEGIN,
+    };
+    let names: Vec<String> = (0..ENDPOINTS)
+        .map(|endpoint| format!("s-{endpoint}"))
+        .collect();
     for member in 0..MEMBERS {
         let zone = ["a", "b", "c"][member % 3];
-        let seeds: Vec<String> =
-            (0..3).filter(|s| *s != member).map(|seed| address(seed).to_string()).collect();
+        let seeds: Vec<String> = (0..3)
+            .filter(|s| *s != member)
+            .map(|seed| address(seed).to_string())
+            .collect();
         let (now, own, chance) = (lan.now, address(member), lan.rng.u64(..));
-        lan.ask(member, &format!("start n{member} {zone} {now} {chance} {now} {own} {}", seeds.join(",")))?;
+        lan.ask(
+            member,
+            &format!(
+                "start n{member} {zone} {now} {chance} {now} {own} {}",
+                seeds.join(",")
+            ),
+        )?;
         lan.ask(member, &format!("list {now} {}", names.join(",")))?;
     }
     while lan.now < END {
@@ -100,8 +117,12 @@
     let newer: Vec<usize> = (0..came.len()).filter(|m| !old(*m)).collect();
     let mut wrong = Vec::new();
     for (member, c) in came.iter().enumerate() {
-        let mut find =
-            |what: &str| wrong.push(format!("member {member} {what}: {}", sum(&came[member..=member])));
+        let mut find = |what: &str| {
+            wrong.push(format!(
+                "member {member} {what}: {}",
+                sum(&came[member..=member])
+            ))
+        };
         // The one that leaves has no say at the end.
         let all = came.len() - 1;
         if c.members[0] != all || (member != all && c.members[1] != all - 1) {
@@ -112,14 +133,25 @@
         }
         // What cannot be read; a kind that is not known is for earlier members only. Other reasons, such as news from who is
         // not known yet, are no matter of versions.
-        let unread =
-            [Dropped::TooLong, Dropped::Malformed, Dropped::Version, Dropped::Cluster, Dropped::Forged];
+        let unread = [
+            Dropped::TooLong,
+            Dropped::Malformed,
+            Dropped::Version,
+            Dropped::Cluster,
+            Dropped::Forged,
+        ];
         let count = |why: Dropped| c.dropped.get(why as usize).copied().unwrap_or(0);
-        if unread.into_iter().any(|why| count(why) > 0) || (!old(member) && count(Dropped::Kind) > 0) {
+        if unread.into_iter().any(|why| count(why) > 0)
+            || (!old(member) && count(Dropped::Kind) > 0)
+        {
             find("cannot read what it should");
         }
         let others = newer.iter().filter(|other| **other != member);
-        if !old(member) && !others.clone().all(|m| c.carried.contains(&format!("{m:02x}"))) {
+        if !old(member)
+            && !others
+                .clone()
+                .all(|m| c.carried.contains(&format!("{m:02x}")))
+        {
             find("misses pieces that were carried");
         }
     }
@@ -130,7 +162,11 @@
 pub fn sum(came: &[Came]) -> String {
     let of = |c: &Came| {
         let (members, dropped) = (c.members, &c.dropped);
-        format!("{members:?} heard {} dropped {dropped:?} carried {}", c.heard, c.carried.len())
+        format!(
+            "{members:?} heard {} dropped {dropped:?} carried {}",
+            c.heard,
+            c.carried.len()
+        )
     };
     came.iter().map(of).collect::<Vec<_>>().join("; ")
 }
@@ -138,8 +174,14 @@
 impl Lan {
     fn step(&mut self) -> io::Result<()> {
         let until = self.now + STEP;
-        while self.mail.peek().is_some_and(|Reverse((at, ..))| *at < until) {
-            let Some(Reverse((at, _, to, line))) = self.mail.pop() else { break };
+        while self
+            .mail
+            .peek()
+            .is_some_and(|Reverse((at, ..))| *at < until)
+        {
+            let Some(Reverse((at, _, to, line))) = self.mail.pop() else {
+                break;
+            };
             self.now = at;
             self.ask(to, &format!("datagram {at} {line}"))?;
         }
@@ -181,18 +223,23 @@
     }
 
     fn post(&mut self, from: usize, to: &str, hex: &str) {
-        let places: BTreeMap<String, usize> = (0..MEMBERS).map(|m| (address(m).to_string(), m)).collect();
+        let places: BTreeMap<String, usize> =
+            (0..MEMBERS).map(|m| (address(m).to_string(), m)).collect();
         let (lost, delay) = (self.rng.f64() < LOST, self.rng.i64(200..5000));
         if let Some(to) = places.get(to).filter(|_| !lost) {
             self.number += 1;
             let line = format!("{} {hex}", address(from));
-            self.mail.push(Reverse((self.now + delay, self.number, *to, line)));
+            self.mail
+                .push(Reverse((self.now + delay, self.number, *to, line)));
         }
     }
 
     fn state(&mut self, member: usize, place: usize) -> io::Result<()> {
         let answers = self.members[member].ask("state")?;
-        let words: Vec<&str> = answers.iter().flat_map(|answer| answer.split(' ')).collect();
+        let words: Vec<&str> = answers
+            .iter()
+            .flat_map(|answer| answer.split(' '))
+            .collect();
         let ["state", members, _, heard, dropped] = words[..] else {
             return Err(io::Error::other("no state was answered"));
         };
--- a/crates/lab/src/pairs/part.rs
+++ b/crates/lab/src/pairs/part.rs
@@ -13,7 +13,11 @@
 
 enum Kind {
     Here(Here),
-    There { child: Child, into: ChildStdin, out: BufReader<ChildStdout> },
+    There {
+        child: Child,
+        into: ChildStdin,
+        out: BufReader<ChildStdout>,
+    },
 }
 
 impl Part {
@@ -28,9 +32,17 @@
     /// It cannot be started.
     pub fn of(program: &Path) -> io::Result<Self> {
         let mut command = Command::new(program);
-        let mut child = command.env_clear().stdin(Stdio::piped()).stdout(Stdio::piped()).spawn()?;
+        let mut child = command
+            .env_clear()
+            .stdin(Stdio::piped())
+            .stdout(Stdio::piped())
+            .spawn()?;
         match (child.stdin.take(), child.stdout.take()) {
-            (Some(into), Some(out)) => Ok(Self(Kind::There { child, into, out: BufReader::new(out) })),
+            (Some(into), Some(out)) => Ok(Self(Kind::There {
+                child,
+                into,
+                out: BufReader::new(out),
+            })),
             _ => Err(io::Error::other("it has no pipes")),
         }
     }
--- a/crates/lab/src/pairs/pins.rs
+++ b/crates/lab/src/pairs/pins.rs
@@ -60,21 +60,44 @@
 impl Configuration for Pins {
     fn check(&self) -> Result<(), Contradiction> {
         let wrong = |key: &str, what: &str| Err(Contradiction::new(key, what));
-        let commit = |text: &str| text.len() == COMMIT && text.bytes().all(|b| b.is_ascii_hexdigit());
-        let word =
-            |text: &str| !text.is_empty() && text.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-');
+        let commit =
+            |text: &str| text.len() == COMMIT && text.bytes().all(|b| b.is_ascii_hexdigit());
+        let word = |text: &str| {
+            !text.is_empty() && text.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-')
+        };
         for (number, revision) in self.revision.iter().enumerate() {
-            if !word(&revision.name) || self.revision[..number].iter().any(|r| r.name == revision.name) {
-                return wrong("revision.name", "letters, digits and hyphens, and no name twice");
+            if !word(&revision.name)
+                || self.revision[..number]
+                    .iter()
+                    .any(|r| r.name == revision.name)
+            {
+                return wrong(
+                    "revision.name",
+                    "letters, digits and hyphens, and no name twice",
+                );
             }
             if !commit(&revision.commit) || !revision.difference.iter().all(|d| commit(&d.commit)) {
                 return wrong("revision.commit", "a commit in full, 40 hexadecimal digits");
             }
-            if !revision.program.iter().all(|p| word(&p.package) && word(&p.name)) {
-                return wrong("revision.program", "package and name: letters, digits and hyphens");
+            if !revision
+                .program
+                .iter()
+                .all(|p| word(&p.package) && word(&p.name))
+            {
+                return wrong(
+                    "revision.program",
+                    "package and name: letters, digits and hyphens",
+                );
             }
-            if revision.difference.iter().any(|d| d.why.trim().is_empty() || d.histories.is_empty()) {
-                return wrong("revision.difference", "a reason, and the histories that it may change");
+            if revision
+                .difference
+                .iter()
+                .any(|d| d.why.trim().is_empty() || d.histories.is_empty())
+            {
+                return wrong(
+                    "revision.difference",
+                    "a reason, and the histories that it may change",
+                );
             }
         }
         if self.revision(&self.recorded).is_none() {
@@ -107,6 +130,8 @@
 impl Revision {
     /// Whether its decisions in such a history may differ from today's.
     pub fn may_differ(&self, kind: Kind) -> bool {
-        self.difference.iter().any(|difference| difference.histories.contains(&kind))
+        self.difference
+            .iter()
+            .any(|difference| difference.histories.contains(&kind))
     }
 }
--- a/crates/lab/src/pairs/stewards.rs
+++ b/crates/lab/src/pairs/stewards.rs
@@ -50,10 +50,23 @@
 /// # Errors
 /// A program cannot be started, or a steward cannot go on.
 pub fn play(folder: &Path, stages: &[[Option<&Path>; STEWARDS]], ticks: u64) -> io::Result<Came> {
-    let files = (0..STEWARDS).map(|n| folder.join(format!("steward-{n}.redb"))).collect();
-    let came = Came { told: vec![Vec::new(); STEWARDS], ..Came::default() };
+    let files = (0..STEWARDS)
+        .map(|n| folder.join(format!("steward-{n}.redb")))
+        .collect();
+    let came = Came {
+        told: vec![Vec::new(); STEWARDS],
+        ..Came::default()
+    };
     let (stewards, ids) = ((0..STEWARDS).map(|_| None).collect(), BTreeMap::new());
-    let mut room = Room { stewards, ids, files, wire: VecDeque::new(), order: 0, now: START_MS, came };
+    let mut room = Room {
+        stewards,
+        ids,
+        files,
+        wire: VecDeque::new(),
+        order: 0,
+        now: START_MS,
+        came,
+    };
     for (number, stage) in stages.iter().enumerate() {
         for (steward, program) in stage.iter().enumerate() {
             if number == 0 || stages[number - 1][steward] != *program {
@@ -71,7 +84,10 @@
     room.run(FOUNDING, false)?;
     for steward in 0..STEWARDS {
         let state = room.ask(steward, "state")?;
-        let book = state.first().and_then(|state| state.split(' ').nth(3)).unwrap_or_default();
+        let book = state
+            .first()
+            .and_then(|state| state.split(' ').nth(3))
+            .unwrap_or_default();
         room.came.books.push(book.to_owned());
     }
     Ok(room.came)
@@ -81,20 +97,32 @@
 pub fn judge(came: &Came) -> Vec<String> {
     let mut wrong = came.refused.clone();
     if came.books.iter().any(|book| *book != came.books[0]) {
-        wrong.push(format!("stewards have applied different orders: {}", sum(came)));
+        wrong.push(format!(
+            "stewards have applied different orders: {}",
+            sum(came)
+        ));
     }
     let lines = came.books[0].split(',').count() - 1;
     if lines < came.agreed || came.agreed == 0 {
-        wrong.push(format!("orders were agreed on and are not there: {}", sum(came)));
+        wrong.push(format!(
+            "orders were agreed on and are not there: {}",
+            sum(came)
+        ));
     }
     wrong
 }
 
 /// It all in a line.
 pub fn sum(came: &Came) -> String {
-    let lines: Vec<usize> = came.books.iter().map(|book| book.split(',').count() - 1).collect();
+    let lines: Vec<usize> = came
+        .books
+        .iter()
+        .map(|book| book.split(',').count() - 1)
+        .collect();
     let (agreed, passed, refused) = (came.agreed, came.passed, came.refused.len());
-    format!("{lines:?} orders applied, {agreed} answered, {passed} messages let in, {refused} refused")
+    format!(
+        "{lines:?} orders applied, {agreed} answered, {passed} messages let in, {refused} refused"
+    )
 }
 
 /// Bytes of a sector, the smallest piece of a file that is written down.
@@ -103,7 +131,10 @@
 /// A file as lines: its length, then each sector that is not empty by its number.
 pub fn sparse(file: &[u8]) -> Vec<String> {
     let mut lines = vec![file.len().to_string()];
-    let sectors = file.chunks(SECTOR).enumerate().filter(|(_, sector)| sector.iter().any(|byte| *byte != 0));
+    let sectors = file
+        .chunks(SECTOR)
+        .enumerate()
+        .filter(|(_, sector)| sector.iter().any(|byte| *byte != 0));
     lines.extend(sectors.map(|(number, sector)| format!("{number} {}", hex(sector))));
     lines
 }
@@ -115,7 +146,8 @@
     for line in lines {
         let (number, sector) = line.split_once(' ')?;
         let (at, sector) = (number.parse::<usize>().ok()? * SECTOR, bytes(sector).ok()?);
-        file.get_mut(at..at + sector.len())?.copy_from_slice(&sector);
+        file.get_mut(at..at + sector.len())?
+            .copy_from_slice(&sector);
     }
     Some(file)
 }
@@ -137,7 +169,10 @@
         let (id, run) = (100 + steward, 10 * stage + steward + 1);
         let founds = u8::from(stage == 0 && steward == 0);
         let file = self.files[steward].display().to_string();
-        self.ask(steward, &format!("start s{steward} {id} {run} {founds} {file}"))?;
+        self.ask(
+            steward,
+            &format!("start s{steward} {id} {run} {founds} {file}"),
+        )?;
         self.ids.insert(id.to_string(), steward);
         Ok(())
     }
@@ -145,13 +180,18 @@
     fn run(&mut self, ticks: u64, orders: bool) -> io::Result<()> {
         for tick in 0..ticks {
             self.now += 10;
-            let running: Vec<usize> = (0..STEWARDS).filter(|n| self.stewards[*n].is_some()).collect();
+            let running: Vec<usize> = (0..STEWARDS)
+                .filter(|n| self.stewards[*n].is_some())
+                .collect();
             for steward in &running {
                 self.ask(*steward, "tick")?;
             }
             for guest in &running {
                 let id = 100 + guest;
-                for host in running.iter().filter(|host| *host != guest && tick % EACH == 0 && !orders) {
+                for host in running
+                    .iter()
+                    .filter(|host| *host != guest && tick % EACH == 0 && !orders)
+                {
                     self.ask(*host, &format!("admit {id} s{guest}"))?;
                 }
             }
@@ -164,7 +204,10 @@
                 }
             }
             for _ in 0..self.wire.len() {
-                if let Some((to, hex)) = self.wire.pop_front().filter(|(to, _)| self.stewards[*to].is_some())
+                if let Some((to, hex)) = self
+                    .wire
+                    .pop_front()
+                    .filter(|(to, _)| self.stewards[*to].is_some())
                 {
                     self.ask(to, &format!("step {hex}"))?;
                 }
@@ -174,18 +217,23 @@
     }
 
     fn ask(&mut self, steward: usize, line: &str) -> io::Result<Vec<String>> {
-        let Some(part) = &mut self.stewards[steward] else { return Ok(Vec::new()) };
+        let Some(part) = &mut self.stewards[steward] else {
+            return Ok(Vec::new());
+        };
         self.came.told[steward].push(line.to_owned());
         let answers = part.ask(line)?;
         for answer in &answers {
             let words: Vec<&str> = answer.split(' ').collect();
             match words[..] {
                 ["message", to, hex] => {
-                    self.wire.extend(self.ids.get(to).map(|to| (*to, hex.to_owned())));
+                    self.wire
+                        .extend(self.ids.get(to).map(|to| (*to, hex.to_owned())));
                 }
                 ["agreed", _] => self.came.agreed += 1,
                 ["passed", "true"] => self.came.passed += 1,
-                ["passed", _] | ["aside", ..] => self.came.refused.push(format!("s{steward}: {answer}")),
+                ["passed", _] | ["aside", ..] => {
+                    self.came.refused.push(format!("s{steward}: {answer}"))
+                }
                 _ => {}
             }
         }
--- a/crates/lab/src/pairs/wire.rs
+++ b/crates/lab/src/pairs/wire.rs
@@ -21,7 +21,10 @@
 impl Written {
     /// An empty one, with the servers' names in the order of their numbers.
     pub fn new(servers: Vec<String>) -> Self {
-        Self { servers, ..Self::default() }
+        Self {
+            servers,
+            ..Self::default()
+        }
     }
 
     /// Hash (XXH3) of what was answered: two versions with the same have decided the same.
@@ -51,8 +54,17 @@
                 Status::Ready => 1,
                 Status::Draining => 2,
             };
-            let _ = write!(text, "m Endpoint={} Group={} Status={status}", self.servers[l.endpoint], l.cell);
-            let _ = write!(text, " Size={} ReadyAtUs={}", l.size, l.started.unwrap_or(0));
+            let _ = write!(
+                text,
+                "m Endpoint={} Group={} Status={status}",
+                self.servers[l.endpoint], l.cell
+            );
+            let _ = write!(
+                text,
+                " Size={} ReadyAtUs={}",
+                l.size,
+                l.started.unwrap_or(0)
+            );
             if let Some(zone) = l.zone {
                 let _ = write!(text, " Campus={}", ZONES[zone]);
             }
@@ -61,7 +73,10 @@
             }
             text.push('\n');
         }
-        let _ = writeln!(text, "endpoints I={instance} Epoch=1 Kind={kind} RosterId=0");
+        let _ = writeln!(
+            text,
+            "endpoints I={instance} Epoch=1 Kind={kind} RosterId=0"
+        );
         text
     }
 
@@ -69,7 +84,10 @@
         Some(match event {
             Event::Endpoints(update) => self.list(i, update),
             Event::Request(r) => {
-                let mut text = format!("demand I={i} Ticket={} Profile={}", r.id, CLASSES[r.class].name);
+                let mut text = format!(
+                    "demand I={i} Ticket={} Profile={}",
+                    r.id, CLASSES[r.class].name
+                );
                 let _ = write!(text, " DueUs={} Flags={}", r.due, 2 * u8::from(r.repeat));
                 if let Some(key) = r.key {
                     let _ = write!(text, " PartitionKey={key}");
@@ -106,20 +124,38 @@
     fn action(&self, i: usize, action: &Action) -> Option<String> {
         let server = |endpoint: &usize| &self.servers[*endpoint];
         Some(match action {
-            Action::Send { request, endpoint, timeout, .. } => {
-                format!("hand_off I={i} Ticket={request} Endpoint={} TimeoutUs={timeout}\n", server(endpoint))
+            Action::Send {
+                request,
+                endpoint,
+                timeout,
+                ..
+            } => {
+                format!(
+                    "hand_off I={i} Ticket={request} Endpoint={} TimeoutUs={timeout}\n",
+                    server(endpoint)
+                )
             }
             Action::Refuse { request, hold_off } => {
                 format!("not_now I={i} Ticket={request} HoldOffUs={hold_off}\n")
             }
             Action::Fail(request) => format!("error I={i} Ticket={request}\n"),
-            Action::Cancel { request, attempt } => format!("recall I={i} Ticket={request} Go={attempt}\n"),
-            Action::Probe(endpoint) => format!("health_check I={i} Endpoint={}\n", server(endpoint)),
-            Action::SetTimer { after, token } => format!("defer I={i} FromNowUs={after} Ctx={token}\n"),
+            Action::Cancel { request, attempt } => {
+                format!("recall I={i} Ticket={request} Go={attempt}\n")
+            }
+            Action::Probe(endpoint) => {
+                format!("health_check I={i} Endpoint={}\n", server(endpoint))
+            }
+            Action::SetTimer { after, token } => {
+                format!("defer I={i} FromNowUs={after} Ctx={token}\n")
+            }
             Action::Subscribe(on) => format!("tail I={i} Active={}\n", u8::from(*on)),
             Action::FetchList => format!("read_list I={i}\n"),
-            Action::CloseIdle(endpoint) => format!("free_links I={i} Endpoint={}\n", server(endpoint)),
-            Action::Log(text) => format!("say_log I={i} Text={}\n", text.replace(['\n', '\r'], " ")),
+            Action::CloseIdle(endpoint) => {
+                format!("free_links I={i} Endpoint={}\n", server(endpoint))
+            }
+            Action::Log(text) => {
+                format!("say_log I={i} Text={}\n", text.replace(['\n', '\r'], " "))
+            }
             // Instances of a history have no peers, and what is told to parts never crosses the wire.
             _ => return None,
         })
@@ -128,12 +164,19 @@
 
 impl Tap for Written {
     fn started(&mut self, instance: usize, now: Micros, seed: u64, settings: &str) {
-        self.batch(now, &format!("start I={instance} RandomSeed={seed} Conf={settings}\n"), "");
+        self.batch(
+            now,
+            &format!("start I={instance} RandomSeed={seed} Conf={settings}\n"),
+            "",
+        );
     }
 
     fn told(&mut self, instance: usize, now: Micros, event: &Event, actions: &[Action]) {
         if let Some(told) = self.event(instance, event) {
-            let answered: String = actions.iter().filter_map(|a| self.action(instance, a)).collect();
+            let answered: String = actions
+                .iter()
+                .filter_map(|a| self.action(instance, a))
+                .collect();
             self.batch(now, &told, &answered);
         }
     }
--- a/crates/lab/src/platform.rs
+++ b/crates/lab/src/platform.rs
@@ -75,12 +75,30 @@
         servers: Arc<Servers>,
         catalogue: Catalogue,
     ) -> Arc<Self> {
-        let held = Held { highest: 0, since: 0, place: Place::Serving, returns: Returns::Well };
+        let held = Held {
+            highest: 0,
+            since: 0,
+            place: Place::Serving,
+            returns: Returns::Well,
+        };
         // The latest agent, and what a sidecar may take to act on it.
-        let latest = plan.sidecars.iter().map(|spec| spec.list_lag).max().unwrap_or(0);
+        let latest = plan
+            .sidecars
+            .iter()
+            .map(|spec| spec.list_lag)
+            .max()
+            .unwrap_or(0);
         let told_within = latest + site::DRAIN_GRACE + site::SLACK;
         let held = Mutex::new(vec![held; plan.servers.len()]);
-        Arc::new(Self { plan, clock, record, servers, catalogue, held, told_within })
+        Arc::new(Self {
+            plan,
+            clock,
+            record,
+            servers,
+            catalogue,
+            held,
+            told_within,
+        })
     }
 
     fn with<T>(&self, what: impl FnOnce(&mut Vec<Held>) -> T) -> T {
@@ -112,7 +130,16 @@
         let now = self.clock.now();
         let (highest, before) = (held[server].highest, held[server].place);
         let accepted = token >= highest;
-        self.record.note(now, Seen::Acted { act, server, window, token, accepted });
+        self.record.note(
+            now,
+            Seen::Acted {
+                act,
+                server,
+                window,
+                token,
+                accepted,
+            },
+        );
         if !accepted {
             return Answer::Refused(highest);
         }
@@ -129,7 +156,13 @@
                 Place::Away
             }
             (Act::Return | Act::CallBack, Place::Draining) => {
-                self.catalogue.set(now, server, State::Active { since: self.catalogue.since(now, server) });
+                self.catalogue.set(
+                    now,
+                    server,
+                    State::Active {
+                        since: self.catalogue.since(now, server),
+                    },
+                );
                 Place::Serving
             }
             (Act::Return, Place::Away) => {
@@ -166,7 +199,8 @@
         self.with(|held| {
             let now = self.clock.now();
             self.servers.start(server);
-            self.catalogue.set(now, server, State::Active { since: Some(now) });
+            self.catalogue
+                .set(now, server, State::Active { since: Some(now) });
             held[server].place = Place::Serving;
         });
     }
@@ -186,13 +220,17 @@
         let now = self.clock.now();
         let gone: Vec<usize> = self.catalogue.with(|directory| {
             let there = directory.whole(directory.heard(now, 0));
-            (0..self.plan.servers.len()).filter(|i| !there.iter().any(|(server, _)| server == i)).collect()
+            (0..self.plan.servers.len())
+                .filter(|i| !there.iter().any(|(server, _)| server == i))
+                .collect()
         });
         let entry = |(i, held): (usize, &Held)| {
             let spec = &self.plan.servers[i];
             // What runs at a draining server means nothing while some sidecar may not have heard of it.
             let told = held.since.saturating_add(self.told_within) <= now;
-            let runs = self.servers.with(|world, _, _| (world.up(i), world.held(i)));
+            let runs = self
+                .servers
+                .with(|world, _, _| (world.up(i), world.held(i)));
             let in_flight = (held.place != Place::Draining || told).then_some(runs.1);
             // One that was never started, or left for good, is none of the platform's.
             let listed = held.place != Place::Serving || !gone.contains(&i);
--- a/crates/lab/src/platform/http.rs
+++ b/crates/lab/src/platform/http.rs
@@ -39,10 +39,15 @@
     }
 
     /// Serves one connection.
-    pub async fn serve(self: Arc<Self>, stream: impl AsyncRead + AsyncWrite + Send + Unpin + 'static) {
+    pub async fn serve(
+        self: Arc<Self>,
+        stream: impl AsyncRead + AsyncWrite + Send + Unpin + 'static,
+    ) {
         let service = service_fn(move |request| Arc::clone(&self).answer(request));
         // What is wrong with a connection concerns its other end alone.
-        let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
+        let _ = http1::Builder::new()
+            .serve_connection(TokioIo::new(stream), service)
+            .await;
     }
 
     async fn answer(
@@ -56,31 +61,57 @@
             (&Method::POST, "/take") => Act::Take,
             (&Method::POST, "/return") => Act::Return,
             (&Method::POST, "/call-back") => Act::CallBack,
-            _ => return Ok(says(StatusCode::NOT_FOUND, &json!({"error": "no such page"}))),
+            _ => {
+                return Ok(says(
+                    StatusCode::NOT_FOUND,
+                    &json!({"error": "no such page"}),
+                ));
+            }
         };
-        let body =
-            Limited::new(body, LONGEST).collect().await.map(|body| body.to_bytes()).unwrap_or_default();
+        let body = Limited::new(body, LONGEST)
+            .collect()
+            .await
+            .map(|body| body.to_bytes())
+            .unwrap_or_default();
         let asked: Asked = match serde_json::from_slice(&body) {
             Ok(asked) => asked,
-            Err(e) => return Ok(says(StatusCode::BAD_REQUEST, &json!({"error": e.to_string()}))),
-        };
-        Ok(match self.act(act, &asked.server, asked.window, asked.token) {
-            Answer::Done(place) => {
-                let started = self.plan.servers.iter().position(|spec| spec.name == asked.server);
-                let started = started.map_or(0, |server| self.started_ms(server, self.clock.now()));
-                says(StatusCode::OK, &json!({"server": asked.server, "state": place, "started_ms": started}))
+            Err(e) => {
+                return Ok(says(
+                    StatusCode::BAD_REQUEST,
+                    &json!({"error": e.to_string()}),
+                ));
             }
-            Answer::Refused(seen) => {
-                says(StatusCode::CONFLICT, &json!({"error": "a higher token was seen", "seen": seen}))
-            }
-            Answer::Unknown => says(StatusCode::NOT_FOUND, &json!({"error": "no such server"})),
-        })
+        };
+        Ok(
+            match self.act(act, &asked.server, asked.window, asked.token) {
+                Answer::Done(place) => {
+                    let started = self
+                        .plan
+                        .servers
+                        .iter()
+                        .position(|spec| spec.name == asked.server);
+                    let started =
+                        started.map_or(0, |server| self.started_ms(server, self.clock.now()));
+                    says(
+                        StatusCode::OK,
+                        &json!({"server": asked.server, "state": place, "started_ms": started}),
+                    )
+                }
+                Answer::Refused(seen) => says(
+                    StatusCode::CONFLICT,
+                    &json!({"error": "a higher token was seen", "seen": seen}),
+                ),
+                Answer::Unknown => says(StatusCode::NOT_FOUND, &json!({"error": "no such server"})),
+            },
+        )
     }
 }
 
 fn says(status: StatusCode, what: &Value) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(what.to_string())));
     *response.status_mut() = status;
-    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    response
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -55,7 +55,9 @@
         match self {
             Self::Io(what, e) => write!(f, "{what}: {e}"),
             Self::Stewards(what) => f.write_str(what),
-            Self::Unbuilt(revision) => write!(f, "no program of revision {revision}: see pair build"),
+            Self::Unbuilt(revision) => {
+                write!(f, "no program of revision {revision}: see pair build")
+            }
             Self::Start(sidecar, what) => write!(f, "sidecar {sidecar} {what}"),
         }
     }
@@ -102,7 +104,12 @@
     record: &Record,
 ) -> Result<Tally, PlayError> {
     let mut tasks = Tasks::default();
-    let stage = Arc::new(build(experiment, plan, variant, launch, folder, record, &mut tasks).await?);
+    let stage = Arc::new(
+        build(
+            experiment, plan, variant, launch, folder, record, &mut tasks,
+        )
+        .await?,
+    );
     stage.clock.begin();
     tasks.spawn(Arc::clone(&stage.servers).run());
     tasks.spawn(Arc::clone(&stage).watch_over());
@@ -125,7 +132,12 @@
         });
     }
     let (clock, platform) = (stage.clock.clone(), Arc::clone(&stage.platform));
-    tasks.spawn(carry_out(Arc::clone(plan), clock, platform, variant.windows));
+    tasks.spawn(carry_out(
+        Arc::clone(plan),
+        clock,
+        platform,
+        variant.windows,
+    ));
     if let (Some(stewards), Some(asked)) = (&stage.stewards, &experiment.stewards) {
         tasks.spawn(ask_for_windows(Arc::clone(stewards)));
         tasks.spawn(trouble(Arc::clone(stewards), asked.fault.clone()));
@@ -138,13 +150,16 @@
         servers: Arc::clone(&stage.servers),
     });
     let all = plan.arrivals.len();
-    let lateness = apps.run(|sent| progress.send_modify(|p| *p = Progress { sent, all })).await;
+    let lateness = apps
+        .run(|sent| progress.send_modify(|p| *p = Progress { sent, all }))
+        .await;
     // Faults that last longer than the requests have nothing left to disturb.
     drop(tasks);
     stage.end().await;
     let record = stage.record.take();
-    let (work, savable, fallen) =
-        stage.servers.with(|world, _, _| (world.work(), world.savable(), world.fallen().len()));
+    let (work, savable, fallen) = stage
+        .servers
+        .with(|world, _, _| (world.work(), world.savable(), world.fallen().len()));
     let mut findings = audit(plan, &record);
     if variant.windows == Carried::Asked {
         findings.extend(audit_windows(plan, &record));
@@ -159,7 +174,19 @@
         }
     }
     let fleet_bytes = stage.fronts.as_ref().map_or(0, Fronts::bytes);
-    Ok(tally(plan, &record, Beside { work, savable, fallen, lateness, fleet_bytes, spent }, findings))
+    Ok(tally(
+        plan,
+        &record,
+        Beside {
+            work,
+            savable,
+            fallen,
+            lateness,
+            fleet_bytes,
+            spent,
+        },
+        findings,
+    ))
 }
 
 /// What stands in a variant's configuration for the address of a sidecar's pages, which the lab then reads.
--- a/crates/lab/src/play/build.rs
+++ b/crates/lab/src/play/build.rs
@@ -31,7 +31,12 @@
 fn host(purpose: u8, number: usize) -> IpAddr {
     let process = std::process::id();
     let low = (number % 250 + 1) as u8;
-    IpAddr::V4(Ipv4Addr::new(127, 16 + purpose, (process % 250) as u8 + (number / 250) as u8 % 5, low))
+    IpAddr::V4(Ipv4Addr::new(
+        127,
+        16 + purpose,
+        (process % 250) as u8 + (number / 250) as u8 % 5,
+        low,
+    ))
 }
 
 /// Builds the stage; what runs on it ends with `tasks`.
@@ -50,8 +55,12 @@
     };
     let (clock, record) = (Clock::default(), record.clone());
     let (net, mood) = (Net::new(&experiment.network), watch::channel(Mood::Well).0);
-    let servers =
-        Servers::new(Arc::clone(plan), clock.clone(), record.clone(), experiment.topology.connections);
+    let servers = Servers::new(
+        Arc::clone(plan),
+        clock.clone(),
+        record.clone(),
+        experiment.topology.connections,
+    );
     let catalogue = Catalogue::new(plan.directory.clone());
     let platform = Platform::new(
         Arc::clone(plan),
@@ -60,8 +69,14 @@
         Arc::clone(&servers),
         catalogue.clone(),
     );
-    let (datagrams, lies) = (watch::channel(Datagrams::default()).0, watch::channel(false).0);
-    let liar = experiment.fault.iter().find(|f| f.kind == FaultKind::MemberLies);
+    let (datagrams, lies) = (
+        watch::channel(Datagrams::default()).0,
+        watch::channel(false).0,
+    );
+    let liar = experiment
+        .fault
+        .iter()
+        .find(|f| f.kind == FaultKind::MemberLies);
     // Only who asks for a fleet has its sockets.
     let fronts = match variant.config.contains(FLEET) {
         true => {
@@ -73,10 +88,19 @@
             let (fronts, handles) = opened.map_err(io("no socket between sidecars"))?;
             tasks.0.extend(handles);
             if let Some(zone) = liar.map(|_| zones[plan.sidecars.len()]) {
-                let others = fronts.addresses[..plan.sidecars.len()].iter().map(|a| a.front).collect();
+                let others = fronts.addresses[..plan.sidecars.len()]
+                    .iter()
+                    .map(|a| a.front)
+                    .collect();
                 let servers = plan.servers.iter().map(|s| s.name.clone()).collect();
                 let section = fronts.member(plan.sidecars.len());
-                tasks.spawn(lie(section, site::ZONES[zone], servers, others, lies.subscribe()));
+                tasks.spawn(lie(
+                    section,
+                    site::ZONES[zone],
+                    servers,
+                    others,
+                    lies.subscribe(),
+                ));
             }
             Some(fronts)
         }
@@ -99,30 +123,43 @@
             Arc::new(addresses),
             (mood.subscribe(), catalogue.clone()),
         );
-        let (discovery, task) = agent.listen(host(1, sidecar)).map_err(io("no socket for an agent"))?;
+        let (discovery, task) = agent
+            .listen(host(1, sidecar))
+            .map_err(io("no socket for an agent"))?;
         tasks.0.push(task);
         let kept = Reserved::on(host(2, sidecar)).map_err(io("no address for a sidecar"))?;
         let listen = kept.address();
         reserved.push(kept);
-        let told = Told::new((sidecar, plan.sidecars.len()), spec.zone, listen, discovery, agent.known());
+        let told = Told::new(
+            (sidecar, plan.sidecars.len()),
+            spec.zone,
+            listen,
+            discovery,
+            agent.known(),
+        );
         sidecars.push(match launch {
             Launch::Program(bringing) => {
                 let mut bringing = bringing.clone();
                 bringing.program = variant.program.clone().unwrap_or(bringing.program);
                 let program = bringing.program.clone();
                 let mut variant = variant.clone();
-                let kept = Reserved::on(host(5, sidecar)).map_err(io("no address for a sidecar's pages"))?;
+                let kept = Reserved::on(host(5, sidecar))
+                    .map_err(io("no address for a sidecar's pages"))?;
                 let metrics = kept.address();
                 reserved.push(kept);
                 pages.push(metrics);
-                let section = fronts.as_ref().map(|f| f.section(sidecar, spec.clock_offset_ms));
+                let section = fronts
+                    .as_ref()
+                    .map(|f| f.section(sidecar, spec.clock_offset_ms));
                 // Nothing of an earlier play, but all of earlier lives in this one.
                 let state = folder.join(format!("n{sidecar}-state"));
                 emptied(&state).map_err(io("cannot empty a sidecar's state"))?;
                 let filled = |config: &str| {
                     let config = config.replace(METRICS, &metrics.to_string());
                     let config = config.replace(STATE, &state.display().to_string());
-                    section.as_ref().map_or(config.clone(), |section| config.replace(FLEET, section))
+                    section
+                        .as_ref()
+                        .map_or(config.clone(), |section| config.replace(FLEET, section))
                 };
                 let whole = std::mem::take(&mut variant.config);
                 variant.config = filled(&whole);
@@ -131,7 +168,12 @@
                     let listener = tokio::net::TcpListener::bind(metrics).await;
                     let listener = listener.map_err(io("no socket for a sidecar's pages"))?;
                     let (plan, platform) = (Arc::clone(plan), Arc::clone(&platform));
-                    let truth = Truth { plan, clock: clock.clone(), servers: Arc::clone(&servers), platform };
+                    let truth = Truth {
+                        plan,
+                        clock: clock.clone(),
+                        servers: Arc::clone(&servers),
+                        platform,
+                    };
                     tasks.spawn(truth.tell(sidecar, listener));
                 }
                 if whole.contains(METRICS) && whole.contains(BINDINGS) {
@@ -146,8 +188,10 @@
                 let supervised = Supervised::new(told, bringing, &variant, folder, seed, both);
                 let mut supervised = supervised.map_err(io("cannot write a sidecar's files"))?;
                 if let Some(mix) = &variant.mix {
-                    let program =
-                        mix.program.clone().ok_or_else(|| PlayError::Unbuilt(mix.revision.clone()))?;
+                    let program = mix
+                        .program
+                        .clone()
+                        .ok_or_else(|| PlayError::Unbuilt(mix.revision.clone()))?;
                     let config = filled(mix.config.as_deref().unwrap_or(&whole));
                     let beside = supervised.beside(program, &config, folder);
                     beside.map_err(io("cannot write a sidecar's files"))?;
@@ -167,19 +211,31 @@
     }
     for (number, sidecar) in sidecars.iter().enumerate() {
         if let Sidecar::Process(_, process) = sidecar {
-            process.lock().await.ready().await.map_err(|what| PlayError::Start(number, what))?;
+            process
+                .lock()
+                .await
+                .ready()
+                .await
+                .map_err(|what| PlayError::Start(number, what))?;
         }
     }
     let stewards = match (&experiment.stewards, launch) {
         (Some(asked), Launch::Program(bringing)) if variant.windows == Carried::Asked => {
             let listener = tokio::net::TcpListener::bind((host(8, 0), 0)).await;
             let listener = listener.map_err(io("no socket for the platform"))?;
-            let at = listener.local_addr().map_err(io("no address for the platform"))?;
+            let at = listener
+                .local_addr()
+                .map_err(io("no address for the platform"))?;
             tasks.spawn(Arc::clone(&platform).listen(listener));
             let mut bringing = bringing.clone();
             bringing.program = bringing.program.with_file_name("linenproxy-steward");
-            let around =
-                Around { net: &net, platform: (Arc::clone(&platform), at), sidecars: &pages, host, folder };
+            let around = Around {
+                net: &net,
+                platform: (Arc::clone(&platform), at),
+                sidecars: &pages,
+                host,
+                folder,
+            };
             let both = (plan, &clock, &record);
             let started = Stewards::start(asked, &bringing, around, both).await;
             let (stewards, handles) = started.map_err(io("cannot start the stewards"))?;
--- a/crates/lab/src/play/stage.rs
+++ b/crates/lab/src/play/stage.rs
@@ -74,17 +74,24 @@
                 world.advance(now, done);
                 world.slow_down(server, times);
             }),
-            Step::ServerFails(server, share) => self.servers.with(|world, _, _| world.fail(server, share)),
+            Step::ServerFails(server, share) => {
+                self.servers.with(|world, _, _| world.fail(server, share))
+            }
             Step::Cut(zone, way, on) => self.net.cut(zone, way, on),
             Step::Slow(more) => self.net.slow(more),
             Step::Resets(share) => self.net.resets(share),
-            Step::Datagrams(kind, share) => self.datagrams.send_modify(|faults| faults.set(kind, share)),
+            Step::Datagrams(kind, share) => {
+                self.datagrams.send_modify(|faults| faults.set(kind, share))
+            }
             Step::Lies(on) => drop(self.lies.send_replace(on)),
             Step::ServerLeaves(server) => self.leaves(server).await,
             Step::Agents(mood) => drop(self.mood.send_replace(mood)),
             Step::SidecarPause(sidecar, on) => {
                 if let Some(process) = self.process(sidecar) {
-                    process.lock().await.signal(if on { Signal::STOP } else { Signal::CONT });
+                    process
+                        .lock()
+                        .await
+                        .signal(if on { Signal::STOP } else { Signal::CONT });
                 }
             }
             Step::SidecarKill(sidecar) => {
@@ -102,7 +109,11 @@
         let Some(pages) = &self.binds else { return };
         let (token, name) = (server as u64 + 1, self.plan.servers[server].name.clone());
         let asks = ask_until_clear(
-            Leaves { server, name, token },
+            Leaves {
+                server,
+                name,
+                token,
+            },
             pages[server % pages.len()],
             self.clock.clone(),
             self.record.clone(),
@@ -114,7 +125,9 @@
     pub(super) async fn restart(self: &Arc<Self>, sidecar: usize, stop: bool, to: Option<Version>) {
         let this = Arc::clone(self);
         self.under_way.lock().await.spawn(async move {
-            let Some(process) = this.process(sidecar) else { return };
+            let Some(process) = this.process(sidecar) else {
+                return;
+            };
             let mut process = process.lock().await;
             if stop {
                 process.stop().await;
@@ -132,7 +145,8 @@
             Err(e) => Err(format!("cannot be started: {e}")),
         };
         if let Err(what) = started {
-            self.record.note(self.clock.now(), Seen::SidecarFault { sidecar, what });
+            self.record
+                .note(self.clock.now(), Seen::SidecarFault { sidecar, what });
         }
     }
 
@@ -148,13 +162,23 @@
         loop {
             sleep(WATCH).await;
             for sidecar in 0..self.sidecars.len() {
-                let Some(process) = self.process(sidecar) else { continue };
+                let Some(process) = self.process(sidecar) else {
+                    continue;
+                };
                 // Who is being stopped or started is being looked after.
-                let Ok(mut process) = process.try_lock() else { continue };
+                let Ok(mut process) = process.try_lock() else {
+                    continue;
+                };
                 if let Some(status) = process.ended() {
                     let what = format!("ended by itself: {status}; {}", process.last_line());
                     let now = self.clock.now();
-                    self.record.note(now, Seen::SidecarDown { sidecar, killed: false });
+                    self.record.note(
+                        now,
+                        Seen::SidecarDown {
+                            sidecar,
+                            killed: false,
+                        },
+                    );
                     self.record.note(now, Seen::SidecarFault { sidecar, what });
                     self.start(sidecar, &mut process).await;
                 }
--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -232,7 +232,10 @@
 impl Record {
     /// Notes something.
     pub fn note(&self, at: Us, seen: Seen) {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner).push((at, seen));
+        self.0
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push((at, seen));
     }
 
     /// What was noted after the first so many, in the order of noting.
@@ -243,7 +246,8 @@
 
     /// Takes all that was noted, in the order of time.
     pub fn take(&self) -> Vec<Entry> {
-        let mut entries = std::mem::take(&mut *self.0.lock().unwrap_or_else(PoisonError::into_inner));
+        let mut entries =
+            std::mem::take(&mut *self.0.lock().unwrap_or_else(PoisonError::into_inner));
         entries.sort_by_key(|(at, _)| *at);
         entries
     }
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -24,7 +24,11 @@
 
 impl Link {
     fn back(&self) -> Self {
-        Self { net: self.net.clone(), from: self.to, to: self.from }
+        Self {
+            net: self.net.clone(),
+            from: self.to,
+            to: self.from,
+        }
     }
 
     /// A connection comes up only where both ways are open.
@@ -69,7 +73,8 @@
                 return End::Broken;
             }
             piece.truncate(length);
-            last = last.max(Instant::now() + Duration::from_micros(link.net.delay(link.from, link.to)));
+            last = last
+                .max(Instant::now() + Duration::from_micros(link.net.delay(link.from, link.to)));
             if sender.send((last, piece)).await.is_err() {
                 return End::Broken;
             }
@@ -82,7 +87,11 @@
     let write = async move {
         while let Some((due, piece)) = pieces.recv().await {
             sleep_until(due).await;
-            let done = if piece.is_empty() { to.shutdown().await } else { to.write_all(&piece).await };
+            let done = if piece.is_empty() {
+                to.shutdown().await
+            } else {
+                to.write_all(&piece).await
+            };
             if done.is_err() {
                 return End::Broken;
             }
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -14,8 +14,16 @@
 pub fn html(comparison: &Comparison) -> String {
     let experiment = &comparison.experiment;
     let mut page = String::new();
-    let verdict = if comparison.passed { "passed" } else { "failed" };
-    let how = if comparison.simulated { "simulated time" } else { "real processes" };
+    let verdict = if comparison.passed {
+        "passed"
+    } else {
+        "failed"
+    };
+    let how = if comparison.simulated {
+        "simulated time"
+    } else {
+        "real processes"
+    };
     // Writing to a text cannot fail.
     let _ = write!(
         page,
@@ -39,7 +47,10 @@
             .variants
             .iter()
             .map(|v| {
-                let points = values(v).iter().enumerate().map(|(i, y)| (i as f64 * v.curves.bin_s, *y));
+                let points = values(v)
+                    .iter()
+                    .enumerate()
+                    .map(|(i, y)| (i as f64 * v.curves.bin_s, *y));
                 (v.name.as_str(), points.collect())
             })
             .collect()
@@ -48,29 +59,59 @@
         .fault
         .iter()
         .flat_map(|fault| {
-            let name = serde_json::to_value(fault.kind).ok().and_then(|v| v.as_str().map(str::to_owned));
+            let name = serde_json::to_value(fault.kind)
+                .ok()
+                .and_then(|v| v.as_str().map(str::to_owned));
             let (at, name) = (fault.at.0.as_secs_f64(), name.unwrap_or_default());
-            [(at, name.clone()), (at + fault.lasts.0.as_secs_f64(), format!("{name} ends"))]
+            [
+                (at, name.clone()),
+                (at + fault.lasts.0.as_secs_f64(), format!("{name} ends")),
+            ]
         })
         .collect();
     let latency = |v: &OfVariant| {
-        v.curves.percentiles.iter().copied().zip(v.curves.latency_ms.iter().copied()).collect()
+        v.curves
+            .percentiles
+            .iter()
+            .copied()
+            .zip(v.curves.latency_ms.iter().copied())
+            .collect()
     };
-    let latencies: Vec<Curve<'_>> =
-        comparison.variants.iter().map(|v| (v.name.as_str(), latency(v))).collect();
+    let latencies: Vec<Curve<'_>> = comparison
+        .variants
+        .iter()
+        .map(|v| (v.name.as_str(), latency(v)))
+        .collect();
     let by_server: Vec<Curve<'_>> = comparison
         .variants
         .iter()
         .map(|v| {
-            let points = v.curves.by_server.iter().enumerate().map(|(i, n)| (i as f64, *n as f64));
+            let points = v
+                .curves
+                .by_server
+                .iter()
+                .enumerate()
+                .map(|(i, n)| (i as f64, *n as f64));
             (v.name.as_str(), points.collect())
         })
         .collect();
     let none: &[(f64, String)] = &[];
     for (title, curves, marks) in [
-        ("Worth served over worth asked, by second", over_time(|v| &v.curves.served), &marks[..]),
-        ("Attempts in each half second", over_time(|v| &v.curves.attempts), &marks[..]),
-        ("Time to the answer in milliseconds, by percentile", latencies, none),
+        (
+            "Worth served over worth asked, by second",
+            over_time(|v| &v.curves.served),
+            &marks[..],
+        ),
+        (
+            "Attempts in each half second",
+            over_time(|v| &v.curves.attempts),
+            &marks[..],
+        ),
+        (
+            "Time to the answer in milliseconds, by percentile",
+            latencies,
+            none,
+        ),
         ("Attempts at each server, first play", by_server, none),
     ] {
         let _ = write!(page, "<h2>{title}</h2>{}", plot(&curves, marks));
@@ -85,7 +126,10 @@
     td:first-child,th:first-child{text-align:left}.passed{color:#17803d}.failed{color:#b42318}.clear{font-weight:600}";
 
 fn escaped(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
+        .replace('"', "&quot;")
 }
 
 fn table(comparison: &Comparison, page: &mut String) {
@@ -103,15 +147,21 @@
         for (i, variant) in comparison.variants.iter().enumerate() {
             let _ = write!(page, "<td>{}</td>", figure(variant.measures[&measure].mean));
             if i > 0 {
-                let found =
-                    comparison.differences.iter().find(|d| d.variant == variant.name && d.measure == measure);
+                let found = comparison
+                    .differences
+                    .iter()
+                    .find(|d| d.variant == variant.name && d.measure == measure);
                 page.push_str(&found.map_or_else(
                     || "<td></td>".to_owned(),
                     |d| {
                         let d = &d.difference;
                         match d.low.zip(d.high) {
                             Some((low, high)) => {
-                                let class = if low > 0.0 || high < 0.0 { " class=\"clear\"" } else { "" };
+                                let class = if low > 0.0 || high < 0.0 {
+                                    " class=\"clear\""
+                                } else {
+                                    ""
+                                };
                                 format!(
                                     "<td{class}>{} ({} to {})</td>",
                                     figure(d.mean),
@@ -150,7 +200,11 @@
     for judged in &comparison.bounds {
         let b = &judged.bound;
         let limit = |x: Option<f64>| x.map(figure).unwrap_or_default();
-        let (class, word) = if judged.holds { ("passed", "holds") } else { ("failed", "missed") };
+        let (class, word) = if judged.holds {
+            ("passed", "holds")
+        } else {
+            ("failed", "missed")
+        };
         let _ = write!(
             page,
             "<tr><td>{}</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td><td class=\"{class}\">{word}</td></tr>",
@@ -166,12 +220,23 @@
 }
 
 fn findings(comparison: &Comparison, page: &mut String) {
-    for variant in comparison.variants.iter().filter(|v| !v.findings.is_empty()) {
+    for variant in comparison
+        .variants
+        .iter()
+        .filter(|v| !v.findings.is_empty())
+    {
         let (name, count) = (escaped(&variant.name), variant.findings.len());
-        let _ = write!(page, "<h2 class=\"failed\">{name}: {count} broken rules</h2><ul>");
+        let _ = write!(
+            page,
+            "<h2 class=\"failed\">{name}: {count} broken rules</h2><ul>"
+        );
         for (play, finding) in variant.findings.iter().take(FINDINGS) {
             let (at, what) = (finding.at as f64 / 1e6, escaped(&finding.what));
-            let _ = write!(page, "<li>play {play}, {at:.3} s, rule {}: {what}</li>", finding.rule);
+            let _ = write!(
+                page,
+                "<li>play {play}, {at:.3} s, rule {}: {what}</li>",
+                finding.rule
+            );
         }
         page.push_str("</ul>");
     }
@@ -187,16 +252,35 @@
 
     #[tokio::test]
     async fn a_report_holds_every_plot_and_no_foreign_markup() {
-        let variant = |name: &str| Variant { name: name.to_owned(), ..Variant::default() };
-        let mut experiment =
-            Experiment { name: "a".to_owned(), about: "<script>".to_owned(), ..Experiment::default() };
+        let variant = |name: &str| Variant {
+            name: name.to_owned(),
+            ..Variant::default()
+        };
+        let mut experiment = Experiment {
+            name: "a".to_owned(),
+            about: "<script>".to_owned(),
+            ..Experiment::default()
+        };
         experiment.variant = vec![variant("one"), variant("two")];
         let (at, lasts) = (Time::ms(3000), Time::ms(2000));
         let kind = FaultKind::ServersDie;
-        experiment.fault =
-            vec![Fault { kind, at, lasts, zone: None, part: Some(0.3), size: None, way: None }];
+        experiment.fault = vec![Fault {
+            kind,
+            at,
+            lasts,
+            zone: None,
+            part: Some(0.3),
+            size: None,
+            way: None,
+        }];
         let folder = Path::new("/nonexistent");
-        let order = Order { experiment: &experiment, seed: 1, plays: 2, launch: None, folder };
+        let order = Order {
+            experiment: &experiment,
+            seed: 1,
+            plays: 2,
+            launch: None,
+            folder,
+        };
         let page = html(&compare(order, |_, _, _| {}).await.expect("it is played"));
         assert_eq!(page.matches("<svg").count(), 4, "a plot is missing");
         assert!(page.contains("servers-die ends") && page.contains("served_worst_second"));
--- a/crates/lab/src/report/plot.rs
+++ b/crates/lab/src/report/plot.rs
@@ -31,11 +31,19 @@
         .y_label_area_size(48)
         .build_cartesian_2d(0.0..right, 0.0..top)
         .map_err(said)?;
-    chart.configure_mesh().light_line_style(WHITE).draw().map_err(said)?;
+    chart
+        .configure_mesh()
+        .light_line_style(WHITE)
+        .draw()
+        .map_err(said)?;
     for (at, name) in marks.iter().filter(|(at, _)| *at <= right) {
         let line = PathElement::new([(*at, 0.0), (*at, top)], BLACK.mix(0.35));
         chart.draw_series(std::iter::once(line)).map_err(said)?;
-        let text = Text::new(name.clone(), (*at, top * 0.98), ("sans-serif", 11).into_font());
+        let text = Text::new(
+            name.clone(),
+            (*at, top * 0.98),
+            ("sans-serif", 11).into_font(),
+        );
         chart.draw_series(std::iter::once(text)).map_err(said)?;
     }
     for (i, (name, points)) in curves.iter().enumerate() {
--- a/crates/lab/src/reserved.rs
+++ b/crates/lab/src/reserved.rs
@@ -26,8 +26,14 @@
         let socket = Socket::new(Domain::for_address(any), Type::STREAM, None)?;
         socket.set_reuse_address(true)?;
         socket.bind(&any.into())?;
-        let address = socket.local_addr()?.as_socket().ok_or(io::ErrorKind::AddrNotAvailable)?;
-        Ok(Self { address, _socket: socket })
+        let address = socket
+            .local_addr()?
+            .as_socket()
+            .ok_or(io::ErrorKind::AddrNotAvailable)?;
+        Ok(Self {
+            address,
+            _socket: socket,
+        })
     }
 
     /// The address.
--- a/crates/lab/src/servers.rs
+++ b/crates/lab/src/servers.rs
@@ -56,8 +56,19 @@
 
 impl Servers {
     /// As the play begins.
-    pub fn new(plan: Arc<Plan>, clock: Clock, record: Record, most_connections: usize) -> Arc<Self> {
-        let life = |first: bool| watch::channel(Life { up: first, number: 1 }).0;
+    pub fn new(
+        plan: Arc<Plan>,
+        clock: Clock,
+        record: Record,
+        most_connections: usize,
+    ) -> Arc<Self> {
+        let life = |first: bool| {
+            watch::channel(Life {
+                up: first,
+                number: 1,
+            })
+            .0
+        };
         Arc::new(Self {
             state: Mutex::new((World::new(&plan), Waiting::new())),
             reached: Mutex::default(),
@@ -77,13 +88,19 @@
         self.with_waiting(|world, _, now, done| what(world, now, done))
     }
 
-    fn with_waiting<T>(&self, what: impl FnOnce(&mut World, &mut Waiting, Us, &mut Vec<Done>) -> T) -> T {
+    fn with_waiting<T>(
+        &self,
+        what: impl FnOnce(&mut World, &mut Waiting, Us, &mut Vec<Done>) -> T,
+    ) -> T {
         let mut done = Vec::new();
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let (world, waiting) = &mut *state;
         let fallen = world.fallen().len();
         let result = what(world, waiting, self.clock.now(), &mut done);
-        let fell: Vec<usize> = world.fallen()[fallen..].iter().map(|(_, server)| *server).collect();
+        let fell: Vec<usize> = world.fallen()[fallen..]
+            .iter()
+            .map(|(_, server)| *server)
+            .collect();
         for done in done {
             if let Some(waiting) = waiting.remove(&done.job) {
                 // Whoever waited may have left.
@@ -102,8 +119,14 @@
             world.advance(now, done);
             world.start(server);
         });
-        self.record.note(self.clock.now(), Seen::ServerUp { server });
-        self.lives[server].send_modify(|life| *life = Life { up: true, number: life.number + 1 });
+        self.record
+            .note(self.clock.now(), Seen::ServerUp { server });
+        self.lives[server].send_modify(|life| {
+            *life = Life {
+                up: true,
+                number: life.number + 1,
+            }
+        });
     }
 
     /// Its process ends.
@@ -115,7 +138,8 @@
     /// It takes requests and answers none, or no longer so.
     pub fn silence(&self, server: usize, on: bool) {
         self.lose(|world| world.silence(server, on));
-        self.record.note(self.clock.now(), Seen::ServerSilent { server, on });
+        self.record
+            .note(self.clock.now(), Seen::ServerSilent { server, on });
     }
 
     /// What a server gives up is never done: who waits for it is told so.
@@ -135,11 +159,15 @@
 
     /// Whether a try has come to any server.
     pub fn reached(&self, request: Try) -> bool {
-        self.reached.lock().unwrap_or_else(PoisonError::into_inner).contains(&request)
+        self.reached
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .contains(&request)
     }
 
     fn end(&self, server: usize) {
-        self.record.note(self.clock.now(), Seen::ServerDown { server });
+        self.record
+            .note(self.clock.now(), Seen::ServerDown { server });
         self.lives[server].send_modify(|life| life.up = false);
     }
 
@@ -170,14 +198,22 @@
         sidecar: usize,
         server: usize,
     ) -> io::Result<(SocketAddr, AbortHandle)> {
-        let (from, to) = (self.plan.sidecars[sidecar].zone, self.plan.servers[server].zone);
-        let link = Link { net: net.clone(), from, to };
+        let (from, to) = (
+            self.plan.sidecars[sidecar].zone,
+            self.plan.servers[server].zone,
+        );
+        let link = Link {
+            net: net.clone(),
+            from,
+            to,
+        };
         let door = Door::bind(host, self.lives[server].subscribe(), link.clone())?;
         let address = door.address();
         let this = Arc::clone(self);
         let task = tokio::spawn(door.run(move |stream, life| {
             let (near, far) = duplex(BUFFER);
-            this.record.note(this.clock.now(), Seen::Handshake { sidecar, server });
+            this.record
+                .note(this.clock.now(), Seen::Handshake { sidecar, server });
             let mut lives = this.lives[server].subscribe();
             let ended = async move {
                 let _ = lives.wait_for(|l| !l.up || l.number != life).await;
--- a/crates/lab/src/servers/answering.rs
+++ b/crates/lab/src/servers/answering.rs
@@ -28,10 +28,22 @@
 const LONGEST_BODY: usize = 64 << 10;
 
 impl Servers {
-    pub(super) async fn connection(self: Arc<Self>, stream: DuplexStream, sidecar: usize, server: usize) {
+    pub(super) async fn connection(
+        self: Arc<Self>,
+        stream: DuplexStream,
+        sidecar: usize,
+        server: usize,
+    ) {
         let held = self.connections[server].fetch_add(1, Ordering::SeqCst);
-        let (began, fresh) = (Arc::new(AtomicU64::new(u64::MAX)), Arc::new(AtomicUsize::new(1)));
-        let stamped = Stamped { stream, clock: self.clock.clone(), began: Arc::clone(&began) };
+        let (began, fresh) = (
+            Arc::new(AtomicU64::new(u64::MAX)),
+            Arc::new(AtomicUsize::new(1)),
+        );
+        let stamped = Stamped {
+            stream,
+            clock: self.clock.clone(),
+            began: Arc::clone(&began),
+        };
         let full = held >= self.most_connections;
         let this = Arc::clone(&self);
         let service = service_fn(move |request| {
@@ -40,9 +52,13 @@
             Arc::clone(&this).answer(request, sidecar, server, at, fresh, full)
         });
         let mut builder = http1::Builder::new();
-        builder.timer(TokioTimer::new()).header_read_timeout(Duration::from_micros(site::IDLE_CLOSE));
+        builder
+            .timer(TokioTimer::new())
+            .header_read_timeout(Duration::from_micros(site::IDLE_CLOSE));
         // What is wrong with a connection concerns its sidecar alone.
-        let _ = builder.serve_connection(TokioIo::new(stamped), service).await;
+        let _ = builder
+            .serve_connection(TokioIo::new(stamped), service)
+            .await;
         self.connections[server].fetch_sub(1, Ordering::SeqCst);
     }
 
@@ -67,24 +83,57 @@
         let number = self.attempts.fetch_add(1, Ordering::SeqCst);
         let arrival = request.and_then(|request| self.plan.arrivals.get(arrival_of(request)));
         let at = self.clock.now();
-        self.record.note(at, Seen::Attempt { number, request, sidecar, server, began: began.min(at) });
+        self.record.note(
+            at,
+            Seen::Attempt {
+                number,
+                request,
+                sidecar,
+                server,
+                began: began.min(at),
+            },
+        );
         let (Some(request), Some(arrival)) = (request, arrival) else {
             return Ok(plain(StatusCode::BAD_REQUEST));
         };
-        self.reached.lock().unwrap_or_else(PoisonError::into_inner).insert(request);
+        self.reached
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .insert(request);
         let keyed = CLASSES[arrival.class].repeat == Repeat::Keyed;
-        let once =
-            text("idempotency-key").filter(|_| keyed).and_then(|key| u64::from_str_radix(key, 16).ok());
-        let job = Job { id: number, class: arrival.class, work: arrival.work, key: arrival.key, once, fresh };
+        let once = text("idempotency-key")
+            .filter(|_| keyed)
+            .and_then(|key| u64::from_str_radix(key, 16).ok());
+        let job = Job {
+            id: number,
+            class: arrival.class,
+            work: arrival.work,
+            key: arrival.key,
+            once,
+            fresh,
+        };
         let answered = |status: u16, unprocessed| {
-            self.record.note(self.clock.now(), Seen::AttemptAnswered { number, status, unprocessed });
+            self.record.note(
+                self.clock.now(),
+                Seen::AttemptAnswered {
+                    number,
+                    status,
+                    unprocessed,
+                },
+            );
+        };
+        let (admitted, waits) = if full {
+            (Admission::Refused, None)
+        } else {
+            self.submit(server, job)
         };
-        let (admitted, waits) = if full { (Admission::Refused, None) } else { self.submit(server, job) };
         let served = match admitted {
             Admission::Refused => {
                 answered(503, true);
                 let mut refused = plain(StatusCode::SERVICE_UNAVAILABLE);
-                refused.headers_mut().insert("x-unprocessed", HeaderValue::from_static("1"));
+                refused
+                    .headers_mut()
+                    .insert("x-unprocessed", HeaderValue::from_static("1"));
                 return Ok(refused);
             }
             Admission::Repeated => Some(true),
@@ -105,7 +154,8 @@
                 Ok(plain(StatusCode::INTERNAL_SERVER_ERROR))
             }
             None => {
-                self.record.note(self.clock.now(), Seen::AttemptSwallowed { number });
+                self.record
+                    .note(self.clock.now(), Seen::AttemptSwallowed { number });
                 // Until the connection ends.
                 std::future::pending().await
             }
@@ -161,14 +211,20 @@
         let polled = Pin::new(&mut self.stream).poll_read(cx, buf);
         if polled.is_ready() && buf.filled().len() > before {
             let now = self.clock.now();
-            let _ = self.began.compare_exchange(u64::MAX, now, Ordering::SeqCst, Ordering::SeqCst);
+            let _ = self
+                .began
+                .compare_exchange(u64::MAX, now, Ordering::SeqCst, Ordering::SeqCst);
         }
         polled
     }
 }
 
 impl AsyncWrite for Stamped {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.stream).poll_write(cx, bytes)
     }
 
--- a/crates/lab/src/sim.rs
+++ b/crates/lab/src/sim.rs
@@ -90,7 +90,9 @@
 ) -> Result<Tally, Problem> {
     let mut sim = Sim {
         sections: sections(variant, plan)?,
-        by_address: (0..plan.sidecars.len()).map(|sidecar| (address(sidecar), sidecar)).collect(),
+        by_address: (0..plan.sidecars.len())
+            .map(|sidecar| (address(sidecar), sidecar))
+            .collect(),
         faults: Datagrams::default(),
         mail: HashMap::new(),
         mailed: 0,
@@ -127,18 +129,34 @@
         let until = plan.arrivals.get(next).map_or(plan.lasts + TAIL, |a| a.at);
         sim.run(until);
     }
-    let (work, savable, fallen) = (sim.world.work(), sim.world.savable(), sim.world.fallen().len());
+    let (work, savable, fallen) = (
+        sim.world.work(),
+        sim.world.savable(),
+        sim.world.fallen().len(),
+    );
     let mut record = sim.record;
     record.sort_by_key(|(at, _)| *at);
     let findings = audit(plan, &record);
     let fleet_bytes = sim.mailed_bytes;
-    Ok(tally(plan, &record, Beside { work, savable, fallen, fleet_bytes, ..Beside::default() }, findings))
+    Ok(tally(
+        plan,
+        &record,
+        Beside {
+            work,
+            savable,
+            fallen,
+            fleet_bytes,
+            ..Beside::default()
+        },
+        findings,
+    ))
 }
 
 impl Sim<'_> {
     fn at(&mut self, at: Us, what: What) {
         self.order += 1;
-        self.queue.push(Reverse((at.max(self.now), self.order, what)));
+        self.queue
+            .push(Reverse((at.max(self.now), self.order, what)));
     }
 
     fn note(&mut self, seen: Seen) {
@@ -149,7 +167,11 @@
     fn run(&mut self, until: Us) {
         loop {
             let event = self.queue.peek().map(|Reverse((at, ..))| *at);
-            let next = [event, self.world.next()].into_iter().flatten().min().filter(|at| *at < until);
+            let next = [event, self.world.next()]
+                .into_iter()
+                .flatten()
+                .min()
+                .filter(|at| *at < until);
             let Some(next) = next else { break };
             self.now = self.now.max(next);
             let mut done = Vec::new();
@@ -183,20 +205,34 @@
                 return;
             }
             // What is under way to a server goes on whether its sender runs or not.
-            if let Some(waiting) = instance.frozen.as_mut().filter(|_| !matches!(what, What::Reach { .. })) {
+            if let Some(waiting) = instance
+                .frozen
+                .as_mut()
+                .filter(|_| !matches!(what, What::Reach { .. }))
+            {
                 return waiting.push(what);
             }
         }
         match what {
             What::Ask(arrival, attempt) => self.ask(arrival, attempt),
             What::Impatient(request) => self.impatient(request),
-            What::Reach { instance, request, attempt, dialled } => {
-                self.reach(instance, request, attempt, dialled)
-            }
-            What::Back { instance, request, attempt, outcome } => {
-                self.back(instance, request, attempt, outcome)
-            }
-            What::TimeOut { instance, request, attempt } => self.timed_out(instance, request, attempt),
+            What::Reach {
+                instance,
+                request,
+                attempt,
+                dialled,
+            } => self.reach(instance, request, attempt, dialled),
+            What::Back {
+                instance,
+                request,
+                attempt,
+                outcome,
+            } => self.back(instance, request, attempt, outcome),
+            What::TimeOut {
+                instance,
+                request,
+                attempt,
+            } => self.timed_out(instance, request, attempt),
             What::Timer { instance, token } => self.tell(instance, Event::Timer(token)),
             What::Mail { instance, .. } => {
                 if let Some((from, bytes)) = mail {
--- a/crates/lab/src/sim/clients.rs
+++ b/crates/lab/src/sim/clients.rs
@@ -18,8 +18,20 @@
         };
         let request = try_number(arrival, attempt);
         let until = self.now + a.patience;
-        self.note(Seen::Taken { request, arrival, sidecar: a.sidecar, until });
-        self.open.insert(request, Open { instance, arrival, attempt });
+        self.note(Seen::Taken {
+            request,
+            arrival,
+            sidecar: a.sidecar,
+            until,
+        });
+        self.open.insert(
+            request,
+            Open {
+                instance,
+                arrival,
+                attempt,
+            },
+        );
         self.at(until, What::Impatient(request));
         let new = NewRequest {
             id: request,
@@ -53,7 +65,11 @@
 
     pub(super) fn answer(&mut self, request: RequestId, status: u16, hold_off: Micros) {
         if let Some(open) = self.open.remove(&request) {
-            self.note(Seen::Answered { request, status, genuine: true });
+            self.note(Seen::Answered {
+                request,
+                status,
+                genuine: true,
+            });
             if status != 200 {
                 self.client_again(&open, status == 503, hold_off.max(0) as Us);
             }
@@ -68,7 +84,13 @@
 
     pub(super) fn again(&mut self, arrival: usize, attempt: u32, hold_off: Us) {
         let a = &self.plan.arrivals[arrival];
-        let Some(wait) = a.waits.get(attempt as usize).filter(|_| attempt < CLIENT_RETRIES) else { return };
+        let Some(wait) = a
+            .waits
+            .get(attempt as usize)
+            .filter(|_| attempt < CLIENT_RETRIES)
+        else {
+            return;
+        };
         let at = self.now + hold_off.max(*wait);
         if at < a.at + CLASSES[a.class].deadline {
             self.at(at, What::Ask(arrival, attempt + 1));
--- a/crates/lab/src/sim/event.rs
+++ b/crates/lab/src/sim/event.rs
@@ -10,11 +10,25 @@
     /// Its client's patience is over.
     Impatient(Try),
     /// An attempt reaches its server, or finds that it cannot.
-    Reach { instance: usize, request: RequestId, attempt: AttemptNo, dialled: bool },
+    Reach {
+        instance: usize,
+        request: RequestId,
+        attempt: AttemptNo,
+        dialled: bool,
+    },
     /// Its end comes back.
-    Back { instance: usize, request: RequestId, attempt: AttemptNo, outcome: Came },
+    Back {
+        instance: usize,
+        request: RequestId,
+        attempt: AttemptNo,
+        outcome: Came,
+    },
     /// The sidecar stops waiting for it.
-    TimeOut { instance: usize, request: RequestId, attempt: AttemptNo },
+    TimeOut {
+        instance: usize,
+        request: RequestId,
+        attempt: AttemptNo,
+    },
     /// A timer of the module's.
     Timer { instance: usize, token: u64 },
     /// A datagram from another member has come.
--- a/crates/lab/src/sim/faults.rs
+++ b/crates/lab/src/sim/faults.rs
@@ -37,9 +37,14 @@
             // Its list is drawn ahead here, and a call that fails changes nothing; nobody lies.
             Step::Returns(..) | Step::Agents(_) | Step::Lies(_) | Step::ServerLeaves(_) => {}
             Step::SidecarKill(sidecar) => {
-                let Some(instance) = self.current[sidecar].take() else { return };
+                let Some(instance) = self.current[sidecar].take() else {
+                    return;
+                };
                 self.instances[instance].dead = true;
-                self.note(Seen::SidecarDown { sidecar, killed: true });
+                self.note(Seen::SidecarDown {
+                    sidecar,
+                    killed: true,
+                });
                 let lost: Vec<Try> = self
                     .open
                     .iter()
@@ -64,7 +69,9 @@
                 self.at(self.now + AWAY, What::Return(sidecar));
             }
             Step::SidecarPause(sidecar, on) => {
-                let Some(instance) = self.current[sidecar] else { return };
+                let Some(instance) = self.current[sidecar] else {
+                    return;
+                };
                 let frozen = &mut self.instances[instance].frozen;
                 if on {
                     frozen.get_or_insert_default();
@@ -78,16 +85,25 @@
     /// What a server held comes to nothing; a process that ended resets its connections.
     pub(super) fn lose(&mut self, server: usize, resets: bool) {
         let world = &self.world;
-        let lost: Vec<u64> = self.held.keys().copied().filter(|job| !world.holds(*job)).collect();
+        let lost: Vec<u64> = self
+            .held
+            .keys()
+            .copied()
+            .filter(|job| !world.holds(*job))
+            .collect();
         for number in lost {
-            let Some((instance, request, attempt)) = self.held.remove(&number) else { continue };
+            let Some((instance, request, attempt)) = self.held.remove(&number) else {
+                continue;
+            };
             self.note(Seen::AttemptSwallowed { number });
             if resets {
                 self.reply(instance, request, attempt, Came::Reset);
             }
         }
         if resets {
-            self.instances.iter_mut().for_each(|i| drop(i.idle.remove(&server)));
+            self.instances
+                .iter_mut()
+                .for_each(|i| drop(i.idle.remove(&server)));
         }
     }
 }
--- a/crates/lab/src/sim/instance.rs
+++ b/crates/lab/src/sim/instance.rs
@@ -66,11 +66,16 @@
     if !variant.config.contains(FLEET) {
         return Ok(Vec::new());
     }
-    let both = |sidecar| Address { own: address(sidecar), front: address(sidecar) };
+    let both = |sidecar| Address {
+        own: address(sidecar),
+        front: address(sidecar),
+    };
     let addresses: Vec<Address> = (0..plan.sidecars.len()).map(both).collect();
     let name = Path::new(&variant.name);
     let of = |(sidecar, spec): (usize, &crate::plan::SidecarSpec)| {
-        let text = variant.config.replace(FLEET, &section(&addresses, sidecar, spec.clock_offset_ms));
+        let text = variant
+            .config
+            .replace(FLEET, &section(&addresses, sidecar, spec.clock_offset_ms));
         Ok(config::parse::<Sections>(name, &text)?.fleet)
     };
     plan.sidecars.iter().enumerate().map(of).collect()
--- a/crates/lab/src/sim/network.rs
+++ b/crates/lab/src/sim/network.rs
@@ -21,14 +21,21 @@
 
     pub(super) fn delay(&mut self, from: usize, to: usize) -> Us {
         let network = &self.experiment.network;
-        let us = |time: linenproxy_common::units::Time| Us::try_from(time.0.as_micros()).unwrap_or(0);
-        let base = us(if from == to { network.inside } else { network.between });
+        let us =
+            |time: linenproxy_common::units::Time| Us::try_from(time.0.as_micros()).unwrap_or(0);
+        let base = us(if from == to {
+            network.inside
+        } else {
+            network.between
+        });
         base + self.rng.u64(0..=us(network.jitter)) + self.slow
     }
 
     /// Whether what it concerns takes it in now: neither dead nor stopped.
     pub(super) fn instance_runs(&self, what: &What) -> bool {
-        let What::Mail { instance, .. } = what else { return false };
+        let What::Mail { instance, .. } = what else {
+            return false;
+        };
         let i = &self.instances[*instance];
         i.dead || i.frozen.is_none()
     }
@@ -41,11 +48,17 @@
         }
     }
 
-    pub(super) fn with_member(&mut self, instance: usize, what: impl FnOnce(&mut Core, Micros)) -> Vec<Word> {
+    pub(super) fn with_member(
+        &mut self,
+        instance: usize,
+        what: impl FnOnce(&mut Core, Micros),
+    ) -> Vec<Word> {
         let sidecar = self.instances[instance].sidecar;
         let offset = Micros::from(self.plan.sidecars[sidecar].clock_offset_ms) * 1000;
         let now = EPOCH + self.now as Micros + offset;
-        let Some(core) = self.instances[instance].member.as_deref_mut() else { return Vec::new() };
+        let Some(core) = self.instances[instance].member.as_deref_mut() else {
+            return Vec::new();
+        };
         what(core, now);
         let effects = core.effects();
         for (to, bytes) in effects.datagrams {
@@ -66,20 +79,39 @@
 
     pub(super) fn post(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
         self.mailed_bytes += bytes.len() as u64;
-        let Some(to) = self.by_address.get(&to).copied() else { return };
+        let Some(to) = self.by_address.get(&to).copied() else {
+            return;
+        };
         let (from_zone, to_zone) = (self.plan.sidecars[from].zone, self.plan.sidecars[to].zone);
-        let Some(instance) = self.current[to] else { return };
+        let Some(instance) = self.current[to] else {
+            return;
+        };
         if !self.passes(from_zone, to_zone) || self.rng.f64() < self.faults.lost {
             return;
         }
-        let copies = if self.rng.f64() < self.faults.repeated { 2 } else { 1 };
+        let copies = if self.rng.f64() < self.faults.repeated {
+            2
+        } else {
+            1
+        };
         for _ in 0..copies {
             let held_up = self.rng.f64() < self.faults.held_up;
-            let held_up = if held_up { (self.rng.f64() * HELD_UP.as_micros() as f64) as Us } else { 0 };
+            let held_up = if held_up {
+                (self.rng.f64() * HELD_UP.as_micros() as f64) as Us
+            } else {
+                0
+            };
             let at = self.now + self.delay(from_zone, to_zone) + held_up;
             self.mailed += 1;
-            self.mail.insert(self.mailed, (address(from), bytes.clone()));
-            self.at(at, What::Mail { instance, number: self.mailed });
+            self.mail
+                .insert(self.mailed, (address(from), bytes.clone()));
+            self.at(
+                at,
+                What::Mail {
+                    instance,
+                    number: self.mailed,
+                },
+            );
         }
     }
 }
--- a/crates/lab/src/sim/sidecars.rs
+++ b/crates/lab/src/sim/sidecars.rs
@@ -11,8 +11,8 @@
 use crate::site;
 use linenproxy::settings::decode;
 use linenproxy::{
-    Action, AttemptEnd, AttemptNo, Balancer, Event, ListUpdate, Listing, Load, Micros, Outcome, RequestId,
-    Sharing, Status,
+    Action, AttemptEnd, AttemptNo, Balancer, Event, ListUpdate, Listing, Load, Micros, Outcome,
+    RequestId, Sharing, Status,
 };
 use linenproxy_fleet::core::{Core, Listed, TICK};
 use linenproxy_fleet::evidence::Sign;
@@ -20,26 +20,58 @@
 
 impl Sim<'_> {
     pub(super) fn start(&mut self, sidecar: usize) {
-        let settings = site::settings(self.plan.sidecars.len(), sidecar, self.plan.sidecars[sidecar].zone);
+        let settings = site::settings(
+            self.plan.sidecars.len(),
+            sidecar,
+            self.plan.sidecars[sidecar].zone,
+        );
         let number = self.instances.len();
         let seed = self.plan.seed.wrapping_add((number as u64) << 20);
         let decoded = decode(&settings.to_string()).ok();
-        let Some(mut balancer) = decoded.and_then(|d| Balancer::new(d.settings, seed).ok()) else { return };
-        let member = self.sections.get(sidecar).filter(|section| section.enabled).map(|section| {
-            let ahead = if section.affinity.enabled { section.affinity.ahead } else { 0.0 };
-            balancer.share(Sharing { words: section.verdicts.enabled, ahead });
-            let spec = &self.plan.sidecars[sidecar];
-            let now = EPOCH + self.now as Micros + Micros::from(spec.clock_offset_ms) * 1000;
-            let (name, zone) = (format!("n{sidecar}"), site::ZONES[spec.zone % site::ZONES.len()]);
-            Box::new(Core::new(section, &name, zone, now.unsigned_abs(), seed, now))
-        });
+        let Some(mut balancer) = decoded.and_then(|d| Balancer::new(d.settings, seed).ok()) else {
+            return;
+        };
+        let member = self
+            .sections
+            .get(sidecar)
+            .filter(|section| section.enabled)
+            .map(|section| {
+                let ahead = if section.affinity.enabled {
+                    section.affinity.ahead
+                } else {
+                    0.0
+                };
+                balancer.share(Sharing {
+                    words: section.verdicts.enabled,
+                    ahead,
+                });
+                let spec = &self.plan.sidecars[sidecar];
+                let now = EPOCH + self.now as Micros + Micros::from(spec.clock_offset_ms) * 1000;
+                let (name, zone) = (
+                    format!("n{sidecar}"),
+                    site::ZONES[spec.zone % site::ZONES.len()],
+                );
+                Box::new(Core::new(
+                    section,
+                    &name,
+                    zone,
+                    now.unsigned_abs(),
+                    seed,
+                    now,
+                ))
+            });
         if member.is_some() {
             // Members' clocks do not beat together.
             let beat = self.now + self.rng.u64(0..TICK as Us);
             self.at(beat, What::Beat { instance: number });
         }
         if let Some(tap) = self.tap.as_deref_mut() {
-            tap.started(number, EPOCH + self.now as Micros, seed, &settings.to_string());
+            tap.started(
+                number,
+                EPOCH + self.now as Micros,
+                seed,
+                &settings.to_string(),
+            );
         }
         self.instances.push(Instance {
             sidecar,
@@ -69,7 +101,11 @@
             started: l.started,
             ready: l.status == Status::Ready,
         };
-        let list = self.listings(&self.plan.directory.whole(heard)).into_iter().map(listed).collect();
+        let list = self
+            .listings(&self.plan.directory.whole(heard))
+            .into_iter()
+            .map(listed)
+            .collect();
         self.member(instance, |core, now| core.listed(now, list));
     }
 
@@ -101,10 +137,17 @@
         if let Some(number) = self.current[sidecar]
             && self.instances[number].heard < heard
         {
-            let entries = self.plan.directory.between(self.instances[number].heard, heard);
+            let entries = self
+                .plan
+                .directory
+                .between(self.instances[number].heard, heard);
             self.instances[number].heard = heard;
             for (server, state) in &entries {
-                self.note(Seen::Told { sidecar, server: *server, state: *state });
+                self.note(Seen::Told {
+                    sidecar,
+                    server: *server,
+                    state: *state,
+                });
                 if !matches!(state, State::Active { .. }) {
                     self.instances[number].idle.remove(server);
                 }
@@ -125,29 +168,41 @@
         while let Some(event) = events.pop_front() {
             let now = EPOCH + self.now as Micros;
             let heard = self.tap.as_ref().map(|_| event.clone());
-            self.instances[instance].balancer.handle(now, event, &mut actions);
+            self.instances[instance]
+                .balancer
+                .handle(now, event, &mut actions);
             if let (Some(tap), Some(event)) = (self.tap.as_deref_mut(), heard) {
                 tap.told(instance, now, &event, &actions);
             }
             for action in actions.drain(..) {
                 match action {
-                    Action::Send { request, endpoint, timeout, .. } => {
-                        self.send(instance, request, endpoint, timeout)
-                    }
+                    Action::Send {
+                        request,
+                        endpoint,
+                        timeout,
+                        ..
+                    } => self.send(instance, request, endpoint, timeout),
                     Action::Refuse { request, hold_off } => self.answer(request, 503, hold_off),
                     Action::Fail(request) => self.answer(request, 502, 0),
                     Action::Cancel { request, attempt } => {
-                        if let Some(out) = self.instances[instance].out.remove(&(request, attempt)) {
+                        if let Some(out) = self.instances[instance].out.remove(&(request, attempt))
+                        {
                             events.push_back(self.end(request, attempt, &out, Outcome::Cancelled));
                         }
                     }
                     Action::SetTimer { after, token } => {
-                        self.at(self.now + after.max(0) as Us, What::Timer { instance, token });
+                        self.at(
+                            self.now + after.max(0) as Us,
+                            What::Timer { instance, token },
+                        );
+                    }
+                    Action::CloseIdle(endpoint) => {
+                        drop(self.instances[instance].idle.remove(&endpoint))
                     }
-                    Action::CloseIdle(endpoint) => drop(self.instances[instance].idle.remove(&endpoint)),
                     Action::Witness { endpoint, served } => {
                         let sign = if served { Sign::Well } else { Sign::Sick };
-                        let words = self.with_member(instance, |core, now| core.witness(now, endpoint, sign));
+                        let words = self
+                            .with_member(instance, |core, now| core.witness(now, endpoint, sign));
                         if !words.is_empty() {
                             events.push_back(Event::Words(words));
                         }
@@ -162,7 +217,13 @@
         }
     }
 
-    pub(super) fn end(&self, request: RequestId, attempt: AttemptNo, out: &Out, outcome: Outcome) -> Event {
+    pub(super) fn end(
+        &self,
+        request: RequestId,
+        attempt: AttemptNo,
+        out: &Out,
+        outcome: Outcome,
+    ) -> Event {
         Event::AttemptEnded(AttemptEnd {
             request,
             attempt,
--- a/crates/lab/src/sim/tests.rs
+++ b/crates/lab/src/sim/tests.rs
@@ -7,7 +7,10 @@
 use linenproxy_common::units::Time;
 
 fn experiment(kind: Option<FaultKind>) -> Experiment {
-    let mut experiment = Experiment { name: "a".to_owned(), ..Experiment::default() };
+    let mut experiment = Experiment {
+        name: "a".to_owned(),
+        ..Experiment::default()
+    };
     experiment.load.lasts = Time::ms(12_000);
     experiment.load.work = 0.5;
     let sized = matches!(kind, Some(FaultKind::ServersSlow | FaultKind::NetworkSlow));
@@ -59,8 +62,14 @@
             let least = if kind.is_none() { 0.9 } else { 0.5 };
             assert!(served > least, "{kind:?}, seed {seed}: {served}");
             let swallowed = tally.measures[&Measure::Swallowed];
-            assert!(kind != Some(ServersSilent) || swallowed > 0.0, "nothing came to a silent server");
-            assert!(kind.is_some() || swallowed == 0.0, "something was swallowed in calm");
+            assert!(
+                kind != Some(ServersSilent) || swallowed > 0.0,
+                "nothing came to a silent server"
+            );
+            assert!(
+                kind.is_some() || swallowed == 0.0,
+                "something was swallowed in calm"
+            );
         }
     }
 }
--- a/crates/lab/src/site.rs
+++ b/crates/lab/src/site.rs
@@ -75,7 +75,11 @@
 
 /// The time after which no client waits for a try any more, whatever its class.
 pub fn longest_deadline() -> Us {
-    CLASSES.iter().map(|class| class.deadline).max().unwrap_or(0)
+    CLASSES
+        .iter()
+        .map(|class| class.deadline)
+        .max()
+        .unwrap_or(0)
 }
 
 /// The sites, in the order of their numbers.
@@ -94,9 +98,21 @@
 
 /// The three kinds, each about a third of the servers.
 pub const KINDS: [Kind; 3] = [
-    Kind { name: "fast", cores: 2, speed: (1.4, 1.8) },
-    Kind { name: "standard", cores: 2, speed: (0.85, 1.1) },
-    Kind { name: "small", cores: 2, speed: (0.51, 0.69) },
+    Kind {
+        name: "fast",
+        cores: 2,
+        speed: (1.4, 1.8),
+    },
+    Kind {
+        name: "standard",
+        cores: 2,
+        speed: (0.85, 1.1),
+    },
+    Kind {
+        name: "small",
+        cores: 2,
+        speed: (0.51, 0.69),
+    },
 ];
 
 /// How long servers drop repeats of a key.
@@ -175,10 +191,14 @@
 
     #[test]
     fn a_sidecar_can_use_its_settings() {
-        let decoded = linenproxy::settings::decode(&settings(60, 3, 1).to_string()).expect("they are read");
+        let decoded =
+            linenproxy::settings::decode(&settings(60, 3, 1).to_string()).expect("they are read");
         assert_eq!(decoded.settings.check(), Ok(()));
         assert_eq!(decoded.classes, CLASSES.map(|c| c.name));
-        assert_eq!((decoded.settings.instances, decoded.settings.index), (60, 3));
+        assert_eq!(
+            (decoded.settings.instances, decoded.settings.index),
+            (60, 3)
+        );
         let total: f64 = CLASSES.iter().map(|c| c.share).sum();
         assert!((total - 1.0).abs() < 1e-9);
     }
--- a/crates/lab/src/statistics.rs
+++ b/crates/lab/src/statistics.rs
@@ -16,15 +16,20 @@
 /// Quantiles of Student's distribution at 0.975 for 1 to 30 degrees of freedom (Student, Biometrika 6, 1908, p. 1;
 /// the figures as in every table of it).
 const STUDENT: [f64; 30] = [
-    12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131,
-    2.120, 2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056, 2.052, 2.048, 2.045, 2.042,
+    12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160,
+    2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056,
+    2.052, 2.048, 2.045, 2.042,
 ];
 /// The same of the normal distribution, for more.
 const NORMAL: f64 = 1.960;
 
 /// The mean; 0 of nothing.
 pub fn mean(values: &[f64]) -> f64 {
-    if values.is_empty() { 0.0 } else { values.iter().sum::<f64>() / values.len() as f64 }
+    if values.is_empty() {
+        0.0
+    } else {
+        values.iter().sum::<f64>() / values.len() as f64
+    }
 }
 
 /// The interval of the mean of paired differences, or of any values that scatter alike.
@@ -32,12 +37,20 @@
     let mean = mean(values);
     let degrees = values.len().saturating_sub(1);
     if degrees == 0 {
-        return Interval { mean, low: None, high: None };
+        return Interval {
+            mean,
+            low: None,
+            high: None,
+        };
     }
     let variance = values.iter().map(|v| (v - mean).powi(2)).sum::<f64>() / degrees as f64;
     let quantile = STUDENT.get(degrees - 1).copied().unwrap_or(NORMAL);
     let half = quantile * (variance / values.len() as f64).sqrt();
-    Interval { mean, low: Some(mean - half), high: Some(mean + half) }
+    Interval {
+        mean,
+        low: Some(mean - half),
+        high: Some(mean + half),
+    }
 }
 
 #[cfg(test)]
@@ -49,8 +62,18 @@
         let known = interval(&[1.0, 2.0, 3.0, 4.0]);
         // s = 1.291, half = 3.182 * 1.291 / 2.
         assert_eq!(known.mean, 2.5);
-        assert!((known.low.expect("four values") - 0.446).abs() < 0.001, "{known:?}");
-        assert_eq!(interval(&[3.0]), Interval { mean: 3.0, low: None, high: None });
+        assert!(
+            (known.low.expect("four values") - 0.446).abs() < 0.001,
+            "{known:?}"
+        );
+        assert_eq!(
+            interval(&[3.0]),
+            Interval {
+                mean: 3.0,
+                low: None,
+                high: None
+            }
+        );
         assert_eq!(interval(&[2.0; 40]).high, Some(2.0));
         assert_eq!(mean(&[]), 0.0);
     }
--- a/crates/lab/src/stewards.rs
+++ b/crates/lab/src/stewards.rs
@@ -88,12 +88,21 @@
         around: Around<'_>,
         (plan, clock, record): (&Arc<Plan>, &Clock, &Record),
     ) -> io::Result<(Arc<Self>, Vec<AbortHandle>)> {
-        let zone =
-            |steward: usize| steward % plan.kept.as_ref().map_or(1, |kept| kept.keep_zone.len()).max(1);
+        let zone = |steward: usize| {
+            steward
+                % plan
+                    .kept
+                    .as_ref()
+                    .map_or(1, |kept| kept.keep_zone.len())
+                    .max(1)
+        };
         let reserved = (0..asked.count).map(|steward| Reserved::on((around.host)(6, steward)));
         let reserved: Vec<Reserved> = reserved.collect::<io::Result<_>>()?;
         let pages: Vec<SocketAddr> = reserved.iter().map(Reserved::address).collect();
-        let blacked_out = plan.kept.as_ref().is_some_and(|kept| !kept.blackouts.is_empty());
+        let blacked_out = plan
+            .kept
+            .as_ref()
+            .is_some_and(|kept| !kept.blackouts.is_empty());
         let begins = blacked_out.then(|| Instant::now() + BEGINS_AFTER);
         let agreed = match &plan.kept {
             Some(kept) => agreement(kept, begins.map(|_| Timestamp::now() + BEGINS_AFTER))?,
@@ -114,13 +123,24 @@
                 troubles(asked, own)
             );
             for (other, at) in pages.iter().enumerate() {
-                let at = if other == own { *at } else { way(zone(other), *at)? };
+                let at = if other == own {
+                    *at
+                } else {
+                    way(zone(other), *at)?
+                };
                 let _ = writeln!(text, "s{other} = \"{at}\"");
             }
-            let _ =
-                writeln!(text, "\n[platform]\naddress = \"{}\"\n\n[evidence.sidecars]", around.platform.1);
+            let _ = writeln!(
+                text,
+                "\n[platform]\naddress = \"{}\"\n\n[evidence.sidecars]",
+                around.platform.1
+            );
             for (number, name) in ZONES.iter().enumerate() {
-                let there = plan.sidecars.iter().enumerate().filter(|(_, spec)| spec.zone == number);
+                let there = plan
+                    .sidecars
+                    .iter()
+                    .enumerate()
+                    .filter(|(_, spec)| spec.zone == number);
                 let mut ways = Vec::new();
                 for (sidecar, _) in there {
                     ways.push(way(number, around.sidecars[sidecar])?.to_string());
@@ -132,12 +152,29 @@
             text += &agreed;
             text += &asked.config;
             let folder = around.folder;
-            all.push(Mutex::new(Steward::start(own, &text, bringing.clone(), folder)?));
+            all.push(Mutex::new(Steward::start(
+                own,
+                &text,
+                bringing.clone(),
+                folder,
+            )?));
         }
         let (plan, clock, record) = (Arc::clone(plan), clock.clone(), record.clone());
         let platform = around.platform.0;
         let _reserved = reserved;
-        Ok((Arc::new(Self { all, pages, _reserved, plan, platform, clock, record, begins }), handles))
+        Ok((
+            Arc::new(Self {
+                all,
+                pages,
+                _reserved,
+                plan,
+                platform,
+                clock,
+                record,
+                begins,
+            }),
+            handles,
+        ))
     }
 
     /// Waits until one leads.
@@ -172,7 +209,9 @@
     pub async fn leader(&self) -> Option<usize> {
         for (number, at) in self.pages.iter().enumerate() {
             let status = ask(*at, "GET", "/status", None, WITHIN).await;
-            if status.is_some_and(|(code, status)| code == 200 && status["acts"] == Value::Bool(true)) {
+            if status
+                .is_some_and(|(code, status)| code == 200 && status["acts"] == Value::Bool(true))
+            {
                 return Some(number);
             }
         }
@@ -195,8 +234,13 @@
 fn troubles(asked: &Asked, own: usize) -> String {
     let offset = asked.clock_offset_ms.get(own).filter(|ms| **ms != 0);
     let delay = asked.disk_delay.get(own).filter(|delay| !delay.0.is_zero());
-    let offset = offset.map(|ms| format!("clock_offset_ms = {ms}\n")).unwrap_or_default();
-    offset + &delay.map(|delay| format!("disk_delay = \"{delay}\"\n")).unwrap_or_default()
+    let offset = offset
+        .map(|ms| format!("clock_offset_ms = {ms}\n"))
+        .unwrap_or_default();
+    offset
+        + &delay
+            .map(|delay| format!("disk_delay = \"{delay}\"\n"))
+            .unwrap_or_default()
 }
 
 /// The `[agreement]` section of what was agreed, of a play that begins at that time.
@@ -212,8 +256,11 @@
     }
     for (number, (from, until)) in kept.blackouts.iter().enumerate() {
         let moment = |at: Us| {
-            let at = begins.unwrap_or_default().checked_add(Duration::from_micros(at));
-            at.map(|at| TimeZone::UTC.to_datetime(at)).map_err(io::Error::other)
+            let at = begins
+                .unwrap_or_default()
+                .checked_add(Duration::from_micros(at));
+            at.map(|at| TimeZone::UTC.to_datetime(at))
+                .map_err(io::Error::other)
         };
         let (from, until) = (moment(*from)?, moment(*until)?);
         let _ = writeln!(
--- a/crates/lab/src/stewards/asker.rs
+++ b/crates/lab/src/stewards/asker.rs
@@ -27,7 +27,9 @@
     for window in 0..stewards.plan.windows.len() {
         let stewards = Arc::clone(&stewards);
         asking.spawn(async move {
-            let Some(named) = stewards.ask_for(window).await else { return };
+            let Some(named) = stewards.ask_for(window).await else {
+                return;
+            };
             let spec = &stewards.plan.windows[window];
             let mut works = JoinSet::new();
             for server in spec.servers.clone() {
@@ -43,7 +45,11 @@
 impl Stewards {
     fn request(&self, number: usize, window: &WindowSpec) -> Value {
         let unix = |at: u64| self.clock.began_ms() + at / 1000;
-        let names: Vec<&str> = window.servers.iter().map(|i| self.plan.servers[*i].name.as_str()).collect();
+        let names: Vec<&str> = window
+            .servers
+            .iter()
+            .map(|i| self.plan.servers[*i].name.as_str())
+            .collect();
         json!({"name": format!("w{number}"), "target": {"servers": names}, "earliest_ms": unix(window.at),
             "latest_ms": unix(window.latest), "length_ms": (window.length + WARMS) / 1000,
             "overrun_ms": window.overrun / 1000, "priority": window.priority, "split": window.split})
@@ -55,20 +61,41 @@
         let request = self.request(number, window);
         for steward in (0..self.pages.len()).cycle().skip(number) {
             // Asked again under one name it is one window.
-            let answer = ask(self.pages[steward], "POST", "/windows", Some(&request), WITHIN).await;
+            let answer = ask(
+                self.pages[steward],
+                "POST",
+                "/windows",
+                Some(&request),
+                WITHIN,
+            )
+            .await;
             if let Some((status, answer)) = answer {
                 let booked = (200..300).contains(&status);
                 let refused = matches!(status, 400 | 409 | 422);
                 let named = answer["booked"]["window"].as_u64();
                 if booked || refused {
                     let what = format!("{status} {answer}");
-                    self.record.note(self.clock.now(), Seen::Window { window: number, booked, what });
+                    self.record.note(
+                        self.clock.now(),
+                        Seen::Window {
+                            window: number,
+                            booked,
+                            what,
+                        },
+                    );
                     return named;
                 }
             }
             if self.clock.now() > window.latest {
                 let what = "nobody answered in time".to_owned();
-                self.record.note(self.clock.now(), Seen::Window { window: number, booked: false, what });
+                self.record.note(
+                    self.clock.now(),
+                    Seen::Window {
+                        window: number,
+                        booked: false,
+                        what,
+                    },
+                );
                 return None;
             }
             sleep(LOOK).await;
@@ -78,7 +105,10 @@
 
     /// Does the work on a server whenever it is away, and says when that is finished.
     async fn work(&self, window: u64, server: usize, length: Us) {
-        let (path, name) = (format!("/windows/{window}/finished"), &self.plan.servers[server].name);
+        let (path, name) = (
+            format!("/windows/{window}/finished"),
+            &self.plan.servers[server].name,
+        );
         loop {
             while self.platform.place(server) != Place::Away {
                 sleep(LOOK).await;
--- a/crates/lab/src/stewards/faults.rs
+++ b/crates/lab/src/stewards/faults.rs
@@ -24,9 +24,15 @@
     /// Whether a seat of a window has come to that state, by any steward's word.
     async fn has_come_to(&self, state: &str) -> bool {
         for at in &self.pages {
-            let Some((200, windows)) = ask(*at, "GET", "/windows", None, WITHIN).await else { continue };
-            let seats =
-                windows.as_array().into_iter().flatten().filter_map(|w| w["seats"].as_array()).flatten();
+            let Some((200, windows)) = ask(*at, "GET", "/windows", None, WITHIN).await else {
+                continue;
+            };
+            let seats = windows
+                .as_array()
+                .into_iter()
+                .flatten()
+                .filter_map(|w| w["seats"].as_array())
+                .flatten();
             if seats.into_iter().any(|seat| seat["state"] == state) {
                 return true;
             }
@@ -51,19 +57,28 @@
     fn fill(&self, number: usize, steward: &Steward, full: bool) {
         if let Err(e) = steward.fill_disk(full) {
             let what = format!("the lab cannot fill steward {number}'s disk: {e}");
-            self.record.note(self.clock.now(), Seen::StewardBroken { what });
+            self.record
+                .note(self.clock.now(), Seen::StewardBroken { what });
         }
     }
 
     async fn suffer(&self, fault: &StewardFault) {
-        self.clock.until(u64::try_from(fault.at.0.as_micros()).unwrap_or(u64::MAX)).await;
+        self.clock
+            .until(u64::try_from(fault.at.0.as_micros()).unwrap_or(u64::MAX))
+            .await;
         if let Some(state) = &fault.on {
             while !self.has_come_to(state).await {
                 sleep(LOOK).await;
             }
         }
         let chosen = self.chosen(fault.who).await;
-        self.record.note(self.clock.now(), Seen::StewardFault { kind: fault.kind, count: chosen.len() });
+        self.record.note(
+            self.clock.now(),
+            Seen::StewardFault {
+                kind: fault.kind,
+                count: chosen.len(),
+            },
+        );
         for number in &chosen {
             let mut steward = self.all[*number].lock().await;
             match fault.kind {
@@ -78,12 +93,16 @@
                     };
                     if let Err(e) = done {
                         let what = format!("the lab cannot change steward {number}'s files: {e}");
-                        self.record.note(self.clock.now(), Seen::StewardBroken { what });
+                        self.record
+                            .note(self.clock.now(), Seen::StewardBroken { what });
                     }
                 }
             }
         }
-        sleep(Duration::from_micros(u64::try_from(fault.lasts.0.as_micros()).unwrap_or(u64::MAX))).await;
+        sleep(Duration::from_micros(
+            u64::try_from(fault.lasts.0.as_micros()).unwrap_or(u64::MAX),
+        ))
+        .await;
         for number in &chosen {
             let mut steward = self.all[*number].lock().await;
             if fault.kind == StewardFaultKind::Stop {
@@ -92,7 +111,8 @@
                 self.fill(*number, &steward, false);
             } else if let Err(e) = steward.run() {
                 let what = format!("steward {number} cannot be started: {e}");
-                self.record.note(self.clock.now(), Seen::StewardBroken { what });
+                self.record
+                    .note(self.clock.now(), Seen::StewardBroken { what });
             }
         }
     }
--- a/crates/lab/src/stewards/process.rs
+++ b/crates/lab/src/stewards/process.rs
@@ -23,12 +23,23 @@
 }
 
 impl Steward {
-    pub(super) fn start(number: usize, text: &str, bringing: Bringing, folder: &Path) -> io::Result<Self> {
+    pub(super) fn start(
+        number: usize,
+        text: &str,
+        bringing: Bringing,
+        folder: &Path,
+    ) -> io::Result<Self> {
         let file = |kind: &str| folder.join(format!("s{number}.{kind}"));
         let (config, log) = (file("toml"), file("log"));
         fs::write(&config, text)?;
         fs::File::create(&log)?;
-        let mut steward = Self { bringing, config, log, data: data(folder, number), child: None };
+        let mut steward = Self {
+            bringing,
+            config,
+            log,
+            data: data(folder, number),
+            child: None,
+        };
         steward.run()?;
         Ok(steward)
     }
@@ -38,9 +49,18 @@
         if self.runs() {
             return Ok(());
         }
-        let log = || OpenOptions::new().append(true).open(&self.log).map(Stdio::from);
+        let log = || {
+            OpenOptions::new()
+                .append(true)
+                .open(&self.log)
+                .map(Stdio::from)
+        };
         let mut command = self.bringing.command_that_outlives_full_disks();
-        command.arg("--config").arg(&self.config).env_clear().stdin(Stdio::null());
+        command
+            .arg("--config")
+            .arg(&self.config)
+            .env_clear()
+            .stdin(Stdio::null());
         command.stdout(log()?).stderr(log()?);
         self.child = Some(Running::start(&mut command)?);
         Ok(())
@@ -48,11 +68,17 @@
 
     /// Whether its process runs.
     pub(super) fn runs(&mut self) -> bool {
-        self.child.as_mut().is_some_and(|child| matches!(child.ended(), Ok(None)))
+        self.child
+            .as_mut()
+            .is_some_and(|child| matches!(child.ended(), Ok(None)))
     }
 
     fn pid(&self) -> Option<Pid> {
-        let id = self.child.as_ref().and_then(Running::id).and_then(|id| i32::try_from(id).ok());
+        let id = self
+            .child
+            .as_ref()
+            .and_then(Running::id)
+            .and_then(|id| i32::try_from(id).ok());
         id.and_then(Pid::from_raw)
     }
 
@@ -65,9 +91,15 @@
     /// Lets it write to no file, or to all again. It is its limit on the size of files, so that a disk of its own is
     /// not needed: writing answers with an error, as on a full disk.
     pub(super) fn fill_disk(&self, full: bool) -> io::Result<()> {
-        let limit = Rlimit { current: full.then_some(0), maximum: None };
-        self.pid()
-            .map_or(Ok(()), |pid| prlimit(Some(pid), Resource::Fsize, limit).map(drop).map_err(Into::into))
+        let limit = Rlimit {
+            current: full.then_some(0),
+            maximum: None,
+        };
+        self.pid().map_or(Ok(()), |pid| {
+            prlimit(Some(pid), Resource::Fsize, limit)
+                .map(drop)
+                .map_err(Into::into)
+        })
     }
 
     /// Stops or continues it.
@@ -97,7 +129,12 @@
         if self.data.is_file() {
             return vec![self.data.clone()];
         }
-        fs::read_dir(&self.data).into_iter().flatten().flatten().map(|entry| entry.path()).collect()
+        fs::read_dir(&self.data)
+            .into_iter()
+            .flatten()
+            .flatten()
+            .map(|entry| entry.path())
+            .collect()
     }
 
     /// Removes all that it keeps.
@@ -108,13 +145,21 @@
     /// Tears the largest file that it keeps in the middle.
     pub(super) fn tear_disk(&self) -> io::Result<()> {
         let size = |file: &PathBuf| fs::metadata(file).map_or(0, |meta| meta.len());
-        let Some(file) = self.files().into_iter().max_by_key(size) else { return Ok(()) };
-        OpenOptions::new().write(true).open(&file)?.set_len(size(&file) / 2)
+        let Some(file) = self.files().into_iter().max_by_key(size) else {
+            return Ok(());
+        };
+        OpenOptions::new()
+            .write(true)
+            .open(&file)?
+            .set_len(size(&file) / 2)
     }
 
     /// Its log's last line.
     pub(super) fn last_line(&self) -> String {
         let text = fs::read_to_string(&self.log).unwrap_or_default();
-        text.lines().next_back().unwrap_or("it has said nothing").to_owned()
+        text.lines()
+            .next_back()
+            .unwrap_or("it has said nothing")
+            .to_owned()
     }
 }
--- a/crates/lab/src/supervisor.rs
+++ b/crates/lab/src/supervisor.rs
@@ -74,7 +74,10 @@
     ) -> io::Result<Self> {
         let name = format!("n{}", told.sidecar);
         let product = release::write(folder, &name, told.sidecar, &variant.config)?;
-        let (platform, log) = (folder.join(format!("{name}.json")), folder.join(format!("{name}.log")));
+        let (platform, log) = (
+            folder.join(format!("{name}.json")),
+            folder.join(format!("{name}.log")),
+        );
         File::create(&log)?;
         Ok(Self {
             told,
@@ -102,7 +105,10 @@
     /// The program or a file cannot be used.
     pub fn start(&mut self) -> io::Result<()> {
         // A new one with each start.
-        self.seed = self.seed.wrapping_mul(0x5851_f42d_4c95_7f2d).wrapping_add(1);
+        self.seed = self
+            .seed
+            .wrapping_mul(0x5851_f42d_4c95_7f2d)
+            .wrapping_add(1);
         let mut platform = self.told.platform.clone();
         platform["seed"] = json!(format!("{:016x}", self.seed));
         fs::write(&self.platform, platform.to_string())?;
@@ -132,31 +138,50 @@
         let until = Instant::now() + self.bringing.within;
         while !up(self.told.listen).await {
             if let Some(status) = self.ended() {
-                return Err(format!("ended as it started: {status}; {}", self.last_line()));
+                return Err(format!(
+                    "ended as it started: {status}; {}",
+                    self.last_line()
+                ));
             }
             if Instant::now() > until {
-                return Err(format!("was not ready within {:.1} s", self.bringing.within.as_secs_f64()));
+                return Err(format!(
+                    "was not ready within {:.1} s",
+                    self.bringing.within.as_secs_f64()
+                ));
             }
             sleep(LOOK).await;
         }
-        self.record.note(self.clock.now(), Seen::SidecarUp { sidecar: self.told.sidecar });
+        self.record.note(
+            self.clock.now(),
+            Seen::SidecarUp {
+                sidecar: self.told.sidecar,
+            },
+        );
         Ok(())
     }
 
     /// How it has ended, if it has.
     pub fn ended(&mut self) -> Option<ExitStatus> {
-        self.child.as_mut().and_then(|child| child.ended().ok().flatten())
+        self.child
+            .as_mut()
+            .and_then(|child| child.ended().ok().flatten())
     }
 
     /// Its log's last line.
     pub fn last_line(&self) -> String {
         let text = fs::read_to_string(&self.log).unwrap_or_default();
-        text.lines().next_back().unwrap_or("it has said nothing").to_owned()
+        text.lines()
+            .next_back()
+            .unwrap_or("it has said nothing")
+            .to_owned()
     }
 
     /// Sends it a signal, if it runs.
     pub fn signal(&self, signal: Signal) {
-        let pid = self.id().and_then(|id| i32::try_from(id).ok()).and_then(Pid::from_raw);
+        let pid = self
+            .id()
+            .and_then(|id| i32::try_from(id).ok())
+            .and_then(Pid::from_raw);
         if let Some(pid) = pid {
             let _ = kill_process(pid, signal);
         }
@@ -177,9 +202,19 @@
     /// Kills it and waits for its end.
     pub async fn kill(&mut self) {
         self.account();
-        let Some(mut child) = self.child.take() else { return };
+        let Some(mut child) = self.child.take() else {
+            return;
+        };
         let sidecar = self.told.sidecar;
-        let down = || self.record.note(self.clock.now(), Seen::SidecarDown { sidecar, killed: true });
+        let down = || {
+            self.record.note(
+                self.clock.now(),
+                Seen::SidecarDown {
+                    sidecar,
+                    killed: true,
+                },
+            )
+        };
         down();
         let _ = child.kill().await;
         // Its sockets take requests until the last of its threads is gone, one that waits for a disk included: what
@@ -192,16 +227,25 @@
         self.account();
         self.signal(Signal::TERM);
         let sidecar = self.told.sidecar;
-        self.record.note(self.clock.now(), Seen::SidecarTold { sidecar });
-        let Some(mut child) = self.child.take() else { return };
+        self.record
+            .note(self.clock.now(), Seen::SidecarTold { sidecar });
+        let Some(mut child) = self.child.take() else {
+            return;
+        };
         let ended = timeout(STOPS_WITHIN + STOP_SLACK, child.end()).await;
         let (killed, what) = match ended {
             Ok(Ok(status)) if status.success() => (false, None),
-            Ok(Ok(status)) => (false, Some(format!("ended badly when it was told to stop: {status}"))),
+            Ok(Ok(status)) => (
+                false,
+                Some(format!("ended badly when it was told to stop: {status}")),
+            ),
             Ok(Err(e)) => (true, Some(format!("cannot be waited for: {e}"))),
             Err(_) => {
                 let _ = child.kill().await;
-                (true, Some("went on for too long after it was told to stop".to_owned()))
+                (
+                    true,
+                    Some("went on for too long after it was told to stop".to_owned()),
+                )
             }
         };
         let now = self.clock.now();
@@ -216,10 +260,14 @@
 async fn up(at: SocketAddr) -> bool {
     let look = async {
         let mut stream = TcpStream::connect(at).await?;
-        stream.write_all(b"GET /up HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n").await?;
+        stream
+            .write_all(b"GET /up HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n")
+            .await?;
         let mut head = [0; 12];
         stream.read_exact(&mut head).await?;
         Ok::<_, io::Error>(&head == b"HTTP/1.1 200")
     };
-    timeout(Duration::from_secs(1), look).await.is_ok_and(|up| up.unwrap_or(false))
+    timeout(Duration::from_secs(1), look)
+        .await
+        .is_ok_and(|up| up.unwrap_or(false))
 }
--- a/crates/lab/src/supervisor/bringing.rs
+++ b/crates/lab/src/supervisor/bringing.rs
@@ -21,15 +21,25 @@
 impl Bringing {
     /// Brings up that program, by itself and with the usual patience.
     pub fn plain(program: PathBuf) -> Self {
-        Self { program, keeper: None, within: READY_WITHIN }
+        Self {
+            program,
+            keeper: None,
+            within: READY_WITHIN,
+        }
     }
 
     /// The same, but a write beyond the process's limit on the size of files is an error to it rather than its end: what
     /// a program may ignore of signals it inherits, and a shell can say so.
     pub(crate) fn command_that_outlives_full_disks(&self) -> Command {
         let program = self.program.clone();
-        let mut command = Self { program: PathBuf::from("/bin/sh"), ..self.clone() }.command();
-        command.args(["-c", "trap '' XFSZ; exec \"$0\" \"$@\""]).arg(program);
+        let mut command = Self {
+            program: PathBuf::from("/bin/sh"),
+            ..self.clone()
+        }
+        .command();
+        command
+            .args(["-c", "trap '' XFSZ; exec \"$0\" \"$@\""])
+            .arg(program);
         command
     }
 
@@ -37,7 +47,10 @@
         match &self.keeper {
             Some(keeper) => {
                 let mut command = Command::new(keeper);
-                command.arg(KEEP).arg(std::process::id().to_string()).arg(&self.program);
+                command
+                    .arg(KEEP)
+                    .arg(std::process::id().to_string())
+                    .arg(&self.program);
                 command
             }
             None => Command::new(&self.program),
@@ -58,7 +71,11 @@
         return e.into();
     }
     // Where the lab ended before that was said, nobody will say so any more.
-    if getppid().map(Pid::as_raw_pid).and_then(|id| u32::try_from(id).ok()) != Some(parent) {
+    if getppid()
+        .map(Pid::as_raw_pid)
+        .and_then(|id| u32::try_from(id).ok())
+        != Some(parent)
+    {
         return io::Error::other("the lab has ended");
     }
     std::os::unix::process::CommandExt::exec(std::process::Command::new(program).args(words))
--- a/crates/lab/src/supervisor/release.rs
+++ b/crates/lab/src/supervisor/release.rs
@@ -14,7 +14,12 @@
 }
 
 /// Writes a product configuration, if it says anything.
-pub(super) fn write(folder: &Path, name: &str, sidecar: usize, config: &str) -> io::Result<Option<PathBuf>> {
+pub(super) fn write(
+    folder: &Path,
+    name: &str,
+    sidecar: usize,
+    config: &str,
+) -> io::Result<Option<PathBuf>> {
     if config.trim().is_empty() {
         return Ok(None);
     }
@@ -31,7 +36,11 @@
     pub fn beside(&mut self, program: PathBuf, config: &str, folder: &Path) -> io::Result<()> {
         let sidecar = self.told.sidecar;
         let product = write(folder, &format!("n{sidecar}-old"), sidecar, config)?;
-        self.other = Some(Other { program, product, version: Version::Old });
+        self.other = Some(Other {
+            program,
+            product,
+            version: Version::Old,
+        });
         Ok(())
     }
 
@@ -40,7 +49,11 @@
         if let Some(other) = self.other.as_mut().filter(|other| other.version == to) {
             std::mem::swap(&mut self.bringing.program, &mut other.program);
             std::mem::swap(&mut self.product, &mut other.product);
-            other.version = if to == Version::Old { Version::New } else { Version::Old };
+            other.version = if to == Version::Old {
+                Version::New
+            } else {
+                Version::Old
+            };
         }
     }
 }
--- a/crates/lab/src/supervisor/told.rs
+++ b/crates/lab/src/supervisor/told.rs
@@ -35,6 +35,11 @@
             "name": format!("n{sidecar}"), "listen": listen.to_string(), "discovery": discovery.to_string(),
             "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS}, "known": known,
             "settings": site::settings(sidecars, sidecar, zone)});
-        Self { sidecar, listen, discovery, platform }
+        Self {
+            sidecar,
+            listen,
+            discovery,
+            platform,
+        }
     }
 }
--- a/crates/lab/src/tally.rs
+++ b/crates/lab/src/tally.rs
@@ -87,8 +87,14 @@
         (0.0, 0.0, 0.0, 0.0, 0.0, 0.0);
     for (at, seen) in record {
         match seen {
-            Seen::Taken { request, arrival, .. } => drop(arrivals.insert(*request, *arrival)),
-            Seen::Answered { request, status: 200, .. } => {
+            Seen::Taken {
+                request, arrival, ..
+            } => drop(arrivals.insert(*request, *arrival)),
+            Seen::Answered {
+                request,
+                status: 200,
+                ..
+            } => {
                 if let Some(fate) = arrivals.get(request).map(|arrival| &mut fates[*arrival]) {
                     fate.answered = fate.answered.or(Some(*at));
                 }
@@ -102,17 +108,28 @@
             Seen::Taken { .. } => tries += 1.0,
             Seen::Unreached { .. } => (tries, failed) = (tries + 1.0, failed + 1.0),
             Seen::Answered { status: 200, .. } => {}
-            Seen::Answered { status: 429 | 503, .. } => refused += 1.0,
+            Seen::Answered {
+                status: 429 | 503, ..
+            } => refused += 1.0,
             Seen::Answered { .. } | Seen::Lost { .. } | Seen::GaveUp { .. } => failed += 1.0,
-            Seen::Attempt { sidecar, server, began, .. } => {
+            Seen::Attempt {
+                sidecar,
+                server,
+                began,
+                ..
+            } => {
                 attempts += 1.0;
                 by_server[*server] += 1;
-                crossing += f64::from(u8::from(plan.sidecars[*sidecar].zone != plan.servers[*server].zone));
+                crossing += f64::from(u8::from(
+                    plan.sidecars[*sidecar].zone != plan.servers[*server].zone,
+                ));
                 if let Some(bin) = attempts_over_time.get_mut((began / BIN) as usize) {
                     *bin += 1.0;
                 }
             }
-            Seen::AttemptAnswered { unprocessed: true, .. } => turned += 1.0,
+            Seen::AttemptAnswered {
+                unprocessed: true, ..
+            } => turned += 1.0,
             Seen::AttemptSwallowed { .. } => swallowed += 1.0,
             Seen::Handshake { .. } => handshakes += 1.0,
             Seen::Probe { .. } => probes += 1.0,
@@ -123,10 +140,19 @@
     let (mut asked, mut served) = (vec![0.0; bins], vec![0.0; bins]);
     let mut of_class = [(0.0, 0.0); CLASSES.len()];
     let (mut requests, mut answered) = (0.0, 0.0);
-    for (arrival, fate) in plan.arrivals.iter().zip(&fates).filter(|(a, _)| counted(a.at)) {
+    for (arrival, fate) in plan
+        .arrivals
+        .iter()
+        .zip(&fates)
+        .filter(|(a, _)| counted(a.at))
+    {
         let class = &CLASSES[arrival.class];
         let took = fate.answered.map(|at| at.saturating_sub(arrival.at));
-        let worth = if took.is_some_and(|took| took <= class.aim) { class.worth } else { 0.0 };
+        let worth = if took.is_some_and(|took| took <= class.aim) {
+            class.worth
+        } else {
+            0.0
+        };
         let bin = (arrival.at / BIN) as usize;
         (asked[bin], served[bin]) = (asked[bin] + class.worth, served[bin] + worth);
         let of = &mut of_class[arrival.class];
@@ -146,7 +172,11 @@
             .map_or(0.0, |l| l.value_at_percentile(percentile) as f64 / 1e3)
     };
     let (worth, in_time) = (asked.iter().sum::<f64>(), served.iter().sum::<f64>());
-    let worst_class = of_class.iter().filter(|(a, _)| *a > 0.0).map(|(a, s)| s / a).fold(1.0, f64::min);
+    let worst_class = of_class
+        .iter()
+        .filter(|(a, _)| *a > 0.0)
+        .map(|(a, s)| s / a)
+        .fold(1.0, f64::min);
     let seconds = asked.chunks(2).zip(served.chunks(2));
     let worst_second = seconds
         .map(|(a, s)| (a.iter().sum::<f64>(), s.iter().sum::<f64>()))
@@ -169,15 +199,30 @@
         (Measure::Handshakes, share(handshakes, requests)),
         (Measure::Probes, share(probes, requests)),
         (Measure::Crossing, share(crossing, attempts)),
-        (Measure::WorkSavable, share(beside.savable, beside.work.0 + beside.work.1)),
-        (Measure::WorkSaved, share(beside.work.1, beside.work.0 + beside.work.1)),
+        (
+            Measure::WorkSavable,
+            share(beside.savable, beside.work.0 + beside.work.1),
+        ),
+        (
+            Measure::WorkSaved,
+            share(beside.work.1, beside.work.0 + beside.work.1),
+        ),
         (
             Measure::FleetBytes,
-            share(beside.fleet_bytes as f64, plan.sidecars.len() as f64 * plan.lasts as f64 / SECOND as f64),
+            share(
+                beside.fleet_bytes as f64,
+                plan.sidecars.len() as f64 * plan.lasts as f64 / SECOND as f64,
+            ),
         ),
         (Measure::Fallen, beside.fallen as f64),
-        (Measure::ProcessorMs, share(processor * 1e3, plan.arrivals.len() as f64)),
-        (Measure::MemoryMb, share(resident / 1e6, beside.spent.len() as f64)),
+        (
+            Measure::ProcessorMs,
+            share(processor * 1e3, plan.arrivals.len() as f64),
+        ),
+        (
+            Measure::MemoryMb,
+            share(resident / 1e6, beside.spent.len() as f64),
+        ),
         (Measure::P50Ms, at(50.0)),
         (Measure::P99Ms, at(99.0)),
         (Measure::LatenessMs, beside.lateness as f64 / 1e3),
@@ -191,7 +236,11 @@
             .chain(bindings(plan, record))
             .chain(recovery(plan, record))
             .collect(),
-        served: asked.iter().zip(&served).map(|(a, s)| if *a > 0.0 { s / a } else { 1.0 }).collect(),
+        served: asked
+            .iter()
+            .zip(&served)
+            .map(|(a, s)| if *a > 0.0 { s / a } else { 1.0 })
+            .collect(),
         attempts: attempts_over_time,
         by_server,
         latency_ms: PERCENTILES.iter().map(|p| at(*p)).collect(),
@@ -213,11 +262,25 @@
         let (mut asked, mut in_time) = (0.0, 0.0);
         for (arrival, a) in plan.arrivals.iter().enumerate() {
             let (request, class) = (arrival as u64, &CLASSES[a.class]);
-            record
-                .push((a.at, Seen::Taken { request, arrival, sidecar: a.sidecar, until: a.at + a.patience }));
+            record.push((
+                a.at,
+                Seen::Taken {
+                    request,
+                    arrival,
+                    sidecar: a.sidecar,
+                    until: a.at + a.patience,
+                },
+            ));
             let after = [Some(class.aim / 2), None, Some(class.aim + 1), None][arrival % 4];
             if let Some(after) = after {
-                record.push((a.at + after, Seen::Answered { request, status: 200, genuine: true }));
+                record.push((
+                    a.at + after,
+                    Seen::Answered {
+                        request,
+                        status: 200,
+                        genuine: true,
+                    },
+                ));
             }
             if a.at >= plan.warmup {
                 asked += class.worth;
@@ -227,7 +290,14 @@
         record.sort_by_key(|(at, _)| *at);
         let tally = tally(&plan, &record, Beside::default(), Vec::new());
         assert!((tally.measures[&Measure::Served] - in_time / asked).abs() < 1e-9);
-        assert!((tally.measures[&Measure::Answered] - 0.5).abs() < 0.02, "{:?}", tally.measures);
-        assert!(tally.measures[&Measure::ServedWorstClass] > 0.1 && tally.measures[&Measure::P50Ms] > 200.0);
+        assert!(
+            (tally.measures[&Measure::Answered] - 0.5).abs() < 0.02,
+            "{:?}",
+            tally.measures
+        );
+        assert!(
+            tally.measures[&Measure::ServedWorstClass] > 0.1
+                && tally.measures[&Measure::P50Ms] > 200.0
+        );
     }
 }
--- a/crates/lab/src/tally/bindings.rs
+++ b/crates/lab/src/tally/bindings.rs
@@ -16,7 +16,10 @@
                 of.insert(*number, *server);
                 there[*server] += 1;
                 let spec = &plan.servers[*server];
-                let full = share(there[*server] as f64, (spec.cores as usize + spec.queue) as f64);
+                let full = share(
+                    there[*server] as f64,
+                    (spec.cores as usize + spec.queue) as f64,
+                );
                 deepest = f64::max(deepest, if *at >= plan.warmup { full } else { 0.0 });
             }
             Seen::AttemptAnswered { number, .. } | Seen::AttemptSwallowed { number } => {
@@ -33,7 +36,15 @@
             _ => {}
         }
     }
-    let told = plan.steps.iter().filter(|(_, step)| matches!(step, Step::ServerLeaves(_))).count();
-    let cleared = if told == 0 { 1.0 } else { clear.len() as f64 / told as f64 };
+    let told = plan
+        .steps
+        .iter()
+        .filter(|(_, step)| matches!(step, Step::ServerLeaves(_)))
+        .count();
+    let cleared = if told == 0 {
+        1.0
+    } else {
+        clear.len() as f64 / told as f64
+    };
     [(Measure::Deepest, deepest), (Measure::Cleared, cleared)]
 }
--- a/crates/lab/src/tally/recovery.rs
+++ b/crates/lab/src/tally/recovery.rs
@@ -28,14 +28,18 @@
 
 fn lives(plan: &Plan) -> Vec<Life> {
     let started = |sidecar: usize, after: Us| {
-        let later =
-            plan.steps.iter().filter(|(at, step)| *at >= after && *step == Step::SidecarStart(sidecar));
+        let later = plan
+            .steps
+            .iter()
+            .filter(|(at, step)| *at >= after && *step == Step::SidecarStart(sidecar));
         later.map(|(at, _)| *at).min()
     };
     let kills = plan.steps.iter().filter_map(|(killed, step)| match step {
-        Step::SidecarKill(sidecar) => {
-            Some(Life { sidecar: *sidecar, killed: *killed, started: started(*sidecar, *killed)? })
-        }
+        Step::SidecarKill(sidecar) => Some(Life {
+            sidecar: *sidecar,
+            killed: *killed,
+            started: started(*sidecar, *killed)?,
+        }),
         _ => None,
     });
     kills.collect()
@@ -72,9 +76,17 @@
     let bads: Vec<HashMap<usize, Us>> = lives.iter().map(|life| bad(plan, life.killed)).collect();
     for (at, seen) in record {
         match seen {
-            Seen::Taken { request, arrival, .. } => drop(arrivals.insert(*request, *arrival)),
-            Seen::Answered { request, status: 200, .. } => {
-                let Some(arrival) = arrivals.get(request) else { continue };
+            Seen::Taken {
+                request, arrival, ..
+            } => drop(arrivals.insert(*request, *arrival)),
+            Seen::Answered {
+                request,
+                status: 200,
+                ..
+            } => {
+                let Some(arrival) = arrivals.get(request) else {
+                    continue;
+                };
                 answered[*arrival].get_or_insert(*at);
                 let sidecar = plan.arrivals[*arrival].sidecar;
                 for (life, first) in lives.iter().zip(&mut first) {
@@ -83,11 +95,21 @@
                     }
                 }
             }
-            Seen::Attempt { sidecar, server, began, .. } => {
-                for (life, bad) in lives.iter().zip(&bads).filter(|(life, _)| life.sidecar == *sidecar) {
+            Seen::Attempt {
+                sidecar,
+                server,
+                began,
+                ..
+            } => {
+                for (life, bad) in lives
+                    .iter()
+                    .zip(&bads)
+                    .filter(|(life, _)| life.sidecar == *sidecar)
+                {
                     let counts = (life.started..life.started + COUNTED).contains(began);
-                    wasted +=
-                        f64::from(u8::from(counts && bad.get(server).is_some_and(|until| began < until)));
+                    wasted += f64::from(u8::from(
+                        counts && bad.get(server).is_some_and(|until| began < until),
+                    ));
                 }
             }
             _ => {}
@@ -96,7 +118,11 @@
     let count = lives.len().max(1) as f64;
     let seconds = |us: Us| us as f64 / SECOND as f64;
     let none = |life: &Life| plan.lasts.saturating_sub(life.started);
-    let firsts: f64 = lives.iter().zip(&first).map(|(l, f)| seconds(f.unwrap_or_else(|| none(l)))).sum();
+    let firsts: f64 = lives
+        .iter()
+        .zip(&first)
+        .map(|(l, f)| seconds(f.unwrap_or_else(|| none(l))))
+        .sum();
     [
         (Measure::FirstAnswerS, firsts / count),
         (Measure::BackS, back(plan, &lives, &answered)),
@@ -107,9 +133,10 @@
 /// Time from the first start until requests that come within a second are worth as much as before, over all sidecars
 /// that were killed.
 fn back(plan: &Plan, lives: &[Life], answered: &[Option<Us>]) -> f64 {
-    let (Some(killed), Some(started)) =
-        (lives.iter().map(|l| l.killed).min(), lives.iter().map(|l| l.started).min())
-    else {
+    let (Some(killed), Some(started)) = (
+        lives.iter().map(|l| l.killed).min(),
+        lives.iter().map(|l| l.started).min(),
+    ) else {
         return 0.0;
     };
     let share = |from: Us, until: Us| {
@@ -119,7 +146,11 @@
         for (a, at) in all.filter(|(a, _)| (from..until).contains(&a.at) && concerned(a.sidecar)) {
             let class = &CLASSES[a.class];
             asked += class.worth;
-            served += if at.is_some_and(|at| at <= a.at + class.aim) { class.worth } else { 0.0 };
+            served += if at.is_some_and(|at| at <= a.at + class.aim) {
+                class.worth
+            } else {
+                0.0
+            };
         }
         if asked > 0.0 { served / asked } else { 0.0 }
     };
@@ -139,7 +170,10 @@
 
     #[test]
     fn a_return_is_measured_from_the_start_by_answers_worth_and_attempts_at_the_known_bad() {
-        let mut experiment = Experiment { name: "a".to_owned(), ..Experiment::default() };
+        let mut experiment = Experiment {
+            name: "a".to_owned(),
+            ..Experiment::default()
+        };
         experiment.load.rate = 20.0;
         let mut plan = draw(&experiment, 1);
         let (kill, start) = (6 * SECOND, 7 * SECOND);
@@ -150,21 +184,50 @@
             (start, Step::SidecarStart(0)),
         ];
         let mut record = Vec::new();
-        for (arrival, a) in plan.arrivals.iter().enumerate().filter(|(_, a)| a.sidecar == 0) {
+        for (arrival, a) in plan
+            .arrivals
+            .iter()
+            .enumerate()
+            .filter(|(_, a)| a.sidecar == 0)
+        {
             let (request, lost) = (arrival as u64, (kill..start + 2 * SECOND).contains(&a.at));
-            record.push((a.at, Seen::Taken { request, arrival, sidecar: 0, until: a.at + a.patience }));
+            record.push((
+                a.at,
+                Seen::Taken {
+                    request,
+                    arrival,
+                    sidecar: 0,
+                    until: a.at + a.patience,
+                },
+            ));
             if !lost {
-                record.push((a.at + 1, Seen::Answered { request, status: 200, genuine: true }));
+                record.push((
+                    a.at + 1,
+                    Seen::Answered {
+                        request,
+                        status: 200,
+                        genuine: true,
+                    },
+                ));
             }
         }
         for (number, server) in [0, 0, 1, 2].into_iter().enumerate() {
             let began = start + SECOND;
-            let attempt = Seen::Attempt { number: number as u64, request: None, sidecar: 0, server, began };
+            let attempt = Seen::Attempt {
+                number: number as u64,
+                request: None,
+                sidecar: 0,
+                server,
+                began,
+            };
             record.push((began, attempt));
         }
         record.sort_by_key(|(at, _)| *at);
         let [(_, first), (_, back), (_, wasted)] = recovery(&plan, &record);
-        let next = plan.arrivals.iter().find(|a| a.sidecar == 0 && a.at >= start + 2 * SECOND);
+        let next = plan
+            .arrivals
+            .iter()
+            .find(|a| a.sidecar == 0 && a.at >= start + 2 * SECOND);
         let next = next.map_or(0.0, |a| (a.at + 1 - start) as f64 / SECOND as f64);
         assert!((first - next).abs() < 1e-9, "{first} for {next}");
         assert!((1.0..=2.0).contains(&back), "{back}");
--- a/crates/lab/src/tally/standing.rs
+++ b/crates/lab/src/tally/standing.rs
@@ -15,7 +15,9 @@
     let mut open: Vec<(usize, Way, Us)> = Vec::new();
     let mut cuts = Vec::new();
     for (at, step) in &plan.steps {
-        let Step::Cut(zone, way, on) = step else { continue };
+        let Step::Cut(zone, way, on) = step else {
+            continue;
+        };
         if *on {
             open.push((*zone, *way, *at));
         } else if let Some(place) = open.iter().position(|cut| (cut.0, cut.1) == (*zone, *way)) {
@@ -37,7 +39,9 @@
                 told[*sidecar].push((*at, matches!(stands, Stands::Cut | Stands::Alone)));
             }
             // Its next life begins whole.
-            Seen::SidecarUp { sidecar } if !told[*sidecar].is_empty() => told[*sidecar].push((*at, false)),
+            Seen::SidecarUp { sidecar } if !told[*sidecar].is_empty() => {
+                told[*sidecar].push((*at, false))
+            }
             _ => {}
         }
     }
@@ -45,9 +49,17 @@
     told.retain(|told| !told.is_empty());
     let cuts = cuts(plan);
     for told in &told {
-        let at = |time: Us| told.iter().take_while(|(at, _)| *at <= time).last().is_some_and(|(_, cut)| *cut);
+        let at = |time: Us| {
+            told.iter()
+                .take_while(|(at, _)| *at <= time)
+                .last()
+                .is_some_and(|(_, cut)| *cut)
+        };
         for (from, until) in &cuts {
-            let found = told.iter().find(|(at, cut)| *cut && (*from..*until).contains(at)).map(|(at, _)| *at);
+            let found = told
+                .iter()
+                .find(|(at, cut)| *cut && (*from..*until).contains(at))
+                .map(|(at, _)| *at);
             match found {
                 _ if at(*from) => {}
                 Some(at) => late = late.max(at - from),
@@ -55,13 +67,18 @@
             }
             let over = !cuts.iter().any(|(f, u)| f <= until && u > until);
             if over && at(*until) {
-                let end = told.iter().find(|(at, cut)| at > until && !cut).map_or(plan.lasts, |(at, _)| *at);
+                let end = told
+                    .iter()
+                    .find(|(at, cut)| at > until && !cut)
+                    .map_or(plan.lasts, |(at, _)| *at);
                 ends = ends.max(end.saturating_sub(*until));
             }
         }
         let mut before = false;
         for (time, cut) in told {
-            let true_then = cuts.iter().any(|(from, until)| (*from..*until + AFTER).contains(time));
+            let true_then = cuts
+                .iter()
+                .any(|(from, until)| (*from..*until + AFTER).contains(time));
             wrong += f64::from(u8::from(*cut && !before && !true_then));
             before = *cut;
         }
@@ -83,9 +100,17 @@
 
     #[test]
     fn a_cut_is_found_late_or_missed_and_one_without_a_cause_is_false() {
-        let mut plan = draw(&Experiment { name: "a".to_owned(), ..Experiment::default() }, 1);
-        plan.steps =
-            vec![(5 * SECOND, Step::Cut(0, Way::Both, true)), (9 * SECOND, Step::Cut(0, Way::Both, false))];
+        let mut plan = draw(
+            &Experiment {
+                name: "a".to_owned(),
+                ..Experiment::default()
+            },
+            1,
+        );
+        plan.steps = vec![
+            (5 * SECOND, Step::Cut(0, Way::Both, true)),
+            (9 * SECOND, Step::Cut(0, Way::Both, false)),
+        ];
         let says = |at: Us, sidecar, stands| (at * SECOND, Seen::Standing { sidecar, stands });
         let record = [
             says(1, 0, Stands::Whole),
--- a/crates/lab/src/tally/trials.rs
+++ b/crates/lab/src/tally/trials.rs
@@ -23,13 +23,21 @@
             _ => {}
         }
     }
-    silent.iter_mut().for_each(|(.., until)| *until = (*until).min(plan.lasts));
-    let time: Us = silent.iter().map(|(_, from, until)| until.saturating_sub(*from)).sum();
+    silent
+        .iter_mut()
+        .for_each(|(.., until)| *until = (*until).min(plan.lasts));
+    let time: Us = silent
+        .iter()
+        .map(|(_, from, until)| until.saturating_sub(*from))
+        .sum();
     let trial = |(at, seen): &&Entry| match seen {
-        Seen::Attempt { server, .. } => {
-            silent.iter().any(|(s, from, until)| s == server && (from..until).contains(&at))
-        }
+        Seen::Attempt { server, .. } => silent
+            .iter()
+            .any(|(s, from, until)| s == server && (from..until).contains(&at)),
         _ => false,
     };
-    share(record.iter().filter(trial).count() as f64, time as f64 / SECOND as f64)
+    share(
+        record.iter().filter(trial).count() as f64,
+        time as f64 / SECOND as f64,
+    )
 }
--- a/crates/lab/src/ways.rs
+++ b/crates/lab/src/ways.rs
@@ -20,9 +20,16 @@
     (from, to): (usize, usize),
     target: SocketAddr,
 ) -> io::Result<(SocketAddr, AbortHandle)> {
-    let link = Link { net: net.clone(), from, to };
+    let link = Link {
+        net: net.clone(),
+        from,
+        to,
+    };
     // The listener behind it says itself whether it is there.
-    let (alive, life) = watch::channel(Life { up: true, number: 1 });
+    let (alive, life) = watch::channel(Life {
+        up: true,
+        number: 1,
+    });
     let door = Door::bind(host, life, link.clone())?;
     let address = door.address();
     let task = tokio::spawn(async move {
--- a/crates/lab/src/world.rs
+++ b/crates/lab/src/world.rs
@@ -138,8 +138,17 @@
             sent_sum: 0.0,
             fallen: false,
         };
-        let in_group = |g| (0..plan.servers.len()).filter(|i| plan.servers[*i].group == g).collect();
-        let group = |g| Group { limit: plan.limits[g], members: in_group(g), at: 0, next: None };
+        let in_group = |g| {
+            (0..plan.servers.len())
+                .filter(|i| plan.servers[*i].group == g)
+                .collect()
+        };
+        let group = |g| Group {
+            limit: plan.limits[g],
+            members: in_group(g),
+            at: 0,
+            next: None,
+        };
         Self {
             specs: plan.servers.clone(),
             groups: (0..groups).map(group).collect(),
@@ -187,12 +196,16 @@
     /// Whether some server still holds this request.
     pub fn holds(&self, job: u64) -> bool {
         let runs = |s: &Server| s.running.iter().any(|r| r.job.id == job);
-        self.servers.iter().any(|s| runs(s) || s.waiting.iter().any(|w| w.id == job))
+        self.servers
+            .iter()
+            .any(|s| runs(s) || s.waiting.iter().any(|w| w.id == job))
     }
 
     /// Part of its speed that a server has at an instant: from the cold share it grows evenly.
     pub fn warmth(&self, server: usize, now: Us) -> f64 {
-        let Some(started) = self.servers[server].started else { return 1.0 };
+        let Some(started) = self.servers[server].started else {
+            return 1.0;
+        };
         let age = now.saturating_sub(started) as f64 / site::WARM_WITHIN as f64;
         (site::COLD_SHARE + (1.0 - site::COLD_SHARE) * age).min(1.0)
     }
--- a/crates/lab/src/world/tests.rs
+++ b/crates/lab/src/world/tests.rs
@@ -17,7 +17,14 @@
 }
 
 fn job(id: u64, work: f64) -> Job {
-    Job { id, class: 0, work, key: 1000 + id, once: None, fresh: false }
+    Job {
+        id,
+        class: 0,
+        work,
+        key: 1000 + id,
+        once: None,
+        fresh: false,
+    }
 }
 
 /// When each request is done.
@@ -35,13 +42,21 @@
 fn two_cores_serve_two_at_a_time_and_the_rest_wait_or_are_turned_away() {
     let mut world = world(1.0);
     let mut done = Vec::new();
-    let admitted: Vec<_> = (0..12).map(|n| world.submit(0, 0, job(n, 100e3), &mut done)).collect();
-    assert_eq!(admitted.iter().filter(|a| **a == Admission::Taken).count(), 10);
+    let admitted: Vec<_> = (0..12)
+        .map(|n| world.submit(0, 0, job(n, 100e3), &mut done))
+        .collect();
+    assert_eq!(
+        admitted.iter().filter(|a| **a == Admission::Taken).count(),
+        10
+    );
     assert_eq!(admitted[10..], [Admission::Refused; 2]);
     let times = finish(&mut world, SECOND);
     assert_eq!(
         times.iter().map(|(_, at)| *at).collect::<Vec<_>>(),
-        [100_000, 100_000, 200_000, 200_000, 300_000, 300_000, 400_000, 400_000, 500_000, 500_000]
+        [
+            100_000, 100_000, 200_000, 200_000, 300_000, 300_000, 400_000, 400_000, 500_000,
+            500_000
+        ]
     );
 }
 
@@ -56,18 +71,26 @@
         }
     }
     let times = finish(&mut world, SECOND);
-    assert!(times.iter().all(|(_, at)| (199_000..=201_000).contains(at)), "{times:?}");
+    assert!(
+        times.iter().all(|(_, at)| (199_000..=201_000).contains(at)),
+        "{times:?}"
+    );
 }
 
 #[test]
 fn a_key_met_lately_saves_work_until_it_is_forgotten() {
     let mut world = world(1.0);
     let mut done = Vec::new();
-    let keyed = |id, key| Job { key, ..job(id, 100e3) };
+    let keyed = |id, key| Job {
+        key,
+        ..job(id, 100e3)
+    };
     let mut took = |at: Us, key| {
         done.clear();
         world.submit(at, 0, keyed(at, key), &mut done);
-        finish(&mut world, at + SECOND).first().map(|(_, end)| end - at)
+        finish(&mut world, at + SECOND)
+            .first()
+            .map(|(_, end)| end - at)
     };
     assert_eq!(took(0, 1), Some(100_000));
     assert_eq!(took(200_000, 1), Some(50_000));
@@ -82,16 +105,32 @@
 fn a_repeat_of_an_entry_is_dropped_for_five_seconds_and_one_that_was_turned_away_is_not() {
     let mut world = world(1.0);
     let mut done = Vec::new();
-    let entry = |id, once| Job { class: 2, once: Some(once), ..job(id, 10e3) };
+    let entry = |id, once| Job {
+        class: 2,
+        once: Some(once),
+        ..job(id, 10e3)
+    };
     assert_eq!(world.submit(0, 0, entry(1, 7), &mut done), Admission::Taken);
-    assert_eq!(world.submit(1_000_000, 0, entry(2, 7), &mut done), Admission::Repeated);
-    assert_eq!(world.submit(5_000_001, 0, entry(3, 7), &mut done), Admission::Taken);
+    assert_eq!(
+        world.submit(1_000_000, 0, entry(2, 7), &mut done),
+        Admission::Repeated
+    );
+    assert_eq!(
+        world.submit(5_000_001, 0, entry(3, 7), &mut done),
+        Admission::Taken
+    );
     for n in 10..19 {
         world.submit(6_000_000, 1, job(n, 100e3), &mut done);
     }
     world.submit(6_000_000, 1, job(19, 100e3), &mut done);
-    assert_eq!(world.submit(6_000_000, 1, entry(20, 8), &mut done), Admission::Refused);
-    assert_eq!(world.submit(7_000_000, 1, entry(21, 8), &mut done), Admission::Taken);
+    assert_eq!(
+        world.submit(6_000_000, 1, entry(20, 8), &mut done),
+        Admission::Refused
+    );
+    assert_eq!(
+        world.submit(7_000_000, 1, entry(21, 8), &mut done),
+        Admission::Taken
+    );
 }
 
 #[test]
@@ -108,8 +147,15 @@
         at += 25_000;
     }
     assert_eq!(world.fallen().len(), 1);
-    assert!((1_400_000..1_500_000).contains(&world.fallen()[0].0), "{:?}", world.fallen());
-    assert_eq!(world.submit(9 * SECOND, 0, job(1, 1.0), &mut done), Admission::Refused);
+    assert!(
+        (1_400_000..1_500_000).contains(&world.fallen()[0].0),
+        "{:?}",
+        world.fallen()
+    );
+    assert_eq!(
+        world.submit(9 * SECOND, 0, job(1, 1.0), &mut done),
+        Admission::Refused
+    );
 }
 
 #[test]
@@ -119,12 +165,19 @@
     for n in 0..200 {
         world.submit(n * 20_000, 0, job(n, 100e3), &mut done);
     }
-    let last = finish(&mut world, 60 * SECOND).last().expect("it goes on").1;
+    let last = finish(&mut world, 60 * SECOND)
+        .last()
+        .expect("it goes on")
+        .1;
     let mut took = |world: &mut World, at: Us| {
         world.submit(at, 0, job(at, 100e3), &mut done);
         finish(world, at + SECOND).first().map(|(_, end)| end - at)
     };
-    assert_eq!(took(&mut world, last + 2 * SECOND), Some(300_000), "idle for too short a time");
+    assert_eq!(
+        took(&mut world, last + 2 * SECOND),
+        Some(300_000),
+        "idle for too short a time"
+    );
     // One request at a time leaves it mostly idle.
     assert_eq!(took(&mut world, last + 4 * SECOND), Some(100_000));
 }
@@ -135,7 +188,10 @@
     let mut done = Vec::new();
     world.submit(0, 0, job(1, 100e3), &mut done);
     world.silence(0, true);
-    assert_eq!(world.submit(1, 0, job(2, 100e3), &mut done), Admission::Swallowed);
+    assert_eq!(
+        world.submit(1, 0, job(2, 100e3), &mut done),
+        Admission::Swallowed
+    );
     world.submit(2, 1, job(3, 100e3), &mut done);
     world.stop(1);
     assert_eq!(finish(&mut world, SECOND), []);
--- a/crates/lab/src/world/work.rs
+++ b/crates/lab/src/world/work.rs
@@ -20,11 +20,20 @@
             return 1.0;
         }
         let (mut most, mut wanted) = (0.0, 0.0);
-        for i in group.members.iter().copied().filter(|i| self.servers[*i].up) {
+        for i in group
+            .members
+            .iter()
+            .copied()
+            .filter(|i| self.servers[*i].up)
+        {
             most += f64::from(self.specs[i].cores) * self.specs[i].speed;
             wanted += self.servers[i].running.len() as f64 * self.speed(i, group.at);
         }
-        if wanted > group.limit * most { group.limit * most / wanted } else { 1.0 }
+        if wanted > group.limit * most {
+            group.limit * most / wanted
+        } else {
+            1.0
+        }
     }
 
     /// When something is done next, if nothing else comes.
@@ -37,13 +46,28 @@
         let group = &self.groups[number];
         let (mut first, mut warming) = (f64::INFINITY, false);
         let throttle = self.throttle(group);
-        for i in group.members.iter().copied().filter(|i| !self.servers[*i].running.is_empty()) {
+        for i in group
+            .members
+            .iter()
+            .copied()
+            .filter(|i| !self.servers[*i].running.is_empty())
+        {
             let speed = (self.speed(i, group.at) * throttle).max(1e-6);
             warming |= self.warmth(i, group.at) < 1.0;
-            first = self.servers[i].running.iter().map(|r| r.left / speed).fold(first, f64::min);
+            first = self.servers[i]
+                .running
+                .iter()
+                .map(|r| r.left / speed)
+                .fold(first, f64::min);
         }
-        let first = if warming { first.min(WARMING as f64) } else { first };
-        let next = first.is_finite().then(|| group.at + (first.ceil() as Us).max(1));
+        let first = if warming {
+            first.min(WARMING as f64)
+        } else {
+            first
+        };
+        let next = first
+            .is_finite()
+            .then(|| group.at + (first.ceil() as Us).max(1));
         if let Some(old) = std::mem::replace(&mut self.groups[number].next, next) {
             self.next.remove(&(old, number));
         }
@@ -52,7 +76,8 @@
 
     /// Goes on to `now` and appends what is done until then.
     pub fn advance(&mut self, now: Us, done: &mut Vec<Done>) {
-        while let Some((next, group)) = self.next.first().copied().filter(|(next, _)| *next <= now) {
+        while let Some((next, group)) = self.next.first().copied().filter(|(next, _)| *next <= now)
+        {
             self.now = self.now.max(next);
             self.step(group, next, done);
             self.plan_ahead(group);
@@ -90,18 +115,28 @@
             }
             let job = s.running.swap_remove(at).job;
             let served = s.fails <= 0.0 || self.rng.f64() >= s.fails;
-            done.push(Done { server: i, job: job.id, served });
+            done.push(Done {
+                server: i,
+                job: job.id,
+                served,
+            });
         }
         while s.running.len() < spec.cores as usize
             && let Some(job) = s.waiting.pop_front()
         {
-            let known = s.remembered.get(&job.key).is_some_and(|at| now - at <= spec.memory);
+            let known = s
+                .remembered
+                .get(&job.key)
+                .is_some_and(|at| now - at <= spec.memory);
             let handshake = if job.fresh { spec.handshake } else { 0.0 };
             let left = job.work * if known { 1.0 - spec.saves } else { 1.0 };
             self.work_saved += job.work - left;
             s.remembered.insert(job.key, now);
             s.by_age.push_back((now, job.key));
-            s.running.push(Running { job, left: left + handshake });
+            s.running.push(Running {
+                job,
+                left: left + handshake,
+            });
         }
         // Forgets the key met longest ago.
         while s.remembered.len() > spec.keys
@@ -111,7 +146,10 @@
                 s.remembered.remove(&key);
             }
         }
-        while s.ran_by_age.front().is_some_and(|(at, _)| now - at > site::KEY_TIME)
+        while s
+            .ran_by_age
+            .front()
+            .is_some_and(|(at, _)| now - at > site::KEY_TIME)
             && let Some((at, key)) = s.ran_by_age.pop_front()
         {
             if s.ran.get(&key) == Some(&at) {
@@ -119,19 +157,37 @@
             }
         }
         let crowded = s.waiting.len() > CROWDED * spec.cores as usize;
-        s.crowded_since = if crowded { s.crowded_since.or(Some(now)) } else { None };
+        s.crowded_since = if crowded {
+            s.crowded_since.or(Some(now))
+        } else {
+            None
+        };
         let idle = s.running.len() <= spec.cores as usize / 2 && s.waiting.is_empty();
-        s.idle_since = if idle { s.idle_since.or(Some(now)) } else { None };
-        s.overdriven |= s.crowded_since.is_some_and(|since| now - since >= spec.crowded_for);
+        s.idle_since = if idle {
+            s.idle_since.or(Some(now))
+        } else {
+            None
+        };
+        s.overdriven |= s
+            .crowded_since
+            .is_some_and(|since| now - since >= spec.crowded_for);
         s.overdriven &= s.idle_since.is_none_or(|since| now - since < spec.idle_for);
     }
 
     /// The most that any server in use would save of a request's work by knowing its key.
     fn best(&self, job: &Job) -> f64 {
         let knows = |(spec, s): &(&ServerSpec, &Server)| {
-            s.up && !s.silent && s.remembered.get(&job.key).is_some_and(|at| self.now - at <= spec.memory)
+            s.up && !s.silent
+                && s.remembered
+                    .get(&job.key)
+                    .is_some_and(|at| self.now - at <= spec.memory)
         };
-        self.specs.iter().zip(&self.servers).filter(knows).map(|(spec, _)| spec.saves).fold(0.0, f64::max)
+        self.specs
+            .iter()
+            .zip(&self.servers)
+            .filter(knows)
+            .map(|(spec, _)| spec.saves)
+            .fold(0.0, f64::max)
     }
 
     /// A request has come in whole at `now`; what is done until then is appended.
@@ -149,7 +205,11 @@
         if warmth < 1.0 {
             s.sent.push_back((self.now, job.work));
             s.sent_sum += job.work;
-            while s.sent.front().is_some_and(|(at, _)| self.now - at > site::TIP_AFTER) {
+            while s
+                .sent
+                .front()
+                .is_some_and(|(at, _)| self.now - at > site::TIP_AFTER)
+            {
                 s.sent_sum -= s.sent.pop_front().map_or(0.0, |(_, work)| work);
             }
             let most = site::COLD_SLACK
@@ -166,8 +226,14 @@
                 return Admission::Refused;
             }
         }
-        if let Some(once) = job.once.filter(|_| site::CLASSES[job.class].repeat == Repeat::Keyed) {
-            if s.ran.get(&once).is_some_and(|at| self.now - at <= site::KEY_TIME) {
+        if let Some(once) = job
+            .once
+            .filter(|_| site::CLASSES[job.class].repeat == Repeat::Keyed)
+        {
+            if s.ran
+                .get(&once)
+                .is_some_and(|at| self.now - at <= site::KEY_TIME)
+            {
                 return Admission::Repeated;
             }
             if s.waiting.len() < spec.queue {
@@ -189,6 +255,8 @@
     pub fn probe(&mut self, now: Us, server: usize, done: &mut Vec<Done>) {
         self.advance(now, done);
         let work = (site::PROBE_WORK.0 + site::PROBE_WORK.1) / 2.0;
-        self.change(server, |s| s.running.iter_mut().take(1).for_each(|r| r.left += work));
+        self.change(server, |s| {
+            s.running.iter_mut().take(1).for_each(|r| r.left += work)
+        });
     }
 }
