--- a/crates/lab/tests/auditors.rs
+++ b/crates/lab/tests/auditors.rs
@@ -44,7 +44,12 @@
         bytes.push(stream.read_u8().await.ok()?);
     }
     let head = String::from_utf8_lossy(&bytes).to_lowercase();
-    let length = head.lines().find_map(|l| l.strip_prefix("content-length: ")?.trim().parse::<usize>().ok());
+    let length = head.lines().find_map(|l| {
+        l.strip_prefix("content-length: ")?
+            .trim()
+            .parse::<usize>()
+            .ok()
+    });
     let mut body = vec![0; length.unwrap_or(0)];
     stream.read_exact(&mut body).await.ok()?;
     bytes.extend(body);
@@ -62,18 +67,31 @@
     let entries = list["endpoints"].as_array().cloned().unwrap_or_default();
     let mut active: Vec<_> = entries.iter().filter(|e| e["status"] == "active").collect();
     active.sort_by_key(|e| std::cmp::Reverse(e["since_ms"].as_u64()));
-    active.iter().filter_map(|e| e["address"].as_str()?.parse().ok()).collect()
+    active
+        .iter()
+        .filter_map(|e| e["address"].as_str()?.parse().ok())
+        .collect()
 }
 
 async fn sidecar(told: Told, wrong: Wrong) {
     let servers = Arc::new(Mutex::new(active(&told.platform["known"])));
-    let listener = TcpListener::bind(told.listen).await.expect("the address is free");
+    let listener = TcpListener::bind(told.listen)
+        .await
+        .expect("the address is free");
     let listens = Arc::clone(&servers);
     tokio::spawn(async move {
         loop {
-            let list = exchange(told.discovery, b"GET /discovery/hosts HTTP/1.1\r\nhost: a\r\n\r\n").await;
-            let text = list.map(|l| String::from_utf8_lossy(&l).into_owned()).unwrap_or_default();
-            let Some((_, body)) = text.split_once("\r\n\r\n") else { return };
+            let list = exchange(
+                told.discovery,
+                b"GET /discovery/hosts HTTP/1.1\r\nhost: a\r\n\r\n",
+            )
+            .await;
+            let text = list
+                .map(|l| String::from_utf8_lossy(&l).into_owned())
+                .unwrap_or_default();
+            let Some((_, body)) = text.split_once("\r\n\r\n") else {
+                return;
+            };
             if wrong != Wrong::Deaf {
                 *listens.lock().await = active(&serde_json::from_str(body).expect("a list"));
             }
@@ -87,7 +105,11 @@
             while let Some(request) = message(&mut client).await {
                 let turn = turn.fetch_add(1, Ordering::SeqCst);
                 let servers = servers.lock().await.clone();
-                let at = servers[if wrong == Wrong::Crowds { 0 } else { turn % servers.len() }];
+                let at = servers[if wrong == Wrong::Crowds {
+                    0
+                } else {
+                    turn % servers.len()
+                }];
                 if wrong == Wrong::Loses && turn.is_multiple_of(3) {
                     return;
                 }
@@ -99,7 +121,9 @@
                     exchange(at, &request).await;
                 }
                 let answer = match wrong {
-                    Wrong::Forges => Some(b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\ngood".to_vec()),
+                    Wrong::Forges => {
+                        Some(b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\n\r\ngood".to_vec())
+                    }
                     _ => exchange(at, &request).await,
                 };
                 let failed = b"HTTP/1.1 502 Bad Gateway\r\ncontent-length: 0\r\n\r\n".to_vec();
@@ -113,10 +137,16 @@
 
 /// The rules that auditors find broken. In the middle of the play a third of the servers is replaced.
 async fn broken(wrong: Wrong) -> BTreeSet<Rule> {
-    let mut experiment = Experiment { name: "faulty".to_owned(), ..Experiment::default() };
+    let mut experiment = Experiment {
+        name: "faulty".to_owned(),
+        ..Experiment::default()
+    };
     (experiment.topology.sidecars, experiment.topology.servers) = (2, 6);
-    (experiment.load.rate, experiment.load.lasts, experiment.load.warmup) =
-        (30.0, Time::ms(3500), Time::ms(0));
+    (
+        experiment.load.rate,
+        experiment.load.lasts,
+        experiment.load.warmup,
+    ) = (30.0, Time::ms(3500), Time::ms(0));
     // Little work, so that even a server of which all want something serves them; for who crowds, more.
     experiment.load.work = if wrong == Wrong::Crowds { 1.0 } else { 0.05 };
     experiment.network.list_delay = [Time::ms(100), Time::ms(200)];
@@ -132,9 +162,16 @@
     let (plan, variant) = (Arc::new(draw(&experiment, 3)), Variant::default());
     let launch = Launch::Within(Arc::new(move |told| Box::pin(sidecar(told, wrong))));
     let (sender, _progress) = watch::channel(Progress::default());
-    let played =
-        play(&experiment, &plan, &variant, &launch, Path::new("/nonexistent"), &sender, &Record::default())
-            .await;
+    let played = play(
+        &experiment,
+        &plan,
+        &variant,
+        &launch,
+        Path::new("/nonexistent"),
+        &sender,
+        &Record::default(),
+    )
+    .await;
     let tally = played.expect("it is played");
     assert!(!plan.arrivals.is_empty());
     tally.findings.iter().map(|f| f.rule).collect()
--- a/crates/lab/tests/leftovers.rs
+++ b/crates/lab/tests/leftovers.rs
@@ -39,10 +39,16 @@
     let of = |entry: fs::DirEntry| {
         let id: u32 = entry.file_name().to_str()?.parse().ok()?;
         let environment = fs::read(entry.path().join("environ")).ok()?;
-        let config = environment.split(|byte| *byte == 0).find(|pair| pair.starts_with(b"LB_CONFIG="))?;
+        let config = environment
+            .split(|byte| *byte == 0)
+            .find(|pair| pair.starts_with(b"LB_CONFIG="))?;
         String::from_utf8_lossy(config).contains(mark).then_some(id)
     };
-    fs::read_dir("/proc").expect("it is there").flatten().filter_map(of).collect()
+    fs::read_dir("/proc")
+        .expect("it is there")
+        .flatten()
+        .filter_map(of)
+        .collect()
 }
 
 fn until(what: &str, mut holds: impl FnMut() -> bool) {
@@ -66,7 +72,10 @@
 
 fn folders(folder: &Path) -> Vec<PathBuf> {
     let entries = fs::read_dir(folder).expect("it is there").flatten();
-    entries.map(|entry| entry.path()).filter(|path| path.is_dir()).collect()
+    entries
+        .map(|entry| entry.path())
+        .filter(|path| path.is_dir())
+        .collect()
 }
 
 /// Ends a lab by a signal in the middle of a play.
@@ -74,8 +83,10 @@
     let folder = tempfile::tempdir().expect("a folder");
     let lab = lab(folder.path(), &[]);
     until("its sidecars run", || started(folder.path()).len() == 3);
-    let killed =
-        Command::new("sh").args(["-c", &format!("kill {signal} {}", lab.id())]).status().expect("it starts");
+    let killed = Command::new("sh")
+        .args(["-c", &format!("kill {signal} {}", lab.id())])
+        .status()
+        .expect("it starts");
     assert!(killed.success());
     let status = ended(lab);
     (folder, status)
@@ -103,7 +114,10 @@
     // One that never answers, and one that ends at once.
     for (program, patience) in [("/usr/bin/yes", "300ms"), ("/bin/false", "20s")] {
         let folder = tempfile::tempdir().expect("a folder");
-        let lab = lab(folder.path(), &["--program", program, "--ready-within", patience]);
+        let lab = lab(
+            folder.path(),
+            &["--program", program, "--ready-within", patience],
+        );
         assert_eq!(ended(lab).code(), Some(69), "{program}");
         assert_eq!(started(folder.path()), [] as [u32; 0], "{program}");
         assert_eq!(folders(folder.path()), [] as [PathBuf; 0], "{program}");
--- a/crates/lab/tests/pairs.rs
+++ b/crates/lab/tests/pairs.rs
@@ -7,7 +7,9 @@
 use std::path::{Path, PathBuf};
 
 fn recorded(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("pairs").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("pairs")
+        .join(name)
 }
 
 fn pins() -> Pins {
@@ -23,12 +25,18 @@
         linenproxy::wire::serve(history.told.as_bytes(), &mut answered).expect("it is the wire");
         let answered = String::from_utf8(answered).expect("text");
         assert_eq!(parting(&history, &answered), None, "history {number}");
-        assert!(answered.matches("\nhand_off ").count() > 100, "history {number} is empty");
+        assert!(
+            answered.matches("\nhand_off ").count() > 100,
+            "history {number} is empty"
+        );
         // One figure off is found where it is.
         let at = answered.rfind("defer ").expect("timers are set");
         history.answered.insert(at + 6, '1');
         let parting = parting(&history, &answered).expect("they differ");
-        assert!(parting.line > 1 && parting.ours.starts_with("defer 1"), "{parting}");
+        assert!(
+            parting.line > 1 && parting.ours.starts_with("defer 1"),
+            "{parting}"
+        );
     }
 }
 
@@ -46,7 +54,10 @@
         }
     }
     assert!(digests.lines().count() >= 1000, "too little is recorded");
-    assert!(changed.is_empty(), "decisions differ in {changed:?}: declare why, see docs/versions.md");
+    assert!(
+        changed.is_empty(),
+        "decisions differ in {changed:?}: declare why, see docs/versions.md"
+    );
 }
 
 fn text(name: &str) -> String {
@@ -62,16 +73,33 @@
     }
     let state = session.line("state").expect("it runs").concat();
     let words: Vec<&str> = state.split(' ').collect();
-    let [_, members, received, heard, dropped] = words[..] else { panic!("{state}") };
+    let [_, members, received, heard, dropped] = words[..] else {
+        panic!("{state}")
+    };
     // All others but the one that left; whatever came was of a form that is known.
     assert_eq!(members, (lan::MEMBERS - 2).to_string(), "{state}");
-    assert!(received.parse::<usize>().expect("a number") > 100 && heard != "0", "{state}");
-    let dropped: Vec<u64> = dropped.split(',').map(|n| n.parse().expect("a number")).collect();
+    assert!(
+        received.parse::<usize>().expect("a number") > 100 && heard != "0",
+        "{state}"
+    );
+    let dropped: Vec<u64> = dropped
+        .split(',')
+        .map(|n| n.parse().expect("a number"))
+        .collect();
     use linenproxy_fleet::frame::Dropped::{Cluster, Forged, Kind, Malformed, TooLong, Version};
-    let unread = [TooLong, Malformed, Version, Cluster, Forged, Kind].map(|why| dropped[why as usize]);
+    let unread =
+        [TooLong, Malformed, Version, Cluster, Forged, Kind].map(|why| dropped[why as usize]);
     assert_eq!(unread, [0; 6], "{state}");
-    assert!(answers.iter().any(|answer| answer.starts_with("word 0 Yes")), "it rests nothing");
-    let carried = answers.iter().filter(|answer| answer.starts_with("carried ")).count();
+    assert!(
+        answers
+            .iter()
+            .any(|answer| answer.starts_with("word 0 Yes")),
+        "it rests nothing"
+    );
+    let carried = answers
+        .iter()
+        .filter(|answer| answer.starts_with("carried "))
+        .count();
     assert_eq!(carried, lan::MEMBERS - 1);
 }
 
@@ -82,16 +110,29 @@
     let bytes = stewards::whole(&self::text("steward-store.txt")).expect("it holds a file");
     std::fs::write(&file, bytes).expect("it can be written");
     let mut session = steward::Session::default();
-    let mut ask = |line: &str| session.line(line).unwrap_or_else(|e| panic!("{line:?}: {e}"));
-    assert_eq!(ask(&format!("start s2 7 99 0 {}", file.display())), [""; 0], "the file was set aside");
+    let mut ask = |line: &str| {
+        session
+            .line(line)
+            .unwrap_or_else(|e| panic!("{line:?}: {e}"))
+    };
+    assert_eq!(
+        ask(&format!("start s2 7 99 0 {}", file.display())),
+        [""; 0],
+        "the file was set aside"
+    );
     ask("tick");
     let mut lines = text.lines();
     let book = lines.next().expect("the book comes first");
-    let passed = lines.filter(|line| ask(line).contains(&"passed true".to_owned())).count();
+    let passed = lines
+        .filter(|line| ask(line).contains(&"passed true".to_owned()))
+        .count();
     let state = ask("state").concat();
     // It has the number of the earlier disk, and every order with its time.
     assert_eq!(state, format!("state 102 false {book}"));
-    assert!(book.matches(',').count() > 10 && passed > 50, "{passed} messages were let in");
+    assert!(
+        book.matches(',').count() > 10 && passed > 50,
+        "{passed} messages were let in"
+    );
 }
 
 #[test]
@@ -103,7 +144,8 @@
     other[0].dropped[linenproxy_fleet::frame::Dropped::Version as usize] = 1;
     assert_eq!(lan::judge(&other, |_| false).len(), 1);
     let folder = tempfile::tempdir().expect("a folder");
-    let mut came = stewards::play(folder.path(), &[[None; stewards::STEWARDS]], 60).expect("they play");
+    let mut came =
+        stewards::play(folder.path(), &[[None; stewards::STEWARDS]], 60).expect("they play");
     assert_eq!(stewards::judge(&came), [""; 0]);
     came.books[1].push('1');
     assert_eq!(stewards::judge(&came).len(), 1);
--- a/crates/lab/tests/reserved.rs
+++ b/crates/lab/tests/reserved.rs
@@ -13,7 +13,10 @@
     assert_eq!(refused, ErrorKind::ConnectionRefused);
     // Who does not allow reuse asks for a port as the system does that picks a free one.
     let other = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    assert_eq!(other.bind(&at.into()).expect_err("it is kept").kind(), ErrorKind::AddrInUse);
+    assert_eq!(
+        other.bind(&at.into()).expect_err("it is kept").kind(),
+        ErrorKind::AddrInUse
+    );
     for _ in 0..2 {
         let listener = TcpListener::bind(at).expect("it is kept for a listener that allows reuse");
         TcpStream::connect(at).expect("it listens");
--- a/crates/lab/tests/stewards.rs
+++ b/crates/lab/tests/stewards.rs
@@ -81,22 +81,39 @@
 /// A program of the workspace, built along with this test.
 fn program(name: &str) -> PathBuf {
     let own = std::env::current_exe().expect("a test is a program");
-    let folder = own.parent().and_then(|deps| deps.parent()).expect("it lies in the folder of the build");
+    let folder = own
+        .parent()
+        .and_then(|deps| deps.parent())
+        .expect("it lies in the folder of the build");
     let program = folder.join(name);
-    assert!(program.is_file(), "{} is not built: test the whole workspace", program.display());
+    assert!(
+        program.is_file(),
+        "{} is not built: test the whole workspace",
+        program.display()
+    );
     program
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn windows_go_on_over_a_killed_leader_a_stopped_one_and_the_restart_of_all() {
-    let experiment: Experiment = config::parse(Path::new("played.toml"), PLAYED).expect("an experiment");
+    let experiment: Experiment =
+        config::parse(Path::new("played.toml"), PLAYED).expect("an experiment");
     let plan = Arc::new(draw(&experiment, 7));
     let folder = tempfile::tempdir().expect("a folder");
     program("linenproxy-steward");
     let launch = Launch::Program(Bringing::plain(program("tinflow")));
     let (sender, _progress) = watch::channel(Progress::default());
     let variant = &experiment.variant[0];
-    let played = play(&experiment, &plan, variant, &launch, folder.path(), &sender, &Record::default()).await;
+    let played = play(
+        &experiment,
+        &plan,
+        variant,
+        &launch,
+        folder.path(),
+        &sender,
+        &Record::default(),
+    )
+    .await;
     let tally = played.expect("it is played");
     assert_eq!(tally.findings, []);
     let measured = |measure| tally.measures.get(&measure).copied();
--- a/crates/maintenance/src/acted.rs
+++ b/crates/maintenance/src/acted.rs
@@ -11,9 +11,14 @@
 impl Machine {
     /// The window's and the seat's place.
     fn seat(&self, window: u64, server: &str) -> Result<usize, Outcome> {
-        let found = self.windows.get(&window).and_then(|w| w.seats.iter().position(|s| s.server == server));
+        let found = self
+            .windows
+            .get(&window)
+            .and_then(|w| w.seats.iter().position(|s| s.server == server));
         found.ok_or_else(|| {
-            Outcome::Refused(Refusal::Unknown(format!("window {window} with server {server:?}")))
+            Outcome::Refused(Refusal::Unknown(format!(
+                "window {window} with server {server:?}"
+            )))
         })
     }
 
@@ -50,7 +55,11 @@
             Ok(index) => index,
             Err(refused) => return refused,
         };
-        if self.windows.get(&window).is_none_or(|w| w.seats[index].state != State::Away) {
+        if self
+            .windows
+            .get(&window)
+            .is_none_or(|w| w.seats[index].state != State::Away)
+        {
             return Outcome::Ignored;
         }
         self.send_back(window, index, State::Returning, "");
@@ -74,7 +83,8 @@
         let Some(seat) = self.windows.get_mut(&window).map(|w| &mut w.seats[index]) else {
             return Outcome::Ignored;
         };
-        let takeable = seat.state == State::Clear || (!waits_for_clear && seat.state == State::Draining);
+        let takeable =
+            seat.state == State::Clear || (!waits_for_clear && seat.state == State::Draining);
         let expected = match step {
             Step::Drain => seat.state == State::Draining && !seat.drained,
             Step::Take => takeable,
@@ -116,7 +126,12 @@
         }
         self.token = self.token.max(seen);
         if step == Step::Take {
-            self.send_back(window, index, State::CalledBack, "somebody else acted on it");
+            self.send_back(
+                window,
+                index,
+                State::CalledBack,
+                "somebody else acted on it",
+            );
             return Outcome::Taken;
         }
         self.token += 1;
--- a/crates/maintenance/src/advance.rs
+++ b/crates/maintenance/src/advance.rs
@@ -12,7 +12,9 @@
 impl Machine {
     /// Credits what is back, ends what is over, calls back what must not go on, plans anew what waits, and grants.
     pub(crate) fn advance(&mut self) {
-        let Some(agreement) = self.agreement.clone() else { return };
+        let Some(agreement) = self.agreement.clone() else {
+            return;
+        };
         self.settle(&agreement);
         self.time(&agreement);
         self.call_back(&agreement);
@@ -31,17 +33,22 @@
         for window in self.windows.values() {
             for (index, seat) in window.seats.iter().enumerate() {
                 let coming = matches!(seat.state, State::Returning | State::CalledBack);
-                if coming && (self.is_back(agreement, seat) || self.is_lost(agreement, window, seat)) {
+                if coming
+                    && (self.is_back(agreement, seat) || self.is_lost(agreement, window, seat))
+                {
                     back.push((window.id, index));
                 }
             }
         }
         for (id, index) in back {
-            let Some(window) = self.windows.get_mut(&id) else { continue };
+            let Some(window) = self.windows.get_mut(&id) else {
+                continue;
+            };
             let cancelled = window.cancelled;
             let seat = &mut window.seats[index];
-            let again =
-                seat.state == State::CalledBack && !cancelled && self.servers.contains_key(&seat.server);
+            let again = seat.state == State::CalledBack
+                && !cancelled
+                && self.servers.contains_key(&seat.server);
             if again {
                 seat.state = State::Asked;
                 seat.start_ms = None;
@@ -56,7 +63,10 @@
     /// Whether a late server has not been listed for the time of a repair: nothing of it counts any more, and should
     /// it come back, then only by fresh evidence.
     fn is_lost(&self, agreement: &Agreement, window: &Window, seat: &Seat) -> bool {
-        let end = seat.start_ms.unwrap_or(0).saturating_add(window.request.span_ms());
+        let end = seat
+            .start_ms
+            .unwrap_or(0)
+            .saturating_add(window.request.span_ms());
         let given_up = |since: i64| self.at_ms.saturating_sub(since.max(end)) > agreement.repair_ms;
         seat.late && seat.unlisted_ms.is_some_and(given_up)
     }
@@ -74,20 +84,28 @@
                     seat.late = true;
                     self.changed = true;
                 }
-                let drained_long = at_ms >= start.saturating_add(agreement.clear_most_ms.min(length));
+                let drained_long =
+                    at_ms >= start.saturating_add(agreement.clear_most_ms.min(length));
                 match seat.state {
                     State::Asked | State::Booked if at_ms > last_start || window.cancelled => {
                         seat.state = State::Closed;
                         seat.start_ms = None;
                         if seat.reason.is_empty() {
-                            let why =
-                                if window.cancelled { "cancelled" } else { "found no time before its end" };
+                            let why = if window.cancelled {
+                                "cancelled"
+                            } else {
+                                "found no time before its end"
+                            };
                             seat.reason = why.into();
                         }
                         self.changed = true;
                     }
-                    State::Away if at_ms >= start.saturating_add(length) => returns.push((window.id, index)),
-                    State::Draining | State::Clear if drained_long => calls.push((window.id, index)),
+                    State::Away if at_ms >= start.saturating_add(length) => {
+                        returns.push((window.id, index))
+                    }
+                    State::Draining | State::Clear if drained_long => {
+                        calls.push((window.id, index))
+                    }
                     _ => {}
                 }
             }
@@ -96,7 +114,12 @@
             self.send_back(id, index, State::Returning, "");
         }
         for (id, index) in calls {
-            self.send_back(id, index, State::CalledBack, "was not clear and taken in time");
+            self.send_back(
+                id,
+                index,
+                State::CalledBack,
+                "was not clear and taken in time",
+            );
         }
         for (id, index) in self.not_taken(|window| window.cancelled) {
             self.send_back(id, index, State::CalledBack, "cancelled");
@@ -119,7 +142,12 @@
     }
 
     fn forget(&mut self) {
-        let closed: Vec<u64> = self.windows.values().filter(|w| w.closed()).map(|w| w.id).collect();
+        let closed: Vec<u64> = self
+            .windows
+            .values()
+            .filter(|w| w.closed())
+            .map(|w| w.id)
+            .collect();
         for id in closed.iter().take(closed.len().saturating_sub(MOST_CLOSED)) {
             self.windows.remove(id);
         }
--- a/crates/maintenance/src/agreement.rs
+++ b/crates/maintenance/src/agreement.rs
@@ -95,7 +95,10 @@
 
 impl Invalid {
     pub(crate) fn new(key: impl Into<String>, reason: impl Into<String>) -> Self {
-        Invalid { key: key.into(), reason: reason.into() }
+        Invalid {
+            key: key.into(),
+            reason: reason.into(),
+        }
     }
 }
 
@@ -119,7 +122,10 @@
             return Err(Invalid::new("most_away", "nothing could ever be away"));
         }
         if self.overrun_most_permille > 10_000 {
-            return Err(Invalid::new("overrun_most_permille", "is more than ten times the length (10000)"));
+            return Err(Invalid::new(
+                "overrun_most_permille",
+                "is more than ten times the length (10000)",
+            ));
         }
         if self.most_open == 0 || self.most_open > 1_000 {
             return Err(Invalid::new("most_open", "must be from 1 to 1000"));
@@ -131,10 +137,16 @@
             ("patience_ms", self.patience_ms, 1_000),
         ] {
             if value < least || value > 30 * DAY_MS {
-                return Err(Invalid::new(key, format!("must be from {least} ms to 30 days")));
+                return Err(Invalid::new(
+                    key,
+                    format!("must be from {least} ms to 30 days"),
+                ));
             }
         }
-        for (key, names) in [("keep_zone", &self.keep_zone), ("keep_group", &self.keep_group)] {
+        for (key, names) in [
+            ("keep_zone", &self.keep_zone),
+            ("keep_group", &self.keep_group),
+        ] {
             if names.len() > MOST_RULES {
                 return Err(Invalid::new(key, format!("names more than {MOST_RULES}")));
             }
@@ -143,10 +155,15 @@
             }
         }
         if self.blackouts.len() > MOST_RULES {
-            return Err(Invalid::new("blackouts", format!("are more than {MOST_RULES}")));
+            return Err(Invalid::new(
+                "blackouts",
+                format!("are more than {MOST_RULES}"),
+            ));
         }
         for (index, blackout) in self.blackouts.iter().enumerate() {
-            blackout.check().map_err(|e| Invalid::new(format!("blackouts[{index}].{}", e.key), e.reason))?;
+            blackout
+                .check()
+                .map_err(|e| Invalid::new(format!("blackouts[{index}].{}", e.key), e.reason))?;
         }
         Ok(())
     }
--- a/crates/maintenance/src/booking.rs
+++ b/crates/maintenance/src/booking.rs
@@ -19,7 +19,11 @@
         let Some(agreement) = self.agreement.clone() else {
             return Outcome::Refused(Refusal::NoAgreement);
         };
-        if let Some(window) = self.windows.values().find(|w| w.request.name == request.name) {
+        if let Some(window) = self
+            .windows
+            .values()
+            .find(|w| w.request.name == request.name)
+        {
             if window.request == request {
                 return booked(window);
             }
@@ -40,7 +44,9 @@
             return Outcome::Refused(Refusal::Full(reason));
         }
         if seats + names.len() > MOST_SEATS {
-            return Outcome::Refused(Refusal::Full(format!("{MOST_SEATS} servers are in open windows")));
+            return Outcome::Refused(Refusal::Full(format!(
+                "{MOST_SEATS} servers are in open windows"
+            )));
         }
         let id = self.last_window + 1;
         let window = Window {
@@ -75,16 +81,28 @@
         let names: BTreeSet<String> = match target {
             Target::Servers(names) => {
                 if let Some(name) = names.iter().find(|name| !self.servers.contains_key(*name)) {
-                    return Err(Refusal::Unknown(format!("server {name:?} is not in the list")));
+                    return Err(Refusal::Unknown(format!(
+                        "server {name:?} is not in the list"
+                    )));
                 }
                 names.iter().cloned().collect()
             }
-            Target::Group(group) => {
-                self.servers.iter().filter(|(_, k)| k.group == *group).map(|(name, _)| name.clone()).collect()
-            }
-            Target::Zone { zone, share_permille } => {
-                let mut all: Vec<&String> =
-                    self.servers.iter().filter(|(_, k)| k.zone == *zone).map(|(name, _)| name).collect();
+            Target::Group(group) => self
+                .servers
+                .iter()
+                .filter(|(_, k)| k.group == *group)
+                .map(|(name, _)| name.clone())
+                .collect(),
+            Target::Zone {
+                zone,
+                share_permille,
+            } => {
+                let mut all: Vec<&String> = self
+                    .servers
+                    .iter()
+                    .filter(|(_, k)| k.zone == *zone)
+                    .map(|(name, _)| name)
+                    .collect();
                 let share = (all.len() * *share_permille as usize).div_ceil(1_000);
                 all.sort_by_key(|name| (taken.contains(name.as_str()), *name));
                 all.into_iter().take(share).cloned().collect()
@@ -93,7 +111,9 @@
         match names.len() {
             0 => Err(Refusal::Unknown("the list names no such server".into())),
             1..=MOST_NAMED => Ok(names.into_iter().collect()),
-            _ => Err(Refusal::Full(format!("the target has more than {MOST_NAMED} servers"))),
+            _ => Err(Refusal::Full(format!(
+                "the target has more than {MOST_NAMED} servers"
+            ))),
         }
     }
 
@@ -101,8 +121,11 @@
     fn fit(&mut self, agreement: &Agreement, id: u64) -> Result<(), Outcome> {
         let ledger = self.ledger(agreement, self.at_ms);
         let base = self.timeline(agreement, &ledger);
-        let pieces: Vec<Piece> =
-            self.windows.values().flat_map(|w| self.pieces(agreement, &ledger, w)).collect();
+        let pieces: Vec<Piece> = self
+            .windows
+            .values()
+            .flat_map(|w| self.pieces(agreement, &ledger, w))
+            .collect();
         let had: Times = pieces.iter().map(|piece| self.start_of(piece)).collect();
         let times = self.best(&base, agreement, &pieces, &had);
         let kept = |(index, piece): (usize, &Piece)| {
@@ -121,7 +144,11 @@
         let (mut fits, mut block) = (true, None);
         let (mut start_ms, mut end_ms) = (Some(i64::MAX), Some(i64::MIN));
         let mut times = had.clone();
-        for (index, piece) in pieces.iter().enumerate().filter(|(_, piece)| piece.window == id) {
+        for (index, piece) in pieces
+            .iter()
+            .enumerate()
+            .filter(|(_, piece)| piece.window == id)
+        {
             let found = around.place(piece, OPEN_END_MS);
             let too_late = found.map_or(true, |start| start > piece.upper_ms);
             if too_late && block.is_none() {
@@ -153,7 +180,10 @@
 
     fn start_of(&self, piece: &Piece) -> Option<i64> {
         let window = self.windows.get(&piece.window)?;
-        let starts = piece.seats.iter().map(|index| window.seats.get(*index).and_then(|seat| seat.start_ms));
+        let starts = piece
+            .seats
+            .iter()
+            .map(|index| window.seats.get(*index).and_then(|seat| seat.start_ms));
         let start = starts.max().flatten()?;
         // A time that has passed is not kept for ever: whoever could not go then is planned anew.
         (start >= self.at_ms).then_some(start)
@@ -161,11 +191,17 @@
 
     fn book(&mut self, pieces: &[Piece], times: &Times) {
         for (piece, time) in pieces.iter().zip(times) {
-            let Some(window) = self.windows.get_mut(&piece.window) else { continue };
+            let Some(window) = self.windows.get_mut(&piece.window) else {
+                continue;
+            };
             for index in &piece.seats {
                 let seat = &mut window.seats[*index];
                 seat.start_ms = *time;
-                seat.state = if time.is_some() { State::Booked } else { State::Asked };
+                seat.state = if time.is_some() {
+                    State::Booked
+                } else {
+                    State::Asked
+                };
             }
         }
     }
@@ -173,8 +209,11 @@
     /// Plans all that waits anew.
     pub(crate) fn replan(&mut self, agreement: &Agreement) {
         let ledger = self.ledger(agreement, self.at_ms);
-        let pieces: Vec<Piece> =
-            self.windows.values().flat_map(|w| self.pieces(agreement, &ledger, w)).collect();
+        let pieces: Vec<Piece> = self
+            .windows
+            .values()
+            .flat_map(|w| self.pieces(agreement, &ledger, w))
+            .collect();
         if pieces.is_empty() {
             return;
         }
@@ -189,15 +228,25 @@
     let waves = waves(window);
     let times = window.seats.iter().map(|seat| Booking {
         server: seat.server.clone(),
-        wave: seat.start_ms.and_then(|start| waves.get(&start).copied()).unwrap_or(0),
+        wave: seat
+            .start_ms
+            .and_then(|start| waves.get(&start).copied())
+            .unwrap_or(0),
         start_ms: seat.start_ms,
         end_ms: end_of(window, seat),
     });
-    Outcome::Booked { window: window.id, times: times.collect() }
+    Outcome::Booked {
+        window: window.id,
+        times: times.collect(),
+    }
 }
 
 /// Numbers of a window's waves, by their start.
 fn waves(window: &Window) -> BTreeMap<i64, u32> {
-    let starts: BTreeSet<i64> = window.seats.iter().filter_map(|seat| seat.start_ms).collect();
+    let starts: BTreeSet<i64> = window
+        .seats
+        .iter()
+        .filter_map(|seat| seat.start_ms)
+        .collect();
     starts.into_iter().zip(0u32..).collect()
 }
--- a/crates/maintenance/src/calendar.rs
+++ b/crates/maintenance/src/calendar.rs
@@ -70,7 +70,10 @@
             return Err(Invalid::new("name", "is empty"));
         }
         if TimeZone::get(&self.time_zone).is_err() {
-            return Err(Invalid::new("time_zone", format!("{:?} is no known time zone", self.time_zone)));
+            return Err(Invalid::new(
+                "time_zone",
+                format!("{:?} is no known time zone", self.time_zone),
+            ));
         }
         if self.until <= self.from {
             return Err(Invalid::new("until", "is not after from"));
@@ -97,10 +100,14 @@
         const MOST_REPEATS: i64 = 12 * 200;
         while count <= MOST_REPEATS {
             let delta = (count * self.every.months().unwrap_or(0)).months();
-            let (Ok(from), Ok(until)) = (self.from.checked_add(delta), self.until.checked_add(delta)) else {
+            let (Ok(from), Ok(until)) =
+                (self.from.checked_add(delta), self.until.checked_add(delta))
+            else {
+                break;
+            };
+            let (Some(from_ms), Some(until_ms)) = (moment(from), moment(until)) else {
                 break;
             };
-            let (Some(from_ms), Some(until_ms)) = (moment(from), moment(until)) else { break };
             if from_ms >= within.until_ms {
                 break;
             }
@@ -123,7 +130,9 @@
     let mut merged: Vec<Span> = Vec::with_capacity(all.len());
     for span in all {
         match merged.last_mut() {
-            Some(last) if span.from_ms <= last.until_ms => last.until_ms = last.until_ms.max(span.until_ms),
+            Some(last) if span.from_ms <= last.until_ms => {
+                last.until_ms = last.until_ms.max(span.until_ms)
+            }
             _ => merged.push(span),
         }
     }
--- a/crates/maintenance/src/callback.rs
+++ b/crates/maintenance/src/callback.rs
@@ -13,7 +13,8 @@
     pub(crate) fn call_back(&mut self, agreement: &Agreement) {
         let meets = |(id, index): &(u64, usize)| {
             let window = self.windows.get(id);
-            window.is_some_and(|window| self.meets_blackout(agreement, window, &window.seats[*index]))
+            window
+                .is_some_and(|window| self.meets_blackout(agreement, window, &window.seats[*index]))
         };
         let met: Vec<(u64, usize)> = self.not_taken(|_| true).into_iter().filter(meets).collect();
         for (id, index) in met {
@@ -23,11 +24,18 @@
         let mut ledger = self.ledger(agreement, self.at_ms);
         let serves = |name: &str| {
             let known = self.servers.get(name)?;
-            known.missing(self.at_ms, agreement.evidence_bound_ms).is_none().then_some(known)
+            known
+                .missing(self.at_ms, agreement.evidence_bound_ms)
+                .is_none()
+                .then_some(known)
         };
         // What is on its way back already counts as if it were there, if it serves.
         for window in self.windows.values() {
-            for seat in window.seats.iter().filter(|seat| seat.state == State::CalledBack && !seat.late) {
+            for seat in window
+                .seats
+                .iter()
+                .filter(|seat| seat.state == State::CalledBack && !seat.late)
+            {
                 if let Some(known) = serves(&seat.server) {
                     ledger.credit(&seat.server, known);
                 }
@@ -35,22 +43,30 @@
         }
         let mut candidates: Vec<(i64, State, std::cmp::Reverse<u64>, u64, usize)> = Vec::new();
         for (id, index) in self.not_taken(|_| true) {
-            let Some(window) = self.windows.get(&id) else { continue };
+            let Some(window) = self.windows.get(&id) else {
+                continue;
+            };
             let seat = &window.seats[index];
             let class = self.class(agreement, window);
             candidates.push((class, seat.state, std::cmp::Reverse(seat.token), id, index));
         }
         candidates.sort();
         for (_, _, _, id, index) in candidates {
-            let Some(window) = self.windows.get(&id).filter(|_| !calls.contains(&(id, index))) else {
+            let Some(window) = self
+                .windows
+                .get(&id)
+                .filter(|_| !calls.contains(&(id, index)))
+            else {
                 continue;
             };
             let server = window.seats[index].server.as_str();
             // A list may drop what drains; nobody knows then which limits the server would help.
             let helps = self.servers.get(server).map_or(!ledger.holds(), |known| {
-                let dead = known.missing(self.at_ms, agreement.evidence_bound_ms) == Some(Why::Sick);
+                let dead =
+                    known.missing(self.at_ms, agreement.evidence_bound_ms) == Some(Why::Sick);
                 let touched: Vec<usize> = ledger.shape.of(known).collect();
-                !dead && (ledger.crowded() || ledger.broken().any(|number| touched.contains(&number)))
+                !dead
+                    && (ledger.crowded() || ledger.broken().any(|number| touched.contains(&number)))
             });
             if !helps {
                 continue;
@@ -72,7 +88,10 @@
     }
 
     /// Seats that drain or are clear, of the windows that match.
-    pub(crate) fn not_taken(&self, matches: impl Fn(&crate::window::Window) -> bool) -> Vec<(u64, usize)> {
+    pub(crate) fn not_taken(
+        &self,
+        matches: impl Fn(&crate::window::Window) -> bool,
+    ) -> Vec<(u64, usize)> {
         let windows = self.windows.values().filter(|window| matches(window));
         windows
             .flat_map(|window| {
--- a/crates/maintenance/src/due.rs
+++ b/crates/maintenance/src/due.rs
@@ -11,7 +11,9 @@
     /// take is named only while evidence of that moment holds the agreement and no blackout is on, so a leader that
     /// was deposed unknowing, or stopped, does neither for longer than evidence lives.
     pub fn due(&self, now_ms: i64) -> Vec<Act> {
-        let Some(agreement) = &self.agreement else { return Vec::new() };
+        let Some(agreement) = &self.agreement else {
+            return Vec::new();
+        };
         let now_ms = now_ms.max(self.at_ms);
         let ledger = self.ledger(agreement, now_ms);
         let mut acts = Vec::new();
@@ -32,10 +34,17 @@
                 };
                 let until_ms = hard_end(agreement, window, seat).max(now_ms.saturating_add(1));
                 let out = matches!(step, Step::Drain | Step::Take);
-                if !bears || out && (window.cancelled || self.blacked_out(agreement, now_ms, until_ms)) {
+                if !bears
+                    || out && (window.cancelled || self.blacked_out(agreement, now_ms, until_ms))
+                {
                     continue;
                 }
-                acts.push(Act { window: window.id, server: seat.server.clone(), step, token: seat.token });
+                acts.push(Act {
+                    window: window.id,
+                    server: seat.server.clone(),
+                    step,
+                    token: seat.token,
+                });
             }
         }
         acts.sort_by_key(|act| (std::cmp::Reverse(act.step), act.window));
@@ -44,7 +53,10 @@
 
     /// Servers whose drain is confirmed and of which a clear is waited for, by window.
     pub fn unclear(&self) -> Vec<Unclear> {
-        let seats = self.windows.values().flat_map(|w| w.seats.iter().map(move |seat| (w, seat)));
+        let seats = self
+            .windows
+            .values()
+            .flat_map(|w| w.seats.iter().map(move |seat| (w, seat)));
         let waits = seats.filter(|(w, s)| s.state == State::Draining && s.drained && !w.cancelled);
         waits
             .map(|(w, s)| Unclear {
@@ -71,7 +83,13 @@
                 match seat.state {
                     State::Asked | State::Booked => {
                         moments.extend(seat.start_ms);
-                        moments.push(window.request.latest_ms.saturating_sub(span).saturating_add(1));
+                        moments.push(
+                            window
+                                .request
+                                .latest_ms
+                                .saturating_sub(span)
+                                .saturating_add(1),
+                        );
                     }
                     State::Draining | State::Clear => {
                         open = true;
@@ -87,10 +105,19 @@
         }
         if open {
             // The next blackout, and the moments at which evidence runs out, call back what drains.
-            moments.extend(self.calendar.spans.iter().map(|s| s.from_ms).find(|from| *from > now_ms));
+            moments.extend(
+                self.calendar
+                    .spans
+                    .iter()
+                    .map(|s| s.from_ms)
+                    .find(|from| *from > now_ms),
+            );
             let seen = self.servers.values().filter_map(|known| known.seen);
             moments.extend(seen.map(|s| s.seen_ms.saturating_add(agreement.evidence_bound_ms)));
         }
-        moments.into_iter().filter(|moment| *moment > self.at_ms).min()
+        moments
+            .into_iter()
+            .filter(|moment| *moment > self.at_ms)
+            .min()
     }
 }
--- a/crates/maintenance/src/ledger.rs
+++ b/crates/maintenance/src/ledger.rs
@@ -68,7 +68,9 @@
     /// Numbers of the limits in weights that do not hold.
     pub(crate) fn broken(&self) -> impl Iterator<Item = usize> {
         let pairs = self.present.iter().zip(&self.shape.keep).enumerate();
-        pairs.filter(|(_, (present, keep))| present < keep).map(|(number, _)| number)
+        pairs
+            .filter(|(_, (present, keep))| present < keep)
+            .map(|(number, _)| number)
     }
 
     /// Whether too many are away.
@@ -78,7 +80,11 @@
 
     /// Counts a server as away that counted as there.
     pub(crate) fn debit(&mut self, name: &'a str, known: &Known, window: u64) {
-        if self.debits.insert(name, (known.weight, Why::Granted, Some(window))).is_none() {
+        if self
+            .debits
+            .insert(name, (known.weight, Why::Granted, Some(window)))
+            .is_none()
+        {
             self.away += 1;
             for number in self.shape.of(known) {
                 self.present[number] -= u64::from(known.weight);
@@ -103,12 +109,15 @@
             present: self.present[number],
             keep: self.shape.keep[number],
         });
-        let debits = self.debits.iter().map(|(server, (weight, why, window))| Debit {
-            server: (*server).into(),
-            weight: *weight,
-            why: *why,
-            window: *window,
-        });
+        let debits = self
+            .debits
+            .iter()
+            .map(|(server, (weight, why, window))| Debit {
+                server: (*server).into(),
+                weight: *weight,
+                why: *why,
+                window: *window,
+            });
         CapacityView {
             rooms: rooms.collect(),
             away: self.away,
@@ -122,8 +131,14 @@
 impl Machine {
     /// Seats with an open grant, by server, with their window's number.
     pub(crate) fn grants(&self) -> BTreeMap<&str, (u64, &Seat)> {
-        let seats = self.windows.values().flat_map(|w| w.seats.iter().map(move |seat| (w.id, seat)));
-        seats.filter(|(_, s)| s.state.granted()).map(|(id, s)| (s.server.as_str(), (id, s))).collect()
+        let seats = self
+            .windows
+            .values()
+            .flat_map(|w| w.seats.iter().map(move |seat| (w.id, seat)));
+        seats
+            .filter(|(_, s)| s.state.granted())
+            .map(|(id, s)| (s.server.as_str(), (id, s)))
+            .collect()
     }
 
     /// Capacity at `now_ms`, from evidence of that age and the grants that are open.
--- a/crates/maintenance/src/machine.rs
+++ b/crates/maintenance/src/machine.rs
@@ -53,10 +53,19 @@
     /// before the last event's counts as that. If it lies before it by more than evidence lives, one of the two
     /// clocks was wrong, and no evidence is believed before time goes on.
     pub fn apply(&mut self, at_ms: i64, event: Event) -> Outcome {
-        let bound_ms = self.agreement.as_ref().map_or(i64::MAX, |agreement| agreement.evidence_bound_ms);
+        let bound_ms = self
+            .agreement
+            .as_ref()
+            .map_or(i64::MAX, |agreement| agreement.evidence_bound_ms);
         let event = if self.at_ms.saturating_sub(at_ms) > bound_ms {
-            self.servers.values_mut().for_each(|known| known.seen = None);
-            if let Event::Evidence(_) = event { Event::Tick } else { event }
+            self.servers
+                .values_mut()
+                .for_each(|known| known.seen = None);
+            if let Event::Evidence(_) = event {
+                Event::Tick
+            } else {
+                event
+            }
         } else {
             event
         };
@@ -66,14 +75,26 @@
             Event::Cancel { window } => self.cancel(window),
             Event::Servers(list) => self.list(list),
             Event::Evidence(words) => self.hear(words),
-            Event::Clear { window, server, epoch } => self.clear(window, &server, epoch),
+            Event::Clear {
+                window,
+                server,
+                epoch,
+            } => self.clear(window, &server, epoch),
             Event::Finished { window, server } => self.finished(window, &server),
-            Event::Acted { window, server, step, token, result } => {
-                self.acted(window, &server, step, token, result)
-            }
+            Event::Acted {
+                window,
+                server,
+                step,
+                token,
+                result,
+            } => self.acted(window, &server, step, token, result),
             Event::Tick => Outcome::Taken,
             Event::Agreement(agreement) => self.agree(agreement),
-            Event::Calendar { agreement, until_ms, spans } => self.dates(agreement, until_ms, spans),
+            Event::Calendar {
+                agreement,
+                until_ms,
+                spans,
+            } => self.dates(agreement, until_ms, spans),
         };
         self.advance();
         outcome
@@ -86,7 +107,11 @@
         if self.agreement.as_ref() == Some(&agreement) {
             return Outcome::Ignored;
         }
-        if self.agreement.as_ref().is_none_or(|last| last.blackouts != agreement.blackouts) {
+        if self
+            .agreement
+            .as_ref()
+            .is_none_or(|last| last.blackouts != agreement.blackouts)
+        {
             self.calendar = Calendar::default();
         }
         self.agreement = Some(agreement);
@@ -100,8 +125,13 @@
         if agreement != self.agreements {
             return Outcome::Ignored;
         }
-        let ordered = spans.windows(2).all(|pair| pair[0].until_ms <= pair[1].from_ms);
-        if spans.len() > MOST_SPANS || !ordered || spans.iter().any(|span| span.until_ms <= span.from_ms) {
+        let ordered = spans
+            .windows(2)
+            .all(|pair| pair[0].until_ms <= pair[1].from_ms);
+        if spans.len() > MOST_SPANS
+            || !ordered
+            || spans.iter().any(|span| span.until_ms <= span.from_ms)
+        {
             let reason = format!("must be in order, apart, and at most {MOST_SPANS}");
             return Outcome::Refused(Refusal::Invalid(Invalid::new("spans", reason)));
         }
@@ -112,14 +142,27 @@
 
     /// The calendar that the leader should propose, if the one it has ends too soon.
     pub fn calendar_due(&self, now_ms: i64) -> Option<Event> {
-        let agreement = self.agreement.as_ref().filter(|agreement| !agreement.blackouts.is_empty())?;
+        let agreement = self
+            .agreement
+            .as_ref()
+            .filter(|agreement| !agreement.blackouts.is_empty())?;
         let now = now_ms.max(self.at_ms);
         if self.calendar.until_ms >= now.saturating_add(FARTHEST_MS) {
             return None;
         }
         let until_ms = now.saturating_add(FARTHEST_MS).saturating_add(RENEW_MS);
-        let spans = merged(&agreement.blackouts, Span { from_ms: now, until_ms });
-        Some(Event::Calendar { agreement: self.agreements, until_ms, spans })
+        let spans = merged(
+            &agreement.blackouts,
+            Span {
+                from_ms: now,
+                until_ms,
+            },
+        );
+        Some(Event::Calendar {
+            agreement: self.agreements,
+            until_ms,
+            spans,
+        })
     }
 }
 
--- a/crates/maintenance/src/model.rs
+++ b/crates/maintenance/src/model.rs
@@ -68,7 +68,11 @@
     fn hear(&mut self) {
         let words = NAMES.iter().zip(self.real).map(|(name, real)| Word {
             server: (*name).into(),
-            state: if real.dead || real.taken { Health::Sick } else { Health::Well },
+            state: if real.dead || real.taken {
+                Health::Sick
+            } else {
+                Health::Well
+            },
             warm: true,
             started: real.started,
             age_ms: 0,
@@ -79,7 +83,11 @@
     }
 
     fn window_of(&self, server: usize, state: Where) -> Option<(u64, u64)> {
-        let seats = self.machine.windows.values().flat_map(|w| w.seats.iter().map(move |s| (w.id, s)));
+        let seats = self
+            .machine
+            .windows
+            .values()
+            .flat_map(|w| w.seats.iter().map(move |s| (w.id, s)));
         let mut found = seats.filter(|(_, s)| s.server == NAMES[server] && s.state == state);
         found.next().map(|(id, seat)| (id, seat.token))
     }
@@ -105,7 +113,9 @@
             Step::Return => {
                 real.started += u64::from(real.taken);
                 (real.taken, real.drained) = (false, false);
-                return Answer::Done { started: Some(real.started) };
+                return Answer::Done {
+                    started: Some(real.started),
+                };
             }
         }
         Answer::Done { started: None }
@@ -119,8 +129,17 @@
     fn init_states(&self) -> Vec<Moment> {
         let mut machine = Machine::new();
         machine.planted = self.planted;
-        let real = [Real { started: 1, ..Real::default() }; 2];
-        let mut moment = Moment { machine, now: STEP_MS, real, soup: BTreeSet::new(), unclear: false };
+        let real = [Real {
+            started: 1,
+            ..Real::default()
+        }; 2];
+        let mut moment = Moment {
+            machine,
+            now: STEP_MS,
+            real,
+            soup: BTreeSet::new(),
+            unclear: false,
+        };
         let agreement: Agreement = serde_json::from_str(
             r#"{"keep": 1, "most_away": 1, "evidence_bound_ms": 2000, "clear_most_ms": 3000, "repair_ms": 3000}"#,
         )
@@ -176,14 +195,26 @@
         let mut moment = last.clone();
         match action {
             Move::Send => {
-                for Act { window, server, step, token } in last.machine.due(last.now) {
+                for Act {
+                    window,
+                    server,
+                    step,
+                    token,
+                } in last.machine.due(last.now)
+                {
                     moment.soup.insert((index(&server), step, window, token));
                 }
             }
             Move::Deliver(server, step, window, token, answered) => {
                 let result = moment.deliver(server, step, token, self.checks);
                 if answered {
-                    moment.apply(Event::Acted { window, server: NAMES[server].into(), step, token, result });
+                    moment.apply(Event::Acted {
+                        window,
+                        server: NAMES[server].into(),
+                        step,
+                        token,
+                        result,
+                    });
                 }
             }
             Move::Pass(heard) => {
@@ -198,12 +229,19 @@
                 moment.real[server].cleared = true;
                 if let Some((window, _)) = moment.window_of(server, Where::Draining) {
                     let epoch = moment.real[server].drain;
-                    moment.apply(Event::Clear { window, server: NAMES[server].into(), epoch });
+                    moment.apply(Event::Clear {
+                        window,
+                        server: NAMES[server].into(),
+                        epoch,
+                    });
                 }
             }
             Move::Finish(server) => {
                 let (window, _) = moment.window_of(server, Where::Away)?;
-                moment.apply(Event::Finished { window, server: NAMES[server].into() });
+                moment.apply(Event::Finished {
+                    window,
+                    server: NAMES[server].into(),
+                });
             }
         }
         (moment != *last).then_some(moment)
@@ -211,7 +249,9 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("capacity", |_, m: &Moment| !m.real.iter().all(|r| r.drained || r.taken)),
+            Property::always("capacity", |_, m: &Moment| {
+                !m.real.iter().all(|r| r.drained || r.taken)
+            }),
             Property::always("granted", |_, m: &Moment| {
                 let open = m.machine.grants();
                 let away = (0..2).filter(|i| m.real[*i].drained || m.real[*i].taken);
@@ -219,7 +259,10 @@
             }),
             Property::always("clear", |_, m: &Moment| !m.unclear),
             Property::sometimes("called back", |_, m: &Moment| {
-                m.machine.windows.values().any(|w| w.seats[0].called_back > 0)
+                m.machine
+                    .windows
+                    .values()
+                    .any(|w| w.seats[0].called_back > 0)
             }),
             Property::sometimes("taken", |_, m: &Moment| m.real.iter().any(|r| r.taken)),
             Property::sometimes("second granted", |_, m: &Moment| {
--- a/crates/maintenance/src/model/explore.rs
+++ b/crates/maintenance/src/model/explore.rs
@@ -10,8 +10,12 @@
 
 /// The properties that were seen broken to that depth, and how many states there are.
 fn explore(planted: Planted, checks: bool, depth: usize) -> (Vec<&'static str>, usize) {
-    let checker =
-        Maintenance { planted, checks }.checker().threads(4).target_max_depth(depth).spawn_bfs().join();
+    let checker = Maintenance { planted, checks }
+        .checker()
+        .threads(4)
+        .target_max_depth(depth)
+        .spawn_bfs()
+        .join();
     for name in ["called back", "taken", "second granted"] {
         let seen = checker.discovery(name).is_some();
         assert!(
@@ -19,8 +23,9 @@
             "{name:?} is never reached"
         );
     }
-    let broken =
-        ["capacity", "granted", "clear"].into_iter().filter(|name| checker.discovery(name).is_some());
+    let broken = ["capacity", "granted", "clear"]
+        .into_iter()
+        .filter(|name| checker.discovery(name).is_some());
     (broken.collect(), checker.unique_state_count())
 }
 
@@ -35,7 +40,10 @@
 #[test]
 #[ignore = "minutes and gigabytes: the depth that docs/maintenance.md states"]
 fn no_order_of_words_breaks_a_rule_deeper() {
-    let depth = std::env::var("MODEL_DEPTH").ok().and_then(|text| text.parse().ok()).unwrap_or(18);
+    let depth = std::env::var("MODEL_DEPTH")
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(18);
     let (broken, states) = explore(Planted::default(), true, depth);
     println!("depth {depth}: {states} states");
     assert!(broken.is_empty(), "{broken:?}");
@@ -43,7 +51,14 @@
 
 #[test]
 fn without_the_debit_the_capacity_breaks() {
-    let (broken, _) = explore(Planted { no_debit: true, ..Planted::default() }, true, 6);
+    let (broken, _) = explore(
+        Planted {
+            no_debit: true,
+            ..Planted::default()
+        },
+        true,
+        6,
+    );
     assert!(broken.contains(&"capacity"), "{broken:?}");
 }
 
@@ -55,6 +70,13 @@
 
 #[test]
 fn without_the_wait_for_the_clear_a_server_is_taken_too_soon() {
-    let (broken, _) = explore(Planted { no_clear: true, ..Planted::default() }, true, 7);
+    let (broken, _) = explore(
+        Planted {
+            no_clear: true,
+            ..Planted::default()
+        },
+        true,
+        7,
+    );
     assert!(broken.contains(&"clear"), "{broken:?}");
 }
--- a/crates/maintenance/src/order.rs
+++ b/crates/maintenance/src/order.rs
@@ -17,14 +17,26 @@
     /// Indexes of the pieces in the order of that number, the same for all replicas. Class goes before all; within
     /// one, order 0 gives zones their turns, 1 to 4 take the longest, heaviest, largest and most urgent first, later
     /// ones are shuffled.
-    pub(crate) fn order(&self, agreement: &Agreement, pieces: &[Piece], number: usize) -> Vec<usize> {
+    pub(crate) fn order(
+        &self,
+        agreement: &Agreement,
+        pieces: &[Piece],
+        number: usize,
+    ) -> Vec<usize> {
         let turns = self.turns(pieces);
-        let class = |piece: &Piece| self.windows.get(&piece.window).map_or(0, |w| self.class(agreement, w));
+        let class = |piece: &Piece| {
+            self.windows
+                .get(&piece.window)
+                .map_or(0, |w| self.class(agreement, w))
+        };
         let mut order: Vec<(i64, i128, usize, usize)> = pieces
             .iter()
             .enumerate()
             .map(|(index, piece)| {
-                let (span, weight) = (i128::from(piece.span_ms), i128::from(piece.full.weights[0].max(1)));
+                let (span, weight) = (
+                    i128::from(piece.span_ms),
+                    i128::from(piece.full.weights[0].max(1)),
+                );
                 let key = match number {
                     0 => 0,
                     1 => -span,
@@ -44,7 +56,11 @@
     pub(crate) fn kept_order(&self, pieces: &[Piece]) -> Vec<usize> {
         let start = |piece: &Piece| {
             let window = self.windows.get(&piece.window)?;
-            piece.seats.iter().filter_map(|index| window.seats.get(*index)?.start_ms).max()
+            piece
+                .seats
+                .iter()
+                .filter_map(|index| window.seats.get(*index)?.start_ms)
+                .max()
         };
         let mut order: Vec<usize> = (0..pieces.len()).collect();
         order.sort_by_key(|index| start(&pieces[*index]).unwrap_or(i64::MAX));
@@ -55,13 +71,24 @@
     fn turns(&self, pieces: &[Piece]) -> Vec<usize> {
         let mut zones: BTreeMap<&str, Vec<usize>> = BTreeMap::new();
         for (index, piece) in pieces.iter().enumerate() {
-            let zone = piece.servers.first().and_then(|name| self.servers.get(name));
-            zones.entry(zone.map_or("", |known| &known.zone)).or_default().push(index);
+            let zone = piece
+                .servers
+                .first()
+                .and_then(|name| self.servers.get(name));
+            zones
+                .entry(zone.map_or("", |known| &known.zone))
+                .or_default()
+                .push(index);
         }
         let mut rounds: Vec<(usize, u64, &str, usize)> = Vec::with_capacity(pieces.len());
         for (zone, members) in zones {
             let last = self.turns.get(zone).copied().unwrap_or(0);
-            rounds.extend(members.into_iter().enumerate().map(|(round, index)| (round, last, zone, index)));
+            rounds.extend(
+                members
+                    .into_iter()
+                    .enumerate()
+                    .map(|(round, index)| (round, last, zone, index)),
+            );
         }
         rounds.sort_unstable();
         let mut turns = vec![0; pieces.len()];
--- a/crates/maintenance/src/plan.rs
+++ b/crates/maintenance/src/plan.rs
@@ -27,30 +27,52 @@
 
 impl Machine {
     /// Loads by what is away now: by grant to its end, dead or unheard of for the time of a repair.
-    pub(crate) fn timeline<'a>(&'a self, agreement: &Agreement, ledger: &Ledger<'_>) -> Timeline<'a> {
+    pub(crate) fn timeline<'a>(
+        &'a self,
+        agreement: &Agreement,
+        ledger: &Ledger<'_>,
+    ) -> Timeline<'a> {
         let now = self.at_ms;
         let repaired = now.saturating_add(agreement.repair_ms);
         let most = Load {
             away: i64::from(agreement.most_away),
-            weights: ledger.listed.iter().zip(&ledger.shape.keep).map(|(l, k)| gap(*l, *k)).collect(),
+            weights: ledger
+                .listed
+                .iter()
+                .zip(&ledger.shape.keep)
+                .map(|(l, k)| gap(*l, *k))
+                .collect(),
+        };
+        let known_until = if agreement.blackouts.is_empty() {
+            i64::MAX
+        } else {
+            self.calendar.until_ms
         };
-        let known_until = if agreement.blackouts.is_empty() { i64::MAX } else { self.calendar.until_ms };
         let mut timeline = Timeline::new(now, most, repaired, &self.calendar.spans, known_until);
         let grants = self.grants();
         for name in ledger.debits.keys() {
             let mut load = Load::zero(ledger.listed.len());
             load.away = 1;
             if let Some(known) = self.servers.get(*name) {
-                ledger.shape.of(known).for_each(|number| load.weights[number] = i64::from(known.weight));
+                ledger
+                    .shape
+                    .of(known)
+                    .for_each(|number| load.weights[number] = i64::from(known.weight));
             }
             let end = match grants.get(name) {
                 Some((id, seat)) if !seat.late => {
                     let span = self.windows.get(id).map_or(0, |w| w.request.span_ms());
-                    seat.start_ms.unwrap_or(now).saturating_add(span).max(now + 1)
+                    seat.start_ms
+                        .unwrap_or(now)
+                        .saturating_add(span)
+                        .max(now + 1)
                 }
                 _ => repaired,
             };
-            let span = Span { from_ms: now, until_ms: end };
+            let span = Span {
+                from_ms: now,
+                until_ms: end,
+            };
             timeline.load(span, &load);
             if grants.contains_key(name) {
                 timeline.occupy(name, span);
@@ -60,9 +82,15 @@
     }
 
     /// The pieces of a window that wait: its waves' single servers, or all together if it can't be split.
-    pub(crate) fn pieces(&self, agreement: &Agreement, ledger: &Ledger<'_>, window: &Window) -> Vec<Piece> {
-        let waiting: Vec<usize> =
-            (0..window.seats.len()).filter(|i| window.seats[*i].state.waits()).collect();
+    pub(crate) fn pieces(
+        &self,
+        agreement: &Agreement,
+        ledger: &Ledger<'_>,
+        window: &Window,
+    ) -> Vec<Piece> {
+        let waiting: Vec<usize> = (0..window.seats.len())
+            .filter(|i| window.seats[*i].state.waits())
+            .collect();
         let groups: Vec<Vec<usize>> = match (window.request.split, waiting.is_empty()) {
             (_, true) => Vec::new(),
             (true, _) => waiting.into_iter().map(|index| vec![index]).collect(),
@@ -74,7 +102,10 @@
             .map(|seats| {
                 let mut piece = Piece {
                     window: window.id,
-                    servers: seats.iter().map(|i| window.seats[*i].server.clone()).collect(),
+                    servers: seats
+                        .iter()
+                        .map(|i| window.seats[*i].server.clone())
+                        .collect(),
                     seats,
                     live: Load::zero(ledger.listed.len()),
                     full: Load::zero(ledger.listed.len()),
@@ -91,7 +122,10 @@
                     };
                     let mut load = Load::zero(ledger.listed.len());
                     load.away = 1;
-                    ledger.shape.of(known).for_each(|number| load.weights[number] = i64::from(known.weight));
+                    ledger
+                        .shape
+                        .of(known)
+                        .for_each(|number| load.weights[number] = i64::from(known.weight));
                     piece.full.add(&load);
                     if !ledger.debits.contains_key(name.as_str()) {
                         piece.live.add(&load);
@@ -135,23 +169,40 @@
     fn rank(&self, agreement: &Agreement, pieces: &[Piece], had: &Times, times: &Times) -> Rank {
         let mut unplaced: BTreeMap<Reverse<i64>, usize> = BTreeMap::new();
         for (piece, time) in pieces.iter().zip(times) {
-            let class = self.windows.get(&piece.window).map_or(0, |w| self.class(agreement, w));
+            let class = self
+                .windows
+                .get(&piece.window)
+                .map_or(0, |w| self.class(agreement, w));
             *unplaced.entry(Reverse(class)).or_default() += usize::from(time.is_none());
         }
-        let lost = had.iter().zip(times).filter(|(had, time)| had.is_some() && time.is_none()).count();
+        let lost = had
+            .iter()
+            .zip(times)
+            .filter(|(had, time)| had.is_some() && time.is_none())
+            .count();
         let mut zones: BTreeMap<&str, i64> = BTreeMap::new();
         let mut sum = 0i128;
         for (piece, time) in pieces.iter().zip(times) {
             let Some(start) = time else { continue };
             let end = start.saturating_add(piece.span_ms);
             sum += i128::from(end);
-            for zone in piece.servers.iter().filter_map(|name| self.servers.get(name)) {
+            for zone in piece
+                .servers
+                .iter()
+                .filter_map(|name| self.servers.get(name))
+            {
                 let last = zones.entry(&zone.zone).or_insert(end);
                 *last = end.max(*last);
             }
         }
         let last = zones.values().copied().max().unwrap_or(0);
-        (unplaced.into_values().collect(), lost, last, zones.values().map(|end| i128::from(*end)).sum(), sum)
+        (
+            unplaced.into_values().collect(),
+            lost,
+            last,
+            zones.values().map(|end| i128::from(*end)).sum(),
+            sum,
+        )
     }
 
     /// Words for what stands against a piece.
--- a/crates/maintenance/src/planted.rs
+++ b/crates/maintenance/src/planted.rs
@@ -4,7 +4,9 @@
 
 /// Faults that a test plants to see that it would find them.
 #[cfg(test)]
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize,
+)]
 pub(crate) struct Planted {
     /// A grant is not debited.
     pub(crate) no_debit: bool,
--- a/crates/maintenance/src/request.rs
+++ b/crates/maintenance/src/request.rs
@@ -67,30 +67,53 @@
     pub fn check(&self, agreement: &Agreement, now_ms: i64) -> Result<(), Invalid> {
         let named = |key: &str, name: &str| match name.len() {
             1..=LONGEST_NAME => Ok(()),
-            _ => Err(Invalid::new(key, format!("must have from 1 to {LONGEST_NAME} bytes"))),
+            _ => Err(Invalid::new(
+                key,
+                format!("must have from 1 to {LONGEST_NAME} bytes"),
+            )),
         };
         named("name", &self.name)?;
         match &self.target {
             Target::Servers(names) => {
                 if names.is_empty() || names.len() > MOST_NAMED {
-                    return Err(Invalid::new("target.servers", format!("must be from 1 to {MOST_NAMED}")));
+                    return Err(Invalid::new(
+                        "target.servers",
+                        format!("must be from 1 to {MOST_NAMED}"),
+                    ));
                 }
-                names.iter().try_for_each(|name| named("target.servers", name))?;
+                names
+                    .iter()
+                    .try_for_each(|name| named("target.servers", name))?;
             }
             Target::Group(name) => named("target.group", name)?,
-            Target::Zone { zone, share_permille } => {
+            Target::Zone {
+                zone,
+                share_permille,
+            } => {
                 named("target.zone.zone", zone)?;
                 if !(1..=1_000).contains(share_permille) {
-                    return Err(Invalid::new("target.zone.share_permille", "must be from 1 to 1000"));
+                    return Err(Invalid::new(
+                        "target.zone.share_permille",
+                        "must be from 1 to 1000",
+                    ));
                 }
             }
         }
         if !(1..=FARTHEST_MS).contains(&self.length_ms) {
-            return Err(Invalid::new("length_ms", format!("must be from 1 to {FARTHEST_MS}")));
+            return Err(Invalid::new(
+                "length_ms",
+                format!("must be from 1 to {FARTHEST_MS}"),
+            ));
         }
-        let most = self.length_ms.saturating_mul(i64::from(agreement.overrun_most_permille)) / 1_000;
+        let most = self
+            .length_ms
+            .saturating_mul(i64::from(agreement.overrun_most_permille))
+            / 1_000;
         if !(0..=most).contains(&self.overrun_ms) {
-            return Err(Invalid::new("overrun_ms", format!("must be from 0 to {most} by the agreement")));
+            return Err(Invalid::new(
+                "overrun_ms",
+                format!("must be from 0 to {most} by the agreement"),
+            ));
         }
         if self.latest_ms > now_ms.saturating_add(FARTHEST_MS) {
             return Err(Invalid::new("latest_ms", "is more than 400 days ahead"));
@@ -99,7 +122,10 @@
             return Err(Invalid::new("earliest_ms", "is before 1970"));
         }
         if self.latest_ms.saturating_sub(self.span_ms()) < self.earliest_ms.max(now_ms) {
-            return Err(Invalid::new("latest_ms", "leaves no time for length and overrun"));
+            return Err(Invalid::new(
+                "latest_ms",
+                "leaves no time for length and overrun",
+            ));
         }
         Ok(())
     }
--- a/crates/maintenance/src/servers.rs
+++ b/crates/maintenance/src/servers.rs
@@ -36,8 +36,9 @@
 impl Known {
     /// The word, if it is young enough and not of a process before the listed one.
     pub(crate) fn fresh(&self, now_ms: i64, bound_ms: i64) -> Option<Seen> {
-        self.seen
-            .filter(|seen| now_ms.saturating_sub(seen.seen_ms) < bound_ms && seen.started >= self.started)
+        self.seen.filter(|seen| {
+            now_ms.saturating_sub(seen.seen_ms) < bound_ms && seen.started >= self.started
+        })
     }
 
     /// Why it does not count as there by evidence; none if it does.
@@ -64,7 +65,10 @@
             )));
         }
         let long = |name: &str| name.is_empty() || name.len() > LONGEST_NAME;
-        if list.iter().any(|s| long(&s.name) || s.zone.len() > LONGEST_NAME || s.group.len() > LONGEST_NAME) {
+        if list
+            .iter()
+            .any(|s| long(&s.name) || s.zone.len() > LONGEST_NAME || s.group.len() > LONGEST_NAME)
+        {
             let reason = format!("a name is empty or longer than {LONGEST_NAME} bytes");
             return Outcome::Refused(Refusal::Invalid(Invalid::new("servers", reason)));
         }
@@ -90,11 +94,23 @@
         if self.servers == before {
             return Outcome::Ignored;
         }
-        let zones: BTreeSet<&str> = self.servers.values().map(|known| known.zone.as_str()).collect();
+        let zones: BTreeSet<&str> = self
+            .servers
+            .values()
+            .map(|known| known.zone.as_str())
+            .collect();
         self.turns.retain(|zone, _| zones.contains(zone.as_str()));
-        for seat in self.windows.values_mut().flat_map(|window| &mut window.seats) {
+        for seat in self
+            .windows
+            .values_mut()
+            .flat_map(|window| &mut window.seats)
+        {
             let listed = self.servers.contains_key(&seat.server);
-            seat.unlisted_ms = if listed { None } else { seat.unlisted_ms.or(Some(self.at_ms)) };
+            seat.unlisted_ms = if listed {
+                None
+            } else {
+                seat.unlisted_ms.or(Some(self.at_ms))
+            };
         }
         self.changed = true;
         Outcome::Taken
@@ -103,12 +119,20 @@
     /// Takes words of the fleet. A word that was seen before the one that is kept, or by too few, changes nothing.
     pub(crate) fn hear(&mut self, words: Vec<Word>) -> Outcome {
         for word in words {
-            let Some(known) = self.servers.get_mut(&word.server) else { continue };
-            let seen_ms = self.at_ms.saturating_sub(i64::try_from(word.age_ms).unwrap_or(i64::MAX));
+            let Some(known) = self.servers.get_mut(&word.server) else {
+                continue;
+            };
+            let seen_ms = self
+                .at_ms
+                .saturating_sub(i64::try_from(word.age_ms).unwrap_or(i64::MAX));
             if !word.enough || known.seen.is_some_and(|seen| seen.seen_ms > seen_ms) {
                 continue;
             }
-            known.seen = Some(Seen { state: word.state, started: word.started, seen_ms });
+            known.seen = Some(Seen {
+                state: word.state,
+                started: word.started,
+                seen_ms,
+            });
             if word.state == Health::Well && word.warm {
                 known.warm = Some(word.started);
             }
--- a/crates/maintenance/src/timeline.rs
+++ b/crates/maintenance/src/timeline.rs
@@ -13,7 +13,10 @@
 
 impl Load {
     pub(crate) fn zero(numbers: usize) -> Self {
-        Load { away: 0, weights: vec![0; numbers] }
+        Load {
+            away: 0,
+            weights: vec![0; numbers],
+        }
     }
 
     pub(crate) fn add(&mut self, other: &Load) {
@@ -30,7 +33,8 @@
             return Some(Block::Count);
         }
         let mut sums = self.weights.iter().zip(&further.weights).zip(&most.weights);
-        sums.position(|((mine, theirs), most)| mine + theirs > *most).map(Block::Weight)
+        sums.position(|((mine, theirs), most)| mine + theirs > *most)
+            .map(Block::Weight)
     }
 }
 
@@ -92,8 +96,18 @@
         known_until_ms: i64,
     ) -> Self {
         let zero = Load::zero(most.weights.len());
-        let points = vec![(now_ms, zero.clone()), (down_until_ms.max(now_ms.saturating_add(1)), zero)];
-        Timeline { points, most, down_until_ms, busy: BTreeMap::new(), blackouts, known_until_ms }
+        let points = vec![
+            (now_ms, zero.clone()),
+            (down_until_ms.max(now_ms.saturating_add(1)), zero),
+        ];
+        Timeline {
+            points,
+            most,
+            down_until_ms,
+            busy: BTreeMap::new(),
+            blackouts,
+            known_until_ms,
+        }
     }
 
     fn cut(&mut self, at_ms: i64) -> usize {
@@ -129,10 +143,28 @@
     pub(crate) fn put(&mut self, piece: &Piece, start_ms: i64) {
         let end_ms = start_ms.saturating_add(piece.span_ms);
         let change = self.down_until_ms.clamp(start_ms, end_ms);
-        self.load(Span { from_ms: start_ms, until_ms: change }, &piece.live);
-        self.load(Span { from_ms: change, until_ms: end_ms }, &piece.full);
+        self.load(
+            Span {
+                from_ms: start_ms,
+                until_ms: change,
+            },
+            &piece.live,
+        );
+        self.load(
+            Span {
+                from_ms: change,
+                until_ms: end_ms,
+            },
+            &piece.full,
+        );
         for server in &piece.servers {
-            self.occupy(server, Span { from_ms: start_ms, until_ms: end_ms });
+            self.occupy(
+                server,
+                Span {
+                    from_ms: start_ms,
+                    until_ms: end_ms,
+                },
+            );
         }
     }
 
@@ -146,8 +178,14 @@
         if hard_end > self.known_until_ms {
             return Some((Block::Blackout, None));
         }
-        let after = self.blackouts.partition_point(|span| span.until_ms <= start_ms);
-        if let Some(span) = self.blackouts.get(after).filter(|span| span.from_ms < hard_end) {
+        let after = self
+            .blackouts
+            .partition_point(|span| span.until_ms <= start_ms);
+        if let Some(span) = self
+            .blackouts
+            .get(after)
+            .filter(|span| span.from_ms < hard_end)
+        {
             return Some((Block::Blackout, Some(span.until_ms)));
         }
         for server in &piece.servers {
@@ -157,14 +195,21 @@
                 return Some((Block::Busy, Some(until_ms)));
             }
         }
-        let first = self.points.partition_point(|(at, _)| *at <= start_ms).saturating_sub(1);
+        let first = self
+            .points
+            .partition_point(|(at, _)| *at <= start_ms)
+            .saturating_sub(1);
         // The last moment in the way: no start before its end can do.
         let mut found = None;
         for (index, (at, load)) in self.points.iter().enumerate().skip(first) {
             if *at >= end_ms {
                 break;
             }
-            let mine = if *at < self.down_until_ms { &piece.live } else { &piece.full };
+            let mine = if *at < self.down_until_ms {
+                &piece.live
+            } else {
+                &piece.full
+            };
             if let Some(block) = load.passes(mine, &self.most) {
                 found = Some((block, self.points.get(index + 1).map(|(next, _)| *next)));
             }
--- a/crates/maintenance/src/view.rs
+++ b/crates/maintenance/src/view.rs
@@ -152,7 +152,11 @@
                 reason: seat.reason.clone(),
             })
             .collect();
-        let state = seats.iter().map(|seat| seat.state).min().unwrap_or(State::Closed);
+        let state = seats
+            .iter()
+            .map(|seat| seat.state)
+            .min()
+            .unwrap_or(State::Closed);
         WindowView {
             window: window.id,
             name: window.request.name.clone(),
--- a/crates/maintenance/src/window.rs
+++ b/crates/maintenance/src/window.rs
@@ -71,7 +71,10 @@
 impl State {
     /// Whether a grant is open: the server is debited whatever evidence says.
     pub fn granted(self) -> bool {
-        matches!(self, State::Draining | State::Clear | State::Away | State::Returning | State::CalledBack)
+        matches!(
+            self,
+            State::Draining | State::Clear | State::Away | State::Returning | State::CalledBack
+        )
     }
 
     /// Whether it waits for a grant.
--- a/crates/maintenance/tests/histories.rs
+++ b/crates/maintenance/tests/histories.rs
@@ -32,8 +32,14 @@
 fn no_history_breaches_the_agreement() {
     let sum = histories(0..400);
     // The histories must reach what they are about.
-    assert!(sum.takes > 200 && sum.called_back > 200 && sum.refused > 20 && sum.leaders > 400, "{sum:?}");
-    assert!(sum.closed_after_return > 200 && sum.booked > 400 && sum.blackouts > 100, "{sum:?}");
+    assert!(
+        sum.takes > 200 && sum.called_back > 200 && sum.refused > 20 && sum.leaders > 400,
+        "{sum:?}"
+    );
+    assert!(
+        sum.closed_after_return > 200 && sum.booked > 400 && sum.blackouts > 100,
+        "{sum:?}"
+    );
 }
 
 #[test]
@@ -49,10 +55,18 @@
 #[test]
 #[ignore = "minutes: 100,000 histories, whose figure docs/maintenance.md states"]
 fn a_hundred_thousand_histories() {
-    let number = |name: &str, or| std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(or);
+    let number = |name: &str, or| {
+        std::env::var(name)
+            .ok()
+            .and_then(|text| text.parse().ok())
+            .unwrap_or(or)
+    };
     let (first, count): (u64, u64) = (number("HISTORIES_FROM", 0), number("HISTORIES", 100_000));
     let part = |part: u64| first + part * count / THREADS..first + (part + 1) * count / THREADS;
-    let parts: Vec<_> = (0..THREADS).map(part).map(|seeds| std::thread::spawn(|| histories(seeds))).collect();
+    let parts: Vec<_> = (0..THREADS)
+        .map(part)
+        .map(|seeds| std::thread::spawn(|| histories(seeds)))
+        .collect();
     for part in parts {
         println!("{:?}", part.join().expect("a history failed"));
     }
--- a/crates/maintenance/tests/play/mod.rs
+++ b/crates/maintenance/tests/play/mod.rs
@@ -57,23 +57,38 @@
 impl Play {
     pub fn new(seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut world = World { now: 1_800_000_000_000, ..World::default() };
+        let mut world = World {
+            now: 1_800_000_000_000,
+            ..World::default()
+        };
         let count = rng.usize(4..10);
         let zones = ["a", "b", "c"];
         for index in 0..count {
             let group = if rng.bool() { "g" } else { "h" };
             world.add(&format!("s{index}"), zones[index % 3], group, rng.u32(1..5));
         }
-        let total: u64 = world.servers.values().map(|real| u64::from(real.weight)).sum();
+        let total: u64 = world
+            .servers
+            .values()
+            .map(|real| u64::from(real.weight))
+            .sum();
         let mut agreement = agreement(total * rng.u64(40..85) / 100, &[], rng.u32(1..5));
         if rng.bool() {
-            let a =
-                world.servers.values().filter(|r| r.zone == "a").map(|r| u64::from(r.weight)).sum::<u64>();
+            let a = world
+                .servers
+                .values()
+                .filter(|r| r.zone == "a")
+                .map(|r| u64::from(r.weight))
+                .sum::<u64>();
             agreement.keep_zone.insert("a".into(), a / 2);
         }
         if rng.bool() {
-            let g =
-                world.servers.values().filter(|r| r.group == "g").map(|r| u64::from(r.weight)).sum::<u64>();
+            let g = world
+                .servers
+                .values()
+                .filter(|r| r.group == "g")
+                .map(|r| u64::from(r.weight))
+                .sum::<u64>();
             agreement.keep_group.insert("g".into(), g / 2);
         }
         let mut play = Play {
@@ -99,7 +114,10 @@
     /// Seats with an open grant: server and token of each.
     pub fn open(&self) -> Vec<(String, u64, State)> {
         let seats = self.machine.windows().into_iter().flat_map(|w| w.seats);
-        seats.filter(|s| s.state.granted()).map(|s| (s.server, s.token, s.state)).collect()
+        seats
+            .filter(|s| s.state.granted())
+            .map(|s| (s.server, s.token, s.state))
+            .collect()
     }
 
     /// Applies an agreed event and audits what it did.
@@ -107,12 +125,15 @@
         if let Event::Evidence(words) = &event {
             for word in words.iter().filter(|word| word.enough) {
                 let well = word.state == Health::Well && word.warm;
-                self.heard.insert(word.server.clone(), (self.world.now, well));
+                self.heard
+                    .insert(word.server.clone(), (self.world.now, well));
             }
         }
         if let Event::Servers(list) = &event {
             let names = self.world.servers.keys();
-            let unlisted = names.filter(|name| list.iter().all(|server| server.name != **name)).cloned();
+            let unlisted = names
+                .filter(|name| list.iter().all(|server| server.name != **name))
+                .cloned();
             self.world.unlisted = unlisted.collect();
         }
         let (before, token) = (self.open(), self.machine.last_token());
@@ -148,7 +169,10 @@
                     real.bad_since.is_none_or(|at| self.world.now - at < bound),
                     "{server} credited, not there"
                 );
-                assert!(!real.drained && !real.taken, "{server} credited while drained or taken");
+                assert!(
+                    !real.drained && !real.taken,
+                    "{server} credited while drained or taken"
+                );
                 self.figures.closed_after_return += u64::from(*state == State::Returning);
             }
         }
@@ -156,7 +180,9 @@
             .iter()
             .filter(|(server, _, state)| {
                 *state == State::CalledBack
-                    && !before.iter().any(|b| b.0 == *server && b.2 == State::CalledBack)
+                    && !before
+                        .iter()
+                        .any(|b| b.0 == *server && b.2 == State::CalledBack)
             })
             .count() as u64;
         outcome
@@ -165,10 +191,24 @@
     /// Whether the part of a server's window that no blackout may touch does so, from now on.
     fn meets_blackout(&self, server: &str) -> bool {
         let windows = self.machine.windows();
-        let of = |w: &&WindowView| w.seats.iter().any(|s| s.server == server && s.state.granted());
-        let asked = windows.iter().find(of).and_then(|w| self.requests.get(&w.name));
-        let Some((blackout, (length, overrun))) = self.blackout.zip(asked) else { return false };
-        let hard = length + if self.agreement.overrun_may_enter_blackout { 0 } else { *overrun };
+        let of = |w: &&WindowView| {
+            w.seats
+                .iter()
+                .any(|s| s.server == server && s.state.granted())
+        };
+        let asked = windows
+            .iter()
+            .find(of)
+            .and_then(|w| self.requests.get(&w.name));
+        let Some((blackout, (length, overrun))) = self.blackout.zip(asked) else {
+            return false;
+        };
+        let hard = length
+            + if self.agreement.overrun_may_enter_blackout {
+                0
+            } else {
+                *overrun
+            };
         let now = self.world.now;
         blackout.from_ms < now - SKEW_MS + hard && blackout.until_ms > now
     }
@@ -178,7 +218,9 @@
         for act in self.machine.due(self.world.now) {
             let out = matches!(act.step, Step::Drain | Step::Take);
             let now = self.world.now;
-            let on = self.blackout.is_some_and(|b| b.from_ms <= now && now < b.until_ms);
+            let on = self
+                .blackout
+                .is_some_and(|b| b.from_ms <= now && now < b.until_ms);
             assert!(!out || !on, "{act:?} is due in a blackout");
         }
     }
@@ -198,12 +240,19 @@
 
     /// No server that serves drains on while all together are below the floor even with what was called back.
     pub fn audit_call_back(&self) {
-        let Some(capacity) = self.machine.capacity(0) else { return };
+        let Some(capacity) = self.machine.capacity(0) else {
+            return;
+        };
         let (all, open) = (&capacity.rooms[0], self.open());
         let live_ms = self.agreement.evidence_bound_ms - 2 * SKEW_MS;
-        let heard = |server: &String| self.heard.get(server).filter(|(at, _)| self.world.now - at < live_ms);
+        let heard = |server: &String| {
+            self.heard
+                .get(server)
+                .filter(|(at, _)| self.world.now - at < live_ms)
+        };
         let drains = open.iter().any(|(server, _, state)| {
-            matches!(state, State::Draining | State::Clear) && heard(server).is_some_and(|(_, well)| *well)
+            matches!(state, State::Draining | State::Clear)
+                && heard(server).is_some_and(|(_, well)| *well)
         });
         let coming: u64 = open
             .iter()
@@ -212,6 +261,9 @@
             })
             .map(|(server, _, _)| u64::from(self.world.servers[server].weight))
             .sum();
-        assert!(all.present + coming >= all.keep || !drains, "something drains below the floor");
+        assert!(
+            all.present + coming >= all.keep || !drains,
+            "something drains below the floor"
+        );
     }
 }
--- a/crates/maintenance/tests/play/moves.rs
+++ b/crates/maintenance/tests/play/moves.rs
@@ -14,7 +14,8 @@
     pub fn send(&mut self, wire: Wire) {
         for _ in 0..self.rng.usize(0..3) {
             let far = if self.rng.u8(0..8) == 0 { 30_000 } else { 900 };
-            self.wires.push((self.world.now + self.rng.i64(0..far), wire.clone()));
+            self.wires
+                .push((self.world.now + self.rng.i64(0..far), wire.clone()));
         }
     }
 
@@ -33,8 +34,19 @@
                         0 => Answer::Failed,
                         _ => self.world.act(&act, warm, self.checks),
                     };
-                    let Act { window, server, step, token } = act;
-                    self.send(Wire::Event(Event::Acted { window, server, step, token, result }));
+                    let Act {
+                        window,
+                        server,
+                        step,
+                        token,
+                    } = act;
+                    self.send(Wire::Event(Event::Acted {
+                        window,
+                        server,
+                        step,
+                        token,
+                        result,
+                    }));
                 }
             }
         }
@@ -46,13 +58,24 @@
         let names: Vec<String> = self.world.servers.keys().cloned().collect();
         let target = match self.rng.u8(0..3) {
             0 => Target::Servers(
-                (0..self.rng.usize(1..4)).map(|_| self.rng.choice(&names).unwrap().clone()).collect(),
+                (0..self.rng.usize(1..4))
+                    .map(|_| self.rng.choice(&names).unwrap().clone())
+                    .collect(),
             ),
-            1 => Target::Group(if self.rng.bool() { "g".into() } else { "h".into() }),
-            _ => Target::Zone { zone: "a".into(), share_permille: self.rng.u32(200..=1_000) },
+            1 => Target::Group(if self.rng.bool() {
+                "g".into()
+            } else {
+                "h".into()
+            }),
+            _ => Target::Zone {
+                zone: "a".into(),
+                share_permille: self.rng.u32(200..=1_000),
+            },
         };
-        let (length_ms, earliest_ms) =
-            (self.rng.i64(3_000..30_000), self.world.now + self.rng.i64(0..20_000));
+        let (length_ms, earliest_ms) = (
+            self.rng.i64(3_000..30_000),
+            self.world.now + self.rng.i64(0..20_000),
+        );
         let overrun_ms = self.rng.i64(0..length_ms / 2);
         let request = Request {
             name: format!("r{}", self.asked),
@@ -64,7 +87,8 @@
             priority: self.rng.u8(0..3),
             split: self.rng.bool(),
         };
-        self.requests.insert(request.name.clone(), (length_ms, overrun_ms));
+        self.requests
+            .insert(request.name.clone(), (length_ms, overrun_ms));
         if let Outcome::Booked { .. } = self.apply(Event::Ask(request)) {
             self.figures.booked += 1;
         }
@@ -81,7 +105,9 @@
                 if !self.world.unlisted.is_empty() {
                     return;
                 }
-                let Event::Servers(mut list) = self.world.list() else { return };
+                let Event::Servers(mut list) = self.world.list() else {
+                    return;
+                };
                 match self.rng.bool() {
                     true => list.clear(),
                     false => list.retain(|server| server.name != name),
@@ -102,7 +128,8 @@
                 let text = serde_json::to_string(&self.machine).unwrap();
                 let successor: Machine = serde_json::from_str(&text).unwrap();
                 assert!(successor == self.machine, "a snapshot lost something");
-                self.old.push(std::mem::replace(&mut self.machine, successor));
+                self.old
+                    .push(std::mem::replace(&mut self.machine, successor));
                 self.figures.leaders += 1;
             }
             6 => drop(self.old.pop()),
@@ -111,7 +138,9 @@
             }
             8 => {
                 let windows = self.machine.windows();
-                let seats = windows.iter().flat_map(|w| w.seats.iter().map(|s| (w.window, s.server.clone())));
+                let seats = windows
+                    .iter()
+                    .flat_map(|w| w.seats.iter().map(|s| (w.window, s.server.clone())));
                 if let Some((window, server)) = self.rng.choice(seats.collect::<Vec<_>>()) {
                     self.apply(Event::Finished { window, server });
                 }
@@ -124,7 +153,8 @@
     fn agree_anew(&mut self) {
         let from_ms = self.world.now + self.rng.i64(0..60_000);
         let until_ms = from_ms + self.rng.i64(1_000..30_000);
-        let moment = |ms| TimeZone::UTC.to_datetime(Timestamp::from_millisecond(ms).expect("a time"));
+        let moment =
+            |ms| TimeZone::UTC.to_datetime(Timestamp::from_millisecond(ms).expect("a time"));
         let blackout = Blackout {
             name: "b".into(),
             time_zone: "UTC".into(),
@@ -132,20 +162,31 @@
             until: moment(until_ms),
             every: Every::Once,
         };
-        self.agreement.blackouts = if self.rng.u8(0..3) > 0 { vec![blackout] } else { Vec::new() };
+        self.agreement.blackouts = if self.rng.u8(0..3) > 0 {
+            vec![blackout]
+        } else {
+            Vec::new()
+        };
         self.agreement.overrun_may_enter_blackout = self.rng.bool();
         self.agreement.most_away = self.rng.u32(1..5);
         self.blackout = None;
         // A calendar of before may come after it.
-        let before = self.machine.calendar_due(self.world.now + self.rng.i64(0..2) * 40 * DAY_MS);
-        before.into_iter().for_each(|event| self.send(Wire::Event(event)));
+        let before = self
+            .machine
+            .calendar_due(self.world.now + self.rng.i64(0..2) * 40 * DAY_MS);
+        before
+            .into_iter()
+            .for_each(|event| self.send(Wire::Event(event)));
         self.apply(Event::Agreement(self.agreement.clone()));
         self.planned = (!self.agreement.blackouts.is_empty()).then_some(Span { from_ms, until_ms });
     }
 
     /// The leader tells the blackouts' times, in a while.
     fn tell_calendar(&mut self) {
-        let due = self.machine.calendar_due(self.world.now).filter(|_| self.rng.bool());
+        let due = self
+            .machine
+            .calendar_due(self.world.now)
+            .filter(|_| self.rng.bool());
         if let Some(calendar) = due {
             self.apply(calendar);
             self.blackout = self.planned;
@@ -180,11 +221,21 @@
             if real.drained && !real.taken && self.world.now - real.drained_at > 2_000 {
                 self.world.cleared.push(real.drain_token);
                 let windows = self.machine.windows();
-                let window =
-                    windows.iter().find(|w| w.seats.iter().any(|s| s.server == *name && s.state.granted()));
+                let window = windows.iter().find(|w| {
+                    w.seats
+                        .iter()
+                        .any(|s| s.server == *name && s.state.granted())
+                });
                 if let Some(window) = window {
                     let (window, server, epoch) = (window.window, name.clone(), real.drain_token);
-                    self.wires.push((self.world.now, Wire::Event(Event::Clear { window, server, epoch })));
+                    self.wires.push((
+                        self.world.now,
+                        Wire::Event(Event::Clear {
+                            window,
+                            server,
+                            epoch,
+                        }),
+                    ));
                 }
             }
         }
@@ -209,26 +260,57 @@
             self.world.revive(&name, 0);
         }
         for _ in 0..900 {
-            if self.machine.windows().iter().all(|w| w.state == State::Closed) {
+            if self
+                .machine
+                .windows()
+                .iter()
+                .all(|w| w.state == State::Closed)
+            {
                 return;
             }
             self.world.pass(1_000);
-            self.machine.calendar_due(self.world.now).into_iter().for_each(|event| drop(self.apply(event)));
+            self.machine
+                .calendar_due(self.world.now)
+                .into_iter()
+                .for_each(|event| drop(self.apply(event)));
             self.apply(self.world.list());
-            let words = self.world.servers.keys().map(|name| self.world.word(name, 0)).collect();
+            let words = self
+                .world
+                .servers
+                .keys()
+                .map(|name| self.world.word(name, 0))
+                .collect();
             self.apply(Event::Evidence(words));
             for act in self.machine.due(self.world.now) {
                 let result = self.world.act(&act, 500, self.checks);
-                let Act { window, server, step, token } = act;
+                let Act {
+                    window,
+                    server,
+                    step,
+                    token,
+                } = act;
                 if step == Step::Drain {
                     self.world.cleared.push(token);
                 }
-                self.apply(Event::Acted { window, server: server.clone(), step, token, result });
-                self.apply(Event::Clear { window, server, epoch: token });
+                self.apply(Event::Acted {
+                    window,
+                    server: server.clone(),
+                    step,
+                    token,
+                    result,
+                });
+                self.apply(Event::Clear {
+                    window,
+                    server,
+                    epoch: token,
+                });
             }
             self.audit();
         }
-        panic!("windows are open after all is well: {:#?}", self.machine.windows());
+        panic!(
+            "windows are open after all is well: {:#?}",
+            self.machine.windows()
+        );
     }
 
     pub fn run(mut self) -> Figures {
--- a/crates/maintenance/tests/promises.rs
+++ b/crates/maintenance/tests/promises.rs
@@ -8,23 +8,36 @@
 /// Requests far ahead that all fit only just; a plan that is made anew for no cause must not lose any of them.
 fn lost(seed: u64) -> usize {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut world = World { now: 1_800_000_000_000, ..World::default() };
+    let mut world = World {
+        now: 1_800_000_000_000,
+        ..World::default()
+    };
     let count = rng.usize(4..10);
-    (0..count).for_each(|i| world.add(&format!("s{i}"), ["a", "b", "c"][i % 3], "g", rng.u32(1..5)));
-    let total: u64 = world.servers.values().map(|real| u64::from(real.weight)).sum();
+    (0..count)
+        .for_each(|i| world.add(&format!("s{i}"), ["a", "b", "c"][i % 3], "g", rng.u32(1..5)));
+    let total: u64 = world
+        .servers
+        .values()
+        .map(|real| u64::from(real.weight))
+        .sum();
     let mut agreed = agreement(total * rng.u64(40..70) / 100, &[], rng.u32(1..4));
     let mut machine = Machine::new();
     machine.apply(world.now, Event::Agreement(agreed.clone()));
     machine.apply(world.now, world.list());
     let names: Vec<String> = world.servers.keys().cloned().collect();
-    machine.apply(world.now, Event::Evidence(names.iter().map(|name| world.word(name, 0)).collect()));
+    machine.apply(
+        world.now,
+        Event::Evidence(names.iter().map(|name| world.word(name, 0)).collect()),
+    );
     for number in 0..12 {
         let length_ms = rng.i64(10..60) * 60_000;
         let earliest_ms = world.now + 3_600_000 + rng.i64(0..60) * 60_000;
         let request = Request {
             name: format!("r{number}"),
             target: Target::Servers(
-                (0..rng.usize(1..4)).map(|_| rng.choice(&names).unwrap().clone()).collect(),
+                (0..rng.usize(1..4))
+                    .map(|_| rng.choice(&names).unwrap().clone())
+                    .collect(),
             ),
             earliest_ms,
             latest_ms: earliest_ms + length_ms + rng.i64(0..180) * 60_000,
@@ -36,16 +49,28 @@
         machine.apply(world.now, Event::Ask(request));
     }
     let waiting = |m: &Machine| {
-        m.windows().iter().flat_map(|w| w.seats.clone()).filter(|s| s.state == State::Booked).count()
+        m.windows()
+            .iter()
+            .flat_map(|w| w.seats.clone())
+            .filter(|s| s.state == State::Booked)
+            .count()
     };
     let before = waiting(&machine);
     agreed.repair_ms += 1;
-    assert_eq!(machine.apply(world.now, Event::Agreement(agreed)), Outcome::Taken);
+    assert_eq!(
+        machine.apply(world.now, Event::Agreement(agreed)),
+        Outcome::Taken
+    );
     before - waiting(&machine).min(before)
 }
 
 #[test]
 fn a_plan_that_is_made_anew_for_no_cause_loses_no_window() {
     let losers: Vec<u64> = (0..1_000).filter(|seed| lost(*seed) > 0).collect();
-    assert_eq!(losers.len(), 0, "the first seeds: {:?}", &losers[..losers.len().min(5)]);
+    assert_eq!(
+        losers.len(),
+        0,
+        "the first seeds: {:?}",
+        &losers[..losers.len().min(5)]
+    );
 }
--- a/crates/maintenance/tests/rules.rs
+++ b/crates/maintenance/tests/rules.rs
@@ -13,20 +13,40 @@
     stage.ask("low", &["s1"], |r| r.priority = 1);
     stage.ask("late", &["s2"], |r| r.priority = 1);
     stage.act(&[]);
-    assert_eq!(["s0", "s1", "s2"].map(|name| stage.seat(name).state), [State::Draining; 3]);
+    assert_eq!(
+        ["s0", "s1", "s2"].map(|name| stage.seat(name).state),
+        [State::Draining; 3]
+    );
     stage.world.kill("s3");
     stage.pass(1_000);
     // The latest grant of the lowest priority; the others may go on, as its server still serves.
     assert_eq!(stage.seat("s2").state, State::CalledBack);
-    assert_eq!(["s0", "s1"].map(|name| stage.seat(name).state), [State::Draining; 2]);
+    assert_eq!(
+        ["s0", "s1"].map(|name| stage.seat(name).state),
+        [State::Draining; 2]
+    );
     // While the floor is not seen to hold, nothing further is drained or taken; only ways back are due.
     stage.clear("s0");
-    let due: Vec<Step> = stage.machine.due(stage.world.now).iter().map(|act| act.step).collect();
+    let due: Vec<Step> = stage
+        .machine
+        .due(stage.world.now)
+        .iter()
+        .map(|act| act.step)
+        .collect();
     assert_eq!(due, [Step::CallBack]);
     stage.act(&[]);
     stage.pass(1_000);
-    assert_eq!(stage.seat("s2").state, State::Booked, "it goes when there is room again");
-    let due: Vec<Step> = stage.machine.due(stage.world.now).iter().map(|act| act.step).collect();
+    assert_eq!(
+        stage.seat("s2").state,
+        State::Booked,
+        "it goes when there is room again"
+    );
+    let due: Vec<Step> = stage
+        .machine
+        .due(stage.world.now)
+        .iter()
+        .map(|act| act.step)
+        .collect();
     assert_eq!(due, [Step::Take]);
 }
 
@@ -50,10 +70,18 @@
     stage.apply(Event::Tick);
     assert!(stage.seat("s0").late);
     let capacity = stage.machine.capacity(0).expect("an agreement");
-    assert!(capacity.debits.iter().any(|debit| debit.server == "s0" && debit.why == Why::Late));
+    assert!(
+        capacity
+            .debits
+            .iter()
+            .any(|debit| debit.server == "s0" && debit.why == Why::Late)
+    );
     assert_eq!(stage.seat("s1").state, State::Booked);
     stage.hear();
-    assert_eq!((stage.seat("s0").state, stage.seat("s1").state), (State::Closed, State::Draining));
+    assert_eq!(
+        (stage.seat("s0").state, stage.seat("s1").state),
+        (State::Closed, State::Draining)
+    );
 }
 
 #[test]
@@ -75,11 +103,23 @@
     let mut stage = Stage::new(agreement(3, &[], 1));
     stage.ask("one", &["s0"], |_| ());
     let outcome = stage.ask("two", &["s1"], |r| r.latest_ms = START_MS + 100_000);
-    let Outcome::Infeasible { reason, earliest_ms, .. } = outcome else { panic!("{outcome:?}") };
+    let Outcome::Infeasible {
+        reason,
+        earliest_ms,
+        ..
+    } = outcome
+    else {
+        panic!("{outcome:?}")
+    };
     assert!(reason.contains("most_away"), "{reason}");
     assert_eq!(earliest_ms, Some(START_MS + 90_000));
     let outcome = stage.ask("both", &["s1", "s2"], |r| r.split = false);
-    let Outcome::Infeasible { earliest_ms: None, .. } = outcome else { panic!("{outcome:?}") };
+    let Outcome::Infeasible {
+        earliest_ms: None, ..
+    } = outcome
+    else {
+        panic!("{outcome:?}")
+    };
     let outcome = stage.ask("three", &["s1"], |r| r.overrun_ms = 60_001);
     assert!(format!("{outcome:?}").contains("overrun_ms"), "{outcome:?}");
 }
@@ -87,18 +127,34 @@
 fn blackout(from: &str, until: &str, every: Every) -> Blackout {
     let moment = |text: &str| text.parse().expect("a date");
     let time_zone = "Europe/Ljubljana".into();
-    Blackout { name: "VAT".into(), time_zone, from: moment(from), until: moment(until), every }
+    Blackout {
+        name: "VAT".into(),
+        time_zone,
+        from: moment(from),
+        until: moment(until),
+        every,
+    }
 }
 
 #[test]
 fn a_blackout_inside_the_overrun_moves_a_window_and_calls_back_what_drains() {
     // START_MS is 2027-01-15T08:00Z, 09:00 in Ljubljana.
     let mut agreed = agreement(3, &[], 1);
-    agreed.blackouts = vec![blackout("2026-12-15T09:01:15", "2026-12-15T10:00", Every::Month)];
+    agreed.blackouts = vec![blackout(
+        "2026-12-15T09:01:15",
+        "2026-12-15T10:00",
+        Every::Month,
+    )];
     let mut stage = Stage::new(agreed.clone());
     let outcome = stage.ask("one", &["s0"], |r| r.latest_ms += 3_600_000);
-    let Outcome::Booked { times, .. } = outcome else { panic!("{outcome:?}") };
-    assert_eq!(times[0].start_ms, Some(START_MS + 3_600_000), "75 s are less than length and overrun");
+    let Outcome::Booked { times, .. } = outcome else {
+        panic!("{outcome:?}")
+    };
+    assert_eq!(
+        times[0].start_ms,
+        Some(START_MS + 3_600_000),
+        "75 s are less than length and overrun"
+    );
     agreed.overrun_may_enter_blackout = true;
     let mut stage = Stage::new(agreed);
     stage.ask("one", &["s0"], |_| ());
@@ -113,13 +169,22 @@
 #[test]
 fn blackouts_follow_the_clocks_of_their_zone() {
     let mut agreed = agreement(3, &[], 1);
-    agreed.blackouts = vec![blackout("2026-03-13T00:00", "2026-03-21T00:00", Every::Quarter)];
+    agreed.blackouts = vec![blackout(
+        "2026-03-13T00:00",
+        "2026-03-21T00:00",
+        Every::Quarter,
+    )];
     assert_eq!(agreed.check(), Ok(()));
     let mut machine = Machine::new();
     machine.apply(START_MS, Event::Agreement(agreed.clone()));
-    let Some(Event::Calendar { spans, .. }) = machine.calendar_due(START_MS) else { panic!("no calendar") };
+    let Some(Event::Calendar { spans, .. }) = machine.calendar_due(START_MS) else {
+        panic!("no calendar")
+    };
     // March begins at +01:00, June at +02:00: 2027-03-12T23:00Z and 2027-06-12T22:00Z.
-    assert_eq!([spans[0].from_ms, spans[1].from_ms], [1_804_892_400_000, 1_812_837_600_000]);
+    assert_eq!(
+        [spans[0].from_ms, spans[1].from_ms],
+        [1_804_892_400_000, 1_812_837_600_000]
+    );
     agreed.blackouts[0].time_zone = "Europe/Nowhere".into();
     let error = agreed.check().expect_err("no such zone").to_string();
     assert!(error.starts_with("blackouts[0].time_zone: "), "{error}");
@@ -145,9 +210,15 @@
 #[test]
 fn a_blackout_that_is_agreed_on_later_calls_back_what_would_be_away_in_it() {
     let mut agreed = agreement(2, &[], 2);
-    agreed.blackouts = vec![blackout("2027-02-15T00:00", "2027-02-16T00:00", Every::Once)];
-    let before =
-        Stage::new(agreed.clone()).machine.calendar_due(START_MS + 40 * 86_400_000).expect("a calendar");
+    agreed.blackouts = vec![blackout(
+        "2027-02-15T00:00",
+        "2027-02-16T00:00",
+        Every::Once,
+    )];
+    let before = Stage::new(agreed.clone())
+        .machine
+        .calendar_due(START_MS + 40 * 86_400_000)
+        .expect("a calendar");
     let mut stage = Stage::new(agreed.clone());
     stage.ask("one", &["s0"], |r| r.latest_ms += 3_600_000);
     stage.ask("two", &["s1"], |r| r.latest_ms += 3_600_000);
@@ -155,15 +226,34 @@
     stage.clear("s0");
     stage.act(&[]);
     // In half of the windows' length from now on; what is away already runs to its end.
-    agreed.blackouts = vec![blackout("2027-01-15T09:00:30", "2027-01-15T09:10", Every::Once)];
+    agreed.blackouts = vec![blackout(
+        "2027-01-15T09:00:30",
+        "2027-01-15T09:10",
+        Every::Once,
+    )];
     stage.apply(Event::Agreement(agreed));
     let (window, epoch) = (stage.machine.windows()[1].window, stage.seat("s1").token);
-    stage.apply(Event::Clear { window, server: "s1".into(), epoch });
-    assert_eq!(stage.machine.due(START_MS), [], "nobody knows the blackouts' times yet");
+    stage.apply(Event::Clear {
+        window,
+        server: "s1".into(),
+        epoch,
+    });
+    assert_eq!(
+        stage.machine.due(START_MS),
+        [],
+        "nobody knows the blackouts' times yet"
+    );
     let calendar = stage.machine.calendar_due(START_MS).expect("a calendar");
-    assert_eq!(stage.apply(before), Outcome::Ignored, "the times of another agreement's");
+    assert_eq!(
+        stage.apply(before),
+        Outcome::Ignored,
+        "the times of another agreement's"
+    );
     stage.apply(calendar);
-    assert_eq!((stage.seat("s0").state, stage.seat("s1").state), (State::Away, State::CalledBack));
+    assert_eq!(
+        (stage.seat("s0").state, stage.seat("s1").state),
+        (State::Away, State::CalledBack)
+    );
     stage.act(&[]);
     stage.pass(1_000);
     assert_eq!(stage.seat("s1").start_ms, Some(START_MS + 600_000));
@@ -183,11 +273,18 @@
     assert_eq!(stage.seat("s0").state, State::Returning);
     stage.apply(stage.world.list());
     stage.hear();
-    let due: Vec<Step> = stage.machine.due(stage.world.now).iter().map(|act| act.step).collect();
+    let due: Vec<Step> = stage
+        .machine
+        .due(stage.world.now)
+        .iter()
+        .map(|act| act.step)
+        .collect();
     assert_eq!(due, [Step::Return]);
     // One that is gone from the list for the time of a repair is nobody's any more.
     let rest = |stage: &Stage| match stage.world.list() {
-        Event::Servers(list) => Event::Servers(list.into_iter().filter(|s| s.name != "s0").collect()),
+        Event::Servers(list) => {
+            Event::Servers(list.into_iter().filter(|s| s.name != "s0").collect())
+        }
         other => other,
     };
     stage.apply(rest(&stage));
--- a/crates/maintenance/tests/size.rs
+++ b/crates/maintenance/tests/size.rs
@@ -7,14 +7,21 @@
 
 /// A fleet in three zones of which an eighth may be away, and what it hears.
 fn fleet(servers: usize) -> (World, Machine) {
-    let mut world = World { now: 1_800_000_000_000, ..World::default() };
+    let mut world = World {
+        now: 1_800_000_000_000,
+        ..World::default()
+    };
     let zones = ["a", "b", "c"];
     (0..servers).for_each(|index| world.add(&format!("s{index:04}"), zones[index % 3], "g", 4));
     let total = servers as u64 * 4;
     let mut machine = Machine::new();
     machine.apply(
         world.now,
-        Event::Agreement(agreement(total - total / 8, &[("a", total / 4)], servers as u32 / 8)),
+        Event::Agreement(agreement(
+            total - total / 8,
+            &[("a", total / 4)],
+            servers as u32 / 8,
+        )),
     );
     machine.apply(world.now, world.list());
     machine.apply(world.now, hear(&world));
@@ -22,7 +29,13 @@
 }
 
 fn hear(world: &World) -> Event {
-    Event::Evidence(world.servers.keys().map(|name| world.word(name, 0)).collect())
+    Event::Evidence(
+        world
+            .servers
+            .keys()
+            .map(|name| world.word(name, 0))
+            .collect(),
+    )
 }
 
 fn request(number: usize, now: i64, target: Target) -> Request {
@@ -40,9 +53,12 @@
 
 fn ask_fifty(servers: usize, world: &World, machine: &mut Machine) {
     for number in 0..50 {
-        let names = (0..servers / 50).map(|index| format!("s{:04}", number * (servers / 50) + index));
-        let outcome = machine
-            .apply(world.now, Event::Ask(request(number, world.now, Target::Servers(names.collect()))));
+        let names =
+            (0..servers / 50).map(|index| format!("s{:04}", number * (servers / 50) + index));
+        let outcome = machine.apply(
+            world.now,
+            Event::Ask(request(number, world.now, Target::Servers(names.collect()))),
+        );
         assert!(matches!(outcome, Outcome::Booked { .. }), "{outcome:?}");
     }
 }
@@ -61,14 +77,23 @@
     // As many as may be away drain at once, and every zone has its part of them.
     assert_eq!(open.len(), 25);
     for zone in ["a", "b", "c"] {
-        let of_zone = open.iter().filter(|name| world.servers[*name].zone == zone).count();
+        let of_zone = open
+            .iter()
+            .filter(|name| world.servers[*name].zone == zone)
+            .count();
         assert!((6..=12).contains(&of_zone), "{of_zone} of zone {zone}");
     }
     // Repeated, a request gets its first answer, and nothing new happens.
     let token = machine.last_token();
     let names = (0..4).map(|index| format!("s{index:04}"));
-    let again = machine.apply(world.now, Event::Ask(request(0, world.now, Target::Servers(names.collect()))));
-    assert!(matches!(again, Outcome::Booked { window: 1, .. }), "{again:?}");
+    let again = machine.apply(
+        world.now,
+        Event::Ask(request(0, world.now, Target::Servers(names.collect()))),
+    );
+    assert!(
+        matches!(again, Outcome::Booked { window: 1, .. }),
+        "{again:?}"
+    );
     assert_eq!(machine.last_token(), token);
 }
 
@@ -85,7 +110,9 @@
     }
     let target = Target::Servers(vec!["s0001".into()]);
     let outcome = machine.apply(world.now, Event::Ask(request(64, world.now, target)));
-    assert!(matches!(&outcome, Outcome::Refused(refusal) if format!("{refusal:?}").contains("most_open")));
+    assert!(
+        matches!(&outcome, Outcome::Refused(refusal) if format!("{refusal:?}").contains("most_open"))
+    );
 }
 
 #[test]
@@ -101,11 +128,17 @@
             world.pass(1_000);
             machine.apply(world.now, hear(&world));
         }
-        println!("{servers} servers: {:?} for a round of evidence", start.elapsed() / 10);
+        println!(
+            "{servers} servers: {:?} for a round of evidence",
+            start.elapsed() / 10
+        );
         let start = std::time::Instant::now();
         world.kill("s0000");
         machine.apply(world.now, hear(&world));
         println!("{servers} servers: {:?} for a death", start.elapsed());
-        println!("snapshot {} bytes", serde_json::to_string(&machine).expect("a snapshot").len());
+        println!(
+            "snapshot {} bytes",
+            serde_json::to_string(&machine).expect("a snapshot").len()
+        );
     }
 }
--- a/crates/maintenance/tests/solver.rs
+++ b/crates/maintenance/tests/solver.rs
@@ -2,7 +2,9 @@
 
 mod world;
 
-use linenproxy_maintenance::{Act, Agreement, Event, Machine, Outcome, Request, State, Step, Target};
+use linenproxy_maintenance::{
+    Act, Agreement, Event, Machine, Outcome, Request, State, Step, Target,
+};
 use world::{World, agreement};
 
 const MINUTE_MS: i64 = 60_000;
@@ -36,22 +38,41 @@
 
 fn instance(seed: u64) -> Instance {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut world = World { now: 1_800_000_000_000, ..World::default() };
+    let mut world = World {
+        now: 1_800_000_000_000,
+        ..World::default()
+    };
     let zones = ["a", "b", "c"];
     let count = rng.usize(5..=MOST + 2);
     for index in 0..count {
         world.add(&format!("s{index}"), zones[index % 3], "g", rng.u32(1..5));
     }
     let names: Vec<String> = world.servers.keys().cloned().collect();
-    let total: u64 = world.servers.values().map(|real| u64::from(real.weight)).sum();
-    let heaviest: u64 = world.servers.values().map(|real| u64::from(real.weight)).max().unwrap_or(1);
+    let total: u64 = world
+        .servers
+        .values()
+        .map(|real| u64::from(real.weight))
+        .sum();
+    let heaviest: u64 = world
+        .servers
+        .values()
+        .map(|real| u64::from(real.weight))
+        .max()
+        .unwrap_or(1);
     let keep = total - (total * rng.u64(20..60) / 100).max(heaviest);
     let mut agreement = agreement(keep, &[], rng.u32(1..5));
     for zone in zones.iter().filter(|_| rng.bool()) {
-        let of_zone =
-            || world.servers.values().filter(|real| real.zone == **zone).map(|r| u64::from(r.weight));
+        let of_zone = || {
+            world
+                .servers
+                .values()
+                .filter(|real| real.zone == **zone)
+                .map(|r| u64::from(r.weight))
+        };
         let slack = of_zone().max().unwrap_or(0);
-        agreement.keep_zone.insert(zone.to_string(), of_zone().sum::<u64>() - slack);
+        agreement
+            .keep_zone
+            .insert(zone.to_string(), of_zone().sum::<u64>() - slack);
     }
     agreement.evidence_bound_ms = 20_000;
     agreement.repair_ms = 10 * MINUTE_MS;
@@ -66,9 +87,16 @@
         let overrun_ms = length_ms * rng.i64(0..=50) / 100;
         let earliest_ms = world.now + rng.i64(0..2) * rng.i64(0..60) * MINUTE_MS;
         for name in &part {
-            let server = names.iter().position(|other| other == name).expect("a name of the list");
+            let server = names
+                .iter()
+                .position(|other| other == name)
+                .expect("a name of the list");
             let real_ms = real(&mut rng, length_ms, overrun_ms);
-            jobs.push(Job { server, real_ms, earliest_ms });
+            jobs.push(Job {
+                server,
+                real_ms,
+                earliest_ms,
+            });
         }
         requests.push(Request {
             name: format!("r{}", requests.len()),
@@ -81,14 +109,24 @@
             split: true,
         });
     }
-    Instance { world, agreement, requests, jobs, names }
+    Instance {
+        world,
+        agreement,
+        requests,
+        jobs,
+        names,
+    }
 }
 
 impl Instance {
     /// Which servers may be away together, by the bits of their indexes.
     fn table(&self) -> Vec<bool> {
         let bears = |bits: usize| {
-            let away = self.names.iter().enumerate().filter(|(index, _)| bits >> index & 1 == 1);
+            let away = self
+                .names
+                .iter()
+                .enumerate()
+                .filter(|(index, _)| bits >> index & 1 == 1);
             let gone: Vec<String> = away.map(|(_, name)| name.clone()).collect();
             self.world.holds(&self.agreement, &gone, i64::MAX)
         };
@@ -100,7 +138,13 @@
     fn best(&self) -> i64 {
         let mut bound = i64::MAX;
         let mut left: Vec<usize> = (0..self.jobs.len()).collect();
-        self.branch(&self.table(), &mut Vec::new(), &mut left, self.world.now, &mut bound);
+        self.branch(
+            &self.table(),
+            &mut Vec::new(),
+            &mut left,
+            self.world.now,
+            &mut bound,
+        );
         bound - self.world.now
     }
 
@@ -112,7 +156,10 @@
         end: i64,
         bound: &mut i64,
     ) {
-        let least = left.iter().map(|job| self.jobs[*job].earliest_ms + self.jobs[*job].real_ms).max();
+        let least = left
+            .iter()
+            .map(|job| self.jobs[*job].earliest_ms + self.jobs[*job].real_ms)
+            .max();
         if end.max(least.unwrap_or(end)) >= *bound {
             return;
         }
@@ -124,7 +171,13 @@
             let job = left.swap_remove(index);
             let start = self.earliest(table, placed, job);
             placed.push((job, start, start + self.jobs[job].real_ms));
-            self.branch(table, placed, left, end.max(start + self.jobs[job].real_ms), bound);
+            self.branch(
+                table,
+                placed,
+                left,
+                end.max(start + self.jobs[job].real_ms),
+                bound,
+            );
             placed.pop();
             left.push(job);
             let last = left.len() - 1;
@@ -133,28 +186,53 @@
     }
 
     fn earliest(&self, table: &[bool], placed: &[(usize, i64, i64)], job: usize) -> i64 {
-        let Job { earliest_ms, real_ms, .. } = self.jobs[job];
-        let ends = placed.iter().map(|(_, _, end)| *end).filter(|end| *end > earliest_ms);
+        let Job {
+            earliest_ms,
+            real_ms,
+            ..
+        } = self.jobs[job];
+        let ends = placed
+            .iter()
+            .map(|(_, _, end)| *end)
+            .filter(|end| *end > earliest_ms);
         let mut starts: Vec<i64> = std::iter::once(earliest_ms).chain(ends).collect();
         starts.sort_unstable();
         let fits = |start: &i64| {
-            let during = |at: i64| placed.iter().filter(move |(_, from, end)| *from <= at && at < *end);
-            let moments =
-                placed.iter().map(|(_, from, _)| *from).filter(|t| t > start && *t < start + real_ms);
+            let during = |at: i64| {
+                placed
+                    .iter()
+                    .filter(move |(_, from, end)| *from <= at && at < *end)
+            };
+            let moments = placed
+                .iter()
+                .map(|(_, from, _)| *from)
+                .filter(|t| t > start && *t < start + real_ms);
             std::iter::once(*start).chain(moments).all(|at| {
-                let away = during(at).map(|(other, _, _)| 1 << self.jobs[*other].server).sum::<usize>();
+                let away = during(at)
+                    .map(|(other, _, _)| 1 << self.jobs[*other].server)
+                    .sum::<usize>();
                 table[away | 1 << self.jobs[job].server]
             })
         };
-        starts.iter().copied().find(|start| fits(start)).expect("after all others it fits")
+        starts
+            .iter()
+            .copied()
+            .find(|start| fits(start))
+            .expect("after all others it fits")
     }
 
     /// Whether the work on a server that is away is done.
     fn done(&self, machine: &Machine, server: &str, now: i64) -> bool {
-        let job = self.jobs.iter().find(|job| self.names[job.server] == server).expect("a job");
+        let job = self
+            .jobs
+            .iter()
+            .find(|job| self.names[job.server] == server)
+            .expect("a job");
         let windows = machine.windows();
         let mut seats = windows.iter().flat_map(|window| &window.seats);
-        let began = seats.find(|seat| seat.server == server).and_then(|seat| seat.start_ms);
+        let began = seats
+            .find(|seat| seat.server == server)
+            .and_then(|seat| seat.start_ms);
         now - began.expect("away has a start") >= job.real_ms
     }
 
@@ -166,33 +244,64 @@
         let start = world.now;
         machine.apply(world.now, Event::Agreement(self.agreement.clone()));
         machine.apply(world.now, world.list());
-        let all =
-            |world: &World| Event::Evidence(world.servers.keys().map(|name| world.word(name, 0)).collect());
+        let all = |world: &World| {
+            Event::Evidence(
+                world
+                    .servers
+                    .keys()
+                    .map(|name| world.word(name, 0))
+                    .collect(),
+            )
+        };
         machine.apply(world.now, all(&world));
         for request in &self.requests {
             let outcome = machine.apply(world.now, Event::Ask(request.clone()));
             assert!(matches!(outcome, Outcome::Booked { .. }), "{outcome:?}");
         }
-        while machine.windows().iter().any(|window| window.state != State::Closed) {
+        while machine
+            .windows()
+            .iter()
+            .any(|window| window.state != State::Closed)
+        {
             machine.apply(world.now, all(&world));
             // What is due is done at once, and what follows from it.
             loop {
                 let mut acts = machine.due(world.now);
                 // A return that is asked for at the length's end takes hold only when the work is done.
-                acts.retain(|act| act.step != Step::Return || self.done(&machine, &act.server, world.now));
+                acts.retain(|act| {
+                    act.step != Step::Return || self.done(&machine, &act.server, world.now)
+                });
                 if acts.is_empty() {
                     break;
                 }
                 for act in acts {
                     let result = world.act(&act, 0, true);
-                    let Act { window, server, step, token } = act;
+                    let Act {
+                        window,
+                        server,
+                        step,
+                        token,
+                    } = act;
                     assert!(step != Step::CallBack, "nothing fails here");
                     world.cleared.extend((step == Step::Drain).then_some(token));
                     machine.apply(
                         world.now,
-                        Event::Acted { window, server: server.clone(), step, token, result },
+                        Event::Acted {
+                            window,
+                            server: server.clone(),
+                            step,
+                            token,
+                            result,
+                        },
+                    );
+                    machine.apply(
+                        world.now,
+                        Event::Clear {
+                            window,
+                            server,
+                            epoch: token,
+                        },
                     );
-                    machine.apply(world.now, Event::Clear { window, server, epoch: token });
                 }
                 world.pass(0);
                 machine.apply(world.now, all(&world));
@@ -219,15 +328,23 @@
         .map(|part| {
             std::thread::spawn(move || {
                 let seeds = (0..INSTANCES).filter(move |seed| seed % 4 == part);
-                seeds.map(instance).map(|i| (i.ours() as f64) / (i.best() as f64)).collect::<Vec<_>>()
+                seeds
+                    .map(instance)
+                    .map(|i| (i.ours() as f64) / (i.best() as f64))
+                    .collect::<Vec<_>>()
             })
         })
         .collect();
-    let ratios: Vec<f64> =
-        parts.into_iter().flat_map(|part| part.join().expect("an instance failed")).collect();
+    let ratios: Vec<f64> = parts
+        .into_iter()
+        .flat_map(|part| part.join().expect("an instance failed"))
+        .collect();
     let worst = ratios.iter().copied().fold(0.0, f64::max);
     let mean = ratios.iter().sum::<f64>() / ratios.len() as f64;
-    println!("{} instances: mean {mean:.3}, worst {worst:.3}", ratios.len());
+    println!(
+        "{} instances: mean {mean:.3}, worst {worst:.3}",
+        ratios.len()
+    );
     // The solver would not be exact if we were ever sooner.
     assert!(ratios.iter().all(|ratio| *ratio >= 1.0));
     assert_eq!(ratios.len(), INSTANCES as usize);
--- a/crates/maintenance/tests/world/mod.rs
+++ b/crates/maintenance/tests/world/mod.rs
@@ -83,7 +83,11 @@
         self.now += ms;
         for real in self.servers.values_mut() {
             let good = real.alive && !real.taken && self.now >= real.warm_at;
-            real.bad_since = if good { None } else { real.bad_since.or(Some(self.now)) };
+            real.bad_since = if good {
+                None
+            } else {
+                real.bad_since.or(Some(self.now))
+            };
         }
     }
 
@@ -91,7 +95,11 @@
         let real = &self.servers[name];
         Word {
             server: name.into(),
-            state: if real.alive && !real.taken { Health::Well } else { Health::Sick },
+            state: if real.alive && !real.taken {
+                Health::Well
+            } else {
+                Health::Sick
+            },
             warm: self.now >= real.warm_at,
             started: real.started,
             age_ms,
@@ -120,7 +128,9 @@
     /// What the thing acted on does, as the crate's page asks of it. `checks` tokens or not.
     pub fn act(&mut self, act: &Act, warm_ms: i64, checks: bool) -> Answer {
         let now = self.now;
-        let Some(real) = self.servers.get_mut(&act.server) else { return Answer::Failed };
+        let Some(real) = self.servers.get_mut(&act.server) else {
+            return Answer::Failed;
+        };
         if checks && act.token < real.seen {
             self.tokens_refused += 1;
             return Answer::Refused { seen: real.seen };
@@ -134,7 +144,8 @@
                     real.drained_at = now;
                     self.drains += 1;
                     if real.drains.contains(&act.token) {
-                        self.broken.push(format!("{} drained twice under {}", act.server, act.token));
+                        self.broken
+                            .push(format!("{} drained twice under {}", act.server, act.token));
                     }
                     real.drains.push(act.token);
                 }
@@ -142,8 +153,12 @@
             }
             Step::Take => {
                 if !real.taken {
-                    if !real.drained || real.drain_token != act.token || !self.cleared.contains(&act.token) {
-                        self.broken.push(format!("{} taken before it was clear", act.server));
+                    if !real.drained
+                        || real.drain_token != act.token
+                        || !self.cleared.contains(&act.token)
+                    {
+                        self.broken
+                            .push(format!("{} taken before it was clear", act.server));
                     }
                     real.taken = true;
                     real.taken_at = now;
@@ -160,7 +175,9 @@
                     real.bad_since = Some(now);
                 }
                 real.drained = false;
-                Answer::Done { started: Some(real.started) }
+                Answer::Done {
+                    started: Some(real.started),
+                }
             }
             Step::CallBack if real.taken => Answer::Taken,
             Step::CallBack => {
@@ -174,17 +191,33 @@
     /// `bound_ms`.
     pub fn holds(&self, agreement: &Agreement, granted: &[String], bound_ms: i64) -> bool {
         let there = |name: &String, real: &Real| {
-            !granted.contains(name) && real.bad_since.is_none_or(|since| self.now - since < bound_ms)
+            !granted.contains(name)
+                && real
+                    .bad_since
+                    .is_none_or(|since| self.now - since < bound_ms)
         };
         let sum = |pick: &dyn Fn(&Real) -> bool| -> u64 {
-            let all = self.servers.iter().filter(|(name, real)| there(name, real) && pick(real));
+            let all = self
+                .servers
+                .iter()
+                .filter(|(name, real)| there(name, real) && pick(real));
             all.map(|(_, real)| u64::from(real.weight)).sum()
         };
         let counts = |name: &String| granted.contains(name) || !self.unlisted.contains(name);
-        let away = self.servers.iter().filter(|(name, real)| !there(name, real) && counts(name)).count();
+        let away = self
+            .servers
+            .iter()
+            .filter(|(name, real)| !there(name, real) && counts(name))
+            .count();
         sum(&|_| true) >= agreement.keep
-            && agreement.keep_zone.iter().all(|(zone, keep)| sum(&|r| r.zone == *zone) >= *keep)
-            && agreement.keep_group.iter().all(|(group, keep)| sum(&|r| r.group == *group) >= *keep)
+            && agreement
+                .keep_zone
+                .iter()
+                .all(|(zone, keep)| sum(&|r| r.zone == *zone) >= *keep)
+            && agreement
+                .keep_group
+                .iter()
+                .all(|(group, keep)| sum(&|r| r.group == *group) >= *keep)
             && away <= agreement.most_away as usize
     }
 }
@@ -193,7 +226,10 @@
 pub fn agreement(keep: u64, keep_zone: &[(&str, u64)], most_away: u32) -> Agreement {
     Agreement {
         keep,
-        keep_zone: keep_zone.iter().map(|(zone, keep)| (zone.to_string(), *keep)).collect(),
+        keep_zone: keep_zone
+            .iter()
+            .map(|(zone, keep)| (zone.to_string(), *keep))
+            .collect(),
         keep_group: BTreeMap::new(),
         most_away,
         blackouts: Vec::new(),
--- a/crates/maintenance/tests/world/stage.rs
+++ b/crates/maintenance/tests/world/stage.rs
@@ -1,6 +1,8 @@
 //! Changes with how a test plays a few servers by hand.
 
-use linenproxy_maintenance::{Act, Agreement, Event, Machine, Outcome, Request, SeatView, Step, Target};
+use linenproxy_maintenance::{
+    Act, Agreement, Event, Machine, Outcome, Request, SeatView, Step, Target,
+};
 
 use super::World;
 
@@ -15,11 +17,17 @@
 impl Stage {
     /// Four servers of weight 1 in zones a and b.
     pub fn new(agreement: Agreement) -> Self {
-        let mut world = World { now: START_MS, ..World::default() };
+        let mut world = World {
+            now: START_MS,
+            ..World::default()
+        };
         for (name, zone) in [("s0", "a"), ("s1", "b"), ("s2", "a"), ("s3", "b")] {
             world.add(name, zone, "g", 1);
         }
-        let mut stage = Stage { machine: Machine::new(), world };
+        let mut stage = Stage {
+            machine: Machine::new(),
+            world,
+        };
         assert_eq!(stage.apply(Event::Agreement(agreement)), Outcome::Taken);
         if let Some(calendar) = stage.machine.calendar_due(START_MS) {
             stage.apply(calendar);
@@ -34,7 +42,12 @@
     }
 
     pub fn hear(&mut self) {
-        let words = self.world.servers.keys().map(|name| self.world.word(name, 0)).collect();
+        let words = self
+            .world
+            .servers
+            .keys()
+            .map(|name| self.world.word(name, 0))
+            .collect();
         self.apply(Event::Evidence(words));
     }
 
@@ -43,7 +56,12 @@
         self.hear();
     }
 
-    pub fn ask(&mut self, name: &str, servers: &[&str], change: impl FnOnce(&mut Request)) -> Outcome {
+    pub fn ask(
+        &mut self,
+        name: &str,
+        servers: &[&str],
+        change: impl FnOnce(&mut Request),
+    ) -> Outcome {
         let mut request = Request {
             name: name.into(),
             target: Target::Servers(servers.iter().map(|name| name.to_string()).collect()),
@@ -60,7 +78,9 @@
 
     pub fn seat(&self, server: &str) -> SeatView {
         let mut seats = self.machine.windows().into_iter().flat_map(|w| w.seats);
-        seats.rfind(|seat| seat.server == server).expect("a seat of that server")
+        seats
+            .rfind(|seat| seat.server == server)
+            .expect("a seat of that server")
     }
 
     /// Does what is due, except for what `stop` names.
@@ -70,14 +90,31 @@
                 continue;
             }
             let result = self.world.act(&act, 0, true);
-            let Act { window, server, step, token } = act;
-            self.world.cleared.extend((step == Step::Drain).then_some(token));
-            self.apply(Event::Acted { window, server, step, token, result });
+            let Act {
+                window,
+                server,
+                step,
+                token,
+            } = act;
+            self.world
+                .cleared
+                .extend((step == Step::Drain).then_some(token));
+            self.apply(Event::Acted {
+                window,
+                server,
+                step,
+                token,
+                result,
+            });
         }
     }
 
     pub fn clear(&mut self, server: &str) {
         let (window, epoch) = (self.machine.windows()[0].window, self.seat(server).token);
-        self.apply(Event::Clear { window, server: server.into(), epoch });
+        self.apply(Event::Clear {
+            window,
+            server: server.into(),
+            epoch,
+        });
     }
 }
--- a/crates/recovery/src/belief.rs
+++ b/crates/recovery/src/belief.rs
@@ -44,22 +44,34 @@
         if names.len() > MOST_ENDPOINTS || names.windows(2).any(|two| two[0] == two[1]) {
             return Err(format!("its list of {} endpoints is none", names.len()));
         }
-        if list.entries.iter().any(|e| !(e.weight.is_finite() && e.weight >= 0.0)) {
+        if list
+            .entries
+            .iter()
+            .any(|e| !(e.weight.is_finite() && e.weight >= 0.0))
+        {
             return Err("its list has a weight that is none".to_owned());
         }
     }
     if let Some(processes) = &known.processes {
-        if processes.all.len() > processes.listed as usize || processes.listed as usize > MOST_ENDPOINTS {
+        if processes.all.len() > processes.listed as usize
+            || processes.listed as usize > MOST_ENDPOINTS
+        {
             let (known, listed) = (processes.all.len(), processes.listed);
-            return Err(format!("it knows of {known} endpoints where {listed} were listed"));
+            return Err(format!(
+                "it knows of {known} endpoints where {listed} were listed"
+            ));
         }
-        let sound = |p: &Process| p.slow.is_finite() && p.slow > 0.0 && p.cap.is_finite() && p.cap >= 0.0;
+        let sound =
+            |p: &Process| p.slow.is_finite() && p.slow > 0.0 && p.cap.is_finite() && p.cap >= 0.0;
         if !processes.all.iter().all(sound) {
             return Err("a pace or a cap in it is no number".to_owned());
         }
     }
     let seen = known.list.as_ref().map(|list| list.seen);
-    let of_all = known.processes.iter().flat_map(|p| p.all.iter().map(|p| p.seen).chain([p.seen]));
+    let of_all = known
+        .processes
+        .iter()
+        .flat_map(|p| p.all.iter().map(|p| p.seen).chain([p.seen]));
     if seen.into_iter().chain(of_all).any(|seen| seen > latest) {
         return Err("it is from the future: the clock was put back".to_owned());
     }
@@ -77,14 +89,24 @@
         age < bound
     };
     // A list without anybody on it is worth less than the platform's.
-    let list = known.list.filter(|l| !l.entries.is_empty() && fresh("list", l.seen, bounds.list));
-    let Processes { listed, mut all, .. } =
-        known.processes.filter(|p| fresh("pace", p.seen, bounds.processes)).unwrap_or_default();
+    let list = known
+        .list
+        .filter(|l| !l.entries.is_empty() && fresh("list", l.seen, bounds.list));
+    let Processes {
+        listed, mut all, ..
+    } = known
+        .processes
+        .filter(|p| fresh("pace", p.seen, bounds.processes))
+        .unwrap_or_default();
     all.retain(|p| now.saturating_sub(p.seen) < bounds.processes);
     let open = all.iter().filter(|p| p.open).count();
     if open as f64 > MOST_OPEN * f64::from(listed) {
         left_out.push(format!("{open} of {listed} circuits were open"));
         all.retain(|p| !p.open);
     }
-    Believed { list, processes: all, left_out }
+    Believed {
+        list,
+        processes: all,
+        left_out,
+    }
 }
--- a/crates/recovery/src/bin/linenproxy-state.rs
+++ b/crates/recovery/src/bin/linenproxy-state.rs
@@ -42,7 +42,9 @@
         Ok(call) => call,
         Err(exit) => return exit.into(),
     };
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let unix = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     let now = Micros::try_from(unix.as_micros()).unwrap_or(Micros::MAX);
     let (What::Show { dir } | What::Verify { dir } | What::Export { dir }) = &call.what;
     let found = contents(dir, now);
@@ -53,7 +55,11 @@
     };
     // A closed standard output is no fault of the directory.
     let _ = writeln!(std::io::stdout(), "{page:#}");
-    if found.problems.is_empty() { Exit::Done.into() } else { Exit::Failed.into() }
+    if found.problems.is_empty() {
+        Exit::Done.into()
+    } else {
+        Exit::Failed.into()
+    }
 }
 
 fn summary(dir: &Path, found: &Contents, now: Micros) -> Value {
--- a/crates/recovery/src/desk.rs
+++ b/crates/recovery/src/desk.rs
@@ -98,7 +98,9 @@
     pub(crate) fn next(&self, not_before: Option<Instant>) -> Option<(Changes, bool)> {
         let mut tray = self.tray();
         loop {
-            let left = not_before.map_or(Duration::ZERO, |at| at.saturating_duration_since(Instant::now()));
+            let left = not_before.map_or(Duration::ZERO, |at| {
+                at.saturating_duration_since(Instant::now())
+            });
             if tray.last && !left.is_zero() {
                 return None;
             }
@@ -108,7 +110,10 @@
             tray = if left.is_zero() {
                 self.came.wait(tray).unwrap_or_else(PoisonError::into_inner)
             } else {
-                self.came.wait_timeout(tray, left).unwrap_or_else(PoisonError::into_inner).0
+                self.came
+                    .wait_timeout(tray, left)
+                    .unwrap_or_else(PoisonError::into_inner)
+                    .0
             };
         }
     }
@@ -116,9 +121,17 @@
     /// What it has done.
     pub(crate) fn counts(&self) -> Counts {
         let [commits, bytes, coalesced, failures, asides] =
-            [COMMITS, BYTES, COALESCED, FAILURES, ASIDES].map(|n| self.counts[n].load(Ordering::Relaxed));
+            [COMMITS, BYTES, COALESCED, FAILURES, ASIDES]
+                .map(|n| self.counts[n].load(Ordering::Relaxed));
         let failing = self.failing.load(Ordering::Relaxed);
-        Counts { commits, bytes, coalesced, failures, asides, failing }
+        Counts {
+            commits,
+            bytes,
+            coalesced,
+            failures,
+            asides,
+            failing,
+        }
     }
 
     /// What there is to say to the people on call, taken away with that.
--- a/crates/recovery/src/directory.rs
+++ b/crates/recovery/src/directory.rs
@@ -86,13 +86,21 @@
     /// # Errors
     /// Another process has it, or it cannot be used.
     pub fn take(path: &Path) -> Result<Self, Unusable> {
-        let trouble = |e: &dyn fmt::Display| Unusable::Trouble(Trouble(format!("{}: {e}", path.display())));
+        let trouble =
+            |e: &dyn fmt::Display| Unusable::Trouble(Trouble(format!("{}: {e}", path.display())));
         fs::create_dir_all(path).map_err(|e| trouble(&e))?;
         let mut options = File::options();
-        let lock = options.create(true).truncate(false).write(true).open(path.join(LOCK));
+        let lock = options
+            .create(true)
+            .truncate(false)
+            .write(true)
+            .open(path.join(LOCK));
         let lock = lock.map_err(|e| trouble(&e))?;
         match lock.try_lock() {
-            Ok(()) => Ok(Self { path: path.to_owned(), _lock: lock }),
+            Ok(()) => Ok(Self {
+                path: path.to_owned(),
+                _lock: lock,
+            }),
             Err(TryLockError::WouldBlock) => Err(Unusable::InUse(InUse(path.to_owned()))),
             Err(TryLockError::Error(e)) => Err(trouble(&e)),
         }
--- a/crates/recovery/src/form.rs
+++ b/crates/recovery/src/form.rs
@@ -32,7 +32,10 @@
 impl fmt::Display for Unread {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Schema(found) => write!(f, "it is in form {found}, this program reads up to {SCHEMA}"),
+            Self::Schema(found) => write!(
+                f,
+                "it is in form {found}, this program reads up to {SCHEMA}"
+            ),
             Self::Form(what) => write!(f, "its {what} has no such form"),
             Self::Trouble(trouble) => trouble.fmt(f),
         }
@@ -56,16 +59,23 @@
 
 /// The form of a part, and its bytes.
 fn stored(store: &Store, room: &'static str) -> Result<Option<(u16, Vec<u8>)>, Unread> {
-    let Some(mut bytes) = store.get(room, 0).map_err(Unread::Trouble)? else { return Ok(None) };
+    let Some(mut bytes) = store.get(room, 0).map_err(Unread::Trouble)? else {
+        return Ok(None);
+    };
     let schema = bytes.first_chunk().copied().ok_or(Unread::Form(room))?;
-    Ok(Some((u16::from_le_bytes(schema), bytes.split_off(schema.len()))))
+    Ok(Some((
+        u16::from_le_bytes(schema),
+        bytes.split_off(schema.len()),
+    )))
 }
 
 /// A part that has not changed since the form before.
 fn part<T: DeserializeOwned>(store: &Store, room: &'static str) -> Result<Option<T>, Unread> {
     match stored(store, room)? {
         None => Ok(None),
-        Some((SCHEMA | form_before::SCHEMA, bytes)) => whole(&bytes).ok_or(Unread::Form(room)).map(Some),
+        Some((SCHEMA | form_before::SCHEMA, bytes)) => {
+            whole(&bytes).ok_or(Unread::Form(room)).map(Some)
+        }
         Some((other, _)) => Err(Unread::Schema(other)),
     }
 }
@@ -75,16 +85,19 @@
     match stored(store, PROCESSES)? {
         None => Ok(None),
         Some((SCHEMA, bytes)) => whole(&bytes).ok_or(form).map(Some),
-        Some((form_before::SCHEMA, bytes)) => {
-            whole::<form_before::Processes>(&bytes).ok_or(form).map(|before| Some(before.into()))
-        }
+        Some((form_before::SCHEMA, bytes)) => whole::<form_before::Processes>(&bytes)
+            .ok_or(form)
+            .map(|before| Some(before.into())),
         Some((other, _)) => Err(Unread::Schema(other)),
     }
 }
 
 /// What these bytes are, all of them.
 fn whole<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
-    postcard::take_from_bytes(bytes).ok().filter(|(_, rest)| rest.is_empty()).map(|(it, _)| it)
+    postcard::take_from_bytes(bytes)
+        .ok()
+        .filter(|(_, rest)| rest.is_empty())
+        .map(|(it, _)| it)
 }
 
 fn written<T: Serialize>(it: &T) -> Option<Vec<u8>> {
@@ -103,8 +116,9 @@
         changes.life.as_ref().and_then(written),
     ];
     let all = ROOMS.iter().zip(&parts);
-    let puts: Vec<_> =
-        all.filter_map(|(room, part)| part.as_deref().map(|bytes| Change::Put(room, 0, bytes))).collect();
+    let puts: Vec<_> = all
+        .filter_map(|(room, part)| part.as_deref().map(|bytes| Change::Put(room, 0, bytes)))
+        .collect();
     if !puts.is_empty() {
         store.commit(&puts)?;
     }
--- a/crates/recovery/src/form_before.rs
+++ b/crates/recovery/src/form_before.rs
@@ -30,9 +30,28 @@
 impl From<Processes> for known::Processes {
     fn from(before: Processes) -> Self {
         let all = before.all.into_iter().map(|p| {
-            let Process { name, started, seen, open, slow, cap } = p;
-            known::Process { name, started, seen, open, openings: u32::from(open), slow, cap }
+            let Process {
+                name,
+                started,
+                seen,
+                open,
+                slow,
+                cap,
+            } = p;
+            known::Process {
+                name,
+                started,
+                seen,
+                open,
+                openings: u32::from(open),
+                slow,
+                cap,
+            }
         });
-        Self { seen: before.seen, listed: before.listed, all: all.collect() }
+        Self {
+            seen: before.seen,
+            listed: before.listed,
+            all: all.collect(),
+        }
     }
 }
--- a/crates/recovery/src/keeper.rs
+++ b/crates/recovery/src/keeper.rs
@@ -56,11 +56,24 @@
             Ok(known) => (store, known),
             Err(why) => {
                 drop(store);
-                asides.push(Aside { file: place.set_aside(FileKind::Known)?, why });
-                (opened(place, FileKind::Known, owner, &mut asides)?, Known::default())
+                asides.push(Aside {
+                    file: place.set_aside(FileKind::Known)?,
+                    why,
+                });
+                (
+                    opened(place, FileKind::Known, owner, &mut asides)?,
+                    Known::default(),
+                )
             }
         };
-        Ok((Self { store }, Found { known, incarnation, asides }))
+        Ok((
+            Self { store },
+            Found {
+                known,
+                incarnation,
+                asides,
+            },
+        ))
     }
 
     /// Keeps changes, all or none; how many bytes of payload they were. They are on the disk when this returns.
@@ -72,17 +85,32 @@
     }
 }
 
-fn opened(place: &dyn Place, file: FileKind, owner: &str, asides: &mut Vec<Aside>) -> Result<Store, Trouble> {
+fn opened(
+    place: &dyn Place,
+    file: FileKind,
+    owner: &str,
+    asides: &mut Vec<Aside>,
+) -> Result<Store, Trouble> {
     let opened = place.open(file, owner)?;
-    asides.extend(opened.aside.map(|aside| Aside { file: aside.file, why: aside.why.to_string() }));
+    asides.extend(opened.aside.map(|aside| Aside {
+        file: aside.file,
+        why: aside.why.to_string(),
+    }));
     Ok(opened.store)
 }
 
 /// One that was never given before, on the disk before anybody hears of it.
-fn incarnation(place: &dyn Place, owner: &str, now: Micros, asides: &mut Vec<Aside>) -> Result<u64, Trouble> {
+fn incarnation(
+    place: &dyn Place,
+    owner: &str,
+    now: Micros,
+    asides: &mut Vec<Aside>,
+) -> Result<u64, Trouble> {
     let store = opened(place, FileKind::Numbers, owner, asides)?;
     let last = last_incarnation(&store)?;
-    let next = last.checked_add(1).ok_or_else(|| Trouble("all incarnations are used up".to_owned()))?;
+    let next = last
+        .checked_add(1)
+        .ok_or_else(|| Trouble("all incarnations are used up".to_owned()))?;
     let given = next.max(now.max(0).unsigned_abs());
     store.commit(&[Change::Put(INCARNATION, 0, &given.to_le_bytes())])?;
     Ok(given)
@@ -90,7 +118,9 @@
 
 /// The highest that was ever given; 0 before any.
 pub(crate) fn last_incarnation(store: &Store) -> Result<u64, Trouble> {
-    let Some(bytes) = store.get(INCARNATION, 0)? else { return Ok(0) };
+    let Some(bytes) = store.get(INCARNATION, 0)? else {
+        return Ok(0);
+    };
     let number = bytes.try_into().map(u64::from_le_bytes);
     number.map_err(|_| Trouble("the last incarnation has no number's form".to_owned()))
 }
--- a/crates/recovery/src/reader.rs
+++ b/crates/recovery/src/reader.rs
@@ -36,8 +36,9 @@
         let known = form::read(store).map_err(|e| e.to_string())?;
         plausible(&known, now).map(|()| known)
     });
-    let numbers =
-        copied(directory, FileKind::Numbers, |store| last_incarnation(store).map_err(|e| e.to_string()));
+    let numbers = copied(directory, FileKind::Numbers, |store| {
+        last_incarnation(store).map_err(|e| e.to_string())
+    });
     match known {
         Ok((owner, known)) => (contents.owner, contents.known) = (Some(owner), known),
         Err(why) => contents.problems.push(why),
@@ -45,7 +46,10 @@
     match numbers {
         Ok((owner, last)) => {
             if contents.owner.as_ref().is_some_and(|other| *other != owner) {
-                contents.problems.push(format!("{}: its owner is {owner:?}", FileKind::Numbers.name()));
+                contents.problems.push(format!(
+                    "{}: its owner is {owner:?}",
+                    FileKind::Numbers.name()
+                ));
             }
             contents.owner.get_or_insert(owner);
             contents.incarnation = Some(last);
--- a/crates/recovery/src/section.rs
+++ b/crates/recovery/src/section.rs
@@ -52,17 +52,27 @@
     /// The first such value.
     pub fn check(&self) -> Result<(), Contradiction> {
         let wrong = |key: &str, what: &str| Err(Contradiction::new(key, what));
-        if self.dir.as_ref().is_some_and(|dir| dir.as_os_str().is_empty()) {
+        if self
+            .dir
+            .as_ref()
+            .is_some_and(|dir| dir.as_os_str().is_empty())
+        {
             return wrong("state.dir", "a directory's name");
         }
         if self.every < LEAST_EVERY {
             return wrong("state.every", "at least 50ms");
         }
         if self.verdicts_bound.0 < self.every.0 * 2 {
-            return wrong("state.verdicts_bound", "at least twice state.every, or none is ever believed");
+            return wrong(
+                "state.verdicts_bound",
+                "at least twice state.every, or none is ever believed",
+            );
         }
         if self.list_bound < self.verdicts_bound {
-            return wrong("state.list_bound", "at least state.verdicts_bound: a verdict is on a listed one");
+            return wrong(
+                "state.list_bound",
+                "at least state.verdicts_bound: a verdict is on a listed one",
+            );
         }
         Ok(())
     }
@@ -70,7 +80,10 @@
     /// The ages from which things are not believed.
     pub fn bounds(&self) -> Bounds {
         let micros = |time: Time| Micros::try_from(time.0.as_micros()).unwrap_or(Micros::MAX);
-        Bounds { list: micros(self.list_bound), processes: micros(self.verdicts_bound) }
+        Bounds {
+            list: micros(self.list_bound),
+            processes: micros(self.verdicts_bound),
+        }
     }
 }
 
@@ -88,7 +101,10 @@
         };
         assert_eq!(key(|s| s.dir = Some(PathBuf::new())), "state.dir");
         assert_eq!(key(|s| s.every = Time::ms(49)), "state.every");
-        assert_eq!(key(|s| s.verdicts_bound = Time::ms(900)), "state.verdicts_bound");
+        assert_eq!(
+            key(|s| s.verdicts_bound = Time::ms(900)),
+            "state.verdicts_bound"
+        );
         assert_eq!(key(|s| s.list_bound = Time::ms(59_000)), "state.list_bound");
     }
 }
--- a/crates/recovery/src/writer.rs
+++ b/crates/recovery/src/writer.rs
@@ -37,12 +37,23 @@
     ) -> (Self, Begun) {
         let desk = Arc::new(Desk::default());
         let (tell, told) = sync_channel(1);
-        let thread = Thread { desk: Arc::clone(&desk), take, owner, now, again };
-        let started = std::thread::Builder::new().name("state".to_owned()).spawn(move || thread.run(&tell));
+        let thread = Thread {
+            desk: Arc::clone(&desk),
+            take,
+            owner,
+            now,
+            again,
+        };
+        let started = std::thread::Builder::new()
+            .name("state".to_owned())
+            .spawn(move || thread.run(&tell));
         let begun = match started {
             Ok(_) => told.recv_timeout(wait).unwrap_or_else(|e| {
                 if e == RecvTimeoutError::Timeout {
-                    desk.failed(&format!("the disk was not ready within {} ms", wait.as_millis()));
+                    desk.failed(&format!(
+                        "the disk was not ready within {} ms",
+                        wait.as_millis()
+                    ));
                 }
                 Begun::Without
             }),
@@ -104,7 +115,8 @@
             }
         }
         let mut tried = Instant::now();
-        while let Some((changes, last)) = desk.next(keeper.is_none().then_some(tried + self.again)) {
+        while let Some((changes, last)) = desk.next(keeper.is_none().then_some(tried + self.again))
+        {
             let kept = match &keeper {
                 Some(keeper) => keeper.keep(&changes).map_err(Unusable::Trouble),
                 None => self.begin(&mut place).and_then(|(begun, _)| {
@@ -140,11 +152,15 @@
             Some(taken) => taken,
             None => (self.take)()?,
         };
-        let begun =
-            Keeper::begin(place.insert(taken), &self.owner, (self.now)()).map_err(Unusable::Trouble)?;
+        let begun = Keeper::begin(place.insert(taken), &self.owner, (self.now)())
+            .map_err(Unusable::Trouble)?;
         self.desk.count(ASIDES, begun.1.asides.len() as u64);
         for aside in &begun.1.asides {
-            self.desk.say(format!("set aside as {}: {}", aside.file.display(), aside.why));
+            self.desk.say(format!(
+                "set aside as {}: {}",
+                aside.file.display(),
+                aside.why
+            ));
         }
         Ok(begun)
     }
--- a/crates/recovery/tests/common/mod.rs
+++ b/crates/recovery/tests/common/mod.rs
@@ -10,7 +10,10 @@
 pub const SECOND: Micros = 1_000_000;
 pub const NOW: Micros = 1_790_000_000 * SECOND;
 pub const OWNER: &str = "linenproxy/n1";
-pub const BOUNDS: Bounds = Bounds { list: 600 * SECOND, processes: 60 * SECOND };
+pub const BOUNDS: Bounds = Bounds {
+    list: 600 * SECOND,
+    processes: 60 * SECOND,
+};
 
 #[derive(Default)]
 struct Files {
@@ -68,8 +71,12 @@
             Err(Refusal::Trouble(trouble)) => Err(trouble),
             Err(Refusal::Broken(why)) => {
                 let aside = self.set_aside(file)?;
-                let store = Store::on(self.disk(file), owner).map_err(|e| Trouble(e.to_string()))?;
-                Ok(Opened { store, aside: Some(linenproxy_store::Aside { file: aside, why }) })
+                let store =
+                    Store::on(self.disk(file), owner).map_err(|e| Trouble(e.to_string()))?;
+                Ok(Opened {
+                    store,
+                    aside: Some(linenproxy_store::Aside { file: aside, why }),
+                })
             }
         }
     }
@@ -78,7 +85,11 @@
         let was = self.disk(file);
         self.put(file, Disk::new());
         self.with(|files| files.aside.push(was));
-        Ok(PathBuf::from(format!("{}.aside-{}", file.name(), self.asides())))
+        Ok(PathBuf::from(format!(
+            "{}.aside-{}",
+            file.name(),
+            self.asides()
+        )))
     }
 }
 
@@ -110,10 +121,20 @@
 /// What a sidecar of so many endpoints knows at a time, one in five of them sick.
 pub fn changes(endpoints: usize, now: Micros) -> Changes {
     let entries = (0..endpoints).map(entry).collect();
-    let all = (0..endpoints).map(|n| process(n, now - SECOND, n % 5 == 0)).collect();
+    let all = (0..endpoints)
+        .map(|n| process(n, now - SECOND, n % 5 == 0))
+        .collect();
     Changes {
-        list: Some(List { index: now.unsigned_abs(), seen: now, entries }),
-        processes: Some(Processes { seen: now, listed: endpoints as u32, all }),
+        list: Some(List {
+            index: now.unsigned_abs(),
+            seen: now,
+            entries,
+        }),
+        processes: Some(Processes {
+            seen: now,
+            listed: endpoints as u32,
+            all,
+        }),
         configuration: Some(format!("# {now}")),
         life: None,
     }
--- a/crates/recovery/tests/crashes.rs
+++ b/crates/recovery/tests/crashes.rs
@@ -25,7 +25,11 @@
         let begins = Keeper::begin(&disks, OWNER, now);
         if let Ok((keeper, found)) = &begins {
             begun += 1;
-            assert!(found.incarnation > last, "{} after {last}", found.incarnation);
+            assert!(
+                found.incarnation > last,
+                "{} after {last}",
+                found.incarnation
+            );
             last = found.incarnation;
             let empty = Known::default();
             let is = |changes: &Changes| {
@@ -36,13 +40,23 @@
             let none = found.known == empty;
             let known = kept.iter().chain(&tried).any(is);
             // Where power was lost before anything was kept, or the clock was put back, there may be nothing.
-            let future =
-                kept.iter().chain(&tried).any(|c| c.list.as_ref().is_some_and(|l| l.seen > now + SKEW));
-            assert!(known || (none && (kept.is_none() || future)), "{:?}", found.known.list);
+            let future = kept
+                .iter()
+                .chain(&tried)
+                .any(|c| c.list.as_ref().is_some_and(|l| l.seen > now + SKEW));
+            assert!(
+                known || (none && (kept.is_none() || future)),
+                "{:?}",
+                found.known.list
+            );
             if none {
                 (kept, tried) = (None, Vec::new());
             } else {
-                kept = kept.take().into_iter().chain(tried.drain(..)).find(|c| is(c));
+                kept = kept
+                    .take()
+                    .into_iter()
+                    .chain(tried.drain(..))
+                    .find(|c| is(c));
             }
             for turn in 0..random.usize(0..4) {
                 let changes = changes(3 + turn * 4, now + turn as Micros);
@@ -62,9 +76,17 @@
 /// Some hundred crashes; with `CRASHES` in the environment as many as it says.
 #[test]
 fn what_is_kept_survives_any_crash_and_no_incarnation_is_given_twice() {
-    let wanted: u64 = std::env::var("CRASHES").ok().and_then(|n| n.parse().ok()).unwrap_or(400);
-    let begun: u32 = (0..wanted.div_ceil(20)).map(|seed| histories(seed, 20)).sum();
-    assert!(u64::from(begun) > wanted / 3, "{begun} of {wanted} lives began");
+    let wanted: u64 = std::env::var("CRASHES")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(400);
+    let begun: u32 = (0..wanted.div_ceil(20))
+        .map(|seed| histories(seed, 20))
+        .sum();
+    assert!(
+        u64::from(begun) > wanted / 3,
+        "{begun} of {wanted} lives began"
+    );
 }
 
 #[test]
@@ -83,7 +105,10 @@
         }
     }
     let after = disks.disk(FileKind::Known).length() + disks.disk(FileKind::Numbers).length();
-    assert!(after <= length, "{length} bytes after 20 lives, {after} after 1000");
+    assert!(
+        after <= length,
+        "{length} bytes after 20 lives, {after} after 1000"
+    );
 }
 
 #[test]
@@ -94,7 +119,10 @@
     drop(keeper);
     let (keeper, found) = Keeper::begin(&disks, OWNER, NOW - 86_400 * SECOND).expect("begins");
     assert_eq!(found.known, Known::default());
-    assert_eq!((found.incarnation, found.asides.len(), disks.asides()), (first.incarnation + 1, 1, 1));
+    assert_eq!(
+        (found.incarnation, found.asides.len(), disks.asides()),
+        (first.incarnation + 1, 1, 1)
+    );
     assert!(found.asides[0].why.contains("future"), "{:?}", found.asides);
     drop(keeper);
 }
--- a/crates/recovery/tests/faults.rs
+++ b/crates/recovery/tests/faults.rs
@@ -33,7 +33,9 @@
         disks.put(FileKind::Known, disk);
         let (_, found) = Keeper::begin(&disks, OWNER, NOW).expect("begins all the same");
         aside += found.asides.len();
-        assert!(found.known == whole || (found.known == Known::default() && found.asides.len() == 1));
+        assert!(
+            found.known == whole || (found.known == Known::default() && found.asides.len() == 1)
+        );
     }
     assert!(aside > 100, "{aside}");
 }
@@ -42,7 +44,10 @@
 fn a_directory_of_another_member_is_set_aside_and_its_numbers_with_it() {
     let disks = written(5);
     let (_, found) = Keeper::begin(&disks, "linenproxy/n2", NOW + SECOND).expect("begins");
-    assert_eq!((found.known, found.asides.len(), disks.asides()), (Known::default(), 2, 2));
+    assert_eq!(
+        (found.known, found.asides.len(), disks.asides()),
+        (Known::default(), 2, 2)
+    );
     assert_eq!(found.incarnation, (NOW + SECOND).unsigned_abs());
 }
 
@@ -50,7 +55,12 @@
 fn what_nobody_can_have_written_is_refused_and_what_is_old_has_no_effect() {
     let good = || {
         let changes = changes(10, NOW);
-        Known { list: changes.list, processes: changes.processes, configuration: None, life: None }
+        Known {
+            list: changes.list,
+            processes: changes.processes,
+            configuration: None,
+            life: None,
+        }
     };
     assert_eq!(plausible(&good(), NOW), Ok(()));
     let wrong: [fn(&mut Known); 6] = [
@@ -75,7 +85,13 @@
     assert!(older.list.is_none() && older.processes.is_empty() && older.left_out.len() == 2);
     // Where most doors were closed, it was this one that stood outside.
     let mut cut = good();
-    cut.processes.as_mut().expect("there").all.iter_mut().take(6).for_each(|p| p.open = true);
+    cut.processes
+        .as_mut()
+        .expect("there")
+        .all
+        .iter_mut()
+        .take(6)
+        .for_each(|p| p.open = true);
     let believed = believe(cut, NOW, BOUNDS);
     assert!(believed.processes.iter().all(|p| !p.open) && believed.left_out.len() == 1);
 }
@@ -121,8 +137,11 @@
     let counts = until(&writer, |c| c.commits > 0 && c.commits + c.coalesced >= 501);
     assert!(counts.commits <= 3 && !counts.failing, "{counts:?}");
     until(&writer, |_| {
-        Keeper::begin(&disks, OWNER, NOW)
-            .is_ok_and(|(_, f)| f.known.list.is_some_and(|l| l.index == (NOW + 500).unsigned_abs()))
+        Keeper::begin(&disks, OWNER, NOW).is_ok_and(|(_, f)| {
+            f.known
+                .list
+                .is_some_and(|l| l.index == (NOW + 500).unsigned_abs())
+        })
     });
 }
 
@@ -146,7 +165,11 @@
         writer.keep(changes(20, NOW + 9));
         until(&writer, |c| c.commits > 0 && !c.failing);
         if broken != Breakdown::Reads {
-            assert_eq!(writer.lines(), ["what is known is kept again"], "{broken:?}");
+            assert_eq!(
+                writer.lines(),
+                ["what is known is kept again"],
+                "{broken:?}"
+            );
         }
     }
 }
@@ -158,7 +181,10 @@
         disks.disk(FileKind::Numbers).break_down(Some(broken));
         let (writer, begun) = writer(&disks);
         assert!(matches!(begun, Begun::Without), "{broken:?}");
-        assert!(writer.counts().failing && writer.lines().len() == 1, "{broken:?}");
+        assert!(
+            writer.counts().failing && writer.lines().len() == 1,
+            "{broken:?}"
+        );
     }
 }
 
@@ -167,14 +193,26 @@
     let directory = tempfile::tempdir().expect("a directory");
     let path = directory.path().join("deep/n1");
     let taken = Directory::take(&path).expect("taken");
-    assert_eq!(Directory::take(&path).err(), Some(Unusable::InUse(InUse(path.clone()))));
+    assert_eq!(
+        Directory::take(&path).err(),
+        Some(Unusable::InUse(InUse(path.clone())))
+    );
     let (keeper, _) = Keeper::begin(&taken, OWNER, NOW).expect("begins");
     keeper.keep(&changes(5, NOW)).expect("kept");
     drop((keeper, taken));
     let taken = Directory::take(&path).expect("free again");
     let (_, found) = Keeper::begin(&taken, OWNER, NOW).expect("begins");
-    assert_eq!((found.known.list.map(|l| l.entries.len()), found.asides.len()), (Some(5), 0));
+    assert_eq!(
+        (
+            found.known.list.map(|l| l.entries.len()),
+            found.asides.len()
+        ),
+        (Some(5), 0)
+    );
     // A file where the directory should be.
     std::fs::write(directory.path().join("file"), b"").expect("written");
-    assert!(matches!(Directory::take(&directory.path().join("file")), Err(Unusable::Trouble(_))));
+    assert!(matches!(
+        Directory::take(&directory.path().join("file")),
+        Err(Unusable::Trouble(_))
+    ));
 }
--- a/crates/recovery/tests/migration.rs
+++ b/crates/recovery/tests/migration.rs
@@ -23,8 +23,18 @@
 }
 
 fn held(found: &Known) -> Changes {
-    let Known { list, processes, configuration, life } = found.clone();
-    Changes { list, processes, configuration, life }
+    let Known {
+        list,
+        processes,
+        configuration,
+        life,
+    } = found.clone();
+    Changes {
+        list,
+        processes,
+        configuration,
+        life,
+    }
 }
 
 #[test]
@@ -35,7 +45,12 @@
     assert!(found.asides.is_empty(), "{:?}", found.asides);
     assert_eq!(held(&found.known), changes(10, NOW));
     // What is kept from now on is in the new form, part by part.
-    keeper.keep(&Changes { processes: changes(10, NOW).processes, ..Changes::default() }).expect("kept");
+    keeper
+        .keep(&Changes {
+            processes: changes(10, NOW).processes,
+            ..Changes::default()
+        })
+        .expect("kept");
     drop(keeper);
     let (_, again) = Keeper::begin(&disks, OWNER, NOW).expect("begins");
     assert_eq!(held(&again.known), changes(10, NOW));
@@ -71,10 +86,15 @@
     drop(Keeper::begin(&disks, OWNER, NOW).expect("begins"));
     let store = Store::on(disks.disk(FileKind::Known), OWNER).expect("whole");
     let newer = (SCHEMA + 1).to_le_bytes();
-    store.commit(&[Change::Put("list", 0, &newer)]).expect("kept");
+    store
+        .commit(&[Change::Put("list", 0, &newer)])
+        .expect("kept");
     drop(store);
     let (keeper, found) = Keeper::begin(&disks, OWNER, NOW).expect("begins");
-    assert_eq!((found.known, found.asides.len(), disks.asides()), (Known::default(), 1, 1));
+    assert_eq!(
+        (found.known, found.asides.len(), disks.asides()),
+        (Known::default(), 1, 1)
+    );
     assert!(found.asides[0].why.contains("form 3"), "{:?}", found.asides);
     keeper.keep(&changes(3, NOW)).expect("serves on");
 }
--- a/crates/steward/src/acts.rs
+++ b/crates/steward/src/acts.rs
@@ -39,7 +39,14 @@
 impl Hands {
     pub fn new(sections: &Sections, clock: Clock, calls: Calls, looks: Rc<Looks>) -> Self {
         let free = Rc::new(Semaphore::new(sections.platform.at_once));
-        Self { sections: Rc::new(sections.clone()), clock, calls, looks, free, left: Rc::default() }
+        Self {
+            sections: Rc::new(sections.clone()),
+            clock,
+            calls,
+            looks,
+            free,
+            left: Rc::default(),
+        }
     }
 
     /// Begins an act; what it comes to is told.
@@ -53,7 +60,9 @@
             };
             let back = matches!(order.what.step, Step::Return | Step::CallBack);
             let left = matches!(answer, Some(Answer::Done { .. })).then_some(&order.what.server);
-            let left = left.filter(|_| back).and_then(|server| hands.left.borrow_mut().remove(server));
+            let left = left
+                .filter(|_| back)
+                .and_then(|server| hands.left.borrow_mut().remove(server));
             hands.calls.tell(Input::Acted(order.what, answer));
             if let Some(left) = left {
                 hands.looks.stays(&left).await;
@@ -67,7 +76,10 @@
         spawn_local(async move {
             let mut clear = hands.looks.idle(&order.what.server, order.what.epoch).await;
             if clear && hands.sections.clear.ask {
-                hands.left.borrow_mut().insert(order.what.server.clone(), order.what.clone());
+                hands
+                    .left
+                    .borrow_mut()
+                    .insert(order.what.server.clone(), order.what.clone());
                 clear = hands.looks.unbound(&order.what).await;
             }
             hands.calls.tell(Input::Cleared(order.what, clear));
@@ -83,7 +95,14 @@
         };
         let body = json!({"server": act.server, "window": act.window, "token": act.token});
         let platform = &self.sections.platform;
-        let answer = fetch(platform.address, "POST", path, Some(&body), platform.timeout.0).await;
+        let answer = fetch(
+            platform.address,
+            "POST",
+            path,
+            Some(&body),
+            platform.timeout.0,
+        )
+        .await;
         let what = match answer {
             Ok((200, content)) => match serde_json::from_value::<Done>(content) {
                 Ok(done) => return Some(meaning(act.step, &done)),
@@ -107,7 +126,9 @@
     match (step, done.state.as_str()) {
         (Step::Drain, "draining") | (Step::Take, "away") | (Step::Return, "returning") => so,
         // Only a process that runs has a start of its own.
-        (Step::Return, "serving") => Answer::Done { started: done.started_ms },
+        (Step::Return, "serving") => Answer::Done {
+            started: done.started_ms,
+        },
         (Step::CallBack, "serving" | "returning") => so,
         (Step::CallBack, "away") => Answer::Taken,
         _ => Answer::Failed,
--- a/crates/steward/src/agreement/admission.rs
+++ b/crates/steward/src/agreement/admission.rs
@@ -33,9 +33,14 @@
         if voters.contains(id) {
             return Admission::Member;
         }
-        let of_name: Vec<u64> =
-            self.members().iter().filter(|(n, m)| **n != id && *m == name).map(|(n, _)| *n).collect();
-        let lives = |n: &u64| *n == self.id() || raft.prs().get(*n).is_some_and(|p| p.recent_active);
+        let of_name: Vec<u64> = self
+            .members()
+            .iter()
+            .filter(|(n, m)| **n != id && *m == name)
+            .map(|(n, _)| *n)
+            .collect();
+        let lives =
+            |n: &u64| *n == self.id() || raft.prs().get(*n).is_some_and(|p| p.recent_active);
         if id == self.id() || of_name.iter().any(lives) {
             return Admission::NameTaken;
         }
@@ -52,14 +57,21 @@
                 changes.push(change(ConfChangeType::AddLearnerNode, id));
             }
             Some(progress) if progress.matched >= last => {
-                changes.extend(of_name.iter().map(|n| change(ConfChangeType::RemoveNode, *n)));
+                changes.extend(
+                    of_name
+                        .iter()
+                        .map(|n| change(ConfChangeType::RemoveNode, *n)),
+                );
                 changes.push(change(ConfChangeType::AddNode, id));
             }
             Some(_) => return Admission::UnderWay,
         }
         let mut all = ConfChangeV2::default();
         all.set_changes(changes.into());
-        let context = entry::write(&Newcomer { id, name: name.to_owned() });
+        let context = entry::write(&Newcomer {
+            id,
+            name: name.to_owned(),
+        });
         self.change_members(context, all);
         Admission::UnderWay
     }
--- a/crates/steward/src/agreement/contract.rs
+++ b/crates/steward/src/agreement/contract.rs
@@ -49,7 +49,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Disk(trouble) => trouble.fmt(f),
-            Self::Unknown(what) => write!(f, "the agreement holds what this program does not know: {what}"),
+            Self::Unknown(what) => write!(
+                f,
+                "the agreement holds what this program does not know: {what}"
+            ),
         }
     }
 }
--- a/crates/steward/src/agreement/drive.rs
+++ b/crates/steward/src/agreement/drive.rs
@@ -21,7 +21,10 @@
         while self.raw.has_ready() {
             let mut ready = self.raw.ready();
             let (messages, reads) = (ready.take_messages(), ready.take_read_states());
-            let (later, committed) = (ready.take_persisted_messages(), ready.take_committed_entries());
+            let (later, committed) = (
+                ready.take_persisted_messages(),
+                ready.take_committed_entries(),
+            );
             self.raw.mut_store().keep_ready(&ready)?;
             if !ready.snapshot().is_empty() {
                 self.restore(ready.snapshot().get_metadata())?;
@@ -68,7 +71,12 @@
     }
 
     fn restore(&mut self, metadata: &SnapshotMetadata) -> Result<(), Halt> {
-        let kept = self.raw.store().kept().map_err(Halt::Unknown)?.unwrap_or_default();
+        let kept = self
+            .raw
+            .store()
+            .kept()
+            .map_err(Halt::Unknown)?
+            .unwrap_or_default();
         self.machine.restore(&kept.machine).map_err(Halt::Unknown)?;
         (self.kept, self.applied) = (kept, metadata.index);
         self.members_now = metadata.get_conf_state().clone();
@@ -85,7 +93,10 @@
                 EntryType::EntryNormal => {
                     let stamped: Stamped = entry::read(&entry.data).map_err(unknown)?;
                     self.kept.at_ms = self.kept.at_ms.max(stamped.at_ms);
-                    let answer = self.machine.apply(self.kept.at_ms, &stamped.event).map_err(unknown)?;
+                    let answer = self
+                        .machine
+                        .apply(self.kept.at_ms, &stamped.event)
+                        .map_err(unknown)?;
                     if stamped.run == self.options.run && self.waiting.remove(&stamped.ticket) {
                         effects.answers.push((stamped.ticket, answer));
                     }
@@ -93,15 +104,19 @@
                 EntryType::EntryConfChange => {
                     let change = ConfChange::parse_from_bytes(&entry.data);
                     let change = change.map_err(|e| unknown(e.to_string()))?;
-                    self.members_now =
-                        self.raw.apply_conf_change(&change).map_err(|e| unknown(e.to_string()))?;
+                    self.members_now = self
+                        .raw
+                        .apply_conf_change(&change)
+                        .map_err(|e| unknown(e.to_string()))?;
                     changed = true;
                 }
                 EntryType::EntryConfChangeV2 => {
                     let change = ConfChangeV2::parse_from_bytes(&entry.data);
                     let change = change.map_err(|e| unknown(e.to_string()))?;
-                    self.members_now =
-                        self.raw.apply_conf_change(&change).map_err(|e| unknown(e.to_string()))?;
+                    self.members_now = self
+                        .raw
+                        .apply_conf_change(&change)
+                        .map_err(|e| unknown(e.to_string()))?;
                     if !entry.context.is_empty() {
                         let newcomer: Newcomer = entry::read(&entry.context).map_err(unknown)?;
                         self.kept.members.insert(newcomer.id, newcomer.name);
@@ -113,7 +128,11 @@
         }
         if changed {
             let now = &self.members_now;
-            let all = now.voters.iter().chain(&now.learners).chain(&now.voters_outgoing);
+            let all = now
+                .voters
+                .iter()
+                .chain(&now.learners)
+                .chain(&now.voters_outgoing);
             let all: BTreeSet<u64> = all.chain(&now.learners_next).copied().collect();
             self.kept.members.retain(|id, _| all.contains(id));
             // Whoever comes in is given a snapshot that names it.
--- a/crates/steward/src/agreement/entry.rs
+++ b/crates/steward/src/agreement/entry.rs
@@ -56,9 +56,15 @@
     match bytes.split_first() {
         Some((&FORMAT, rest)) => {
             let (value, left) = postcard::take_from_bytes(rest).map_err(|e| e.to_string())?;
-            if left.is_empty() { Ok(value) } else { Err("it is longer than its form".to_owned()) }
+            if left.is_empty() {
+                Ok(value)
+            } else {
+                Err("it is longer than its form".to_owned())
+            }
         }
-        Some((found, _)) => Err(format!("its format is {found}, this program reads {FORMAT}")),
+        Some((found, _)) => Err(format!(
+            "its format is {found}, this program reads {FORMAT}"
+        )),
         None => Err("it is empty".to_owned()),
     }
 }
--- a/crates/steward/src/agreement/node.rs
+++ b/crates/steward/src/agreement/node.rs
@@ -36,7 +36,12 @@
     ///
     /// # Errors
     /// The disk fails, or holds what this program does not know.
-    pub fn new(mut shelf: Shelf, mut machine: M, options: Options, found: bool) -> Result<Self, Halt> {
+    pub fn new(
+        mut shelf: Shelf,
+        mut machine: M,
+        options: Options,
+        found: bool,
+    ) -> Result<Self, Halt> {
         if found && shelf.is_blank() {
             shelf.found(&options.name, machine.snapshot())?;
         }
@@ -57,9 +62,11 @@
             max_uncommitted_size: MOST_BYTES,
             ..Config::default()
         };
-        let state = raft::Storage::initial_state(&shelf).map_err(|e| Halt::Unknown(e.to_string()))?;
+        let state =
+            raft::Storage::initial_state(&shelf).map_err(|e| Halt::Unknown(e.to_string()))?;
         let silent = slog::Logger::root(slog::Discard, slog::o!());
-        let raw = RawNode::new(&config, shelf, &silent).map_err(|e| Halt::Unknown(e.to_string()))?;
+        let raw =
+            RawNode::new(&config, shelf, &silent).map_err(|e| Halt::Unknown(e.to_string()))?;
         let mut node = Self {
             raw,
             machine,
@@ -97,7 +104,12 @@
 
     /// The engine waits for word of a snapshot for ever; one that is not answered in the time of an election is lost.
     fn give_up_snapshots(&mut self) {
-        let under_way = self.raw.raft.prs().iter().filter(|(_, p)| p.state == ProgressState::Snapshot);
+        let under_way = self
+            .raw
+            .raft
+            .prs()
+            .iter()
+            .filter(|(_, p)| p.state == ProgressState::Snapshot);
         let under_way: BTreeSet<u64> = under_way.map(|(id, _)| *id).collect();
         self.sending.retain(|id, _| under_way.contains(id));
         for id in under_way {
@@ -131,8 +143,15 @@
         if self.members_now.voters.len() < self.options.least {
             return Err(Refused::Founding);
         }
-        let stamped = entry::write(&Stamped { at_ms, run: self.options.run, ticket, event });
-        self.raw.propose(Vec::new(), stamped).map_err(|_| Refused::Busy)?;
+        let stamped = entry::write(&Stamped {
+            at_ms,
+            run: self.options.run,
+            ticket,
+            event,
+        });
+        self.raw
+            .propose(Vec::new(), stamped)
+            .map_err(|_| Refused::Busy)?;
         self.waiting.insert(ticket);
         Ok(())
     }
@@ -142,7 +161,8 @@
     pub fn confirm(&mut self, ticket: u64) {
         if self.acts() {
             self.asked.insert(ticket);
-            self.raw.read_index(entry::write(&(self.options.run, ticket)));
+            self.raw
+                .read_index(entry::write(&(self.options.run, ticket)));
         }
     }
 
@@ -152,8 +172,13 @@
         let raft = &self.raw.raft;
         let prs = raft.prs();
         let voters = prs.conf().voters().ids();
-        let others = prs.iter().filter(|(id, p)| **id != raft.id && voters.contains(**id) && p.recent_active);
-        let Some(heir) = others.max_by_key(|(id, p)| (p.matched, **id)).map(|(id, _)| *id) else {
+        let others = prs
+            .iter()
+            .filter(|(id, p)| **id != raft.id && voters.contains(**id) && p.recent_active);
+        let Some(heir) = others
+            .max_by_key(|(id, p)| (p.matched, **id))
+            .map(|(id, _)| *id)
+        else {
             return false;
         };
         let leads = self.acts();
--- a/crates/steward/src/agreement/shelf.rs
+++ b/crates/steward/src/agreement/shelf.rs
@@ -39,7 +39,9 @@
     pub fn open(store: Store, id: u64) -> Result<Self, Trouble> {
         let unreadable = |e: protobuf::ProtobufError| Trouble(format!("a record of the log: {e}"));
         let id = match store.get(SELF, 0)? {
-            Some(bytes) => entry::read(&bytes).map_err(|e| Trouble(format!("the disk's number: {e}")))?,
+            Some(bytes) => {
+                entry::read(&bytes).map_err(|e| Trouble(format!("the disk's number: {e}")))?
+            }
             None => {
                 store.commit(&[Change::Put(SELF, 0, &entry::write(&id))])?;
                 id
@@ -60,17 +62,25 @@
             shelf.snapshot = Snapshot::parse_from_bytes(&bytes).map_err(unreadable)?;
         }
         for (_, bytes) in shelf.store.room(LOG)? {
-            shelf.entries.push(Entry::parse_from_bytes(&bytes).map_err(unreadable)?);
+            shelf
+                .entries
+                .push(Entry::parse_from_bytes(&bytes).map_err(unreadable)?);
         }
         let mut before = (shelf.start(), shelf.snapshot.get_metadata().term);
         for entry in &shelf.entries {
             if entry.index != before.0 + 1 || entry.term < before.1 {
-                return Err(Trouble(format!("the log has a gap after entry {}", before.0)));
+                return Err(Trouble(format!(
+                    "the log has a gap after entry {}",
+                    before.0
+                )));
             }
             before = (entry.index, entry.term);
         }
         if !(shelf.start()..=before.0).contains(&shelf.hard.commit) {
-            return Err(Trouble(format!("entry {} is agreed on and not there", shelf.hard.commit)));
+            return Err(Trouble(format!(
+                "entry {} is agreed on and not there",
+                shelf.hard.commit
+            )));
         }
         Ok(shelf)
     }
@@ -91,7 +101,11 @@
     /// Whether it holds no part of any agreement.
     #[must_use]
     pub fn is_blank(&self) -> bool {
-        self.snapshot.get_metadata().get_conf_state().voters.is_empty()
+        self.snapshot
+            .get_metadata()
+            .get_conf_state()
+            .voters
+            .is_empty()
     }
 
     /// The number of this disk.
@@ -102,19 +116,31 @@
 
     /// Begins an agreement of which this steward is the only member, over a machine in this state.
     pub(crate) fn found(&mut self, name: &str, machine: Vec<u8>) -> Result<(), Trouble> {
-        let kept = Kept { members: [(self.id, name.to_owned())].into(), at_ms: 0, machine };
+        let kept = Kept {
+            members: [(self.id, name.to_owned())].into(),
+            at_ms: 0,
+            machine,
+        };
         let mut snapshot = Snapshot::default();
         snapshot.set_data(entry::write(&kept).into());
         let metadata = snapshot.mut_metadata();
         (metadata.index, metadata.term) = (FOUNDED, FOUNDED);
         metadata.mut_conf_state().voters = vec![self.id];
-        let hard = HardState { term: FOUNDED, commit: FOUNDED, ..HardState::default() };
+        let hard = HardState {
+            term: FOUNDED,
+            commit: FOUNDED,
+            ..HardState::default()
+        };
         self.keep(Some(&snapshot), &[], Some(&hard))
     }
 
     /// What the snapshot holds beside the engine's data; none while there is none.
     pub(crate) fn kept(&self) -> Result<Option<Kept>, String> {
-        if self.is_blank() { Ok(None) } else { entry::read(self.snapshot.get_data()).map(Some) }
+        if self.is_blank() {
+            Ok(None)
+        } else {
+            entry::read(self.snapshot.get_data()).map(Some)
+        }
     }
 
     /// Index of the snapshot.
@@ -137,7 +163,12 @@
     }
 
     /// Puts a snapshot in the place of all entries up to the last applied one.
-    pub(crate) fn compact(&mut self, applied: u64, members: ConfState, kept: &Kept) -> Result<(), Trouble> {
+    pub(crate) fn compact(
+        &mut self,
+        applied: u64,
+        members: ConfState,
+        kept: &Kept,
+    ) -> Result<(), Trouble> {
         let term = Storage::term(self, applied).map_err(|e| Trouble(e.to_string()))?;
         let mut snapshot = Snapshot::default();
         snapshot.set_data(entry::write(kept).into());
@@ -145,7 +176,9 @@
         (metadata.index, metadata.term) = (applied, term);
         metadata.set_conf_state(members);
         self.note_commit(applied);
-        let left = self.entries.split_off(usize::try_from(applied - self.start()).unwrap_or(usize::MAX));
+        let left = self
+            .entries
+            .split_off(usize::try_from(applied - self.start()).unwrap_or(usize::MAX));
         self.entries = left;
         self.write(&snapshot, &[Change::RemoveBelow(LOG, applied + 1)])?;
         self.snapshot = snapshot;
@@ -155,7 +188,10 @@
     fn write(&self, snapshot: &Snapshot, more: &[Change<'_>]) -> Result<(), Trouble> {
         let (snapshot, hard) = (bytes(snapshot)?, bytes(&self.hard)?);
         let mut changes = more.to_vec();
-        changes.extend([Change::Put(SNAPSHOT, 0, &snapshot), Change::Put(HARD, 0, &hard)]);
+        changes.extend([
+            Change::Put(SNAPSHOT, 0, &snapshot),
+            Change::Put(HARD, 0, &hard),
+        ]);
         self.commit(&changes)
     }
 
@@ -179,10 +215,16 @@
         if let Some(first) = entries.first() {
             changes.push(Change::RemoveFrom(LOG, first.index));
             let after = first.index.checked_sub(self.start() + 1);
-            let after = after.and_then(|n| usize::try_from(n).ok()).filter(|n| *n <= self.entries.len());
-            self.entries.truncate(after.ok_or_else(|| Trouble("the engine left a gap".to_owned()))?);
+            let after = after
+                .and_then(|n| usize::try_from(n).ok())
+                .filter(|n| *n <= self.entries.len());
+            self.entries
+                .truncate(after.ok_or_else(|| Trouble("the engine left a gap".to_owned()))?);
         }
-        let puts = entries.iter().zip(&written).map(|(entry, bytes)| Change::Put(LOG, entry.index, bytes));
+        let puts = entries
+            .iter()
+            .zip(&written)
+            .map(|(entry, bytes)| Change::Put(LOG, entry.index, bytes));
         changes.extend(puts);
         let hard = bytes(&self.hard)?;
         changes.push(Change::Put(HARD, 0, &hard));
@@ -211,7 +253,9 @@
     ) -> raft::Result<Vec<Entry>> {
         let place = |index: u64| usize::try_from(index.checked_sub(self.start() + 1)?).ok();
         let from = place(low).ok_or(StorageError::Compacted)?;
-        let range = place(high).and_then(|to| self.entries.get(from..to)).ok_or(StorageError::Unavailable)?;
+        let range = place(high)
+            .and_then(|to| self.entries.get(from..to))
+            .ok_or(StorageError::Unavailable)?;
         let mut found = range.to_vec();
         limit_size(&mut found, max_size.into());
         Ok(found)
@@ -221,8 +265,12 @@
         if index == self.start() {
             return Ok(self.snapshot.get_metadata().term);
         }
-        let place = index.checked_sub(self.start() + 1).ok_or(StorageError::Compacted)?;
-        let entry = usize::try_from(place).ok().and_then(|n| self.entries.get(n));
+        let place = index
+            .checked_sub(self.start() + 1)
+            .ok_or(StorageError::Compacted)?;
+        let entry = usize::try_from(place)
+            .ok()
+            .and_then(|n| self.entries.get(n));
         Ok(entry.ok_or(StorageError::Unavailable)?.term)
     }
 
--- a/crates/steward/src/agreement/sieve.rs
+++ b/crates/steward/src/agreement/sieve.rs
@@ -20,7 +20,12 @@
 }
 
 /// Whether the engine of `id`, led by `leader`, with this log may be given a message.
-pub(crate) fn passes<S: Storage>(message: &Message, id: u64, leader: u64, log: &RaftLog<S>) -> bool {
+pub(crate) fn passes<S: Storage>(
+    message: &Message,
+    id: u64,
+    leader: u64,
+    log: &RaftLog<S>,
+) -> bool {
     use MessageType::*;
     if message.to != id || message.from == id || message.from == 0 {
         return false;
@@ -36,7 +41,11 @@
         MsgSnapshot => {
             let metadata = message.get_snapshot().get_metadata();
             let members = metadata.get_conf_state();
-            let all = members.voters.iter().chain(&members.learners).chain(&members.voters_outgoing);
+            let all = members
+                .voters
+                .iter()
+                .chain(&members.learners)
+                .chain(&members.voters_outgoing);
             metadata.index > 0
                 && metadata.term > 0
                 && metadata.term <= message.term
@@ -45,7 +54,9 @@
                 && members.learners.iter().all(|l| !members.voters.contains(l))
         }
         MsgAppendResponse | MsgHeartbeatResponse => message.index <= log.last_index(),
-        MsgRequestVote | MsgRequestVoteResponse | MsgRequestPreVote | MsgRequestPreVoteResponse => true,
+        MsgRequestVote | MsgRequestVoteResponse | MsgRequestPreVote | MsgRequestPreVoteResponse => {
+            true
+        }
         // The leader hands its lead over.
         MsgTimeoutNow => message.from == leader,
         // Nobody proposes, reads or hands over for another one.
@@ -62,7 +73,8 @@
     let mut before = (message.index, message.log_term);
     for entry in message.entries.iter() {
         let Entry { index, term, .. } = entry;
-        let follows = before.0.checked_add(1) == Some(*index) && *term >= before.1 && *term <= message.term;
+        let follows =
+            before.0.checked_add(1) == Some(*index) && *term >= before.1 && *term <= message.term;
         let known = *index <= log.committed && *index >= log.first_index();
         if !follows || (known && log.term(*index).is_ok_and(|agreed| agreed != *term)) {
             return false;
--- a/crates/steward/src/bindings.rs
+++ b/crates/steward/src/bindings.rs
@@ -30,15 +30,21 @@
         for (zone, at) in drawn {
             let (body, within) = (body.clone(), self.evidence().timeout.0);
             asking.spawn_local(async move {
-                let (status, said) = fetch(at, "POST", "/fleet/leaving", Some(&body), within).await.ok()?;
-                let said = serde_json::from_value::<Said>(said).ok().filter(|_| status == 200)?;
+                let (status, said) = fetch(at, "POST", "/fleet/leaving", Some(&body), within)
+                    .await
+                    .ok()?;
+                let said = serde_json::from_value::<Said>(said)
+                    .ok()
+                    .filter(|_| status == 200)?;
                 Some((zone, at, said))
             });
         }
         let mut clear: BTreeMap<String, usize> = BTreeMap::new();
         let (mut answered, mut against) = (Vec::new(), false);
         while let Some(said) = asking.join_next().await {
-            let Some((zone, at, said)) = said.ok().flatten() else { continue };
+            let Some((zone, at, said)) = said.ok().flatten() else {
+                continue;
+            };
             against |= !said.clear;
             if said.clear && said.epoch >= leaving.epoch {
                 *clear.entry(zone.clone()).or_default() += 1;
@@ -53,7 +59,9 @@
                 answered.push((zone, at));
             }
         }
-        self.witnesses.borrow_mut().insert(leaving.server.clone(), (leaving.epoch, answered));
+        self.witnesses
+            .borrow_mut()
+            .insert(leaving.server.clone(), (leaving.epoch, answered));
         if against {
             return false;
         }
@@ -61,19 +69,24 @@
             .sidecars
             .iter()
             .filter(|(_, all)| !all.is_empty())
-            .all(|(zone, all)| clear.get(zone).is_some_and(|count| *count >= evidence.agree.min(all.len())))
+            .all(|(zone, all)| {
+                clear
+                    .get(zone)
+                    .is_some_and(|count| *count >= evidence.agree.min(all.len()))
+            })
     }
 
     /// Tells sidecars of all zones that a process stays: it was called back, or another one takes its place.
     pub async fn stays(&self, leaving: &Unclear) {
-        let body: Value =
-            json!({"server": leaving.server, "started_ms": leaving.started, "epoch": leaving.epoch});
+        let body: Value = json!({"server": leaving.server, "started_ms": leaving.started, "epoch": leaving.epoch});
         let mut telling = JoinSet::new();
         for (_, at) in self.draw() {
             let (body, within) = (body.clone(), self.evidence().timeout.0);
             // Who does not hear it hears it from the others, or goes on without bindings to that process.
             telling.spawn_local(async move {
-                fetch(at, "POST", "/fleet/stays", Some(&body), within).await.is_ok()
+                fetch(at, "POST", "/fleet/stays", Some(&body), within)
+                    .await
+                    .is_ok()
             });
         }
         while telling.join_next().await.is_some() {}
--- a/crates/steward/src/calls.rs
+++ b/crates/steward/src/calls.rs
@@ -22,7 +22,13 @@
 
 impl Calls {
     pub fn new(told: mpsc::Sender<Told>, within: Duration) -> Self {
-        Self { told, waiting: Rc::default(), last: Rc::default(), within, missed: Rc::default() }
+        Self {
+            told,
+            waiting: Rc::default(),
+            last: Rc::default(),
+            within,
+            missed: Rc::default(),
+        }
     }
 
     /// Tells the agreement something, if it takes it now.
--- a/crates/steward/src/clock.rs
+++ b/crates/steward/src/clock.rs
@@ -13,14 +13,21 @@
 
 impl Clock {
     pub fn new(offset_ms: i64) -> Self {
-        Self { began: Instant::now(), offset_ms }
+        Self {
+            began: Instant::now(),
+            offset_ms,
+        }
     }
 
     pub fn now(self) -> Now {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let mono = self.began.elapsed();
         Now {
-            unix_ms: i64::try_from(unix.as_millis()).unwrap_or(i64::MAX).saturating_add(self.offset_ms),
+            unix_ms: i64::try_from(unix.as_millis())
+                .unwrap_or(i64::MAX)
+                .saturating_add(self.offset_ms),
             mono_ms: u64::try_from(mono.as_millis()).unwrap_or(u64::MAX),
         }
     }
