--- a/crates/steward/src/commands.rs
+++ b/crates/steward/src/commands.rs
@@ -89,8 +89,12 @@
 
 /// Runs a command.
 pub fn run(command: Command) -> Exit {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let Ok(runtime) = runtime else { return Exit::Unavailable };
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
+    let Ok(runtime) = runtime else {
+        return Exit::Unavailable;
+    };
     let (at, method, path, body, table): (At, _, String, _, Table) = match command {
         Command::Status(at) => (at, "GET", "/status".into(), None, status),
         Command::Members(at) => (at, "GET", "/status".into(), None, members),
@@ -100,7 +104,13 @@
             let body = wish.request();
             (wish.at, "POST", "/windows".into(), Some(body), booked)
         }
-        Command::Cancel { window, at } => (at, "POST", format!("/windows/{window}/cancel"), None, status),
+        Command::Cancel { window, at } => (
+            at,
+            "POST",
+            format!("/windows/{window}/cancel"),
+            None,
+            status,
+        ),
         Command::StepDown(at) => (at, "POST", "/step-down".into(), None, status),
     };
     let asked = async {
@@ -136,14 +146,21 @@
 
 impl Wish {
     fn request(&self) -> Value {
-        let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis();
+        let now = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+            .as_millis();
         let target = match (&self.group, &self.zone) {
             (Some(group), _) => json!({"group": group}),
             (_, Some(zone)) => json!({"zone": {"zone": zone, "share_permille": self.permille}}),
             _ => json!({"servers": self.server}),
         };
         let ms = |time: Time| u64::try_from(time.0.as_millis()).unwrap_or(u64::MAX);
-        let from_now = |time: Time| u64::try_from(now).unwrap_or(u64::MAX).saturating_add(ms(time));
+        let from_now = |time: Time| {
+            u64::try_from(now)
+                .unwrap_or(u64::MAX)
+                .saturating_add(ms(time))
+        };
         json!({"name": self.name, "target": target, "earliest_ms": from_now(self.after),
             "latest_ms": from_now(self.within), "length_ms": ms(self.length),
             "overrun_ms": ms(self.overrun), "priority": self.priority, "split": self.split})
@@ -161,10 +178,19 @@
 /// Rows with columns of one width.
 fn aligned(rows: &[Vec<String>]) -> String {
     let columns = rows.iter().map(Vec::len).max().unwrap_or(0);
-    let width = |column: usize| rows.iter().filter_map(|r| r.get(column)).map(String::len).max().unwrap_or(0);
+    let width = |column: usize| {
+        rows.iter()
+            .filter_map(|r| r.get(column))
+            .map(String::len)
+            .max()
+            .unwrap_or(0)
+    };
     let widths: Vec<usize> = (0..columns).map(width).collect();
     let line = |row: &Vec<String>| {
-        let cells = row.iter().zip(&widths).map(|(cell, width)| format!("{cell:width$}"));
+        let cells = row
+            .iter()
+            .zip(&widths)
+            .map(|(cell, width)| format!("{cell:width$}"));
         cells.collect::<Vec<_>>().join("  ").trim_end().to_owned()
     };
     rows.iter().map(line).collect::<Vec<_>>().join("\n")
@@ -181,18 +207,35 @@
 
 fn status(answer: &Value) -> Vec<Vec<String>> {
     let pairs = answer.as_object().into_iter().flatten();
-    pairs.map(|(key, value)| vec![key.clone(), plain(value)]).collect()
+    pairs
+        .map(|(key, value)| vec![key.clone(), plain(value)])
+        .collect()
 }
 
 fn members(answer: &Value) -> Vec<Vec<String>> {
     let voters = answer["voters"].as_array().into_iter().flatten();
-    let lead = |name: &Value| if *name == answer["leader"] { "leads" } else { "" };
+    let lead = |name: &Value| {
+        if *name == answer["leader"] {
+            "leads"
+        } else {
+            ""
+        }
+    };
     let all = voters.map(|name| vec![plain(name), lead(name).to_owned()]);
     std::iter::once(head(&["voice", ""])).chain(all).collect()
 }
 
 fn windows(answer: &Value) -> Vec<Vec<String>> {
-    let keys = ["server", "state", "late", "start_ms", "end_ms", "token", "called_back", "reason"];
+    let keys = [
+        "server",
+        "state",
+        "late",
+        "start_ms",
+        "end_ms",
+        "token",
+        "called_back",
+        "reason",
+    ];
     let mut table = vec![[vec!["window".to_owned(), "name".to_owned()], head(&keys)].concat()];
     for window in answer.as_array().into_iter().flatten() {
         let of = [plain(&window["window"]), plain(&window["name"])];
@@ -214,7 +257,10 @@
 
 fn booked(answer: &Value) -> Vec<Vec<String>> {
     let (booked, keys) = (&answer["booked"], ["server", "wave", "start_ms", "end_ms"]);
-    let mut table = vec![vec!["window".to_owned(), plain(&booked["window"])], head(&keys)];
+    let mut table = vec![
+        vec!["window".to_owned(), plain(&booked["window"])],
+        head(&keys),
+    ];
     table.extend(rows(&booked["times"], &keys));
     table
 }
--- a/crates/steward/src/config.rs
+++ b/crates/steward/src/config.rs
@@ -153,7 +153,10 @@
 impl Default for ClearSection {
     fn default() -> Self {
         // As long as a request may be on its way on a slow network, its connection included.
-        Self { ask: false, quiet: Time::ms(500) }
+        Self {
+            ask: false,
+            quiet: Time::ms(500),
+        }
     }
 }
 
@@ -168,8 +171,14 @@
         self.metrics.check()?;
         let wrong = |key: &str, what: String| Err(Contradiction::new(key, what));
         let name = &self.steward.name;
-        if name.is_empty() || name.len() > LONGEST_NAME || !name.bytes().all(|b| b.is_ascii_graphic()) {
-            return wrong("steward.name", format!("must have 1 to {LONGEST_NAME} characters without spaces"));
+        if name.is_empty()
+            || name.len() > LONGEST_NAME
+            || !name.bytes().all(|b| b.is_ascii_graphic())
+        {
+            return wrong(
+                "steward.name",
+                format!("must have 1 to {LONGEST_NAME} characters without spaces"),
+            );
         }
         if !self.stewards.contains_key(name) {
             return wrong("steward.name", format!("{name:?} is not one of [stewards]"));
@@ -181,7 +190,10 @@
             return wrong("steward.heartbeat", "must be from 10ms to 10s".to_owned());
         }
         if !(3..=1_000).contains(&self.steward.patience) {
-            return wrong("steward.patience", "must be from 3 to 1000 heartbeats".to_owned());
+            return wrong(
+                "steward.patience",
+                "must be from 3 to 1000 heartbeats".to_owned(),
+            );
         }
         if !(8..=4_096).contains(&self.steward.connections) {
             return wrong("steward.connections", "must be from 8 to 4096".to_owned());
@@ -200,7 +212,10 @@
             }
         }
         if self.evidence.agree == 0 || self.evidence.agree > self.evidence.ask {
-            return wrong("evidence.agree", format!("must be from 1 to evidence.ask, {}", self.evidence.ask));
+            return wrong(
+                "evidence.agree",
+                format!("must be from 1 to evidence.ask, {}", self.evidence.ask),
+            );
         }
         if self.clear.quiet > Time::ms(60_000) {
             return wrong("clear.quiet", "must be at most 1m".to_owned());
@@ -208,8 +223,13 @@
         let period = i64::try_from(self.evidence.period.0.as_millis()).unwrap_or(i64::MAX);
         if period >= self.agreement.evidence_bound_ms {
             let bound = self.agreement.evidence_bound_ms;
-            return wrong("evidence.period", format!("evidence would be older than its bound, {bound} ms"));
+            return wrong(
+                "evidence.period",
+                format!("evidence would be older than its bound, {bound} ms"),
+            );
         }
-        self.agreement.check().map_err(|e| Contradiction::new(&format!("agreement.{}", e.key), e.reason))
+        self.agreement
+            .check()
+            .map_err(|e| Contradiction::new(&format!("agreement.{}", e.key), e.reason))
     }
 }
--- a/crates/steward/src/core/contract.rs
+++ b/crates/steward/src/core/contract.rs
@@ -1,7 +1,9 @@
 //! What a steward and its host owe each other. Changes with the questions and answers between them.
 
 use crate::agreement::{Admission, Message, Standing};
-use linenproxy_maintenance::{Act, Agreement, Answer, CapacityView, Event, Outcome, Server, Unclear};
+use linenproxy_maintenance::{
+    Act, Agreement, Answer, CapacityView, Event, Outcome, Server, Unclear,
+};
 use linenproxy_maintenance::{WindowView, Word};
 use serde::Serialize;
 
--- a/crates/steward/src/core/lead.rs
+++ b/crates/steward/src/core/lead.rs
@@ -46,7 +46,12 @@
 }
 
 fn key_of_question(question: &Unclear) -> Key {
-    (question.window, question.server.clone(), None, question.epoch)
+    (
+        question.window,
+        question.server.clone(),
+        None,
+        question.epoch,
+    )
 }
 
 impl Steward {
@@ -54,7 +59,10 @@
     fn leads(&mut self) -> bool {
         let standing = self.node.standing();
         if self.lead.term != standing.term || !standing.acts {
-            self.lead = Lead { term: standing.term, ..Lead::default() };
+            self.lead = Lead {
+                term: standing.term,
+                ..Lead::default()
+            };
         }
         standing.acts
     }
@@ -81,12 +89,18 @@
             self.own(now, Own::Agreement, &event);
         } else if let Some(calendar) = machine.calendar_due(now.unix_ms) {
             self.own(now, Own::Calendar, &calendar);
-        } else if machine.next_wake(now.unix_ms).is_some_and(|wake| wake <= now.unix_ms) {
+        } else if machine
+            .next_wake(now.unix_ms)
+            .is_some_and(|wake| wake <= now.unix_ms)
+        {
             self.own(now, Own::Time, &Event::Tick);
         }
         // A word that did not come in time never comes.
         let word_ms = self.settings.word_ms;
-        self.lead.asked = self.lead.asked.filter(|(_, at)| now.mono_ms.saturating_sub(*at) < word_ms);
+        self.lead.asked = self
+            .lead
+            .asked
+            .filter(|(_, at)| now.mono_ms.saturating_sub(*at) < word_ms);
         if self.lead.asked.is_none() && !self.to_begin(now).is_empty() {
             self.lead.asked = Some((self.ask_majority(), now.mono_ms));
         }
@@ -95,11 +109,17 @@
     /// What is due and not under way.
     fn to_begin(&self, now: Now) -> Vec<(Key, Input)> {
         let machine = &self.node.machine().0;
-        let acts = machine.due(now.unix_ms).into_iter().map(|act| (key_of(&act), Input::Acted(act, None)));
+        let acts = machine
+            .due(now.unix_ms)
+            .into_iter()
+            .map(|act| (key_of(&act), Input::Acted(act, None)));
         let questions = machine.unclear().into_iter();
         let questions = questions.map(|q| (key_of_question(&q), Input::Cleared(q, false)));
         let free = |(key, _): &(Key, Input)| {
-            self.lead.under_way.get(key).is_none_or(|until| *until <= now.mono_ms)
+            self.lead
+                .under_way
+                .get(key)
+                .is_none_or(|until| *until <= now.mono_ms)
                 && !self.lead.waits.contains(&Own::Result(key.clone()))
         };
         acts.chain(questions).filter(free).collect()
@@ -107,7 +127,9 @@
 
     /// A majority says that this steward leads.
     pub(super) fn confirmed(&mut self, now: Now, ticket: u64) {
-        let Some((_, at)) = self.lead.asked.filter(|(asked, _)| *asked == ticket) else { return };
+        let Some((_, at)) = self.lead.asked.filter(|(asked, _)| *asked == ticket) else {
+            return;
+        };
         self.lead.asked = None;
         let until_ms = at + self.settings.word_ms;
         if !self.leads() || until_ms <= now.mono_ms {
@@ -115,7 +137,9 @@
         }
         self.lead.under_way.retain(|_, until| *until > now.mono_ms);
         for (key, what) in self.to_begin(now) {
-            self.lead.under_way.insert(key, now.mono_ms + self.settings.lost_ms);
+            self.lead
+                .under_way
+                .insert(key, now.mono_ms + self.settings.lost_ms);
             match what {
                 Input::Acted(what, _) => self.output.acts.push(Order { what, until_ms }),
                 Input::Cleared(what, _) => self.output.questions.push(Order { what, until_ms }),
@@ -130,10 +154,23 @@
             return;
         }
         let key = key_of(&act);
-        self.lead.under_way.insert(key.clone(), now.mono_ms + self.settings.again_ms);
+        self.lead
+            .under_way
+            .insert(key.clone(), now.mono_ms + self.settings.again_ms);
         if let Some(result) = answer.filter(|answer| *answer != Answer::Failed) {
-            let Act { window, server, step, token } = act;
-            let event = Event::Acted { window, server, step, token, result };
+            let Act {
+                window,
+                server,
+                step,
+                token,
+            } = act;
+            let event = Event::Acted {
+                window,
+                server,
+                step,
+                token,
+                result,
+            };
             self.own(now, Own::Result(key), &event);
         }
     }
@@ -144,16 +181,34 @@
             return;
         }
         let key = key_of_question(&question);
-        self.lead.under_way.insert(key.clone(), now.mono_ms + self.settings.again_ms);
+        self.lead
+            .under_way
+            .insert(key.clone(), now.mono_ms + self.settings.again_ms);
         if clear {
-            let Unclear { window, server, epoch, .. } = question;
-            self.own(now, Own::Result(key), &Event::Clear { window, server, epoch });
+            let Unclear {
+                window,
+                server,
+                epoch,
+                ..
+            } = question;
+            self.own(
+                now,
+                Own::Result(key),
+                &Event::Clear {
+                    window,
+                    server,
+                    epoch,
+                },
+            );
         }
     }
 
     /// The platform's list came.
     pub(super) fn listed(&mut self, now: Now, list: Vec<Server>) {
-        if self.leads() && self.lead.list.as_ref() != Some(&list) && !self.lead.waits.contains(&Own::List) {
+        if self.leads()
+            && self.lead.list.as_ref() != Some(&list)
+            && !self.lead.waits.contains(&Own::List)
+        {
             self.lead.offered = Some(list.clone());
             self.own(now, Own::List, &Event::Servers(list));
         }
@@ -170,7 +225,9 @@
                     Own::Calendar => "the calendar",
                     _ => return,
                 };
-                self.output.notes.push(format!("{what} cannot be taken: {refusal:?}"));
+                self.output
+                    .notes
+                    .push(format!("{what} cannot be taken: {refusal:?}"));
             }
             (Own::List, Some(_)) => self.lead.list = self.lead.offered.take(),
             (Own::Evidence, Some(_)) if self.lead.list.is_some() => self.lead.looked = true,
--- a/crates/steward/src/core/steward.rs
+++ b/crates/steward/src/core/steward.rs
@@ -32,7 +32,12 @@
     ///
     /// # Errors
     /// The disk fails, or holds what this program does not know.
-    pub fn new(shelf: Shelf, options: Options, settings: Settings, found: bool) -> Result<Self, Halt> {
+    pub fn new(
+        shelf: Shelf,
+        options: Options,
+        settings: Settings,
+        found: bool,
+    ) -> Result<Self, Halt> {
         Ok(Self {
             node: Node::new(shelf, Replica::default(), options, found)?,
             settings,
@@ -56,23 +61,34 @@
             Input::Bring(caller, event) => {
                 let refused = match &event {
                     Event::Ask(_) if self.node.acts() && !self.lead.looked => Err(Reply::Looking),
-                    _ => self.propose(now, Whose::Caller(caller), &event).map_err(|why| match why {
-                        Refused::NotLeader => Reply::NotLeader,
-                        Refused::Founding => Reply::Founding,
-                        Refused::Busy => Reply::Busy,
-                    }),
+                    _ => {
+                        self.propose(now, Whose::Caller(caller), &event)
+                            .map_err(|why| match why {
+                                Refused::NotLeader => Reply::NotLeader,
+                                Refused::Founding => Reply::Founding,
+                                Refused::Busy => Reply::Busy,
+                            })
+                    }
                 };
-                self.output.replies.extend(refused.err().map(|reply| (caller, reply)));
+                self.output
+                    .replies
+                    .extend(refused.err().map(|reply| (caller, reply)));
             }
             Input::Admit(caller, id, name) => {
                 let known = self.settings.names.contains(&name) && id != 0;
-                let reply = if known { Reply::Admission(self.node.admit(id, &name)) } else { Reply::Busy };
+                let reply = if known {
+                    Reply::Admission(self.node.admit(id, &name))
+                } else {
+                    Reply::Busy
+                };
                 self.output.replies.push((caller, reply));
             }
             Input::Listed(list) => self.listed(now, list),
             Input::Evidence(at_ms, mut words) => {
                 let waited_ms = now.mono_ms.saturating_sub(at_ms);
-                words.iter_mut().for_each(|word| word.age_ms = word.age_ms.saturating_add(waited_ms));
+                words
+                    .iter_mut()
+                    .for_each(|word| word.age_ms = word.age_ms.saturating_add(waited_ms));
                 self.own(now, Own::Evidence, &Event::Evidence(words));
             }
             Input::Acted(act, answer) => self.acted(now, act, answer),
@@ -100,7 +116,8 @@
     /// Proposes an event; whose the answer is.
     pub(super) fn propose(&mut self, now: Now, whose: Whose, event: &Event) -> Result<(), Refused> {
         self.last_ticket += 1;
-        self.node.propose(now.unix_ms, self.last_ticket, replica::event(event))?;
+        self.node
+            .propose(now.unix_ms, self.last_ticket, replica::event(event))?;
         self.tickets.insert(self.last_ticket, whose);
         Ok(())
     }
@@ -119,7 +136,11 @@
     pub fn drive(&mut self, now: Now) -> Result<Output, Halt> {
         let effects = self.node.drive()?;
         for message in effects.messages {
-            let name = self.node.members().get(&message.to).or_else(|| self.places.get(&message.to));
+            let name = self
+                .node
+                .members()
+                .get(&message.to)
+                .or_else(|| self.places.get(&message.to));
             if let Some(name) = name {
                 self.output.messages.push((name.clone(), message));
             }
--- a/crates/steward/src/evidence.rs
+++ b/crates/steward/src/evidence.rs
@@ -91,21 +91,40 @@
     for (zone, members) in &zones {
         for one in members {
             let mut names = BTreeSet::new();
-            for server in one.page.servers.iter().filter(|said| names.insert(said.name.as_str())) {
-                let of = said.entry(&server.name).or_default().entry(zone).or_default();
+            for server in one
+                .page
+                .servers
+                .iter()
+                .filter(|said| names.insert(said.name.as_str()))
+            {
+                let of = said
+                    .entry(&server.name)
+                    .or_default()
+                    .entry(zone)
+                    .or_default();
                 of.push((server, one.asked_ago_ms));
             }
         }
     }
     let mut words = Vec::new();
     for server in listed {
-        let Some(by_zone) = said.get(server.name.as_str()) else { continue };
-        let opinions: Vec<Opinion> =
-            by_zone.iter().filter_map(|(zone, all)| opinion(weights, zone, unix_ms, all)).collect();
-        let Some(newest) = opinions.iter().map(|o| o.started).max() else { continue };
+        let Some(by_zone) = said.get(server.name.as_str()) else {
+            continue;
+        };
+        let opinions: Vec<Opinion> = by_zone
+            .iter()
+            .filter_map(|(zone, all)| opinion(weights, zone, unix_ms, all))
+            .collect();
+        let Some(newest) = opinions.iter().map(|o| o.started).max() else {
+            continue;
+        };
         let of_newest = || opinions.iter().filter(|o| o.started == newest);
-        let well = of_newest().filter(|o| o.state == State::Well).min_by_key(|o| o.age_ms);
-        let sick = of_newest().filter(|o| o.state == State::Sick).min_by_key(|o| o.age_ms);
+        let well = of_newest()
+            .filter(|o| o.state == State::Well)
+            .min_by_key(|o| o.age_ms);
+        let sick = of_newest()
+            .filter(|o| o.state == State::Sick)
+            .min_by_key(|o| o.age_ms);
         let (state, of) = match (well, sick) {
             (Some(well), None) => (Health::Well, well),
             (None, Some(sick)) => (Health::Sick, sick),
@@ -127,14 +146,27 @@
 fn opinion(weights: &Weights, zone: &str, unix_ms: i64, said: &[Aged]) -> Option<Opinion> {
     let mut camps: BTreeMap<(i64, State), Vec<Aged>> = BTreeMap::new();
     for (one, ago_ms) in said.iter().filter(|(one, _)| one.state != State::Unknown) {
-        camps.entry((one.started_ms, one.state)).or_default().push((one, *ago_ms));
+        camps
+            .entry((one.started_ms, one.state))
+            .or_default()
+            .push((one, *ago_ms));
     }
-    let least = weights.agree.get(zone).copied().unwrap_or(usize::MAX).max(1);
+    let least = weights
+        .agree
+        .get(zone)
+        .copied()
+        .unwrap_or(usize::MAX)
+        .max(1);
     // More than half: of two camps neither says anything, however large both are.
     let all: usize = camps.values().map(Vec::len).sum();
-    let ((started_ms, state), camp) =
-        camps.into_iter().find(|(_, camp)| camp.len() >= least && camp.len() > all / 2)?;
-    let age = |(one, ago_ms): &Aged| u64::try_from(one.age_ms).unwrap_or(0).saturating_add(*ago_ms);
+    let ((started_ms, state), camp) = camps
+        .into_iter()
+        .find(|(_, camp)| camp.len() >= least && camp.len() > all / 2)?;
+    let age = |(one, ago_ms): &Aged| {
+        u64::try_from(one.age_ms)
+            .unwrap_or(0)
+            .saturating_add(*ago_ms)
+    };
     let mut ages: Vec<u64> = camp.iter().map(age).collect();
     ages.sort_unstable();
     let told: Vec<bool> = camp.iter().filter_map(|(one, _)| one.warm).collect();
--- a/crates/steward/src/fetch.rs
+++ b/crates/steward/src/fetch.rs
@@ -23,7 +23,9 @@
     pub async fn to(at: SocketAddr) -> Result<Self, String> {
         let stream = TcpStream::connect(at).await.map_err(|e| e.to_string())?;
         let _ = stream.set_nodelay(true);
-        let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(|e| e.to_string())?;
+        let (sender, connection) = handshake(TokioIo::new(stream))
+            .await
+            .map_err(|e| e.to_string())?;
         // Its end is seen by whoever asks next.
         spawn_local(connection);
         Ok(Self(sender))
@@ -32,9 +34,16 @@
     /// Asks, and reads the whole answer.
     pub async fn ask(&mut self, request: Request<Full<Bytes>>) -> Result<(u16, Bytes), String> {
         self.0.ready().await.map_err(|e| e.to_string())?;
-        let response = self.0.send_request(request).await.map_err(|e| e.to_string())?;
+        let response = self
+            .0
+            .send_request(request)
+            .await
+            .map_err(|e| e.to_string())?;
         let status = response.status().as_u16();
-        let body = Limited::new(response.into_body(), LONGEST).collect().await.map_err(|e| e.to_string())?;
+        let body = Limited::new(response.into_body(), LONGEST)
+            .collect()
+            .await
+            .map_err(|e| e.to_string())?;
         Ok((status, body.to_bytes()))
     }
 }
@@ -62,7 +71,12 @@
             .body(Full::new(Bytes::from(content)))
             .map_err(|e| e.to_string())?;
         let (status, content) = line.ask(request).await?;
-        Ok((status, serde_json::from_slice(&content).unwrap_or(Value::Null)))
+        Ok((
+            status,
+            serde_json::from_slice(&content).unwrap_or(Value::Null),
+        ))
     };
-    timeout(within, asked).await.unwrap_or_else(|_| Err("no answer in time".to_owned()))
+    timeout(within, asked)
+        .await
+        .unwrap_or_else(|_| Err("no answer in time".to_owned()))
 }
--- a/crates/steward/src/figures.rs
+++ b/crates/steward/src/figures.rs
@@ -36,20 +36,48 @@
             let standing = &view.standing;
             let yes = |it: bool| f64::from(u8::from(it));
             gauge("steward_acts", "1 while it leads.", yes(standing.acts));
-            gauge("steward_voice", "1 while its disk has a voice.", yes(standing.voice));
-            gauge("steward_term", "Term of the agreement.", standing.term as f64);
-            gauge("steward_applied", "Last agreed entry that it took in.", standing.applied as f64);
+            gauge(
+                "steward_voice",
+                "1 while its disk has a voice.",
+                yes(standing.voice),
+            );
+            gauge(
+                "steward_term",
+                "Term of the agreement.",
+                standing.term as f64,
+            );
+            gauge(
+                "steward_applied",
+                "Last agreed entry that it took in.",
+                standing.applied as f64,
+            );
             gauge("steward_token", "Last token.", view.token as f64);
-            gauge("steward_servers", "Servers of the list.", view.servers as f64);
-            for state in [State::Asked, State::Booked, State::Draining, State::Clear, State::Away] {
+            gauge(
+                "steward_servers",
+                "Servers of the list.",
+                view.servers as f64,
+            );
+            for state in [
+                State::Asked,
+                State::Booked,
+                State::Draining,
+                State::Clear,
+                State::Away,
+            ] {
                 let seats = view.windows.iter().flat_map(|window| &window.seats);
                 let count = seats.filter(|seat| seat.state == state).count();
                 let word = format!("{state:?}").to_lowercase();
                 let name = "steward_seats";
-                figures.gauge(name, "Servers in windows, by state.", &[("state", &word)]).set(count as f64);
+                figures
+                    .gauge(name, "Servers in windows, by state.", &[("state", &word)])
+                    .set(count as f64);
             }
             if let Some(capacity) = &view.capacity {
-                gauge("steward_holds", "1 while the agreement holds.", yes(capacity.holds));
+                gauge(
+                    "steward_holds",
+                    "1 while the agreement holds.",
+                    yes(capacity.holds),
+                );
                 gauge(
                     "steward_away",
                     "Servers away, by grant, dead or unheard of.",
@@ -58,10 +86,20 @@
             }
         }
         let (answered, asked) = self.looks.answered.get();
-        gauge("steward_sidecars_asked", "Sidecars asked in the last round.", asked as f64);
-        gauge("steward_sidecars_answered", "Those that answered.", answered as f64);
+        gauge(
+            "steward_sidecars_asked",
+            "Sidecars asked in the last round.",
+            asked as f64,
+        );
+        gauge(
+            "steward_sidecars_answered",
+            "Those that answered.",
+            answered as f64,
+        );
         let name = "steward_messages_dropped_total";
-        figures.counter(name, "Messages not brought to other stewards.", &[]).absolute(self.peers.dropped());
+        figures
+            .counter(name, "Messages not brought to other stewards.", &[])
+            .absolute(self.peers.dropped());
         let name = "steward_inputs_missed_total";
         figures
             .counter(name, "What the agreement's thread had no room for.", &[])
--- a/crates/steward/src/joining.rs
+++ b/crates/steward/src/joining.rs
@@ -21,7 +21,8 @@
 pub async fn join(sections: Sections, calls: Calls, mut seen: watch::Receiver<Arc<Seen>>) {
     let own = &sections.steward.name;
     loop {
-        let voiceless = |seen: &Arc<Seen>| seen.view.as_ref().is_some_and(|view| !view.standing.voice);
+        let voiceless =
+            |seen: &Arc<Seen>| seen.view.as_ref().is_some_and(|view| !view.standing.voice);
         let standing = match seen.wait_for(voiceless).await {
             Ok(seen) => seen.view.as_ref().map(|view| view.standing.clone()),
             Err(_) => return,
@@ -39,7 +40,11 @@
 }
 
 async fn nobody_has_any(sections: &Sections) -> bool {
-    for (name, at) in sections.stewards.iter().filter(|(name, _)| **name != sections.steward.name) {
+    for (name, at) in sections
+        .stewards
+        .iter()
+        .filter(|(name, _)| **name != sections.steward.name)
+    {
         let status = fetch(*at, "GET", "/status", None, WITHIN).await;
         let blank = status.is_ok_and(|(code, status)| {
             code == 200 && status["name"] == json!(name) && status["blank"] == Value::Bool(true)
@@ -54,7 +59,11 @@
 async fn ask(sections: &Sections, id: u64) {
     // A number of 64 bits is none that every reader of JSON keeps.
     let body = json!({"name": sections.steward.name, "disk": id.to_string()});
-    for (_, at) in sections.stewards.iter().filter(|(name, _)| **name != sections.steward.name) {
+    for (_, at) in sections
+        .stewards
+        .iter()
+        .filter(|(name, _)| **name != sections.steward.name)
+    {
         if let Ok((200, _)) = fetch(*at, "POST", PATH, Some(&body), WITHIN).await {
             return;
         }
--- a/crates/steward/src/keeper.rs
+++ b/crates/steward/src/keeper.rs
@@ -61,8 +61,16 @@
     let (told, inbox) = mpsc::channel(WAITING);
     let (outbox, given) = mpsc::channel(WAITING);
     let (published, seen) = watch::channel(Arc::new(Seen::default()));
-    let thread = Thread { sections: sections.clone(), clock, inbox, outbox, published };
-    std::thread::Builder::new().name("agreement".to_owned()).spawn(move || thread.run())?;
+    let thread = Thread {
+        sections: sections.clone(),
+        clock,
+        inbox,
+        outbox,
+        published,
+    };
+    std::thread::Builder::new()
+        .name("agreement".to_owned())
+        .spawn(move || thread.run())?;
     Ok(Keeper { told, given, seen })
 }
 
@@ -100,7 +108,10 @@
             if said != what {
                 self.line(true, format!("stands back: {what}"));
             }
-            self.publish(Seen { halted: Some(what.clone()), ..Seen::default() });
+            self.publish(Seen {
+                halted: Some(what.clone()),
+                ..Seen::default()
+            });
             said = what;
             if !self.wait() {
                 return;
@@ -121,8 +132,18 @@
         let own = &self.sections.steward;
         let opened = linenproxy_store::open(&own.data, &own.name)?;
         if let Some(aside) = opened.aside {
-            let what = format!("what {} kept is not believed ({})", own.data.display(), aside.why);
-            self.line(true, format!("{what}, it lies in {} now; comes in anew", aside.file.display()));
+            let what = format!(
+                "what {} kept is not believed ({})",
+                own.data.display(),
+                aside.why
+            );
+            self.line(
+                true,
+                format!(
+                    "{what}, it lies in {} now; comes in anew",
+                    aside.file.display()
+                ),
+            );
         }
         let shelf = Shelf::open(opened.store, fastrand::u64(1..u64::MAX))?.slowed(own.disk_delay.0);
         let heartbeat = u64::try_from(own.heartbeat.0.as_millis()).unwrap_or(u64::MAX);
@@ -133,7 +154,8 @@
             patience: own.patience,
             least: names.len().min(3),
         };
-        let timeout = u64::try_from(self.sections.platform.timeout.0.as_millis()).unwrap_or(u64::MAX);
+        let timeout =
+            u64::try_from(self.sections.platform.timeout.0.as_millis()).unwrap_or(u64::MAX);
         let settings = Settings {
             names,
             agreement: self.sections.agreement.clone(),
@@ -160,7 +182,10 @@
                 Some(Told::End) | None => return false,
             }
             if !replies.is_empty() {
-                let output = Output { replies, ..Output::default() };
+                let output = Output {
+                    replies,
+                    ..Output::default()
+                };
                 let _ = self.outbox.blocking_send(Given::Output(output));
             }
         }
@@ -176,7 +201,9 @@
             while let Some(told) = next.take() {
                 match told {
                     Told::Input(input) => steward.take(self.clock.now(), *input),
-                    Told::Found if steward.view(self.clock.now()).standing.blank => return End::Found,
+                    Told::Found if steward.view(self.clock.now()).standing.blank => {
+                        return End::Found;
+                    }
                     Told::Found => {}
                     Told::End => return End::Over,
                 }
@@ -193,18 +220,29 @@
                     }
                 }
                 Err(halt) => {
-                    let replies = steward.callers().into_iter().map(|caller| (caller, Reply::Lost)).collect();
-                    let output = Output { replies, ..Output::default() };
+                    let replies = steward
+                        .callers()
+                        .into_iter()
+                        .map(|caller| (caller, Reply::Lost))
+                        .collect();
+                    let output = Output {
+                        replies,
+                        ..Output::default()
+                    };
                     let _ = self.outbox.blocking_send(Given::Output(output));
                     return End::Halted(halt);
                 }
             }
             let standing = Some(steward.standing());
             if shown != standing || now.mono_ms >= shown_ms + SHOW_MS {
-                self.publish(Seen { view: Some(steward.view(now)), ..Seen::default() });
+                self.publish(Seen {
+                    view: Some(steward.view(now)),
+                    ..Seen::default()
+                });
                 (shown, shown_ms) = (standing, now.mono_ms);
             } else {
-                self.published.send_modify(|seen| Arc::make_mut(seen).at_ms = now.mono_ms);
+                self.published
+                    .send_modify(|seen| Arc::make_mut(seen).at_ms = now.mono_ms);
             }
         }
         End::Over
--- a/crates/steward/src/looks.rs
+++ b/crates/steward/src/looks.rs
@@ -90,7 +90,8 @@
         rounds.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut seen = self.seen.clone();
         loop {
-            let leads = |seen: &Arc<Seen>| seen.view.as_ref().is_some_and(|view| view.standing.acts);
+            let leads =
+                |seen: &Arc<Seen>| seen.view.as_ref().is_some_and(|view| view.standing.acts);
             if seen.wait_for(leads).await.is_err() {
                 return;
             }
@@ -112,21 +113,37 @@
         let heard = self.pages().await;
         let evidence = &self.sections.evidence;
         let agree = evidence.sidecars.iter();
-        let agree = agree.map(|(zone, all)| (zone.clone(), evidence.agree.min(all.len()))).collect();
+        let agree = agree
+            .map(|(zone, all)| (zone.clone(), evidence.agree.min(all.len())))
+            .collect();
         let warm_after_ms = i64::try_from(evidence.warm_after.0.as_millis()).unwrap_or(i64::MAX);
         // Before the ages are read: a process that is held up in between makes them older, not younger.
         let now = self.clock.now();
         let heard: Vec<Heard> = heard
             .into_iter()
-            .map(|(zone, begun, page)| Heard { zone, asked_ago_ms: now.mono_ms.saturating_sub(begun), page })
+            .map(|(zone, begun, page)| Heard {
+                zone,
+                asked_ago_ms: now.mono_ms.saturating_sub(begun),
+                page,
+            })
             .collect();
-        let words = weigh(&Weights { agree, warm_after_ms }, now.unix_ms, &servers, &heard);
+        let words = weigh(
+            &Weights {
+                agree,
+                warm_after_ms,
+            },
+            now.unix_ms,
+            &servers,
+            &heard,
+        );
         self.calls.tell(Input::Evidence(now.mono_ms, words));
     }
 
     fn known(&self) -> Vec<Server> {
         let list = self.list.borrow();
-        list.iter().flat_map(|(_, list)| list.iter().cloned().map(server)).collect()
+        list.iter()
+            .flat_map(|(_, list)| list.iter().cloned().map(server))
+            .collect()
     }
 
     /// The platform's list, at most so old.
@@ -138,8 +155,18 @@
         }
         let asked = Instant::now();
         let platform = &self.sections.platform;
-        let list = match fetch(platform.address, "GET", "/servers", None, platform.timeout.0).await {
-            Ok((200, list)) => serde_json::from_value::<Vec<Listed>>(list).map_err(|e| e.to_string()),
+        let list = match fetch(
+            platform.address,
+            "GET",
+            "/servers",
+            None,
+            platform.timeout.0,
+        )
+        .await
+        {
+            Ok((200, list)) => {
+                serde_json::from_value::<Vec<Listed>>(list).map_err(|e| e.to_string())
+            }
             Ok((status, _)) => Err(format!("it answers {status}")),
             Err(what) => Err(what),
         };
@@ -163,9 +190,12 @@
     /// Whether nothing ran at a server that drains in all looks of `[clear] quiet`, by the platform's word of after
     /// the drain: a request may have been on its way to it in one of them.
     pub async fn idle(&self, name: &str, epoch: u64) -> bool {
-        let Ok(list) = self.listed(FRESH).await else { return false };
+        let Ok(list) = self.listed(FRESH).await else {
+            return false;
+        };
         let server = list.iter().find(|server| server.name == name);
-        let free = |s: &Listed| s.state == "draining" && s.in_flight.is_none_or(|count| count == Some(0));
+        let free =
+            |s: &Listed| s.state == "draining" && s.in_flight.is_none_or(|count| count == Some(0));
         let mut idle = self.idle.borrow_mut();
         // What is not listed any more is nobody's question.
         let listed = |name: &String| list.iter().any(|server| server.name == *name);
@@ -190,7 +220,11 @@
         for (zone, all) in &evidence.sidecars {
             let mut all = all.clone();
             fastrand::shuffle(&mut all);
-            drawn.extend(all.into_iter().take(evidence.ask).map(|at| (zone.clone(), at)));
+            drawn.extend(
+                all.into_iter()
+                    .take(evidence.ask)
+                    .map(|at| (zone.clone(), at)),
+            );
         }
         drawn
     }
@@ -202,7 +236,10 @@
 
     /// Pages with their zone and the moment at which they were asked for.
     async fn pages(&self) -> Vec<(String, u64, Page)> {
-        let (within, bound) = (self.sections.evidence.timeout.0, Rc::new(Semaphore::new(AT_ONCE)));
+        let (within, bound) = (
+            self.sections.evidence.timeout.0,
+            Rc::new(Semaphore::new(AT_ONCE)),
+        );
         let mut asking = JoinSet::new();
         let drawn = self.draw();
         let asked = drawn.len();
@@ -211,8 +248,12 @@
             asking.spawn_local(async move {
                 let _permit = bound.acquire().await;
                 let begun = clock.now().mono_ms;
-                let (status, page) = fetch(at, "GET", "/fleet/servers", None, within).await.ok()?;
-                let page: Page = serde_json::from_value(page).ok().filter(|_| status == 200)?;
+                let (status, page) = fetch(at, "GET", "/fleet/servers", None, within)
+                    .await
+                    .ok()?;
+                let page: Page = serde_json::from_value(page)
+                    .ok()
+                    .filter(|_| status == 200)?;
                 Some((zone, begun, page))
             });
         }
@@ -226,6 +267,19 @@
 }
 
 fn server(listed: Listed) -> Server {
-    let Listed { name, zone, group, weight, started_ms: started, .. } = listed;
-    Server { name, zone, group, weight, started }
+    let Listed {
+        name,
+        zone,
+        group,
+        weight,
+        started_ms: started,
+        ..
+    } = listed;
+    Server {
+        name,
+        zone,
+        group,
+        weight,
+        started,
+    }
 }
--- a/crates/steward/src/pages.rs
+++ b/crates/steward/src/pages.rs
@@ -53,7 +53,13 @@
         seen: watch::Receiver<Arc<Seen>>,
         peers: Peers,
     ) -> Self {
-        Self { sections: Rc::new(sections.clone()), clock, calls, seen, peers }
+        Self {
+            sections: Rc::new(sections.clone()),
+            clock,
+            calls,
+            seen,
+            peers,
+        }
     }
 
     /// Answers a request.
@@ -80,13 +86,15 @@
                 Some(window) => self.bring(Event::Cancel { window }).await,
                 None => missing(),
             },
-            ("POST", ["windows", id, "finished"]) => match (number(id), parsed::<Finished>(&asked.content)) {
-                (Some(window), Ok(Finished { server })) => {
-                    self.bring(Event::Finished { window, server }).await
+            ("POST", ["windows", id, "finished"]) => {
+                match (number(id), parsed::<Finished>(&asked.content)) {
+                    (Some(window), Ok(Finished { server })) => {
+                        self.bring(Event::Finished { window, server }).await
+                    }
+                    (_, Err(wrong)) => wrong,
+                    (None, _) => missing(),
                 }
-                (_, Err(wrong)) => wrong,
-                (None, _) => missing(),
-            },
+            }
             ("POST", ["step-down"]) => match self.calls.tell(Input::StepDown) {
                 true => Answer::of(StatusCode::ACCEPTED, json!({"outcome": "asked"})),
                 false => self.replied(Reply::Busy),
@@ -96,9 +104,13 @@
                 Ok(Join { name, disk }) => self.join(name, &disk).await,
                 Err(wrong) => wrong,
             },
-            (_, ["status" | "windows" | "capacity" | "step-down" | "agreement", ..]) => {
-                Answer::wrong(StatusCode::METHOD_NOT_ALLOWED, None, "no such method here")
-            }
+            (
+                _,
+                [
+                    "status" | "windows" | "capacity" | "step-down" | "agreement",
+                    ..,
+                ],
+            ) => Answer::wrong(StatusCode::METHOD_NOT_ALLOWED, None, "no such method here"),
             _ => missing(),
         }
     }
@@ -106,13 +118,20 @@
     fn shown(&self, what: impl Fn(&linenproxy_steward::core::View) -> Value) -> Answer {
         match self.seen.borrow().view.as_ref() {
             Some(view) => Answer::of(StatusCode::OK, what(view)),
-            None => Answer::wrong(StatusCode::SERVICE_UNAVAILABLE, None, "this steward stands back"),
+            None => Answer::wrong(
+                StatusCode::SERVICE_UNAVAILABLE,
+                None,
+                "this steward stands back",
+            ),
         }
     }
 
     fn window(&self, id: u64) -> Answer {
         let seen = self.seen.borrow();
-        let found = seen.view.as_ref().and_then(|view| view.windows.iter().find(|w| w.window == id));
+        let found = seen
+            .view
+            .as_ref()
+            .and_then(|view| view.windows.iter().find(|w| w.window == id));
         found.map_or_else(missing, |window| Answer::of(StatusCode::OK, json!(window)))
     }
 
@@ -139,7 +158,10 @@
             status["servers"] = json!(view.servers);
             status["token"] = json!(view.token);
             status["due"] = json!(view.due);
-            let open = view.windows.iter().filter(|w| w.state != linenproxy_maintenance::State::Closed);
+            let open = view
+                .windows
+                .iter()
+                .filter(|w| w.state != linenproxy_maintenance::State::Closed);
             status["open_windows"] = json!(open.count());
             status["holds"] = json!(view.capacity.as_ref().map(|capacity| capacity.holds));
         }
@@ -158,16 +180,27 @@
             return Answer::wrong(StatusCode::BAD_REQUEST, Some("disk"), "is no number");
         };
         if !self.sections.stewards.contains_key(&name) {
-            return Answer::wrong(StatusCode::BAD_REQUEST, Some("name"), "is not one of [stewards]");
+            return Answer::wrong(
+                StatusCode::BAD_REQUEST,
+                Some("name"),
+                "is not one of [stewards]",
+            );
         }
         let reply = self.calls.admit(id, name).await;
         self.replied(reply)
     }
 
     fn messages(&self, asked: &Asked, steward: &Cell<bool>) -> Answer {
-        let known = asked.from.as_ref().filter(|name| self.sections.stewards.contains_key(*name));
+        let known = asked
+            .from
+            .as_ref()
+            .filter(|name| self.sections.stewards.contains_key(*name));
         let Some(from) = known else {
-            return Answer::wrong(StatusCode::BAD_REQUEST, Some(peers::FROM), "is not one of [stewards]");
+            return Answer::wrong(
+                StatusCode::BAD_REQUEST,
+                Some(peers::FROM),
+                "is not one of [stewards]",
+            );
         };
         match peers::read(&asked.content) {
             Ok(messages) => {
@@ -176,7 +209,10 @@
                     // What is not taken is lost, as on any network.
                     self.calls.tell(Input::Message(from.clone(), message));
                 }
-                Answer { status: StatusCode::NO_CONTENT, content: None }
+                Answer {
+                    status: StatusCode::NO_CONTENT,
+                    content: None,
+                }
             }
             Err(what) => Answer::wrong(StatusCode::BAD_REQUEST, None, what),
         }
@@ -186,13 +222,17 @@
         let later = |what: &str| Answer::wrong(StatusCode::SERVICE_UNAVAILABLE, None, what);
         match reply {
             Reply::Agreed(outcome) => came_to(outcome),
-            Reply::Admission(Admission::Member) => Answer::of(StatusCode::OK, json!({"admission": "member"})),
+            Reply::Admission(Admission::Member) => {
+                Answer::of(StatusCode::OK, json!({"admission": "member"}))
+            }
             Reply::Admission(Admission::UnderWay) => {
                 Answer::of(StatusCode::OK, json!({"admission": "under_way"}))
             }
-            Reply::Admission(Admission::NameTaken) => {
-                Answer::wrong(StatusCode::CONFLICT, Some("name"), "a living steward has it")
-            }
+            Reply::Admission(Admission::NameTaken) => Answer::wrong(
+                StatusCode::CONFLICT,
+                Some("name"),
+                "a living steward has it",
+            ),
             Reply::Admission(Admission::NotLeader) | Reply::NotLeader => self.elsewhere(),
             Reply::Founding => later("too few stewards have a voice yet"),
             Reply::Looking => later("the leader has not looked at servers and fleet yet"),
@@ -203,10 +243,16 @@
 
     fn elsewhere(&self) -> Answer {
         let seen = self.seen.borrow();
-        let leader = seen.view.as_ref().and_then(|view| view.standing.leader.clone());
+        let leader = seen
+            .view
+            .as_ref()
+            .and_then(|view| view.standing.leader.clone());
         let leader = leader.filter(|leader| *leader != self.sections.steward.name);
-        let at = leader.as_ref().and_then(|name| self.sections.stewards.get(name));
-        let content = json!({"error": "this steward does not lead", "leader": leader, "address": at});
+        let at = leader
+            .as_ref()
+            .and_then(|name| self.sections.stewards.get(name));
+        let content =
+            json!({"error": "this steward does not lead", "leader": leader, "address": at});
         Answer::of(StatusCode::SERVICE_UNAVAILABLE, content)
     }
 }
@@ -219,17 +265,25 @@
     match outcome {
         Outcome::Booked { .. } => Answer::of(StatusCode::OK, json!(outcome)),
         Outcome::Infeasible { .. } => Answer::of(StatusCode::CONFLICT, json!(outcome)),
-        Outcome::Taken | Outcome::Ignored => Answer::of(StatusCode::OK, json!({"outcome": outcome})),
+        Outcome::Taken | Outcome::Ignored => {
+            Answer::of(StatusCode::OK, json!({"outcome": outcome}))
+        }
         Outcome::Refused(Refusal::Invalid(e)) => {
             Answer::wrong(StatusCode::BAD_REQUEST, Some(&e.key), e.reason)
         }
-        Outcome::Refused(Refusal::Unknown(what)) => {
-            Answer::wrong(StatusCode::UNPROCESSABLE_ENTITY, None, format!("there is no {what}"))
-        }
-        Outcome::Refused(Refusal::Full(what)) => Answer::wrong(StatusCode::TOO_MANY_REQUESTS, None, what),
-        Outcome::Refused(Refusal::NoAgreement) => {
-            Answer::wrong(StatusCode::SERVICE_UNAVAILABLE, None, "there is no agreement yet")
+        Outcome::Refused(Refusal::Unknown(what)) => Answer::wrong(
+            StatusCode::UNPROCESSABLE_ENTITY,
+            None,
+            format!("there is no {what}"),
+        ),
+        Outcome::Refused(Refusal::Full(what)) => {
+            Answer::wrong(StatusCode::TOO_MANY_REQUESTS, None, what)
         }
+        Outcome::Refused(Refusal::NoAgreement) => Answer::wrong(
+            StatusCode::SERVICE_UNAVAILABLE,
+            None,
+            "there is no agreement yet",
+        ),
     }
 }
 
--- a/crates/steward/src/peers.rs
+++ b/crates/steward/src/peers.rs
@@ -46,9 +46,14 @@
     /// Starts a task for each of the others.
     pub fn start(own: &str, all: &BTreeMap<String, SocketAddr>, within: Duration) -> Self {
         let others = all.iter().filter(|(name, _)| *name != own);
-        let queues: BTreeMap<String, Rc<Queue>> =
-            others.clone().map(|(name, _)| (name.clone(), Rc::default())).collect();
-        let peers = Self { queues: Rc::new(queues), dropped: Rc::default() };
+        let queues: BTreeMap<String, Rc<Queue>> = others
+            .clone()
+            .map(|(name, _)| (name.clone(), Rc::default()))
+            .collect();
+        let peers = Self {
+            queues: Rc::new(queues),
+            dropped: Rc::default(),
+        };
         for (name, at) in others {
             if let Some(queue) = peers.queues.get(name) {
                 let (queue, dropped) = (Rc::clone(queue), Rc::clone(&peers.dropped));
@@ -60,7 +65,9 @@
 
     /// Puts a message in its queue.
     pub fn send(&self, to: &str, message: &Message) {
-        let (Some(queue), Some(bytes)) = (self.queues.get(to), encode(message)) else { return };
+        let (Some(queue), Some(bytes)) = (self.queues.get(to), encode(message)) else {
+            return;
+        };
         let mut waiting = queue.waiting.borrow_mut();
         if waiting.len() >= WAITING {
             waiting.pop_front();
@@ -76,7 +83,13 @@
     }
 }
 
-async fn carry(own: String, at: SocketAddr, queue: Rc<Queue>, dropped: Rc<Cell<u64>>, within: Duration) {
+async fn carry(
+    own: String,
+    at: SocketAddr,
+    queue: Rc<Queue>,
+    dropped: Rc<Cell<u64>>,
+    within: Duration,
+) {
     let (mut line, mut pause) = (None, PAUSE);
     loop {
         let (content, count) = batch(&queue);
@@ -107,9 +120,13 @@
         if count > 0 && content.len() + next.len() > TOGETHER {
             break;
         }
-        let Some(next) = waiting.pop_front() else { break };
+        let Some(next) = waiting.pop_front() else {
+            break;
+        };
         // One that is longer than any request may be is not brought: it counts as lost.
-        let Ok(length) = u32::try_from(next.len()) else { continue };
+        let Ok(length) = u32::try_from(next.len()) else {
+            continue;
+        };
         content.extend_from_slice(&length.to_be_bytes());
         content.extend_from_slice(&next);
         count += 1;
@@ -144,7 +161,9 @@
             (status, _) => Err(format!("it answers {status}")),
         }
     };
-    timeout(within, brought).await.unwrap_or_else(|_| Err("no answer in time".to_owned()))
+    timeout(within, brought)
+        .await
+        .unwrap_or_else(|_| Err("no answer in time".to_owned()))
 }
 
 /// The messages of a request.
@@ -154,7 +173,9 @@
 pub fn read(mut content: &[u8]) -> Result<Vec<Message>, String> {
     let mut messages = Vec::new();
     while !content.is_empty() {
-        let (length, rest) = content.split_first_chunk::<4>().ok_or("a length is cut off")?;
+        let (length, rest) = content
+            .split_first_chunk::<4>()
+            .ok_or("a length is cut off")?;
         let length = usize::try_from(u32::from_be_bytes(*length)).unwrap_or(usize::MAX);
         if length > rest.len() {
             return Err("a message is cut off".to_owned());
--- a/crates/steward/src/run.rs
+++ b/crates/steward/src/run.rs
@@ -47,10 +47,15 @@
     let mut term = signal(SignalKind::terminate()).map_err(|e| unavailable(e.to_string()))?;
     let mut int = signal(SignalKind::interrupt()).map_err(|e| unavailable(e.to_string()))?;
     let listener = TcpListener::bind(own.listen).await;
-    let listener = listener.map_err(|e| unavailable(format!("cannot listen on {}: {e}", own.listen)))?;
+    let listener =
+        listener.map_err(|e| unavailable(format!("cannot listen on {}: {e}", own.listen)))?;
     let clock = Clock::new(own.clock_offset_ms);
     let keeper = keeper::start(sections, clock);
-    let Keeper { told, mut given, seen } = keeper.map_err(|e| unavailable(e.to_string()))?;
+    let Keeper {
+        told,
+        mut given,
+        seen,
+    } = keeper.map_err(|e| unavailable(e.to_string()))?;
     let calls = Calls::new(told, own.timeout.0);
     let peers = Peers::start(&own.name, &sections.stewards, own.timeout.0);
     let looks = Looks::new(sections, clock, seen.clone(), calls.clone());
@@ -59,11 +64,17 @@
     if sections.metrics.enabled {
         let (figures, at) = (Rc::new(Figures::new()), sections.metrics.address);
         let metrics = TcpListener::bind(at).await;
-        let metrics =
-            metrics.map_err(|e| unavailable(format!("cannot listen on metrics.address {at}: {e}")))?;
+        let metrics = metrics
+            .map_err(|e| unavailable(format!("cannot listen on metrics.address {at}: {e}")))?;
         spawn_local(Rc::clone(&figures).upkeep());
         let (calls, looks, seen) = (calls.clone(), Rc::clone(&looks), seen.clone());
-        let sources = Sources { figures, seen, calls, peers: peers.clone(), looks };
+        let sources = Sources {
+            figures,
+            seen,
+            calls,
+            peers: peers.clone(),
+            looks,
+        };
         let page = move |ask: Ask| {
             let sources = sources.clone();
             async move { (ask.path == "/metrics" && ask.posted.is_none()).then(|| sources.page()) }
@@ -71,7 +82,13 @@
         spawn_local(pages::serve(metrics, Bounds::of(&sections.metrics), page));
     }
     let answer = move |asked, steward| pages.clone().answer(asked, steward);
-    spawn_local(serve::serve(listener, own.connections, own.timeout.0, peers::LONGEST, answer));
+    spawn_local(serve::serve(
+        listener,
+        own.connections,
+        own.timeout.0,
+        peers::LONGEST,
+        answer,
+    ));
     spawn_local(looks.run());
     spawn_local(joining::join(sections.clone(), calls.clone(), seen.clone()));
     tracing::info!(target: "steward", "{} listens on {}", own.name, own.listen);
--- a/crates/steward/src/serve.rs
+++ b/crates/steward/src/serve.rs
@@ -44,7 +44,10 @@
 impl Answer {
     /// With content.
     pub fn of(status: StatusCode, content: Value) -> Self {
-        Self { status, content: Some(content) }
+        Self {
+            status,
+            content: Some(content),
+        }
     }
 
     /// What is wrong, with the key where one is.
@@ -68,8 +71,13 @@
 
 /// Serves until the process ends. Beyond `most` connections the oldest makes room, but none of a steward's: readers who
 /// say nothing keep nobody out.
-pub async fn serve<F, P>(listener: TcpListener, most: usize, within: Duration, longest: usize, pages: P)
-where
+pub async fn serve<F, P>(
+    listener: TcpListener,
+    most: usize,
+    within: Duration,
+    longest: usize,
+    pages: P,
+) where
     P: Fn(Asked, Rc<Cell<bool>>) -> F + Clone + 'static,
     F: Future<Output = Answer> + 'static,
 {
@@ -83,22 +91,30 @@
         let mut all = open.borrow_mut();
         all.retain(|one| !one.handle.is_finished());
         if all.len() >= most {
-            let Some(oldest) = all.iter().position(|one| !one.steward.get()) else { continue };
+            let Some(oldest) = all.iter().position(|one| !one.steward.get()) else {
+                continue;
+            };
             if let Some(oldest) = all.remove(oldest) {
                 oldest.handle.abort();
             }
         }
         let steward = Rc::new(Cell::new(false));
         let (pages, mark) = (pages.clone(), Rc::clone(&steward));
-        let service =
-            service_fn(move |request| answer(request, within, longest, pages.clone(), Rc::clone(&mark)));
+        let service = service_fn(move |request| {
+            answer(request, within, longest, pages.clone(), Rc::clone(&mark))
+        });
         let task = spawn_local(async move {
             let mut builder = http1::Builder::new();
             builder.timer(TokioTimer::new()).header_read_timeout(within);
             // What is wrong with a connection concerns its other end alone.
-            let _ = builder.serve_connection(TokioIo::new(stream), service).await;
+            let _ = builder
+                .serve_connection(TokioIo::new(stream), service)
+                .await;
+        });
+        all.push_back(Open {
+            handle: task.abort_handle(),
+            steward,
         });
-        all.push_back(Open { handle: task.abort_handle(), steward });
     }
 }
 
@@ -118,14 +134,25 @@
         Ok(Ok(content)) => content.to_bytes(),
         Ok(Err(e)) => {
             let what = format!("the content cannot be read: {e}");
-            return Ok(written(Answer::wrong(StatusCode::PAYLOAD_TOO_LARGE, None, what)));
+            return Ok(written(Answer::wrong(
+                StatusCode::PAYLOAD_TOO_LARGE,
+                None,
+                what,
+            )));
         }
         Err(_) => {
             let what = "the content did not come in time";
-            return Ok(written(Answer::wrong(StatusCode::REQUEST_TIMEOUT, None, what)));
+            return Ok(written(Answer::wrong(
+                StatusCode::REQUEST_TIMEOUT,
+                None,
+                what,
+            )));
         }
     };
-    let from = head.headers.get(crate::peers::FROM).and_then(|name| name.to_str().ok());
+    let from = head
+        .headers
+        .get(crate::peers::FROM)
+        .and_then(|name| name.to_str().ok());
     let asked = Asked {
         method: head.method.to_string(),
         path: head.uri.path().to_owned(),
@@ -136,9 +163,14 @@
 }
 
 fn written(answer: Answer) -> Response<Full<Bytes>> {
-    let text = answer.content.map(|content| content.to_string() + "\n").unwrap_or_default();
+    let text = answer
+        .content
+        .map(|content| content.to_string() + "\n")
+        .unwrap_or_default();
     let mut response = Response::new(Full::new(Bytes::from(text)));
     *response.status_mut() = answer.status;
-    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    response
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
--- a/crates/steward/tests/agreement/book.rs
+++ b/crates/steward/tests/agreement/book.rs
@@ -24,7 +24,10 @@
         if self.history.borrow().lied {
             return Ok(Vec::new());
         }
-        assert!(self.lines.last().is_none_or(|(before, _)| *before <= at_ms), "time went back");
+        assert!(
+            self.lines.last().is_none_or(|(before, _)| *before <= at_ms),
+            "time went back"
+        );
         let place = self.lines.len();
         self.lines.push((at_ms, order));
         let agreed = &mut self.history.borrow_mut().agreed;
@@ -36,14 +39,24 @@
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        self.lines.iter().flat_map(|(at, order)| [at.to_le_bytes(), order.to_le_bytes()]).flatten().collect()
+        self.lines
+            .iter()
+            .flat_map(|(at, order)| [at.to_le_bytes(), order.to_le_bytes()])
+            .flatten()
+            .collect()
     }
 
     fn restore(&mut self, snapshot: &[u8]) -> Result<(), String> {
         let number = |b: &[u8]| u64::from_le_bytes(b.try_into().expect("eight bytes"));
-        self.lines = snapshot.chunks(16).map(|c| (number(&c[..8]) as i64, number(&c[8..]))).collect();
+        self.lines = snapshot
+            .chunks(16)
+            .map(|c| (number(&c[..8]) as i64, number(&c[8..])))
+            .collect();
         let history = self.history.borrow();
-        assert!(history.lied || history.agreed.starts_with(&self.lines), "a snapshot of another history");
+        assert!(
+            history.lied || history.agreed.starts_with(&self.lines),
+            "a snapshot of another history"
+        );
         Ok(())
     }
 }
--- a/crates/steward/tests/agreement/faults.rs
+++ b/crates/steward/tests/agreement/faults.rs
@@ -39,8 +39,9 @@
         // One disk at a time is lost, once all know that the last loss is made good.
         let voiced = |world: &Self| {
             let nodes: Vec<_> = world.seats.iter().filter_map(|s| s.node.as_ref()).collect();
-            let whole =
-                |n: &&Node<Book>| n.members().len() == nodes.len() && n.members() == nodes[0].members();
+            let whole = |n: &&Node<Book>| {
+                n.members().len() == nodes.len() && n.members() == nodes[0].members()
+            };
             let voices = |n: &&Node<Book>| n.standing().voters.len() == nodes.len();
             nodes.len() == world.seats.len() && nodes.iter().all(|n| whole(n) && voices(n))
         };
@@ -48,7 +49,9 @@
             0..12 => {
                 self.counts.cuts += 1;
                 let random = &mut self.random;
-                self.side.iter_mut().for_each(|side| *side = u8::from(random.bool()));
+                self.side
+                    .iter_mut()
+                    .for_each(|side| *side = u8::from(random.bool()));
             }
             12..20 => self.side.fill(0),
             20..26 if self.seats[place].node.is_some() => self.crash(place),
@@ -69,7 +72,10 @@
                 self.voiceless = Some(place);
                 self.start(place, false);
                 // The bit may have been where nothing is.
-                let blank = self.seats[place].node.as_ref().is_some_and(|n| n.members().is_empty());
+                let blank = self.seats[place]
+                    .node
+                    .as_ref()
+                    .is_some_and(|n| n.members().is_empty());
                 self.voiceless = blank.then_some(place);
             }
             _ => (0..self.seats.len()).for_each(|place| {
@@ -81,13 +87,25 @@
     }
 
     fn describe(&self) -> String {
-        let nodes = self.seats.iter().map(|s| s.node.as_ref().map(|n| (n.standing(), n.members().clone())));
-        format!("{:?}, voiceless {:?}", nodes.collect::<Vec<_>>(), self.voiceless)
+        let nodes = self
+            .seats
+            .iter()
+            .map(|s| s.node.as_ref().map(|n| (n.standing(), n.members().clone())));
+        format!(
+            "{:?}, voiceless {:?}",
+            nodes.collect::<Vec<_>>(),
+            self.voiceless
+        )
     }
 
     /// Heals everything, and checks that all agree, and that nothing that was answered is missing.
     pub fn settle(&mut self) {
-        self.faults = Faults { loss: 0, repeats: 0, delay: 1, harsh: false };
+        self.faults = Faults {
+            loss: 0,
+            repeats: 0,
+            delay: 1,
+            harsh: false,
+        };
         self.side.fill(0);
         for place in 0..self.seats.len() {
             if self.seats[place].node.is_some() {
@@ -97,7 +115,11 @@
         }
         let before = self.answered.len();
         self.run(600);
-        assert!(self.answered.len() > before, "a healed world agrees on nothing: {}", self.describe());
+        assert!(
+            self.answered.len() > before,
+            "a healed world agrees on nothing: {}",
+            self.describe()
+        );
         let agreed = self.history.borrow().agreed.clone();
         let mut known = BTreeSet::new();
         for (_, order) in &agreed {
@@ -108,7 +130,12 @@
             let node = seat.node.as_ref().expect("it runs");
             let behind = agreed.len() - node.machine().lines.len();
             assert!(behind <= 4, "{} lags by {behind}", seat.name);
-            assert_eq!(node.standing().voters.len(), self.seats.len(), "{}", seat.name);
+            assert_eq!(
+                node.standing().voters.len(),
+                self.seats.len(),
+                "{}",
+                seat.name
+            );
         }
         self.counts.answered = self.answered.len();
         self.counts.agreed = agreed.len();
--- a/crates/steward/tests/agreement/main.rs
+++ b/crates/steward/tests/agreement/main.rs
@@ -11,8 +11,18 @@
 use faults::{Counts, Faults};
 use world::World;
 
-const CALM: Faults = Faults { loss: 0, repeats: 0, delay: 1, harsh: false };
-const HARSH: Faults = Faults { loss: 100, repeats: 50, delay: 12, harsh: true };
+const CALM: Faults = Faults {
+    loss: 0,
+    repeats: 0,
+    delay: 1,
+    harsh: false,
+};
+const HARSH: Faults = Faults {
+    loss: 100,
+    repeats: 50,
+    delay: 12,
+    harsh: true,
+};
 
 fn play(seed: u64, size: usize, faults: Faults, ticks: u64) -> Counts {
     let mut world = World::new(seed, size, faults);
@@ -26,7 +36,10 @@
     for size in [1, 3, 5] {
         let counts = play(7, size, CALM, 1_000);
         // One before the restart of all at the end, one after.
-        assert!(counts.leaders <= 2 && counts.answered > 50, "{size}: {counts:?}");
+        assert!(
+            counts.leaders <= 2 && counts.answered > 50,
+            "{size}: {counts:?}"
+        );
     }
 }
 
@@ -46,7 +59,10 @@
 #[test]
 #[ignore = "takes minutes"]
 fn nothing_agreed_is_lost_or_parted_in_many_histories() {
-    let seeds = std::env::var("STEWARD_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(2_000);
+    let seeds = std::env::var("STEWARD_SEEDS")
+        .ok()
+        .and_then(|s| s.parse().ok())
+        .unwrap_or(2_000);
     sweep(1_000..1_000 + seeds);
 }
 
@@ -69,7 +85,14 @@
         }
     }
     println!("{sum:?}");
-    for count in [sum.crashes, sum.emptied, sum.cuts, sum.leaders, sum.confirmed, 10 * sum.refused_disks] {
+    for count in [
+        sum.crashes,
+        sum.emptied,
+        sum.cuts,
+        sum.leaders,
+        sum.confirmed,
+        10 * sum.refused_disks,
+    ] {
         assert!(count > 10, "{sum:?}");
     }
 }
--- a/crates/steward/tests/agreement/sieve.rs
+++ b/crates/steward/tests/agreement/sieve.rs
@@ -26,7 +26,8 @@
             7 => bent.from = ids[random.usize(0..ids.len())],
             8 => {
                 if let Some(entry) = bent.entries.iter_mut().next() {
-                    (entry.index, entry.term) = (near(random, entry.index), near(random, entry.term));
+                    (entry.index, entry.term) =
+                        (near(random, entry.index), near(random, entry.term));
                 }
             }
             9 if bent.snapshot.is_some() => {
@@ -35,7 +36,11 @@
                 metadata.mut_conf_state().learners.push(ids[0]);
             }
             _ => {
-                let kinds = [MessageType::MsgAppend, MessageType::MsgHeartbeat, MessageType::MsgSnapshot];
+                let kinds = [
+                    MessageType::MsgAppend,
+                    MessageType::MsgHeartbeat,
+                    MessageType::MsgSnapshot,
+                ];
                 bent.msg_type = kinds[random.usize(0..kinds.len())];
             }
         }
@@ -48,7 +53,12 @@
     let (mut tried, mut let_in) = (0, 0);
     for seed in 0..6 {
         let mut random = fastrand::Rng::with_seed(seed);
-        let faults = Faults { loss: 50, repeats: 20, delay: 6, harsh: false };
+        let faults = Faults {
+            loss: 50,
+            repeats: 20,
+            delay: 6,
+            harsh: false,
+        };
         let mut world = World::new(seed, 3, faults);
         for _ in 0..60 {
             world.run(10);
@@ -56,7 +66,9 @@
             for bytes in world.tapped() {
                 let message = decode(&bytes).expect("ours");
                 let bent = bent(&mut random, &message, &ids);
-                let Some(place) = ids.iter().position(|id| *id == bent.to) else { continue };
+                let Some(place) = ids.iter().position(|id| *id == bent.to) else {
+                    continue;
+                };
                 tried += 1;
                 let_in += u32::from(world.whisper(place, bent));
                 let mut garbled = encode(&message).expect("a form");
@@ -72,5 +84,8 @@
         }
     }
     println!("{tried} tried, {let_in} let in");
-    assert!(tried > 1_000 && let_in > tried / 10 && let_in < tried, "{tried} tried, {let_in} let in");
+    assert!(
+        tried > 1_000 && let_in > tried / 10 && let_in < tried,
+        "{tried} tried, {let_in} let in"
+    );
 }
--- a/crates/steward/tests/agreement/world.rs
+++ b/crates/steward/tests/agreement/world.rs
@@ -91,9 +91,17 @@
         if shelf.is_blank() && self.now > 0 && self.voiceless.is_none() {
             self.voiceless = Some(place);
         }
-        let book = Book { history: self.history.clone(), lines: Vec::new() };
+        let book = Book {
+            history: self.history.clone(),
+            lines: Vec::new(),
+        };
         let least = self.side.len().min(3);
-        let options = Options { name: seat.name.clone(), run, patience: PATIENCE, least };
+        let options = Options {
+            name: seat.name.clone(),
+            run,
+            patience: PATIENCE,
+            least,
+        };
         let node = Node::new(shelf, book, options, found).expect("starts");
         self.places.insert(node.id(), place);
         seat.node = Some(node);
@@ -109,14 +117,19 @@
 
     /// Sends what a node has to say, and takes its answers.
     fn drive(&mut self, place: usize) {
-        let Some(node) = &mut self.seats[place].node else { return };
+        let Some(node) = &mut self.seats[place].node else {
+            return;
+        };
         let effects = match node.drive() {
             Ok(effects) => effects,
             // The disk takes no more.
             Err(_) => return self.crash(place),
         };
         if self.history.borrow().lied {
-            return effects.messages.iter().for_each(|message| self.send(message));
+            return effects
+                .messages
+                .iter()
+                .for_each(|message| self.send(message));
         }
         if node.acts() {
             let standing = node.standing();
@@ -126,13 +139,25 @@
         for (ticket, answer) in effects.answers {
             let order = self.asked[&ticket];
             let line = u64::from_le_bytes(answer.try_into().expect("a place")) as usize;
-            assert_eq!(self.history.borrow().agreed[line].1, order, "another's answer");
+            assert_eq!(
+                self.history.borrow().agreed[line].1,
+                order,
+                "another's answer"
+            );
             assert!(self.answered.insert(order), "order {order} answered twice");
         }
         for ticket in effects.confirmed {
             // Whatever was answered to anyone before the asking is applied here.
-            let lines = &self.seats[place].node.as_ref().expect("it runs").machine().lines;
-            assert!(lines.len() as u64 >= self.asked[&ticket], "a confirmed reader that lags");
+            let lines = &self.seats[place]
+                .node
+                .as_ref()
+                .expect("it runs")
+                .machine()
+                .lines;
+            assert!(
+                lines.len() as u64 >= self.asked[&ticket],
+                "a confirmed reader that lags"
+            );
             self.counts.confirmed += 1;
         }
         for message in effects.messages {
@@ -149,7 +174,8 @@
             }
             self.sent += 1;
             let at = self.now + self.random.u64(1..=self.faults.delay);
-            self.wire.insert((at, self.sent), encode(message).expect("a form"));
+            self.wire
+                .insert((at, self.sent), encode(message).expect("a form"));
         }
     }
 
@@ -158,7 +184,9 @@
         for (_, bytes) in std::mem::replace(&mut self.wire, later) {
             let message = decode(&bytes).expect("ours");
             let (from, to) = (self.places.get(&message.from), self.places.get(&message.to));
-            let (Some(from), Some(to)) = (from.copied(), to.copied()) else { continue };
+            let (Some(from), Some(to)) = (from.copied(), to.copied()) else {
+                continue;
+            };
             if self.side[from] == self.side[to]
                 && let Some(node) = &mut self.seats[to].node
             {
@@ -175,7 +203,10 @@
         let clock = START_MS + (self.now * TICK_MS) as i64 + self.seats[place].skew;
         let answered = self.answered.len() as u64;
         if let Some(node) = &mut self.seats[place].node {
-            if node.propose(clock, order * 2, order.to_le_bytes().to_vec()).is_ok() {
+            if node
+                .propose(clock, order * 2, order.to_le_bytes().to_vec())
+                .is_ok()
+            {
                 self.asked.insert(order * 2, order);
             }
             self.asked.insert(order * 2 + 1, answered);
@@ -184,7 +215,9 @@
         }
         self.drive(place);
         for guest in 0..self.seats.len() {
-            let Some(node) = &self.seats[guest].node else { continue };
+            let Some(node) = &self.seats[guest].node else {
+                continue;
+            };
             let (id, name) = (node.id(), self.seats[guest].name.clone());
             let member = node.standing().voters.contains(&name);
             for host in 0..self.seats.len() {
@@ -230,8 +263,16 @@
     /// Gives a steward a message past the network, from anybody.
     pub fn whisper(&mut self, place: usize, message: Message) -> bool {
         self.history.borrow_mut().lied = true;
-        let let_in = self.seats[place].node.as_mut().is_some_and(|node| node.step(message));
-        if let_in && self.seats[place].node.as_mut().is_some_and(|node| node.drive().is_err()) {
+        let let_in = self.seats[place]
+            .node
+            .as_mut()
+            .is_some_and(|node| node.step(message));
+        if let_in
+            && self.seats[place]
+                .node
+                .as_mut()
+                .is_some_and(|node| node.drive().is_err())
+        {
             self.crash(place);
             self.start(place, false);
         }
@@ -240,6 +281,10 @@
 
     /// Numbers of the disks of all, by place.
     pub fn ids(&self) -> Vec<u64> {
-        self.seats.iter().filter_map(|s| s.node.as_ref()).map(Node::id).collect()
+        self.seats
+            .iter()
+            .filter_map(|s| s.node.as_ref())
+            .map(Node::id)
+            .collect()
     }
 }
--- a/crates/steward/tests/core/carry.rs
+++ b/crates/steward/tests/core/carry.rs
@@ -34,7 +34,9 @@
             let at = self.seats[place].stopped_until;
             return drop(self.wire.insert((at, self.sent), parcel));
         }
-        let Some(steward) = &mut self.seats[place].steward else { return };
+        let Some(steward) = &mut self.seats[place].steward else {
+            return;
+        };
         steward.take(now, input);
         match steward.drive(now) {
             Ok(output) => self.perform(place, output),
@@ -44,7 +46,9 @@
 
     fn perform(&mut self, place: usize, output: Output) {
         for (to, message) in output.messages {
-            let Some(to) = self.seats.iter().position(|seat| seat.name == to) else { continue };
+            let Some(to) = self.seats.iter().position(|seat| seat.name == to) else {
+                continue;
+            };
             if self.seats[to].side == self.seats[place].side && !self.lost() {
                 let from = self.seats[place].name.clone();
                 self.put(Parcel::Input(to, Input::Message(from, message)));
@@ -59,7 +63,8 @@
             if self.random.u64(0..1_000) < self.net.loss / 2 {
                 self.sent += 1;
                 let at = self.now + self.random.u64(20..200);
-                self.wire.insert((at, self.sent), Parcel::Act(place, order.what));
+                self.wire
+                    .insert((at, self.sent), Parcel::Act(place, order.what));
             } else {
                 self.put(Parcel::Act(place, order.what));
             }
@@ -73,14 +78,20 @@
                 (self.asked.remove(&caller), reply)
             {
                 let before = self.booked.insert(request.name.clone(), window);
-                assert!(before.is_none_or(|before| before == window), "two windows for {}", request.name);
+                assert!(
+                    before.is_none_or(|before| before == window),
+                    "two windows for {}",
+                    request.name
+                );
             }
         }
     }
 
     /// Whoever orders leads, or has been deposed for no longer than a majority's word lasts.
     fn may_order(&mut self, place: usize) {
-        let Some(steward) = &self.seats[place].steward else { return };
+        let Some(steward) = &self.seats[place].steward else {
+            return;
+        };
         let own = steward.standing().term;
         let later = self.terms.iter().find(|(term, _)| **term > own);
         let late = later.is_some_and(|(_, since)| self.now > since + PATIENCE as u64);
@@ -109,7 +120,11 @@
                 }
                 Parcel::Act(place, act) => {
                     // It gets there or not, and is heard of or not, whether who sent it lives or not.
-                    let answer = if self.lost() { None } else { Some(self.platform.act(&act)) };
+                    let answer = if self.lost() {
+                        None
+                    } else {
+                        Some(self.platform.act(&act))
+                    };
                     self.moment();
                     let answer: Option<Answer> = answer.filter(|_| !self.lost());
                     self.put(Parcel::Input(place, Input::Acted(act, answer)));
--- a/crates/steward/tests/core/main.rs
+++ b/crates/steward/tests/core/main.rs
@@ -20,12 +20,23 @@
         }
         if world.now.is_multiple_of(10) && world.over() && world.booked.len() as u64 >= windows {
             let known = world.windows();
-            assert!(world.booked.values().all(|window| known.contains(window)), "a window is forgotten");
+            assert!(
+                world.booked.values().all(|window| known.contains(window)),
+                "a window is forgotten"
+            );
             return;
         }
     }
-    let views = world.seats.iter().map(|s| s.steward.as_ref().map(|s| (s.standing(), s.machine().windows())));
-    panic!("not over: {:#?} {:#?}", views.collect::<Vec<_>>(), world.platform.all);
+    let views = world.seats.iter().map(|s| {
+        s.steward
+            .as_ref()
+            .map(|s| (s.standing(), s.machine().windows()))
+    });
+    panic!(
+        "not over: {:#?} {:#?}",
+        views.collect::<Vec<_>>(),
+        world.platform.all
+    );
 }
 
 /// Asks everybody until it is booked, and lets time pass.
@@ -39,7 +50,10 @@
         }
         world.pass();
     }
-    let standing = world.seats.iter().map(|s| s.steward.as_ref().map(|s| s.standing()));
+    let standing = world
+        .seats
+        .iter()
+        .map(|s| s.steward.as_ref().map(|s| s.standing()));
     panic!("never booked: {:#?}", standing.collect::<Vec<_>>());
 }
 
@@ -59,13 +73,24 @@
 fn the_leader_is_killed_at_every_step_of_a_window() {
     for size in [3, 5] {
         let calm = window(size, None);
-        assert_eq!((calm.platform.taken["a1"], calm.platform.taken["a4"], calm.platform.refused), (1, 1, 0));
+        assert_eq!(
+            (
+                calm.platform.taken["a1"],
+                calm.platform.taken["a4"],
+                calm.platform.refused
+            ),
+            (1, 1, 0)
+        );
         assert!(calm.moments > 20, "{}", calm.moments);
         for moment in 1..=calm.moments {
             let world = window(size, Some(moment));
             assert_eq!(world.kills, 1, "at {moment}");
             // A window that was called back meanwhile may have gone once more; none was left out.
-            assert!(world.platform.taken.len() == 2, "{:?} at {moment}", world.platform.taken);
+            assert!(
+                world.platform.taken.len() == 2,
+                "{:?} at {moment}",
+                world.platform.taken
+            );
         }
     }
 }
@@ -74,7 +99,13 @@
 fn a_seed_replays_a_history() {
     let twice = [11, 11].map(|seed| {
         let world = history(seed);
-        (world.now, world.moments, world.kills, world.platform.accepted, world.platform.refused)
+        (
+            world.now,
+            world.moments,
+            world.kills,
+            world.platform.accepted,
+            world.platform.refused,
+        )
     });
     assert_eq!(twice[0], twice[1]);
 }
@@ -88,7 +119,10 @@
 #[test]
 #[ignore = "takes minutes"]
 fn capacity_holds_and_nothing_is_forgotten_in_many_histories() {
-    let seeds = std::env::var("STEWARD_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(1_000);
+    let seeds = std::env::var("STEWARD_SEEDS")
+        .ok()
+        .and_then(|s| s.parse().ok())
+        .unwrap_or(1_000);
     sweep(1_000..1_000 + seeds);
 }
 
@@ -99,9 +133,16 @@
         eprintln!("seed {seed}");
         let world = history(seed);
         let taken = world.platform.taken.values().sum();
-        let counts =
-            [world.booked.len() as u64, taken, world.kills, world.platform.accepted, world.platform.refused];
-        sum.iter_mut().zip(counts).for_each(|(all, one)| *all += one);
+        let counts = [
+            world.booked.len() as u64,
+            taken,
+            world.kills,
+            world.platform.accepted,
+            world.platform.refused,
+        ];
+        sum.iter_mut()
+            .zip(counts)
+            .for_each(|(all, one)| *all += one);
     }
     println!("windows, taken, kills, acts accepted, acts refused: {sum:?}");
     assert!(sum.iter().all(|count| *count > 0), "{sum:?}");
@@ -142,14 +183,20 @@
                 world.bring(place, Event::Cancel { window });
             }
             74..84 => {
-                let (server, window) = (format!("a{}", world.random.u8(0..9)), world.booked.len() as u64);
+                let (server, window) = (
+                    format!("a{}", world.random.u8(0..9)),
+                    world.booked.len() as u64,
+                );
                 world.bring(place, Event::Finished { window, server });
             }
             _ => {}
         }
     }
     world.net = CALM;
-    world.seats.iter_mut().for_each(|seat| (seat.side, seat.stopped_until) = (0, 0));
+    world
+        .seats
+        .iter_mut()
+        .for_each(|seat| (seat.side, seat.stopped_until) = (0, 0));
     world.platform.all.iter_mut().for_each(|h| h.dead = None);
     (0..size).for_each(|place| world.start(place, false));
     booked(&mut world, "last", &[0]);
--- a/crates/steward/tests/core/platform.rs
+++ b/crates/steward/tests/core/platform.rs
@@ -57,7 +57,14 @@
             clear: 0,
         };
         let all = (0..servers).map(held).collect();
-        Self { all, now: 0, agreement, accepted: 0, refused: 0, taken: BTreeMap::new() }
+        Self {
+            all,
+            now: 0,
+            agreement,
+            accepted: 0,
+            refused: 0,
+            taken: BTreeMap::new(),
+        }
     }
 
     pub fn list(&self) -> Vec<Server> {
@@ -103,7 +110,9 @@
     /// Whether nothing runs at a drained server.
     pub fn clear(&mut self, asked: &Unclear) -> bool {
         let now = self.now;
-        let Some(h) = self.all.iter_mut().find(|h| h.name == asked.server) else { return false };
+        let Some(h) = self.all.iter_mut().find(|h| h.name == asked.server) else {
+            return false;
+        };
         let clear = h.place == Place::Draining && now >= h.since + IDLE;
         if clear {
             h.clear = asked.epoch;
@@ -113,7 +122,9 @@
 
     pub fn act(&mut self, act: &Act) -> Answer {
         let now = self.now;
-        let Some(h) = self.all.iter_mut().find(|h| h.name == act.server) else { return Answer::Failed };
+        let Some(h) = self.all.iter_mut().find(|h| h.name == act.server) else {
+            return Answer::Failed;
+        };
         if act.token < h.highest {
             self.refused += 1;
             return Answer::Refused { seen: h.highest };
@@ -137,7 +148,10 @@
         h.since = now;
         match act.step {
             Step::Drain => {
-                assert!(!h.drained_by.contains(&act.token), "drained twice by one token: {act:?}");
+                assert!(
+                    !h.drained_by.contains(&act.token),
+                    "drained twice by one token: {act:?}"
+                );
                 h.drained_by.push(act.token);
             }
             Step::Take => {
@@ -166,10 +180,16 @@
             "capacity breached by {act:?}: {:#?}",
             self.all
         );
-        assert!(away <= self.agreement.most_away as usize, "{away} away by {act:?}");
+        assert!(
+            away <= self.agreement.most_away as usize,
+            "{away} away by {act:?}"
+        );
         for (zone, keep) in &self.agreement.keep_zone {
             let of_zone = there.iter().filter(|h| h.zone == *zone).count();
-            assert!(of_zone as u64 * 10 >= *keep, "capacity of {zone} breached by {act:?}");
+            assert!(
+                of_zone as u64 * 10 >= *keep,
+                "capacity of {zone} breached by {act:?}"
+            );
         }
     }
 }
--- a/crates/steward/tests/core/world.rs
+++ b/crates/steward/tests/core/world.rs
@@ -108,10 +108,20 @@
             Err(refusal) => panic!("{refusal}"),
         };
         let shelf = Shelf::open(store, id).expect("what is kept belongs together");
-        let options = Options { name: seat.name.clone(), run, patience: PATIENCE, least: names.len().min(3) };
+        let options = Options {
+            name: seat.name.clone(),
+            run,
+            patience: PATIENCE,
+            least: names.len().min(3),
+        };
         let word_ms = TICK_MS * PATIENCE as u64;
-        let settings =
-            Settings { names, agreement: self.agreement.clone(), again_ms: 500, lost_ms: 4_000, word_ms };
+        let settings = Settings {
+            names,
+            agreement: self.agreement.clone(),
+            again_ms: 500,
+            lost_ms: 4_000,
+            word_ms,
+        };
         seat.steward = Some(Steward::new(shelf, options, settings, found).expect("starts"));
     }
 
@@ -130,14 +140,22 @@
     }
 
     pub fn voices(&self) -> usize {
-        let standing = self.seats.iter().filter_map(|s| s.steward.as_ref()).map(Steward::standing);
+        let standing = self
+            .seats
+            .iter()
+            .filter_map(|s| s.steward.as_ref())
+            .map(Steward::standing);
         standing.filter(|s| s.voice).count()
     }
 
     /// Whether all run, have a voice and know the same: one disk may be lost then, by the promise.
     pub fn agreed(&self) -> bool {
         let size = self.seats.len();
-        let standing = self.seats.iter().filter_map(|s| s.steward.as_ref()).map(Steward::standing);
+        let standing = self
+            .seats
+            .iter()
+            .filter_map(|s| s.steward.as_ref())
+            .map(Steward::standing);
         // While an old disk still counts beside its new one, the loss of another is one too many.
         let whole = standing.filter(|s| s.voice && s.members.len() == size);
         let applied: Vec<u64> = whole.map(|s| s.applied).collect();
@@ -145,14 +163,26 @@
     }
 
     pub fn leader(&self) -> Option<usize> {
-        let acts = |s: &Seat| s.steward.as_ref().filter(|s| s.standing().acts).map(|s| s.standing().term);
-        let leaders = self.seats.iter().enumerate().filter_map(|(n, s)| Some((acts(s)?, n)));
+        let acts = |s: &Seat| {
+            s.steward
+                .as_ref()
+                .filter(|s| s.standing().acts)
+                .map(|s| s.standing().term)
+        };
+        let leaders = self
+            .seats
+            .iter()
+            .enumerate()
+            .filter_map(|(n, s)| Some((acts(s)?, n)));
         leaders.max().map(|(_, place)| place)
     }
 
     pub fn clock(&self, place: usize) -> Now {
         let mono_ms = self.now * TICK_MS;
-        Now { unix_ms: START_MS + mono_ms as i64 + self.seats[place].skew_ms, mono_ms }
+        Now {
+            unix_ms: START_MS + mono_ms as i64 + self.seats[place].skew_ms,
+            mono_ms,
+        }
     }
 
     /// Somebody asks for servers to be away, whoever answers.
@@ -189,7 +219,9 @@
                 continue;
             }
             self.give(place, Input::Tick);
-            let Some(standing) = self.seats[place].steward.as_ref().map(Steward::standing) else { continue };
+            let Some(standing) = self.seats[place].steward.as_ref().map(Steward::standing) else {
+                continue;
+            };
             if standing.acts {
                 self.terms.entry(standing.term).or_insert(self.now);
                 if self.now.is_multiple_of(ROUND) && !self.lost() {
@@ -199,7 +231,10 @@
                 }
             }
             if !standing.voice && self.now.is_multiple_of(3) {
-                let (name, host) = (self.seats[place].name.clone(), self.random.usize(0..self.seats.len()));
+                let (name, host) = (
+                    self.seats[place].name.clone(),
+                    self.random.usize(0..self.seats.len()),
+                );
                 if self.seats[host].side == self.seats[place].side {
                     self.callers += 1;
                     self.give(host, Input::Admit(self.callers, standing.id, name));
@@ -210,16 +245,26 @@
 
     /// Whether all windows are over, and every server serves.
     pub fn over(&self) -> bool {
-        let leader = self.leader().and_then(|place| self.seats[place].steward.as_ref());
+        let leader = self
+            .leader()
+            .and_then(|place| self.seats[place].steward.as_ref());
         let Some(leader) = leader else { return false };
-        let closed = leader.view(self.clock(0)).windows.iter().all(|w| w.seats.iter().all(closed));
+        let closed = leader
+            .view(self.clock(0))
+            .windows
+            .iter()
+            .all(|w| w.seats.iter().all(closed));
         closed && self.platform.all.iter().all(|h| h.place == Place::Serving)
     }
 
     /// Numbers of the windows that the leader knows.
     pub fn windows(&self) -> BTreeSet<u64> {
-        let leader = self.leader().and_then(|place| self.seats[place].steward.as_ref());
-        let windows = leader.map(|leader| leader.machine().windows()).unwrap_or_default();
+        let leader = self
+            .leader()
+            .and_then(|place| self.seats[place].steward.as_ref());
+        let windows = leader
+            .map(|leader| leader.machine().windows())
+            .unwrap_or_default();
         windows.iter().map(|w| w.window).collect()
     }
 }
--- a/crates/steward/tests/evidence.rs
+++ b/crates/steward/tests/evidence.rs
@@ -25,8 +25,16 @@
         weight: 1,
         started: 0,
     };
-    let agree = [("x".to_owned(), 2), ("y".to_owned(), 2), ("alone".to_owned(), 1)].into();
-    let weights = Weights { agree, warm_after_ms: 1_000 };
+    let agree = [
+        ("x".to_owned(), 2),
+        ("y".to_owned(), 2),
+        ("alone".to_owned(), 1),
+    ]
+    .into();
+    let weights = Weights {
+        agree,
+        warm_after_ms: 1_000,
+    };
     let mut words = weigh(&weights, NOW_MS, &[listed("a"), listed("b")], heard);
     assert!(words.len() < 2, "nobody speaks of b");
     words.pop()
@@ -42,21 +50,50 @@
     let sick = |zone, member| page(zone, member, "sick", 100, 0);
     assert_eq!(state(&[]), None);
     assert_eq!(state(&[well("x", "1")]), None);
-    assert_eq!(state(&[well("x", "1"), well("y", "2")]), None, "of two zones");
-    assert_eq!(state(&[well("x", "1"), well("x", "1")]), None, "one member at two addresses");
-    assert_eq!(state(&[well("else", "1"), well("else", "2")]), None, "a zone that is not configured");
-    assert_eq!(state(&[well("alone", "1")]), Some(Health::Well), "the only one of its zone");
+    assert_eq!(
+        state(&[well("x", "1"), well("y", "2")]),
+        None,
+        "of two zones"
+    );
+    assert_eq!(
+        state(&[well("x", "1"), well("x", "1")]),
+        None,
+        "one member at two addresses"
+    );
+    assert_eq!(
+        state(&[well("else", "1"), well("else", "2")]),
+        None,
+        "a zone that is not configured"
+    );
+    assert_eq!(
+        state(&[well("alone", "1")]),
+        Some(Health::Well),
+        "the only one of its zone"
+    );
     assert_eq!(state(&[well("x", "1"), well("x", "2")]), Some(Health::Well));
-    assert_eq!(state(&[well("x", "1"), well("x", "2"), sick("x", "liar")]), Some(Health::Well));
-    assert_eq!(state(&[sick("x", "1"), sick("x", "2"), well("x", "liar")]), Some(Health::Sick));
-    assert_eq!(state(&[well("x", "1"), page("x", "2", "unknown", 0, 0)]), None);
+    assert_eq!(
+        state(&[well("x", "1"), well("x", "2"), sick("x", "liar")]),
+        Some(Health::Well)
+    );
+    assert_eq!(
+        state(&[sick("x", "1"), sick("x", "2"), well("x", "liar")]),
+        Some(Health::Sick)
+    );
+    assert_eq!(
+        state(&[well("x", "1"), page("x", "2", "unknown", 0, 0)]),
+        None
+    );
     let two = [well("x", "1"), well("x", "2")];
     assert_eq!(
         state(&[two.to_vec(), vec![sick("x", "3"), sick("x", "4")]].concat()),
         None,
         "half is no majority"
     );
-    let three = [two.to_vec(), vec![well("x", "5"), sick("x", "3"), sick("x", "4")]].concat();
+    let three = [
+        two.to_vec(),
+        vec![well("x", "5"), sick("x", "3"), sick("x", "4")],
+    ]
+    .concat();
     assert_eq!(state(&three), Some(Health::Well), "three of five");
     let known = page("x", "6", "unknown", 0, 0);
     assert_eq!(
@@ -69,16 +106,27 @@
 #[test]
 fn who_may_not_answer_does_not_count_and_zones_that_contradict_each_other_cannot_tell() {
     let pair = |zone: &str, state: &str| {
-        [page(zone, &format!("{zone}1"), state, 100, 0), page(zone, &format!("{zone}2"), state, 100, 0)]
+        [
+            page(zone, &format!("{zone}1"), state, 100, 0),
+            page(zone, &format!("{zone}2"), state, 100, 0),
+        ]
     };
     let mut silent = pair("x", "well");
     silent[1].page.answers = false;
     assert_eq!(state(&silent), None);
-    assert_eq!(state(&[pair("x", "well"), pair("y", "sick")].concat()), Some(Health::Unknown));
-    assert_eq!(state(&[pair("x", "well").to_vec(), silent.to_vec()].concat()), Some(Health::Well));
+    assert_eq!(
+        state(&[pair("x", "well"), pair("y", "sick")].concat()),
+        Some(Health::Unknown)
+    );
+    assert_eq!(
+        state(&[pair("x", "well").to_vec(), silent.to_vec()].concat()),
+        Some(Health::Well)
+    );
     // A process that took another's place is another one.
     let mut newer = pair("y", "sick");
-    newer.iter_mut().for_each(|heard| heard.page.servers[0].started_ms = 500);
+    newer
+        .iter_mut()
+        .for_each(|heard| heard.page.servers[0].started_ms = 500);
     let word = words(&[pair("x", "well"), newer].concat()).expect("a word");
     assert_eq!((word.state, word.started), (Health::Sick, 500));
 }
@@ -87,15 +135,27 @@
 fn the_more_are_asked_the_younger_is_what_enough_of_them_have_seen() {
     let ages = |ages: &[i64]| {
         let member = |(number, age): (usize, &i64)| page("x", &number.to_string(), "well", *age, 0);
-        words(&ages.iter().enumerate().map(member).collect::<Vec<_>>()).expect("a word").age_ms
+        words(&ages.iter().enumerate().map(member).collect::<Vec<_>>())
+            .expect("a word")
+            .age_ms
     };
     assert_eq!(ages(&[15_000, 9_000]), 15_007);
-    assert_eq!(ages(&[15_000, 9_000, 12_000, 800, 14_000, 2_500, 11_000, 10_000, 7_000, 13_000]), 2_507);
+    assert_eq!(
+        ages(&[
+            15_000, 9_000, 12_000, 800, 14_000, 2_500, 11_000, 10_000, 7_000, 13_000
+        ]),
+        2_507
+    );
 }
 
 #[test]
 fn age_is_that_of_enough_members_and_warmth_needs_both_age_and_nobody_against_it() {
-    let two = |young, started| [page("x", "1", "well", young, started), page("x", "2", "well", 900, started)];
+    let two = |young, started| {
+        [
+            page("x", "1", "well", young, started),
+            page("x", "2", "well", 900, started),
+        ]
+    };
     assert_eq!(
         words(&two(-50, 0)).expect("a word").age_ms,
         907,
@@ -114,6 +174,10 @@
         for (one, told) in heard.iter_mut().zip(told.into_iter().flatten()) {
             one.page.servers[0].warm = Some(told);
         }
-        assert_eq!(words(&heard).expect("a word").warm, warm, "{started} {told:?}");
+        assert_eq!(
+            words(&heard).expect("a word").warm,
+            warm,
+            "{started} {told:?}"
+        );
     }
 }
--- a/crates/steward/tests/process/crew.rs
+++ b/crates/steward/tests/process/crew.rs
@@ -32,7 +32,9 @@
 
 /// An hour from now, in milliseconds of Unix time.
 pub fn soon() -> String {
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970");
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .expect("after 1970");
     (now.as_millis() + 3_600_000).to_string()
 }
 
@@ -60,11 +62,14 @@
             let Ok(mut stream) = stream else { continue };
             let mut request = [0; 4096];
             let _ = stream.read(&mut request);
-            let list = json!([{"name": "a0", "zone": "z", "group": "g", "weight": 10, "started_ms": 0,
+            let list =
+                json!([{"name": "a0", "zone": "z", "group": "g", "weight": 10, "started_ms": 0,
                 "state": "serving"}])
-            .to_string();
-            let head =
-                format!("HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: {}\r\n\r\n", list.len());
+                .to_string();
+            let head = format!(
+                "HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: {}\r\n\r\n",
+                list.len()
+            );
             let _ = stream.write_all((head + &list).as_bytes());
         }
     });
@@ -84,12 +89,17 @@
 /// A steward's file.
 pub fn text(folder: &Path, own: usize, at: &[SocketAddr], platform: u16) -> String {
     let data = folder.join(format!("s{own}.data"));
-    let mut text = format!("[steward]\nname = \"s{own}\"\nlisten = \"{}\"\ndata = {data:?}\n\n", at[own]);
+    let mut text = format!(
+        "[steward]\nname = \"s{own}\"\nlisten = \"{}\"\ndata = {data:?}\n\n",
+        at[own]
+    );
     text += "[stewards]\n";
     for (number, at) in at.iter().enumerate() {
         text += &format!("s{number} = \"{at}\"\n");
     }
-    text += &format!("\n[platform]\naddress = \"127.0.0.1:{platform}\"\n\n[evidence]\nperiod = \"100ms\"\n");
+    text += &format!(
+        "\n[platform]\naddress = \"127.0.0.1:{platform}\"\n\n[evidence]\nperiod = \"100ms\"\n"
+    );
     text + "\n[agreement]\nkeep = 10\nmost_away = 1\n"
 }
 
@@ -97,17 +107,28 @@
     pub fn start(size: usize) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
         let kept: Vec<TcpSocket> = (0..size).map(|_| keep()).collect();
-        let at: Vec<SocketAddr> = kept.iter().map(|k| k.local_addr().expect("an address")).collect();
+        let at: Vec<SocketAddr> = kept
+            .iter()
+            .map(|k| k.local_addr().expect("an address"))
+            .collect();
         let platform = platform().port();
         for own in 0..size {
             let file = folder.path().join(format!("s{own}.toml"));
             fs::write(file, text(folder.path(), own, &at, platform)).expect("it is written");
         }
-        let mut crew = Self { at, _kept: kept, folder, running: (0..size).map(|_| None).collect() };
+        let mut crew = Self {
+            at,
+            _kept: kept,
+            folder,
+            running: (0..size).map(|_| None).collect(),
+        };
         (0..size).for_each(|n| crew.run(n));
         wait_for("all have a voice and one leads", || {
-            (0..size).all(|n| crew.status(n)["voters"].as_array().is_some_and(|all| all.len() == size))
-                && crew.leads().is_some_and(|n| crew.ready(n))
+            (0..size).all(|n| {
+                crew.status(n)["voters"]
+                    .as_array()
+                    .is_some_and(|all| all.len() == size)
+            }) && crew.leads().is_some_and(|n| crew.ready(n))
         });
         crew
     }
@@ -117,16 +138,25 @@
     }
 
     pub fn run(&mut self, steward: usize) {
-        let log = OpenOptions::new().create(true).append(true).open(self.file(steward, "log"));
+        let log = OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(self.file(steward, "log"));
         let mut command = Command::new(PROGRAM);
-        command.arg("--config").arg(self.file(steward, "toml")).stdin(Stdio::null()).stdout(Stdio::null());
+        command
+            .arg("--config")
+            .arg(self.file(steward, "toml"))
+            .stdin(Stdio::null())
+            .stdout(Stdio::null());
         command.stderr(log.expect("a log"));
         self.running[steward] = Some(command.spawn().expect("it starts"));
     }
 
     pub fn status(&self, steward: usize) -> Value {
         let content = exchange(self.at[steward], "GET", "/status", "").map(|(_, content)| content);
-        content.and_then(|text| serde_json::from_str(&text).ok()).unwrap_or(Value::Null)
+        content
+            .and_then(|text| serde_json::from_str(&text).ok())
+            .unwrap_or(Value::Null)
     }
 
     /// Whether it has looked at servers and fleet, and the agreement is taken in: until then it says "not yet" to asks.
@@ -157,8 +187,13 @@
 
     /// Tells it to stop; whether it ended well.
     pub fn stop(&mut self, steward: usize) -> bool {
-        let Some(mut child) = self.running[steward].take() else { return false };
-        let told = Command::new("kill").arg("-TERM").arg(child.id().to_string()).status();
+        let Some(mut child) = self.running[steward].take() else {
+            return false;
+        };
+        let told = Command::new("kill")
+            .arg("-TERM")
+            .arg(child.id().to_string())
+            .status();
         assert!(told.is_ok_and(|told| told.success()), "it cannot be told");
         let mut ended = None;
         wait_for("it ends", || {
@@ -173,7 +208,10 @@
     }
 
     pub fn tear(&self, steward: usize) {
-        let file = OpenOptions::new().write(true).open(self.file(steward, "data")).expect("it is there");
+        let file = OpenOptions::new()
+            .write(true)
+            .open(self.file(steward, "data"))
+            .expect("it is there");
         let length = file.metadata().expect("its length").len();
         file.set_len(length / 2).expect("it is torn");
     }
--- a/crates/steward/tests/process/main.rs
+++ b/crates/steward/tests/process/main.rs
@@ -11,26 +11,66 @@
 #[test]
 fn a_bad_configuration_is_one_line_with_file_line_and_key() {
     let folder = tempfile::tempdir().expect("a folder");
-    let good = crew::text(folder.path(), 0, &["127.0.0.1:1".parse().expect("an address")], 1);
+    let good = crew::text(
+        folder.path(),
+        0,
+        &["127.0.0.1:1".parse().expect("an address")],
+        1,
+    );
     for (from, to, code, words) in [
-        ("most_away", "most_awya", 78, ": agreement.most_awya: unknown field"),
-        ("name = \"s0\"", "name = \"s9\"", 78, "a.toml:2: steward.name: \"s9\" is not one of [stewards]"),
-        ("keep = 10", "keep = \"10\"", 78, ": agreement.keep: invalid type"),
-        ("period = \"100ms\"", "period = \"7s\"", 78, ": evidence.period: evidence would be older"),
+        (
+            "most_away",
+            "most_awya",
+            78,
+            ": agreement.most_awya: unknown field",
+        ),
+        (
+            "name = \"s0\"",
+            "name = \"s9\"",
+            78,
+            "a.toml:2: steward.name: \"s9\" is not one of [stewards]",
+        ),
+        (
+            "keep = 10",
+            "keep = \"10\"",
+            78,
+            ": agreement.keep: invalid type",
+        ),
+        (
+            "period = \"100ms\"",
+            "period = \"7s\"",
+            78,
+            ": evidence.period: evidence would be older",
+        ),
         ("[agreement]", "[agreement", 78, "a.toml:"),
     ] {
         let file = folder.path().join("a.toml");
         std::fs::write(&file, good.replace(from, to)).expect("it is written");
-        let done = Command::new(crew::PROGRAM).arg("--config").arg(&file).output().expect("it runs");
+        let done = Command::new(crew::PROGRAM)
+            .arg("--config")
+            .arg(&file)
+            .output()
+            .expect("it runs");
         let said = String::from_utf8_lossy(&done.stderr);
-        assert_eq!((done.status.code(), said.lines().count()), (Some(code), 1), "{said}");
-        assert!(said.starts_with("linenproxy-steward: ") && said.contains(words), "{said}");
+        assert_eq!(
+            (done.status.code(), said.lines().count()),
+            (Some(code), 1),
+            "{said}"
+        );
+        assert!(
+            said.starts_with("linenproxy-steward: ") && said.contains(words),
+            "{said}"
+        );
     }
     let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = taken.local_addr().expect("an address");
     let file = folder.path().join("a.toml");
     std::fs::write(&file, crew::text(folder.path(), 0, &[at], 1)).expect("it is written");
-    let done = Command::new(crew::PROGRAM).arg("--config").arg(&file).output().expect("it runs");
+    let done = Command::new(crew::PROGRAM)
+        .arg("--config")
+        .arg(&file)
+        .output()
+        .expect("it runs");
     let said = String::from_utf8_lossy(&done.stderr);
     assert_eq!(done.status.code(), Some(69), "{said}");
     assert!(said.contains(&format!("cannot listen on {at}")), "{said}");
@@ -42,25 +82,62 @@
     let leader = crew.leader();
     let at = crew.at[leader];
     // More who say nothing than may be connected.
-    let stuck: Vec<TcpStream> = (0..80).map(|_| TcpStream::connect(at).expect("it accepts")).collect();
-    let ask =
-        json!({"name": "w", "target": {"servers": ["a0"]}, "earliest_ms": 0, "latest_ms": 1, "length_ms": 5});
+    let stuck: Vec<TcpStream> = (0..80)
+        .map(|_| TcpStream::connect(at).expect("it accepts"))
+        .collect();
+    let ask = json!({"name": "w", "target": {"servers": ["a0"]}, "earliest_ms": 0, "latest_ms": 1, "length_ms": 5});
     let mut odd = ask.clone();
     odd["lenght_ms"] = json!(5);
     let unlisted = json!({"name": "w", "target": {"servers": ["b"]}, "earliest_ms": 0,
         "latest_ms": 4_000_000_000_000i64, "length_ms": 5});
     for (method, path, body, status, words) in [
         ("POST", "/windows", "{".to_owned(), 400, "EOF"),
-        ("POST", "/windows", odd.to_string(), 400, "\"key\":\"lenght_ms\""),
-        ("POST", "/windows", ask.to_string(), 400, "\"key\":\"latest_ms\""),
-        ("POST", "/windows", unlisted.to_string().replace("4000000000000", &crew::soon()), 422, "b"),
+        (
+            "POST",
+            "/windows",
+            odd.to_string(),
+            400,
+            "\"key\":\"lenght_ms\"",
+        ),
+        (
+            "POST",
+            "/windows",
+            ask.to_string(),
+            400,
+            "\"key\":\"latest_ms\"",
+        ),
+        (
+            "POST",
+            "/windows",
+            unlisted.to_string().replace("4000000000000", &crew::soon()),
+            422,
+            "b",
+        ),
         ("POST", "/windows", " ".repeat(300 << 10), 413, "longer"),
         ("POST", "/windows/7/cancel", String::new(), 422, "window 7"),
-        ("POST", "/windows/7/finished", "{}".to_owned(), 400, "server"),
+        (
+            "POST",
+            "/windows/7/finished",
+            "{}".to_owned(),
+            400,
+            "server",
+        ),
         ("GET", "/windows/x", String::new(), 404, "no such page"),
         ("DELETE", "/windows", String::new(), 405, "method"),
-        ("POST", "/agreement/join", json!({"name": "x", "disk": "1"}).to_string(), 400, "\"key\":\"name\""),
-        ("POST", "/agreement/messages", "nonsense".to_owned(), 400, "x-steward"),
+        (
+            "POST",
+            "/agreement/join",
+            json!({"name": "x", "disk": "1"}).to_string(),
+            400,
+            "\"key\":\"name\"",
+        ),
+        (
+            "POST",
+            "/agreement/messages",
+            "nonsense".to_owned(),
+            400,
+            "x-steward",
+        ),
     ] {
         let (code, content) = exchange(at, method, path, &body).expect("an answer");
         assert_eq!(code, status, "{method} {path}: {content}");
@@ -68,7 +145,11 @@
     }
     drop(stuck);
     let (code, _) = exchange(at, "GET", "/status", "").expect("an answer");
-    assert_eq!((code, crew.leader()), (200, leader), "nothing of it has moved anybody");
+    assert_eq!(
+        (code, crew.leader()),
+        (200, leader),
+        "nothing of it has moved anybody"
+    );
 }
 
 #[test]
@@ -77,39 +158,69 @@
     let first = crew.leader();
     let term = crew.status(first)["term"].as_u64();
     assert!(crew.stop(first), "it ends by itself");
-    assert!(crew.said(first).contains("hands the lead over"), "{}", crew.said(first));
-    wait_for("another leads, by a hand-over and no waiting", || crew.leads().is_some());
+    assert!(
+        crew.said(first).contains("hands the lead over"),
+        "{}",
+        crew.said(first)
+    );
+    wait_for("another leads, by a hand-over and no waiting", || {
+        crew.leads().is_some()
+    });
     let second = crew.leader();
-    assert_eq!(crew.status(second)["term"].as_u64(), term.map(|term| term + 1), "no failed election between");
+    assert_eq!(
+        crew.status(second)["term"].as_u64(),
+        term.map(|term| term + 1),
+        "no failed election between"
+    );
     // Its disk is gone: no founder, though it is first by name where it is s0.
     crew.empty(first);
     crew.run(first);
-    wait_for("the new disk has a voice", || crew.status(first)["voice"] == true);
+    wait_for("the new disk has a voice", || {
+        crew.status(first)["voice"] == true
+    });
     let disks = crew.status(first)["voters"].as_array().map(Vec::len);
     assert_eq!(disks, Some(3));
     // A file that is torn is set aside, and said so.
-    let follower = (0..3).find(|n| *n != crew.leader()).expect("one that follows");
+    let follower = (0..3)
+        .find(|n| *n != crew.leader())
+        .expect("one that follows");
     crew.kill(follower);
     crew.tear(follower);
     crew.run(follower);
-    wait_for("the torn one has a voice again", || crew.status(follower)["voice"] == true);
-    assert!(crew.said(follower).contains("is not believed"), "{}", crew.said(follower));
-    assert!(crew.said(follower).contains(".aside-1"), "{}", crew.said(follower));
+    wait_for("the torn one has a voice again", || {
+        crew.status(follower)["voice"] == true
+    });
+    assert!(
+        crew.said(follower).contains("is not believed"),
+        "{}",
+        crew.said(follower)
+    );
+    assert!(
+        crew.said(follower).contains(".aside-1"),
+        "{}",
+        crew.said(follower)
+    );
 }
 
 #[test]
 fn a_steward_whose_disk_fails_stands_back_and_says_so() {
     let mut crew = Crew::start(3);
-    let follower = (0..3).find(|n| *n != crew.leader()).expect("one that follows");
+    let follower = (0..3)
+        .find(|n| *n != crew.leader())
+        .expect("one that follows");
     crew.kill(follower);
     crew.block(follower);
     crew.run(follower);
-    wait_for("it says why", || crew.status(follower)["halted"].is_string());
+    wait_for("it says why", || {
+        crew.status(follower)["halted"].is_string()
+    });
     let (code, _) = exchange(crew.at[follower], "GET", "/windows", "").expect("an answer");
     assert_eq!(code, 503);
     let lines = crew.said(follower);
     assert_eq!(lines.matches("stands back").count(), 1, "{lines}");
     crew.free(follower);
-    wait_for("it takes part again", || crew.status(follower)["voice"] == true);
+    wait_for("it takes part again", || {
+        crew.status(follower)["voice"] == true
+    });
     assert!(refused(&crew, "w0"), "whom nobody lists");
 }
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -49,7 +49,11 @@
     /// One that holds these bytes.
     #[must_use]
     pub fn holding(bytes: Vec<u8>) -> Self {
-        let inner = Inner { cache: bytes.clone(), durable: bytes, ..Inner::default() };
+        let inner = Inner {
+            cache: bytes.clone(),
+            durable: bytes,
+            ..Inner::default()
+        };
         Self(Arc::new((Mutex::new(inner), Condvar::new())))
     }
 
@@ -71,7 +75,11 @@
     }
 
     fn works(inner: &Inner, call: Breakdown) -> Result<(), Error> {
-        if inner.broken == Some(call) { Err(Error::other("input/output error")) } else { Ok(()) }
+        if inner.broken == Some(call) {
+            Err(Error::other("input/output error"))
+        } else {
+            Ok(())
+        }
     }
 
     /// Power off and on: `keep` is asked for every sector that was not synced, whether it got to the disk. The file's
@@ -80,7 +88,11 @@
     #[must_use]
     pub fn crash(&self, mut keep: impl FnMut() -> bool) -> Self {
         let mut inner = self.inner();
-        let length = if keep() { inner.cache.len() } else { inner.durable.len() };
+        let length = if keep() {
+            inner.cache.len()
+        } else {
+            inner.durable.len()
+        };
         let mut left = inner.durable.clone();
         left.resize(length, 0);
         for at in (0..length.min(inner.cache.len())).step_by(SECTOR) {
@@ -125,7 +137,9 @@
 
     fn write_allowed(inner: &mut Inner) -> Result<(), Error> {
         if let Some(budget) = &mut inner.budget {
-            *budget = budget.checked_sub(1).ok_or_else(|| Error::from(ErrorKind::StorageFull))?;
+            *budget = budget
+                .checked_sub(1)
+                .ok_or_else(|| Error::from(ErrorKind::StorageFull))?;
         }
         inner.writes += 1;
         Ok(())
@@ -134,7 +148,10 @@
 
 fn place(offset: u64, length: usize) -> Result<std::ops::Range<usize>, Error> {
     let start = usize::try_from(offset).map_err(|_| Error::from(ErrorKind::InvalidInput))?;
-    Ok(start..start.checked_add(length).ok_or_else(|| Error::from(ErrorKind::InvalidInput))?)
+    Ok(start
+        ..start
+            .checked_add(length)
+            .ok_or_else(|| Error::from(ErrorKind::InvalidInput))?)
 }
 
 impl redb::StorageBackend for Disk {
@@ -146,7 +163,10 @@
         let inner = self.inner();
         Self::works(&inner, Breakdown::Reads)?;
         let range = place(offset, out.len())?;
-        let found = inner.cache.get(range).ok_or_else(|| Error::from(ErrorKind::UnexpectedEof))?;
+        let found = inner
+            .cache
+            .get(range)
+            .ok_or_else(|| Error::from(ErrorKind::UnexpectedEof))?;
         out.copy_from_slice(found);
         Ok(())
     }
@@ -176,7 +196,10 @@
         Self::works(&inner, Breakdown::Writes)?;
         Self::write_allowed(&mut inner)?;
         let range = place(offset, data.len())?;
-        let target = inner.cache.get_mut(range).ok_or_else(|| Error::from(ErrorKind::UnexpectedEof))?;
+        let target = inner
+            .cache
+            .get_mut(range)
+            .ok_or_else(|| Error::from(ErrorKind::UnexpectedEof))?;
         target.copy_from_slice(data);
         Ok(())
     }
--- a/crates/store/src/file.rs
+++ b/crates/store/src/file.rs
@@ -33,7 +33,10 @@
 /// The directory or the file cannot be used, another process has the file open, or too much was set aside already.
 pub fn open(file: &Path, owner: &str) -> Result<Opened, Trouble> {
     let said = |what: Trouble| Trouble(format!("{}: {what}", file.display()));
-    let directory = file.parent().filter(|d| !d.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    let directory = file
+        .parent()
+        .filter(|d| !d.as_os_str().is_empty())
+        .unwrap_or(Path::new("."));
     fs::create_dir_all(directory).map_err(|e| said(Trouble::of(e)))?;
     let why = match Store::at(file, owner) {
         Ok(store) => return Ok(Opened { store, aside: None }),
@@ -42,7 +45,10 @@
     };
     let aside = set_aside(file).map_err(|trouble| Trouble(format!("{trouble}, after: {why}")))?;
     match Store::at(file, owner) {
-        Ok(store) => Ok(Opened { store, aside: Some(Aside { file: aside, why }) }),
+        Ok(store) => Ok(Opened {
+            store,
+            aside: Some(Aside { file: aside, why }),
+        }),
         Err(refusal) => Err(said(Trouble::of(refusal))),
     }
 }
@@ -59,12 +65,19 @@
         name.push(format!(".aside-{n}"));
         PathBuf::from(name)
     };
-    let aside = (1..=MOST_ASIDE).map(name).find(|aside| fs::symlink_metadata(aside).is_err());
+    let aside = (1..=MOST_ASIDE)
+        .map(name)
+        .find(|aside| fs::symlink_metadata(aside).is_err());
     let full = format!("{MOST_ASIDE} files set aside lie beside it: look at them");
     let aside = aside.ok_or_else(|| said(&full))?;
     fs::rename(file, &aside).map_err(|e| said(&format!("it cannot be set aside: {e}")))?;
     // The new name is on the disk before a new file takes the old one.
-    let directory = file.parent().filter(|d| !d.as_os_str().is_empty()).unwrap_or(Path::new("."));
-    File::open(directory).and_then(|d| d.sync_all()).map_err(|e| said(&e))?;
+    let directory = file
+        .parent()
+        .filter(|d| !d.as_os_str().is_empty())
+        .unwrap_or(Path::new("."));
+    File::open(directory)
+        .and_then(|d| d.sync_all())
+        .map_err(|e| said(&e))?;
     Ok(aside)
 }
--- a/crates/store/src/numbers.rs
+++ b/crates/store/src/numbers.rs
@@ -31,7 +31,12 @@
                 .map(u64::from_le_bytes)
                 .map_err(|_| Trouble("a reserved number has no number's form".to_owned()))?,
         };
-        Ok(Self { row, range: range.max(1), next: end, end })
+        Ok(Self {
+            row,
+            range: range.max(1),
+            next: end,
+            end,
+        })
     }
 
     /// A number that was never given before.
--- a/crates/store/src/record.rs
+++ b/crates/store/src/record.rs
@@ -32,7 +32,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Form => f.write_str("it has no record's form"),
-            Self::Format(found) => write!(f, "its format is {found}, this program reads up to {FORMAT}"),
+            Self::Format(found) => write!(
+                f,
+                "its format is {found}, this program reads up to {FORMAT}"
+            ),
             Self::Owner(found) => write!(f, "its owner is {found:?}"),
             Self::Checksum => f.write_str("its checksum does not match"),
             Self::File(what) => write!(f, "the file does not hold together: {what}"),
@@ -45,7 +48,13 @@
 fn checksum(format: u16, owner: &[u8], room: &str, number: u64, payload: &[u8]) -> u64 {
     let mut sum = Xxh3::new();
     // Lengths go in too: no byte can move from one part to the next unseen.
-    for part in [&format.to_le_bytes()[..], owner, room.as_bytes(), &number.to_le_bytes(), payload] {
+    for part in [
+        &format.to_le_bytes()[..],
+        owner,
+        room.as_bytes(),
+        &number.to_le_bytes(),
+        payload,
+    ] {
         sum.update(&(part.len() as u64).to_le_bytes());
         sum.update(part);
     }
@@ -67,7 +76,12 @@
 }
 
 /// The payload of the record at its place.
-pub(crate) fn open<'r>(owner: &str, room: &str, number: u64, record: &'r [u8]) -> Result<&'r [u8], Broken> {
+pub(crate) fn open<'r>(
+    owner: &str,
+    room: &str,
+    number: u64,
+    record: &'r [u8],
+) -> Result<&'r [u8], Broken> {
     let (head, rest) = record.split_at_checked(HEAD).ok_or(Broken::Form)?;
     if head[..2] != MARK {
         return Err(Broken::Form);
@@ -76,8 +90,13 @@
     if format != FORMAT {
         return Err(Broken::Format(format));
     }
-    let (name, payload) = rest.split_at_checked(usize::from(head[4])).ok_or(Broken::Form)?;
-    let sum = head[5..].try_into().map(u64::from_le_bytes).map_err(|_| Broken::Form)?;
+    let (name, payload) = rest
+        .split_at_checked(usize::from(head[4]))
+        .ok_or(Broken::Form)?;
+    let sum = head[5..]
+        .try_into()
+        .map(u64::from_le_bytes)
+        .map_err(|_| Broken::Form)?;
     if sum != checksum(format, name, room, number, payload) {
         return Err(Broken::Checksum);
     }
@@ -101,11 +120,17 @@
             assert!(open("a", "log", 7, &flipped).is_err(), "bit {bit}");
         }
         for length in 0..record.len() {
-            assert!(open("a", "log", 7, &record[..length]).is_err(), "{length} bytes");
+            assert!(
+                open("a", "log", 7, &record[..length]).is_err(),
+                "{length} bytes"
+            );
         }
         assert_eq!(open("a", "log", 8, &record), Err(Broken::Checksum));
         assert_eq!(open("a", "hard", 7, &record), Err(Broken::Checksum));
-        assert_eq!(open("b", "log", 7, &record), Err(Broken::Owner("a".to_owned())));
+        assert_eq!(
+            open("b", "log", 7, &record),
+            Err(Broken::Owner("a".to_owned()))
+        );
     }
 
     #[test]
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,7 +1,9 @@
 //! Records in rooms, over one redb database. Changes with what is read and written together.
 
 use crate::record::{self, Broken, LONGEST_OWNER};
-use redb::{Database, DatabaseError, ReadableDatabase, ReadableTable, StorageError, TableDefinition};
+use redb::{
+    Database, DatabaseError, ReadableDatabase, ReadableTable, StorageError, TableDefinition,
+};
 use std::fmt;
 use std::io::ErrorKind;
 use std::path::Path;
@@ -106,10 +108,15 @@
             let what = format!("the owner's name is longer than {LONGEST_OWNER} bytes");
             return Err(Refusal::Trouble(Trouble(what)));
         }
-        let store = Self { records, owner: owner.to_owned() };
+        let store = Self {
+            records,
+            owner: owner.to_owned(),
+        };
         match store.check() {
             Ok(0) => {
-                store.commit(&[Change::Put(OWNER, 0, &[])]).map_err(Refusal::Trouble)?;
+                store
+                    .commit(&[Change::Put(OWNER, 0, &[])])
+                    .map_err(Refusal::Trouble)?;
                 Ok(store)
             }
             Ok(_) => Ok(store),
@@ -146,8 +153,12 @@
     pub fn get(&self, room: &str, number: u64) -> Result<Option<Vec<u8>>, Trouble> {
         let read = self.records.begin_read().map_err(Trouble::of)?;
         let table = read.open_table(RECORDS).map_err(Trouble::of)?;
-        let Some(record) = table.get((room, number)).map_err(Trouble::of)? else { return Ok(None) };
-        record::open(&self.owner, room, number, record.value()).map(|p| Some(p.to_vec())).map_err(Trouble::of)
+        let Some(record) = table.get((room, number)).map_err(Trouble::of)? else {
+            return Ok(None);
+        };
+        record::open(&self.owner, room, number, record.value())
+            .map(|p| Some(p.to_vec()))
+            .map_err(Trouble::of)
     }
 
     /// All that a room holds, in the order of its numbers.
@@ -157,11 +168,14 @@
     pub fn room(&self, room: &str) -> Result<Vec<(u64, Vec<u8>)>, Trouble> {
         let read = self.records.begin_read().map_err(Trouble::of)?;
         let table = read.open_table(RECORDS).map_err(Trouble::of)?;
-        let rows = table.range((room, 0)..=(room, u64::MAX)).map_err(Trouble::of)?;
+        let rows = table
+            .range((room, 0)..=(room, u64::MAX))
+            .map_err(Trouble::of)?;
         rows.map(|row| {
             let (place, record) = row.map_err(Trouble::of)?;
             let number = place.value().1;
-            let payload = record::open(&self.owner, room, number, record.value()).map_err(Trouble::of)?;
+            let payload =
+                record::open(&self.owner, room, number, record.value()).map_err(Trouble::of)?;
             Ok((number, payload.to_vec()))
         })
         .collect()
@@ -179,13 +193,17 @@
                 match *change {
                     Change::Put(room, number, payload) => {
                         let record = record::seal(&self.owner, room, number, payload);
-                        table.insert((room, number), record.as_slice()).map_err(Trouble::of)?;
+                        table
+                            .insert((room, number), record.as_slice())
+                            .map_err(Trouble::of)?;
                     }
                     Change::RemoveFrom(room, first) => table
                         .retain_in((room, first)..=(room, u64::MAX), |_, _| false)
                         .map_err(Trouble::of)?,
                     Change::RemoveBelow(room, end) => {
-                        table.retain_in((room, 0)..(room, end), |_, _| false).map_err(Trouble::of)?;
+                        table
+                            .retain_in((room, 0)..(room, end), |_, _| false)
+                            .map_err(Trouble::of)?;
                     }
                 }
             }
@@ -197,6 +215,8 @@
 fn builder() -> redb::Builder {
     let mut builder = Database::builder();
     // Every page of the trees is compared with its checksum before anything is believed.
-    builder.set_cache_size(CACHE).set_check_integrity_on_open(true);
+    builder
+        .set_cache_size(CACHE)
+        .set_check_integrity_on_open(true);
     builder
 }
--- a/crates/store/tests/faults.rs
+++ b/crates/store/tests/faults.rs
@@ -22,7 +22,9 @@
 }
 
 fn turn_of(store: &Store) -> u64 {
-    let Some(bytes) = store.get("turn", 0).expect("readable") else { return 0 };
+    let Some(bytes) = store.get("turn", 0).expect("readable") else {
+        return 0;
+    };
     let turn = u64::from_le_bytes(bytes.try_into().expect("a number"));
     let held = store.room("log").expect("readable");
     let meant: Vec<(u64, Vec<u8>)> = (0..3).map(|part| (part, payload(turn, part))).collect();
@@ -48,7 +50,10 @@
                 Err(refusal) => panic!("seed {seed}: {refusal}"),
             };
             let found = turn_of(&store);
-            assert!(found == done || found == done + 1, "seed {seed}: {found} after {done}");
+            assert!(
+                found == done || found == done + 1,
+                "seed {seed}: {found} after {done}"
+            );
             (later, before) = (later + u64::from(found > done), before + 1);
             done = found;
             disk.fail_after(random.u64(0..60));
@@ -60,7 +65,10 @@
             crashes += 1;
         }
     }
-    assert!(crashes > 400 && later > 0 && before > later, "{crashes} crashes, {later} of {before} later");
+    assert!(
+        crashes > 400 && later > 0 && before > later,
+        "{crashes} crashes, {later} of {before} later"
+    );
 }
 
 #[test]
@@ -94,7 +102,9 @@
         let mut numbers = Numbers::of(&store, 0, 8).expect("readable");
         disk.fail_after(random.u64(0..40));
         for _ in 0..random.usize(0..30) {
-            let Ok(number) = numbers.next(&store) else { break };
+            let Ok(number) = numbers.next(&store) else {
+                break;
+            };
             assert!(number > last, "{number} after {last}");
             last = number;
         }
@@ -120,10 +130,16 @@
     let opened = linenproxy_store::open(&file, "b").expect("begins anew");
     let aside = opened.aside.expect("set aside");
     assert_eq!(aside.why, Broken::Owner("a".to_owned()));
-    assert_eq!((turn_of(&opened.store), aside.file.extension()), (0, Some("aside-1".as_ref())));
+    assert_eq!(
+        (turn_of(&opened.store), aside.file.extension()),
+        (0, Some("aside-1".as_ref()))
+    );
     drop(opened.store);
     fs::write(&file, b"not a store").expect("written");
-    let aside = linenproxy_store::open(&file, "b").expect("begins anew").aside.expect("set aside");
+    let aside = linenproxy_store::open(&file, "b")
+        .expect("begins anew")
+        .aside
+        .expect("set aside");
     assert_eq!(fs::read(aside.file).expect("kept"), b"not a store");
     // The first is still whole under its new name.
     let kept = linenproxy_store::open(&file.with_extension("store.aside-1"), "a").expect("whole");
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -206,7 +206,10 @@
         let all = |f: &dyn Fn(&Class) -> bool| self.classes.iter().all(f);
         for (fine, what) in [
             (!self.classes.is_empty(), "classes: no request classes"),
-            (all(&|c| c.aim > 0 && time(c.aim)), "classes: aim must be above 0 and under 2^50 us"),
+            (
+                all(&|c| c.aim > 0 && time(c.aim)),
+                "classes: aim must be above 0 and under 2^50 us",
+            ),
             (
                 all(&|c| c.deadline > 0 && time(c.deadline)),
                 "classes: deadline must be above 0 and under 2^50 us",
@@ -215,13 +218,31 @@
                 all(&|c| !matches!(c.effect, Effect::Keyed { ttl, .. } if !time(ttl))),
                 "classes: ttl must lie in 0 to 2^50 us",
             ),
-            (all(&|c| figure(c.aim_stretch)), "classes: aim_stretch must be finite and not negative"),
-            (self.limits.max_attempts > 0, "limits: max_attempts must be above 0"),
+            (
+                all(&|c| figure(c.aim_stretch)),
+                "classes: aim_stretch must be finite and not negative",
+            ),
+            (
+                self.limits.max_attempts > 0,
+                "limits: max_attempts must be above 0",
+            ),
             (share(r.cold_share), "rules: cold_share must lie in 0 to 1"),
-            (figure(r.overload_factor), "rules: overload_factor must be finite and not negative"),
-            (time(r.warm_within), "rules: warm_within must lie in 0 to 2^50 us"),
-            (time(r.tip_after), "rules: tip_after must lie in 0 to 2^50 us"),
-            (time(r.ask_within), "rules: ask_within must lie in 0 to 2^50 us"),
+            (
+                figure(r.overload_factor),
+                "rules: overload_factor must be finite and not negative",
+            ),
+            (
+                time(r.warm_within),
+                "rules: warm_within must lie in 0 to 2^50 us",
+            ),
+            (
+                time(r.tip_after),
+                "rules: tip_after must lie in 0 to 2^50 us",
+            ),
+            (
+                time(r.ask_within),
+                "rules: ask_within must lie in 0 to 2^50 us",
+            ),
             (time(self.tick), "tick must lie in 0 to 2^50 us"),
         ] {
             if !fine {
--- a/src/bin/linenproxy-wirehost.rs
+++ b/src/bin/linenproxy-wirehost.rs
@@ -14,7 +14,10 @@
     if let Err(exit) = linenproxy_common::cli::parse::<Call>() {
         return exit.into();
     }
-    match linenproxy::wire::serve(stdin().lock(), BufWriter::with_capacity(1 << 16, stdout().lock())) {
+    match linenproxy::wire::serve(
+        stdin().lock(),
+        BufWriter::with_capacity(1 << 16, stdout().lock()),
+    ) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("linenproxy-wirehost: {error}");
--- a/src/bin/tinflow/alarms.rs
+++ b/src/bin/tinflow/alarms.rs
@@ -15,17 +15,23 @@
 impl Alarms {
     /// None yet.
     pub fn new(clock: Clock) -> Self {
-        Self { clock, all: BinaryHeap::new() }
+        Self {
+            clock,
+            all: BinaryHeap::new(),
+        }
     }
 
     /// Sets one.
     pub fn set(&mut self, after: Micros, token: u64) {
-        self.all.push(Reverse((self.clock.now().saturating_add(after), token)));
+        self.all
+            .push(Reverse((self.clock.now().saturating_add(after), token)));
     }
 
     /// When the next is due.
     fn next(&self) -> Option<Instant> {
-        self.all.peek().map(|Reverse((at, _))| self.clock.instant(*at))
+        self.all
+            .peek()
+            .map(|Reverse((at, _))| self.clock.instant(*at))
     }
 
     /// Waits until the next is due, for good where there is none.
--- a/src/bin/tinflow/bindings.rs
+++ b/src/bin/tinflow/bindings.rs
@@ -55,7 +55,9 @@
 impl Drop for Bound {
     fn drop(&mut self) {
         let mut core = self.host.0.core.borrow_mut();
-        self.processes.iter().for_each(|process| core.under_way(*process, false));
+        self.processes
+            .iter()
+            .for_each(|process| core.under_way(*process, false));
     }
 }
 
@@ -109,7 +111,11 @@
         let (now, _) = self.now();
         for piece in came.iter().filter(|piece| piece.kind == KIND) {
             // What is refused is counted there.
-            let _ = self.0.core.borrow_mut().hear(now, piece.origin, &piece.bytes);
+            let _ = self
+                .0
+                .core
+                .borrow_mut()
+                .hear(now, piece.origin, &piece.bytes);
         }
     }
 
@@ -150,7 +156,10 @@
     pub fn listed<'a>(&self, list: impl Iterator<Item = &'a Listed>) {
         let closed = self.0.list.borrow_mut().follow(list);
         let names = &self.0.list.borrow().names;
-        self.0.picks.borrow_mut().retain(|process, _| names.contains_key(process));
+        self.0
+            .picks
+            .borrow_mut()
+            .retain(|process, _| names.contains_key(process));
         self.0.core.borrow_mut().closes(closed);
     }
 
@@ -161,7 +170,9 @@
         }
         let ((now, mono), list) = (self.now(), self.0.list.borrow());
         let mut core = self.0.core.borrow_mut();
-        let processes = core.picks(now, mono, key, |process| list.endpoints.contains_key(&process));
+        let processes = core.picks(now, mono, key, |process| {
+            list.endpoints.contains_key(&process)
+        });
         if processes.is_empty() {
             return None;
         }
@@ -171,8 +182,15 @@
             let (count, last) = picks.entry(*process).or_default();
             (*count, *last) = (*count + 1, mono);
         }
-        let endpoints = processes.iter().filter_map(|process| list.endpoints.get(process).copied()).collect();
-        Some(Bound { host: self.clone(), processes, endpoints })
+        let endpoints = processes
+            .iter()
+            .filter_map(|process| list.endpoints.get(process).copied())
+            .collect();
+        Some(Bound {
+            host: self.clone(),
+            processes,
+            endpoints,
+        })
     }
 
     /// A request about a key was served there.
@@ -233,7 +251,12 @@
     pub fn picks(&self) -> Vec<(String, Process, u64, Micros)> {
         let ((_, mono), list) = (self.now(), self.0.list.borrow());
         let named = |(process, (count, last)): (&Process, &(u64, Micros))| {
-            Some((list.names.get(process)?.clone(), *process, *count, mono - last))
+            Some((
+                list.names.get(process)?.clone(),
+                *process,
+                *count,
+                mono - last,
+            ))
         };
         self.0.picks.borrow().iter().filter_map(named).collect()
     }
--- a/src/bin/tinflow/bindings_list.rs
+++ b/src/bin/tinflow/bindings_list.rs
@@ -29,8 +29,13 @@
         for l in list {
             let name = hash(l.name.as_bytes());
             // Who drains is listed without its start.
-            let known = before.iter().find(|p| p.name == name && !l.ready && l.started.is_none());
-            let process = known.copied().unwrap_or(Process { name, started: l.started.unwrap_or(0) / 1000 });
+            let known = before
+                .iter()
+                .find(|p| p.name == name && !l.ready && l.started.is_none());
+            let process = known.copied().unwrap_or(Process {
+                name,
+                started: l.started.unwrap_or(0) / 1000,
+            });
             self.processes.insert(l.endpoint, process);
             self.names.insert(process, l.name.clone());
             if l.ready {
@@ -38,10 +43,16 @@
             }
         }
         self.gone.extend(before);
-        self.gone.retain(|process| !self.names.contains_key(process));
+        self.gone
+            .retain(|process| !self.names.contains_key(process));
         self.gone.drain(..self.gone.len().saturating_sub(MOST_GONE));
         let closed = |process: &&Process| !self.endpoints.contains_key(*process);
-        self.names.keys().chain(&self.gone).filter(closed).copied().collect()
+        self.names
+            .keys()
+            .chain(&self.gone)
+            .filter(closed)
+            .copied()
+            .collect()
     }
 }
 
@@ -57,9 +68,15 @@
             started: started.map(|ms| ms * 1000),
             ready,
         };
-        let process = |name: &str, started| Process { name: hash(name.as_bytes()), started };
+        let process = |name: &str, started| Process {
+            name: hash(name.as_bytes()),
+            started,
+        };
         let mut list = List::default();
-        assert!(list.follow([listed("a", Some(7), true), listed("bb", None, true)].iter()).is_empty());
+        assert!(
+            list.follow([listed("a", Some(7), true), listed("bb", None, true)].iter())
+                .is_empty()
+        );
         let closed = list.follow([listed("a", None, false), listed("bb", Some(9), true)].iter());
         assert_eq!(closed, HashSet::from([process("a", 7), process("bb", 0)]));
         let closed = list.follow([listed("bb", Some(9), true)].iter());
--- a/src/bin/tinflow/bindings_pages.rs
+++ b/src/bin/tinflow/bindings_pages.rs
@@ -81,11 +81,17 @@
         ("/fleet/bindings", None) => Page::json(StatusCode::OK, &figures(host)),
         ("/fleet/bindings/dump", None) => Page::compact(&dump(host)),
         ("/fleet/leaving", Some(body)) => answer(body, |process, epoch| {
-            host.leaving(process, epoch).map(|clear| Answered { clear: clear.clear, epoch })
+            host.leaving(process, epoch).map(|clear| Answered {
+                clear: clear.clear,
+                epoch,
+            })
         }),
         ("/fleet/stays", Some(body)) => answer(body, |process, token| {
             let epoch = token + 1;
-            host.stays(process, epoch).map(|()| Answered { clear: false, epoch })
+            host.stays(process, epoch).map(|()| Answered {
+                clear: false,
+                epoch,
+            })
         }),
         ("/fleet/leaving" | "/fleet/stays", None) => {
             Page::refused(StatusCode::METHOD_NOT_ALLOWED, "method", "this is posted")
@@ -109,7 +115,13 @@
     if posted.epoch >= u64::MAX - 1 {
         return Err(("epoch", "no token is as high".to_owned()));
     }
-    Ok((Process { name: hash(posted.server.as_bytes()), started: posted.started_ms }, posted.epoch))
+    Ok((
+        Process {
+            name: hash(posted.server.as_bytes()),
+            started: posted.started_ms,
+        },
+        posted.epoch,
+    ))
 }
 
 fn answer(body: &[u8], does: impl Fn(Process, u64) -> Result<Answered, NotBegun>) -> Option<Page> {
@@ -119,9 +131,11 @@
     };
     match does(process, epoch) {
         Ok(answered) => Page::json(StatusCode::OK, &answered),
-        Err(NotBegun::Past) => {
-            Page::refused(StatusCode::CONFLICT, "epoch", "a later one has begun for this process")
-        }
+        Err(NotBegun::Past) => Page::refused(
+            StatusCode::CONFLICT,
+            "epoch",
+            "a later one has begun for this process",
+        ),
         Err(NotBegun::TooMany) => Page::refused(
             StatusCode::TOO_MANY_REQUESTS,
             "server",
@@ -144,19 +158,25 @@
         leaves: l.leaves,
         reported: l.reported,
     };
-    Figures { bindings, census, leaving: host.leave().into_iter().map(leaves).collect() }
+    Figures {
+        bindings,
+        census,
+        leaving: host.leave().into_iter().map(leaves).collect(),
+    }
 }
 
 fn dump(host: &Host) -> Dump {
     let (census, _, slot) = host.census();
     let binding =
-        |(key, server, process, word): (u64, _, Process, linenproxy_bindings::word::Word)| Binding {
-            key,
-            server,
-            started_ms: process.started,
-            epoch: word.era,
-            ends: word.ends,
-            held: word.held,
+        |(key, server, process, word): (u64, _, Process, linenproxy_bindings::word::Word)| {
+            Binding {
+                key,
+                server,
+                started_ms: process.started,
+                epoch: word.era,
+                ends: word.ends,
+                held: word.held,
+            }
         };
     let picks = |(server, process, count, ago): (String, Process, u64, i64)| Picks {
         server,
@@ -181,9 +201,21 @@
         let key = |body: &str| read(body.as_bytes()).expect_err("it is wrong").0;
         assert!(read(br#"{"server": "a", "started_ms": 0, "epoch": 7}"#).is_ok());
         assert_eq!(key("{"), "body");
-        assert_eq!(key(r#"{"server": "", "started_ms": 0, "epoch": 7}"#), "server");
-        assert_eq!(key(r#"{"server": "a", "started_ms": -1, "epoch": 7}"#), "started_ms");
-        assert_eq!(key(r#"{"server": "a", "started_ms": 0, "epoch": 18446744073709551615}"#), "epoch");
-        assert_eq!(key(r#"{"server": "a", "started_ms": 0, "epoch": 1, "more": 2}"#), "body");
+        assert_eq!(
+            key(r#"{"server": "", "started_ms": 0, "epoch": 7}"#),
+            "server"
+        );
+        assert_eq!(
+            key(r#"{"server": "a", "started_ms": -1, "epoch": 7}"#),
+            "started_ms"
+        );
+        assert_eq!(
+            key(r#"{"server": "a", "started_ms": 0, "epoch": 18446744073709551615}"#),
+            "epoch"
+        );
+        assert_eq!(
+            key(r#"{"server": "a", "started_ms": 0, "epoch": 1, "more": 2}"#),
+            "body"
+        );
     }
 }
--- a/src/bin/tinflow/client.rs
+++ b/src/bin/tinflow/client.rs
@@ -27,7 +27,12 @@
 impl Client {
     /// Over a connection that was accepted.
     pub fn new(stream: TcpStream) -> Self {
-        Self { stream, silent: Cell::new(true), in_hand: Cell::default(), answering: Cell::default() }
+        Self {
+            stream,
+            silent: Cell::new(true),
+            in_hand: Cell::default(),
+            answering: Cell::default(),
+        }
     }
 
     /// The socket.
@@ -38,7 +43,9 @@
     /// Whether something has come that was not read.
     pub fn unread(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
-        SockRef::from(&self.stream).peek(&mut byte).is_ok_and(|length| length > 0)
+        SockRef::from(&self.stream)
+            .peek(&mut byte)
+            .is_ok_and(|length| length > 0)
     }
 
     /// Waits until the client has closed its sending side or reset the connection. A connection hears of that by
@@ -53,7 +60,9 @@
 
     /// Whether it has done so by now.
     pub fn has_left(&self) -> bool {
-        pin!(self.left()).poll(&mut Context::from_waker(Waker::noop())).is_ready()
+        pin!(self.left())
+            .poll(&mut Context::from_waker(Waker::noop()))
+            .is_ready()
     }
 
     /// Its connection asks for bytes. During a request it does so only once it holds none.
--- a/src/bin/tinflow/clock.rs
+++ b/src/bin/tinflow/clock.rs
@@ -15,18 +15,25 @@
 impl Clock {
     /// Starts it.
     pub fn new() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { start: Instant::now(), start_us: Micros::try_from(unix.as_micros()).unwrap_or(0) }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Self {
+            start: Instant::now(),
+            start_us: Micros::try_from(unix.as_micros()).unwrap_or(0),
+        }
     }
 
     /// Now, on the module's clock.
     pub fn now(&self) -> Micros {
-        self.start_us
-            .saturating_add(Micros::try_from(self.start.elapsed().as_micros()).unwrap_or(Micros::MAX))
+        self.start_us.saturating_add(
+            Micros::try_from(self.start.elapsed().as_micros()).unwrap_or(Micros::MAX),
+        )
     }
 
     /// The instant of a time on this clock.
     pub fn instant(&self, at: Micros) -> Instant {
-        self.start + Duration::from_micros(u64::try_from(at.saturating_sub(self.start_us)).unwrap_or(0))
+        self.start
+            + Duration::from_micros(u64::try_from(at.saturating_sub(self.start_us)).unwrap_or(0))
     }
 }
--- a/src/bin/tinflow/config.rs
+++ b/src/bin/tinflow/config.rs
@@ -88,9 +88,10 @@
         let text = std::fs::read_to_string(&path)
             .map_err(|e| format!("cannot read LB_CONFIG {}: {e}", path.display()))?;
         let address = |name: &str| match std::env::var(name) {
-            Ok(value) => {
-                value.parse().map(Some).map_err(|_| format!("{name} is not an address and port: {value}"))
-            }
+            Ok(value) => value
+                .parse()
+                .map(Some)
+                .map_err(|_| format!("{name} is not an address and port: {value}")),
             Err(_) => Ok(None),
         };
         let (listen, discovery) = (address("LB_LISTEN")?, address("LB_DISCOVERY")?);
@@ -109,7 +110,8 @@
         if let Some(fields) = fixed.as_object_mut() {
             fields.retain(|name, _| !matches!(name.as_str(), "discovery" | "known" | "seed"));
         }
-        let decoded = settings::decode(file.settings.get()).map_err(|e| format!("settings: {e}"))?;
+        let decoded =
+            settings::decode(file.settings.get()).map_err(|e| format!("settings: {e}"))?;
         decoded.settings.check().map_err(|e| e.to_string())?;
         if file.limits.sockets < FEWEST_SOCKETS {
             return Err(format!("limits: sockets must be {FEWEST_SOCKETS} or more"));
@@ -132,13 +134,22 @@
 
     /// The longest that a client waits.
     pub fn longest_deadline(&self) -> Duration {
-        let longest = self.decoded.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
+        let longest = self
+            .decoded
+            .settings
+            .classes
+            .iter()
+            .map(|c| c.deadline)
+            .max()
+            .unwrap_or(0);
         Duration::from_micros(longest.unsigned_abs())
     }
 }
 
 /// The seed is 16 hexadecimal digits; any other text is a seed as well.
 fn seed(text: &str) -> u64 {
-    u64::from_str_radix(text, 16)
-        .unwrap_or_else(|_| text.bytes().fold(0, |sum, byte| sum.rotate_left(8) ^ u64::from(byte)))
+    u64::from_str_radix(text, 16).unwrap_or_else(|_| {
+        text.bytes()
+            .fold(0, |sum, byte| sum.rotate_left(8) ^ u64::from(byte))
+    })
 }
--- a/src/bin/tinflow/connection.rs
+++ b/src/bin/tinflow/connection.rs
@@ -33,7 +33,11 @@
 }
 
 impl AsyncRead for MeteredStream {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         loop {
             ready!(self.stream.poll_read_ready(cx))?;
             match self.stream.try_read(buf.initialize_unfilled()) {
@@ -50,7 +54,11 @@
 }
 
 impl AsyncWrite for MeteredStream {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.stream.poll_write_ready(cx))?;
             match self.stream.try_write(buf) {
@@ -89,10 +97,22 @@
         let stream = Rc::new(TcpStream::connect(at).await?);
         stream.set_nodelay(true)?;
         let meter = Rc::new(RefCell::new(Meter::default()));
-        let metered = MeteredStream { stream: Rc::clone(&stream), meter: Rc::clone(&meter) };
-        let handshake = http1::Builder::new().max_buf_size(LONGEST_HEAD).handshake(TokioIo::new(metered));
+        let metered = MeteredStream {
+            stream: Rc::clone(&stream),
+            meter: Rc::clone(&meter),
+        };
+        let handshake = http1::Builder::new()
+            .max_buf_size(LONGEST_HEAD)
+            .handshake(TokioIo::new(metered));
         let (sender, driver) = handshake.await.map_err(io::Error::other)?;
-        Ok(Self { sender, driver, ended: false, stream, meter, made: SystemTime::now() })
+        Ok(Self {
+            sender,
+            driver,
+            ended: false,
+            stream,
+            meter,
+            made: SystemTime::now(),
+        })
     }
 
     /// When it came up, on the clock that lists go by.
@@ -116,7 +136,12 @@
         meter: Meter,
     ) -> Result<Response<Incoming>, &'static str> {
         *self.meter.borrow_mut() = meter.clone();
-        let Self { sender, driver, ended, .. } = self;
+        let Self {
+            sender,
+            driver,
+            ended,
+            ..
+        } = self;
         let answer = async {
             sender.ready().await?;
             sender.send_request(request).await
--- a/src/bin/tinflow/connection/tests.rs
+++ b/src/bin/tinflow/connection/tests.rs
@@ -16,7 +16,10 @@
     // Without giving the runtime a turn.
     let until = std::time::Instant::now() + Duration::from_secs(30);
     while connection.usable() {
-        assert!(std::time::Instant::now() < until, "a closed connection still passes for usable");
+        assert!(
+            std::time::Instant::now() < until,
+            "a closed connection still passes for usable"
+        );
         std::thread::sleep(Duration::from_millis(1));
     }
 }
--- a/src/bin/tinflow/descriptors.rs
+++ b/src/bin/tinflow/descriptors.rs
@@ -17,8 +17,12 @@
     /// Of so many descriptors some stay in reserve for discovery, peers, signals and accepting; of the rest
     /// both sides get half, as a request takes one on each.
     pub fn of(sockets: usize) -> Self {
-        let each = ((sockets - sockets / 8).saturating_sub(16).max(2) / 2).min(Semaphore::MAX_PERMITS);
-        Self { clients: each, upstream: each }
+        let each =
+            ((sockets - sockets / 8).saturating_sub(16).max(2) / 2).min(Semaphore::MAX_PERMITS);
+        Self {
+            clients: each,
+            upstream: each,
+        }
     }
 }
 
@@ -27,7 +31,9 @@
 
 /// Whether the process or its machine lacked something, which says nothing of the peer.
 pub fn lacked(error: &io::Error) -> bool {
-    error.raw_os_error().is_some_and(|code| NO_ROOM.contains(&code))
+    error
+        .raw_os_error()
+        .is_some_and(|code| NO_ROOM.contains(&code))
 }
 
 #[cfg(test)]
@@ -39,7 +45,10 @@
         for sockets in [32, 256, 1024, 4096, usize::MAX] {
             let limits = Limits::of(sockets);
             assert!(limits.clients <= Semaphore::MAX_PERMITS, "{sockets}");
-            assert!(limits.clients >= 1 && limits.clients + limits.upstream <= sockets - 16, "{sockets}");
+            assert!(
+                limits.clients >= 1 && limits.clients + limits.upstream <= sockets - 16,
+                "{sockets}"
+            );
         }
     }
 }
--- a/src/bin/tinflow/discovery.rs
+++ b/src/bin/tinflow/discovery.rs
@@ -45,7 +45,13 @@
 
 impl Follower {
     fn new(at: SocketAddr, known: Option<u64>, inputs: Inputs) -> Self {
-        Self { at, index: Rc::new(Cell::new(known)), inputs, watching: None, fetching: None }
+        Self {
+            at,
+            index: Rc::new(Cell::new(known)),
+            inputs,
+            watching: None,
+            fetching: None,
+        }
     }
 
     /// Watches. One that runs goes on: a second would only put more load on discovery. One that has ended has failed.
@@ -54,7 +60,13 @@
             return;
         }
         let watching = Watching::new(self.watching.is_some());
-        let task = keep_watching(self.at, watching, rng, Rc::clone(&self.index), self.inputs.clone());
+        let task = keep_watching(
+            self.at,
+            watching,
+            rng,
+            Rc::clone(&self.index),
+            self.inputs.clone(),
+        );
         self.watching = Some(spawn_local(task).abort_handle());
     }
 
@@ -70,7 +82,10 @@
         }
         let (at, index, inputs) = (self.at, Rc::clone(&self.index), self.inputs.clone());
         let fetch = async move {
-            let whole = Call { wait: Duration::ZERO, within: PATIENCE };
+            let whole = Call {
+                wait: Duration::ZERO,
+                within: PATIENCE,
+            };
             let answer = call(at, &mut None, None, whole).await;
             tell(answer, None, &index, &inputs);
         };
@@ -81,7 +96,10 @@
 impl Drop for Follower {
     /// Late answers are no longer heard.
     fn drop(&mut self) {
-        for task in [self.watching.take(), self.fetching.take()].into_iter().flatten() {
+        for task in [self.watching.take(), self.fetching.take()]
+            .into_iter()
+            .flatten()
+        {
             task.abort();
         }
     }
@@ -136,7 +154,13 @@
     loop {
         let next = Instant::now() + SPACING;
         let after = index.get();
-        let answer = call(at, &mut link, after, watching.call(after.is_some(), rng.f64())).await;
+        let answer = call(
+            at,
+            &mut link,
+            after,
+            watching.call(after.is_some(), rng.f64()),
+        )
+        .await;
         let goes_on = match &answer {
             Ok(_) => {
                 watching.answered();
@@ -157,7 +181,12 @@
 }
 
 /// Passes on a failure, or an answer to a call for news after that version.
-fn tell(answer: Result<HostList, Failure>, after: Option<u64>, index: &Cell<Option<u64>>, inputs: &Inputs) {
+fn tell(
+    answer: Result<HostList, Failure>,
+    after: Option<u64>,
+    index: &Cell<Option<u64>>,
+    inputs: &Inputs,
+) {
     match answer {
         Ok(list) => {
             let held = index.get();
@@ -198,13 +227,22 @@
     call: Call,
 ) -> Result<HostList, Failure> {
     let path = match after {
-        Some(index) => format!("/discovery/hosts?after={index}&wait_ms={}", call.wait.as_millis()),
+        Some(index) => format!(
+            "/discovery/hosts?after={index}&wait_ms={}",
+            call.wait.as_millis()
+        ),
         None => "/discovery/hosts".to_owned(),
     };
-    timeout(call.within, exchange(at, link, &path)).await.unwrap_or(Err(Failure::Silent))
+    timeout(call.within, exchange(at, link, &path))
+        .await
+        .unwrap_or(Err(Failure::Silent))
 }
 
-async fn exchange(at: SocketAddr, link: &mut Option<Connection>, path: &str) -> Result<HostList, Failure> {
+async fn exchange(
+    at: SocketAddr,
+    link: &mut Option<Connection>,
+    path: &str,
+) -> Result<HostList, Failure> {
     let request = Request::get(path)
         .header(hyper::header::HOST, at.to_string())
         .body(Full::new(Bytes::new()))
@@ -218,14 +256,16 @@
     };
     let response = connection.request(request, Meter::default()).await?;
     let (head, body) = response.into_parts();
-    let body = connection.drive(Limited::new(body, LONGEST).collect()).await;
+    let body = connection
+        .drive(Limited::new(body, LONGEST).collect())
+        .await;
     let body = body.ok_or("connection lost")?.map_err(said)?.to_bytes();
     if head.status != StatusCode::OK {
         return Err(Failure::Said(format!("status {}", head.status.as_u16())));
     }
     *link = Some(connection);
-    let list: HostList =
-        serde_json::from_slice(&body).map_err(|e| Failure::Said(format!("unreadable list: {e}")))?;
+    let list: HostList = serde_json::from_slice(&body)
+        .map_err(|e| Failure::Said(format!("unreadable list: {e}")))?;
     // To follow it would leave nothing to serve with; more likely discovery has lost what it knew.
     if list.snapshot && list.endpoints.is_empty() {
         return Err("empty list".into());
--- a/src/bin/tinflow/engine.rs
+++ b/src/bin/tinflow/engine.rs
@@ -54,7 +54,13 @@
 }
 
 /// What an engine is made of besides its configuration: its inputs, its clock, its membership in a fleet, what is kept.
-pub type Parts = (Inputs, mpsc::UnboundedReceiver<Input>, Clock, Option<Fleet>, Option<State>);
+pub type Parts = (
+    Inputs,
+    mpsc::UnboundedReceiver<Input>,
+    Clock,
+    Option<Fleet>,
+    Option<State>,
+);
 
 impl Engine {
     /// Starts the module with the list as last known, and the tasks that serve it.
@@ -70,7 +76,8 @@
         let most = Limits::of(config.sockets).upstream;
         let pool = Rc::new(Pool::new(most, limits.dial_timeout, decoded.idle_close));
         let pushed = decoded.settings.discovery == Discovery::Pushed;
-        let mut balancer = Balancer::new(decoded.settings, config.seed).map_err(|e| e.to_string())?;
+        let mut balancer =
+            Balancer::new(decoded.settings, config.seed).map_err(|e| e.to_string())?;
         if let Some(fleet) = &fleet {
             balancer.share(fleet.sharing());
         }
@@ -98,13 +105,25 @@
         if pushed {
             let _ = engine.asks.send(Ask::Watch);
         }
-        spawn_local(discovery::run(discovery_at, known, config.seed, asked, sender.clone()));
+        spawn_local(discovery::run(
+            discovery_at,
+            known,
+            config.seed,
+            asked,
+            sender.clone(),
+        ));
         if let Some(peers) = peers {
             spawn_local(peers.pass_on(sender.clone()));
         }
-        let known =
-            config.known.unwrap_or(HostList { index: 0, snapshot: true, endpoints: Vec::new(), unread: 0 });
-        let listings = engine.listed.apply(known, true, |id| engine.balancer.knows(id));
+        let known = config.known.unwrap_or(HostList {
+            index: 0,
+            snapshot: true,
+            endpoints: Vec::new(),
+            unread: 0,
+        });
+        let listings = engine
+            .listed
+            .apply(known, true, |id| engine.balancer.knows(id));
         engine.deliver(Event::Endpoints(ListUpdate::Cached(listings)));
         Ok((engine, Handle::new(sender, clock)))
     }
@@ -123,7 +142,9 @@
             }
             // Inputs that are there go first, and a stream of them can't hold up the timers.
             for _ in 0..self.inputs.len() {
-                let Ok(input) = self.inputs.try_recv() else { break };
+                let Ok(input) = self.inputs.try_recv() else {
+                    break;
+                };
                 self.take(input);
             }
             self.fire_timers();
@@ -154,11 +175,19 @@
                 }
             }
             Input::Probed(endpoint, outcome, took, load) => {
-                self.deliver(Event::ProbeEnded { endpoint, outcome, took, load });
+                self.deliver(Event::ProbeEnded {
+                    endpoint,
+                    outcome,
+                    took,
+                    load,
+                });
             }
             Input::Hosts(list) => {
                 if list.unread > 0 {
-                    self.complain(&format!("discovery: {} entries without a name", list.unread));
+                    self.complain(&format!(
+                        "discovery: {} entries without a name",
+                        list.unread
+                    ));
                 }
                 self.observer.listed();
                 let update = self.listed.answered(list, |id| self.balancer.knows(id));
@@ -172,7 +201,11 @@
             Input::Survey(reply) => {
                 let (open, attempts) = self.open.count();
                 // Whoever asked may have left.
-                let _ = reply.send(Survey { census: self.balancer.census(), open, attempts });
+                let _ = reply.send(Survey {
+                    census: self.balancer.census(),
+                    open,
+                    attempts,
+                });
             }
             #[cfg(feature = "product")]
             Input::Recalled(known) => self.deliver(Event::Recalled(self.listed.numbered(known))),
--- a/src/bin/tinflow/engine/actions.rs
+++ b/src/bin/tinflow/engine/actions.rs
@@ -17,12 +17,19 @@
     /// Carries out what the module asked for at `now`.
     pub(super) fn act(&mut self, now: Micros, action: Action) {
         match action {
-            Action::Send { request, endpoint, timeout, write_by } => {
+            Action::Send {
+                request,
+                endpoint,
+                timeout,
+                write_by,
+            } => {
                 let until = now.saturating_add(timeout - ATTEMPT_FIRST.min(timeout / 2));
                 let [write_by, until] = [write_by.min(until), until].map(|t| self.clock.instant(t));
                 self.send(request, endpoint, Times { write_by, until });
             }
-            Action::Refuse { request, hold_off } => self.open.answer(request, Answer::Refused(hold_off)),
+            Action::Refuse { request, hold_off } => {
+                self.open.answer(request, Answer::Refused(hold_off))
+            }
             Action::Fail(request) => self.open.answer(request, Answer::Failed),
             Action::Cancel { request, attempt } => {
                 self.events.extend(self.open.cancel((request, attempt)));
@@ -32,7 +39,9 @@
                 spawn_local(upstream.probe(endpoint, inputs));
             }
             Action::SetTimer { after, token } => self.timers.set(after, token),
-            Action::Subscribe(on) => drop(self.asks.send(if on { Ask::Watch } else { Ask::StopWatch })),
+            Action::Subscribe(on) => {
+                drop(self.asks.send(if on { Ask::Watch } else { Ask::StopWatch }))
+            }
             Action::FetchList => drop(self.asks.send(Ask::Fetch)),
             Action::CloseIdle(endpoint) => self.pool.endpoint(endpoint).close_idle(),
             Action::Tell { to, bytes } => {
@@ -51,7 +60,9 @@
 
     fn send(&mut self, request: RequestId, endpoint: usize, times: Times) {
         // The module holds no request that is not held here: both learn of every end in the same turn.
-        let Some((attempt, outgoing)) = self.open.next(request, self.listed.name(endpoint)) else { return };
+        let Some((attempt, outgoing)) = self.open.next(request, self.listed.name(endpoint)) else {
+            return;
+        };
         let to = self.pool.endpoint(endpoint);
         // What was decided holds for the process that is there now.
         let attempting = Rc::clone(&self.upstream).attempt(
--- a/src/bin/tinflow/facts.rs
+++ b/src/bin/tinflow/facts.rs
@@ -53,7 +53,12 @@
 impl Facts {
     /// Reads them; `None` where the request can't be served as it is.
     pub fn read(lanes: &Lanes, method: &Method, headers: &HeaderMap) -> Option<Self> {
-        let text = |name: &HeaderName| headers.get(name).and_then(|v| v.to_str().ok()).map(str::trim);
+        let text = |name: &HeaderName| {
+            headers
+                .get(name)
+                .and_then(|v| v.to_str().ok())
+                .map(str::trim)
+        };
         let class = text(&SERVICE_CLASS)?;
         let class = lanes.classes.iter().position(|(name, _)| name == class)?;
         // The method follows from the class: a request in another form is not what the class promises.
@@ -65,9 +70,14 @@
         };
         // Of two ids an endpoint could take either for one that no client sent.
         let once = headers.get_all(CORRELATION_ID).iter().count() == 1;
-        headers.get(CORRELATION_ID).filter(|id| fits && once && !id.is_empty())?;
-        let tenant = text(&ACCOUNT).and_then(|account| lanes.tenants.iter().position(|t| t == account));
-        let work = text(&WEIGHT_HINT).and_then(|hint| hint.parse().ok()).filter(|us: &Micros| *us > 0);
+        headers
+            .get(CORRELATION_ID)
+            .filter(|id| fits && once && !id.is_empty())?;
+        let tenant =
+            text(&ACCOUNT).and_then(|account| lanes.tenants.iter().position(|t| t == account));
+        let work = text(&WEIGHT_HINT)
+            .and_then(|hint| hint.parse().ok())
+            .filter(|us: &Micros| *us > 0);
         Some(Self {
             class,
             tenant,
@@ -86,14 +96,22 @@
         None => (text.strip_suffix('u')?, 1.0),
     };
     let digits = |b: u8| b.is_ascii_digit() || b == b'.';
-    let number: f64 = Some(number).filter(|n| n.bytes().all(digits))?.parse().ok()?;
+    let number: f64 = Some(number)
+        .filter(|n| n.bytes().all(digits))?
+        .parse()
+        .ok()?;
     Some(((number * unit).min(LONGEST_WAIT as f64)) as Micros)
 }
 
 /// What the request is about: the cookie `obj`, a hexadecimal number or any other text.
 fn object(headers: &HeaderMap) -> Option<u64> {
-    let cookies = headers.get_all(header::COOKIE).iter().filter_map(|v| v.to_str().ok());
-    let value = cookies.flat_map(|c| c.split(';')).find_map(|c| c.trim().strip_prefix("obj="))?;
+    let cookies = headers
+        .get_all(header::COOKIE)
+        .iter()
+        .filter_map(|v| v.to_str().ok());
+    let value = cookies
+        .flat_map(|c| c.split(';'))
+        .find_map(|c| c.trim().strip_prefix("obj="))?;
     Some(u64::from_str_radix(value, 16).unwrap_or_else(|_| {
         let mut hasher = DefaultHasher::new();
         value.hash(&mut hasher);
@@ -107,12 +125,20 @@
 
     #[test]
     fn time_left_is_a_number_and_a_unit() {
-        let read = [("480m", 480_000), ("480000u", 480_000), ("0.5m", 500), ("0m", 0), ("1e9m", -1)];
+        let read = [
+            ("480m", 480_000),
+            ("480000u", 480_000),
+            ("0.5m", 500),
+            ("0m", 0),
+            ("1e9m", -1),
+        ];
         for (text, us) in read {
             assert_eq!(time_left(text).unwrap_or(-1), us, "{text}");
         }
         assert_eq!(time_left(&("9".repeat(400) + "m")), Some(LONGEST_WAIT));
-        for bad in ["", "m", "480", "480s", "-1m", "+1m", " 1m", "1 m", "infm", "NaNu", "1.2.3m", "."] {
+        for bad in [
+            "", "m", "480", "480s", "-1m", "+1m", " 1m", "1 m", "infm", "NaNu", "1.2.3m", ".",
+        ] {
             assert_eq!(time_left(bad), None, "{bad}");
         }
     }
--- a/src/bin/tinflow/fleet.rs
+++ b/src/bin/tinflow/fleet.rs
@@ -42,14 +42,36 @@
         let told = Rc::new(move |words: Vec<linenproxy_fleet::core::Word>| {
             inputs.send(Input::Words(words.into_iter().map(word).collect()));
         });
-        let member = udp::Fleet::bind(section, name, zone, Rc::new(move || clock.now()), told, incarnation)?;
+        let member = udp::Fleet::bind(
+            section,
+            name,
+            zone,
+            Rc::new(move || clock.now()),
+            told,
+            incarnation,
+        )?;
         member.set_version(cli::VERSION);
         member.on_notes(Rc::new(|note| note_down(&note)));
         spawn_local(member.clone().run());
-        let ahead = if section.affinity.enabled { section.affinity.ahead } else { 0.0 };
-        let sharing = Sharing { words: section.verdicts.enabled, ahead };
-        let bindings = section.bindings.enabled.then(|| Host::start(section, &member, clock));
-        Ok(Self { member, list: Rc::default(), sharing, bindings })
+        let ahead = if section.affinity.enabled {
+            section.affinity.ahead
+        } else {
+            0.0
+        };
+        let sharing = Sharing {
+            words: section.verdicts.enabled,
+            ahead,
+        };
+        let bindings = section
+            .bindings
+            .enabled
+            .then(|| Host::start(section, &member, clock));
+        Ok(Self {
+            member,
+            list: Rc::default(),
+            sharing,
+            bindings,
+        })
     }
 
     /// The bindings, where they are hosted.
@@ -104,18 +126,34 @@
             }
             let name = name(endpoint).to_owned();
             let zone = l.zone.map_or("", &zone).to_owned();
-            list.insert(endpoint, (Listed { endpoint, name, started, ready }, zone));
+            list.insert(
+                endpoint,
+                (
+                    Listed {
+                        endpoint,
+                        name,
+                        started,
+                        ready,
+                    },
+                    zone,
+                ),
+            );
         }
         if let Some(bindings) = &self.bindings {
             bindings.listed(list.values().map(|(listed, _)| listed));
         }
-        self.member.placed(list.iter().map(|(endpoint, (_, zone))| (*endpoint, zone.as_str())));
-        self.member.listed(list.values().map(|(listed, _)| listed.clone()).collect());
+        self.member.placed(
+            list.iter()
+                .map(|(endpoint, (_, zone))| (*endpoint, zone.as_str())),
+        );
+        self.member
+            .listed(list.values().map(|(listed, _)| listed.clone()).collect());
     }
 
     /// An attempt was served, or was not.
     pub fn witness(&self, endpoint: EndpointId, served: bool) {
-        self.member.witness(endpoint, if served { Sign::Well } else { Sign::Sick });
+        self.member
+            .witness(endpoint, if served { Sign::Well } else { Sign::Sick });
     }
 
     /// Tells the others that this one ends.
@@ -142,7 +180,11 @@
         verdict::Rest::Over => Rest::Over,
     };
     let until: Micros = word.until;
-    Word { endpoint: word.endpoint, rest, until }
+    Word {
+        endpoint: word.endpoint,
+        rest,
+        until,
+    }
 }
 
 /// What people should know, in a line.
@@ -150,17 +192,26 @@
     match note {
         Note::Standing { standing, zones } => {
             let word = standing.kind.word();
-            let zones: Vec<String> =
-                zones.iter().map(|(zone, way)| format!("{zone} {}", way.word())).collect();
+            let zones: Vec<String> = zones
+                .iter()
+                .map(|(zone, way)| format!("{zone} {}", way.word()))
+                .collect();
             let side = match standing.larger {
                 Some(true) => ", on the larger side",
                 Some(false) => ", not on the larger side",
                 None => "",
             };
-            let from = if zones.is_empty() { String::new() } else { format!(" from {}", zones.join(", ")) };
+            let from = if zones.is_empty() {
+                String::new()
+            } else {
+                format!(" from {}", zones.join(", "))
+            };
             say!(info, "tinflow::fleet", "standing: {word}{from}{side}");
         }
-        Note::Twice { name, addresses: [one, other] } => {
+        Note::Twice {
+            name,
+            addresses: [one, other],
+        } => {
             say!(
                 warn,
                 "tinflow::fleet",
@@ -168,7 +219,11 @@
             );
         }
         Note::Quarantined { name } => {
-            say!(warn, "tinflow::fleet", "{name} fails again and again: its word does not count for now");
+            say!(
+                warn,
+                "tinflow::fleet",
+                "{name} fails again and again: its word does not count for now"
+            );
         }
     }
 }
--- a/src/bin/tinflow/handle.rs
+++ b/src/bin/tinflow/handle.rs
@@ -19,7 +19,11 @@
 impl Handle {
     /// One that hands over to these inputs.
     pub fn new(inputs: Inputs, clock: Clock) -> Self {
-        Self { inputs, clock, last_id: Rc::default() }
+        Self {
+            inputs,
+            clock,
+            last_id: Rc::default(),
+        }
     }
 
     /// Where its inputs go.
@@ -42,8 +46,17 @@
         let id = self.last_id.get() + 1;
         self.last_id.set(id);
         let (sender, answer) = oneshot::channel();
-        self.inputs.send(Input::Request(NewRequest { id, ..request }, Rc::new(outgoing), sender));
-        Owed { id, answer, answered: false, inputs: self.inputs.clone() }
+        self.inputs.send(Input::Request(
+            NewRequest { id, ..request },
+            Rc::new(outgoing),
+            sender,
+        ));
+        Owed {
+            id,
+            answer,
+            answered: false,
+            inputs: self.inputs.clone(),
+        }
     }
 }
 
--- a/src/bin/tinflow/headers.rs
+++ b/src/bin/tinflow/headers.rs
@@ -16,7 +16,9 @@
 
 /// Path and query, as they go on to endpoints.
 pub fn origin_form(uri: &Uri) -> Uri {
-    uri.path_and_query().and_then(|p| Uri::try_from(p.as_str()).ok()).unwrap_or_default()
+    uri.path_and_query()
+        .and_then(|p| Uri::try_from(p.as_str()).ok())
+        .unwrap_or_default()
 }
 
 /// Headers without those that belong to one connection or frame one message.
@@ -28,7 +30,11 @@
         .flat_map(|v| v.split(','))
         .filter_map(|name| HeaderName::from_bytes(name.trim().as_bytes()).ok())
         .collect();
-    for name in HOP_BY_HOP.iter().chain(&named).chain([&header::CONTENT_LENGTH, &header::EXPECT]) {
+    for name in HOP_BY_HOP
+        .iter()
+        .chain(&named)
+        .chain([&header::CONTENT_LENGTH, &header::EXPECT])
+    {
         headers.remove(name);
     }
     headers
--- a/src/bin/tinflow/hosts.rs
+++ b/src/bin/tinflow/hosts.rs
@@ -37,7 +37,12 @@
         if endpoints.is_empty() && unread > 0 {
             return Err("no entry can be read");
         }
-        Ok(Self { index: form.index, snapshot: form.snapshot, endpoints, unread })
+        Ok(Self {
+            index: form.index,
+            snapshot: form.snapshot,
+            endpoints,
+            unread,
+        })
     }
 }
 
@@ -124,5 +129,8 @@
 /// A time that is no number counts as long ago.
 fn milliseconds(value: &Value) -> i64 {
     // A fraction is cut off, and what is out of range is taken as its end.
-    value.as_i64().or_else(|| value.as_f64().map(|ms| ms as i64)).unwrap_or(0)
+    value
+        .as_i64()
+        .or_else(|| value.as_f64().map(|ms| ms as i64))
+        .unwrap_or(0)
 }
--- a/src/bin/tinflow/inbound.rs
+++ b/src/bin/tinflow/inbound.rs
@@ -31,7 +31,11 @@
 
 /// Binds the address that clients connect to.
 pub fn bind(at: SocketAddr) -> io::Result<TcpListener> {
-    let socket = if at.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+    let socket = if at.is_ipv4() {
+        TcpSocket::new_v4()
+    } else {
+        TcpSocket::new_v6()
+    }?;
     // A restart must not wait for the connections of the process before it.
     socket.set_reuseaddr(true)?;
     socket.bind(at)?;
@@ -68,10 +72,19 @@
     stop: watch::Receiver<Stop>,
 ) {
     let (crowded, crowding) = watch::channel(false);
-    let room = Room { places: Arc::new(Semaphore::new(limits.clients)), crowded };
+    let room = Room {
+        places: Arc::new(Semaphore::new(limits.clients)),
+        crowded,
+    };
     let mut closed = stop.clone();
     let mut closed = pin!(async move { closed.wait_for(|s| *s >= Stop::Closed).await.map(drop) });
-    let session = Session { lanes, handle, crowded: crowding, slowest: longest + OVERDUE, stop };
+    let session = Session {
+        lanes,
+        handle,
+        crowded: crowding,
+        slowest: longest + OVERDUE,
+        stop,
+    };
     let serve = async |stream| {
         // At the very end what waits for a place is told so without one: its descriptor is held already.
         let place = tokio::select! {
@@ -92,7 +105,12 @@
             Ok((stream, _)) => serve(stream).await,
             Err(e) => {
                 if let Some(others) = failures.pass(Instant::now()) {
-                    say!(warn, "tinflow::inbound", "cannot accept: {e}{}", left_out(others));
+                    say!(
+                        warn,
+                        "tinflow::inbound",
+                        "cannot accept: {e}{}",
+                        left_out(others)
+                    );
                 }
                 sleep(ACCEPT_PAUSE).await;
             }
--- a/src/bin/tinflow/inlet.rs
+++ b/src/bin/tinflow/inlet.rs
@@ -30,7 +30,13 @@
     /// Over a connection that may be ended once it was quiet for longer than `sure`, and that ends once its client
     /// has left an answer unread for longer than `slowest` after its system had no more room.
     pub fn new(client: Rc<Client>, sure: Duration, slowest: Duration) -> Self {
-        Self { client, quiet: Instant::now(), sure, slowest, overdue: None }
+        Self {
+            client,
+            quiet: Instant::now(),
+            sure,
+            slowest,
+            overdue: None,
+        }
     }
 
     fn stream(&self) -> &TcpStream {
@@ -65,7 +71,10 @@
             let room = buf.initialize_unfilled();
             let read = match self.stream().try_read(room) {
                 // What the runtime takes for not readable may be so all the same.
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock && self.quiet.elapsed() >= self.sure => {
+                Err(e)
+                    if e.kind() == io::ErrorKind::WouldBlock
+                        && self.quiet.elapsed() >= self.sure =>
+                {
                     io::Read::read(&mut &*SockRef::from(self.stream()), room)
                 }
                 read => read,
@@ -79,7 +88,9 @@
                     self.quiet = Instant::now();
                     return Poll::Ready(Ok(()));
                 }
-                Err(e) if e.kind() == io::ErrorKind::WouldBlock => ready!(self.stream().poll_read_ready(cx))?,
+                Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
+                    ready!(self.stream().poll_read_ready(cx))?
+                }
                 Err(e) => return Poll::Ready(Err(e)),
             }
         }
@@ -87,7 +98,11 @@
 }
 
 impl AsyncWrite for Inlet {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.poll_room(cx))?;
             match self.stream().try_write(buf) {
--- a/src/bin/tinflow/kept.rs
+++ b/src/bin/tinflow/kept.rs
@@ -30,7 +30,12 @@
         let platform = config.known.as_ref().map_or(0, |list| list.index);
         if let Some(list) = kept.filter(|list| list.index > platform) {
             let endpoints = list.entries.into_iter().map(host).collect();
-            config.known = Some(HostList { index: platform, snapshot: true, endpoints, unread: 0 });
+            config.known = Some(HostList {
+                index: platform,
+                snapshot: true,
+                endpoints,
+                unread: 0,
+            });
         }
         Self::default()
     }
@@ -47,7 +52,8 @@
             }
         }
         if std::mem::replace(&mut self.begun, true) {
-            self.changed |= !list.endpoints.is_empty() || self.index != list.index || self.seen.is_none();
+            self.changed |=
+                !list.endpoints.is_empty() || self.index != list.index || self.seen.is_none();
             self.seen = Some(now);
         }
         self.index = list.index;
@@ -60,7 +66,11 @@
             return None;
         }
         (self.changed, self.kept) = (false, now);
-        Some(List { index: self.index, seen, entries: self.entries.values().cloned().collect() })
+        Some(List {
+            index: self.index,
+            seen,
+            entries: self.entries.values().cloned().collect(),
+        })
     }
 }
 
@@ -84,7 +94,11 @@
         zone: entry.zone,
         kind: entry.kind,
         group: entry.group,
-        status: if entry.leaving { HostStatus::Leaving } else { HostStatus::Active },
+        status: if entry.leaving {
+            HostStatus::Leaving
+        } else {
+            HostStatus::Active
+        },
         weight: entry.weight,
         since_ms: entry.since_ms,
     }
@@ -92,6 +106,25 @@
 
 /// What was known of a process, as the engine is told; it knows the endpoint by its name.
 pub fn recalled(process: Process) -> Named {
-    let Process { name, started, seen, open, openings, slow, cap } = process;
-    (name, Recalled { endpoint: 0, started, seen, open, openings, slow, cap })
+    let Process {
+        name,
+        started,
+        seen,
+        open,
+        openings,
+        slow,
+        cap,
+    } = process;
+    (
+        name,
+        Recalled {
+            endpoint: 0,
+            started,
+            seen,
+            open,
+            openings,
+            slow,
+            cap,
+        },
+    )
 }
--- a/src/bin/tinflow/listed.rs
+++ b/src/bin/tinflow/listed.rs
@@ -26,13 +26,25 @@
 impl Listed {
     /// No endpoint yet; the settings name some zones.
     pub fn new(zones: Names, pool: Rc<Pool>, fleet: Option<Fleet>, state: Option<State>) -> Self {
-        Self { endpoints: Names::default(), zones, kinds: Names::default(), pool, fleet, state }
+        Self {
+            endpoints: Names::default(),
+            zones,
+            kinds: Names::default(),
+            pool,
+            fleet,
+            state,
+        }
     }
 
     /// What was known of endpoints, by their numbers; those without one are left out.
     #[cfg(feature = "product")]
     pub fn numbered(&self, known: Vec<Named>) -> Vec<Recalled> {
-        let of = |(name, k): Named| Some(Recalled { endpoint: self.endpoints.find(&name)?, ..k });
+        let of = |(name, k): Named| {
+            Some(Recalled {
+                endpoint: self.endpoints.find(&name)?,
+                ..k
+            })
+        };
         known.into_iter().filter_map(of).collect()
     }
 
@@ -40,7 +52,10 @@
     #[cfg(feature = "product")]
     pub fn named(&self, balancer: &Balancer) -> (usize, Vec<Named>) {
         let named = |k: Recalled| (self.name(k.endpoint).to_owned(), k);
-        (balancer.census().listed, balancer.memory().into_iter().map(named).collect())
+        (
+            balancer.census().listed,
+            balancer.memory().into_iter().map(named).collect(),
+        )
     }
 
     /// The name of an endpoint.
@@ -55,12 +70,21 @@
         }
         let full = list.snapshot;
         let listings = self.apply(list, full, knows);
-        if full { ListUpdate::Full(listings) } else { ListUpdate::Delta(listings) }
+        if full {
+            ListUpdate::Full(listings)
+        } else {
+            ListUpdate::Delta(listings)
+        }
     }
 
     /// Brings the sockets' view of the endpoints up to date, before the module, which `knows` some, can send anything
     /// more; returns what it is to hear.
-    pub fn apply(&mut self, list: HostList, full: bool, knows: impl Fn(usize) -> bool) -> Vec<Listing> {
+    pub fn apply(
+        &mut self,
+        list: HostList,
+        full: bool,
+        knows: impl Fn(usize) -> bool,
+    ) -> Vec<Listing> {
         if let Some(state) = &self.state {
             state.listed(&list, full);
         }
@@ -76,7 +100,10 @@
                 (HostStatus::Active, None) | (HostStatus::Leaving, _) => Status::Draining,
                 (HostStatus::Left, _) => Status::Gone,
             };
-            let at = host.address.map(|address| Target { address, since_ms: host.since_ms });
+            let at = host.address.map(|address| Target {
+                address,
+                since_ms: host.since_ms,
+            });
             self.pool.endpoint(id).set(at, status == Status::Ready);
             listings.push(Listing {
                 endpoint: id,
@@ -86,7 +113,10 @@
                 status,
                 size: host.weight,
                 started: Some(host.since_ms.saturating_mul(1000)).filter(|at| *at != 0),
-                alias: self.fleet.as_ref().map_or(0, |fleet| fleet.alias(&host.name)),
+                alias: self
+                    .fleet
+                    .as_ref()
+                    .map_or(0, |fleet| fleet.alias(&host.name)),
             });
         }
         if full {
@@ -94,7 +124,12 @@
             self.pool.keep_only(&listed);
         }
         if let Some(fleet) = &self.fleet {
-            fleet.listed(full, &listings, |id| self.endpoints.name(id), |zone| self.zones.name(zone));
+            fleet.listed(
+                full,
+                &listings,
+                |id| self.endpoints.name(id),
+                |zone| self.zones.name(zone),
+            );
         }
         listings
     }
--- a/src/bin/tinflow/main.rs
+++ b/src/bin/tinflow/main.rs
@@ -105,10 +105,12 @@
     let listener = inbound::bind(config.listen)
         .map_err(|e| failed(format!("cannot listen on {}: {e}", config.listen)))?;
     // Awaited before anything else: unawaited, this one ends the process.
-    let mut hup = signal(SignalKind::hangup()).map_err(|e| failed(format!("cannot await SIGHUP: {e}")))?;
-    let mut term =
-        signal(SignalKind::terminate()).map_err(|e| failed(format!("cannot await SIGTERM: {e}")))?;
-    let mut int = signal(SignalKind::interrupt()).map_err(|e| failed(format!("cannot await SIGINT: {e}")))?;
+    let mut hup =
+        signal(SignalKind::hangup()).map_err(|e| failed(format!("cannot await SIGHUP: {e}")))?;
+    let mut term = signal(SignalKind::terminate())
+        .map_err(|e| failed(format!("cannot await SIGTERM: {e}")))?;
+    let mut int =
+        signal(SignalKind::interrupt()).map_err(|e| failed(format!("cannot await SIGINT: {e}")))?;
     let peers = match config.peer_listen {
         Some(at) => Some(
             peers::Peers::bind(at, &config.peers, config.peers_all)
@@ -125,13 +127,21 @@
     let ((inputs, arriving), clock) = (Inputs::channel(), Clock::new());
     let state = product.recover(&mut config, clock)?;
     let fleet = product.join(&config, &inputs, clock, state.as_ref())?;
-    let parts = (inputs.clone(), arriving, clock, fleet.clone(), state.clone());
+    let parts = (
+        inputs.clone(),
+        arriving,
+        clock,
+        fleet.clone(),
+        state.clone(),
+    );
     let (engine, handle) =
         Engine::new(config, peers, discovery_at, observer.clone(), parts).map_err(failed)?;
     product.host(&observer, handle.inputs(), fleet.as_ref(), state.as_ref())?;
     let (stop, stopped) = watch::channel(Stop::No);
     let mut running = spawn_local(engine.run());
-    let accepting = spawn_local(inbound::accept(listener, limits, lanes, handle, longest, stopped));
+    let accepting = spawn_local(inbound::accept(
+        listener, limits, lanes, handle, longest, stopped,
+    ));
 
     loop {
         tokio::select! {
@@ -191,10 +201,24 @@
 fn reload(discovery: &watch::Sender<SocketAddr>, fixed: &serde_json::Value) {
     match Config::reload() {
         Ok(config) => {
-            let rest = if config.fixed == *fixed { "" } else { ", other changes wait for a restart" };
-            say!(info, "tinflow", "configuration reloaded: discovery at {}{rest}", config.discovery);
-            discovery.send_if_modified(|at| std::mem::replace(at, config.discovery) != config.discovery);
+            let rest = if config.fixed == *fixed {
+                ""
+            } else {
+                ", other changes wait for a restart"
+            };
+            say!(
+                info,
+                "tinflow",
+                "configuration reloaded: discovery at {}{rest}",
+                config.discovery
+            );
+            discovery
+                .send_if_modified(|at| std::mem::replace(at, config.discovery) != config.discovery);
         }
-        Err(what) => say!(warn, "tinflow", "reload failed, the old configuration stays: {what}"),
+        Err(what) => say!(
+            warn,
+            "tinflow",
+            "reload failed, the old configuration stays: {what}"
+        ),
     }
 }
--- a/src/bin/tinflow/messages.rs
+++ b/src/bin/tinflow/messages.rs
@@ -124,7 +124,10 @@
 impl Outgoing {
     /// The correlation id that its client gave it.
     pub fn id(&self) -> &str {
-        self.headers.get(CORRELATION_ID).and_then(|id| id.to_str().ok()).unwrap_or("")
+        self.headers
+            .get(CORRELATION_ID)
+            .and_then(|id| id.to_str().ok())
+            .unwrap_or("")
     }
 }
 
--- a/src/bin/tinflow/meter.rs
+++ b/src/bin/tinflow/meter.rs
@@ -40,7 +40,9 @@
                 _ => 0,
             });
         }
-        state.body_left.set(state.body_left.get().saturating_sub(bytes.len()));
+        state
+            .body_left
+            .set(state.body_left.get().saturating_sub(bytes.len()));
     }
 
     /// The peer has said something.
