--- a/src/bin/tinflow/observer.rs
+++ b/src/bin/tinflow/observer.rs
@@ -53,7 +53,10 @@
 const REASONS: [&str; 3] = ["shed", "waiting", "failing"];
 
 fn word(outcome: Outcome) -> (usize, &'static str) {
-    let found = OUTCOMES.iter().enumerate().find(|(_, (o, _))| *o == outcome);
+    let found = OUTCOMES
+        .iter()
+        .enumerate()
+        .find(|(_, (o, _))| *o == outcome);
     found.map_or((0, "served"), |(i, (_, word))| (i, *word))
 }
 
@@ -79,12 +82,24 @@
     /// One that counts into `figures`, by these classes.
     pub fn counting(figures: Rc<Figures>, classes: &[String]) -> Self {
         let f = &figures;
-        let version = [("version", cli::VERSION), ("commit", cli::COMMIT.unwrap_or("unknown"))];
-        f.gauge("tinflow_build_info", "1, with the build in its labels.", &version).set(1.0);
+        let version = [
+            ("version", cli::VERSION),
+            ("commit", cli::COMMIT.unwrap_or("unknown")),
+        ];
+        f.gauge(
+            "tinflow_build_info",
+            "1, with the build in its labels.",
+            &version,
+        )
+        .set(1.0);
         let of_class = |class: &String| OfClass {
             ended: ENDS.map(|outcome| {
                 let labels = [("class", class.as_str()), ("outcome", outcome)];
-                f.counter("tinflow_requests_total", "Requests by class and how they ended.", &labels)
+                f.counter(
+                    "tinflow_requests_total",
+                    "Requests by class and how they ended.",
+                    &labels,
+                )
             }),
             seconds: f.seconds(
                 "tinflow_request_duration_seconds",
@@ -95,26 +110,63 @@
         let of_outcome = |(_, outcome): (Outcome, &str)| {
             let labels = [("outcome", outcome)];
             (
-                f.counter("tinflow_attempts_total", "Attempts at endpoints by how they ended.", &labels),
-                f.seconds("tinflow_attempt_duration_seconds", "Time that attempts took.", &labels),
+                f.counter(
+                    "tinflow_attempts_total",
+                    "Attempts at endpoints by how they ended.",
+                    &labels,
+                ),
+                f.seconds(
+                    "tinflow_attempt_duration_seconds",
+                    "Time that attempts took.",
+                    &labels,
+                ),
             )
         };
         let given_up = |reason| {
-            f.counter("tinflow_given_up_total", "Requests given up, by reason.", &[("reason", reason)])
+            f.counter(
+                "tinflow_given_up_total",
+                "Requests given up, by reason.",
+                &[("reason", reason)],
+            )
+        };
+        let endpoints = |state| {
+            f.gauge(
+                "tinflow_endpoints",
+                "Endpoints on the list, by state.",
+                &[("state", state)],
+            )
         };
-        let endpoints =
-            |state| f.gauge("tinflow_endpoints", "Endpoints on the list, by state.", &[("state", state)]);
         Self(Some(Rc::new(Seen {
             classes: classes.iter().map(of_class).collect(),
             attempts: OUTCOMES.map(of_outcome),
-            retries: f.counter("tinflow_retries_total", "Attempts after a request's first.", &[]),
+            retries: f.counter(
+                "tinflow_retries_total",
+                "Attempts after a request's first.",
+                &[],
+            ),
             given_up: REASONS.map(given_up),
-            circuits_open: f.gauge("tinflow_circuits_open", "Endpoints whose circuit is open.", &[]),
-            queued: f.gauge("tinflow_queued_requests", "Requests that wait for an endpoint with room.", &[]),
-            open: f.gauge("tinflow_open_requests", "Requests without their final answer.", &[]),
+            circuits_open: f.gauge(
+                "tinflow_circuits_open",
+                "Endpoints whose circuit is open.",
+                &[],
+            ),
+            queued: f.gauge(
+                "tinflow_queued_requests",
+                "Requests that wait for an endpoint with room.",
+                &[],
+            ),
+            open: f.gauge(
+                "tinflow_open_requests",
+                "Requests without their final answer.",
+                &[],
+            ),
             attempts_open: f.gauge("tinflow_open_attempts", "Attempts that are out.", &[]),
             endpoints: ["ready", "other"].map(endpoints),
-            list_age: f.gauge("tinflow_list_age_seconds", "Time since discovery last answered.", &[]),
+            list_age: f.gauge(
+                "tinflow_list_age_seconds",
+                "Time since discovery last answered.",
+                &[],
+            ),
             list_at: Cell::new(Instant::now()),
             lines_dropped: f.counter(
                 "tinflow_log_lines_dropped_total",
@@ -152,7 +204,13 @@
     }
 
     /// A request got its answer, or, without one, its client has left.
-    pub fn answered(&self, class: usize, outgoing: &Outgoing, answer: Option<&Answer>, took: Micros) {
+    pub fn answered(
+        &self,
+        class: usize,
+        outgoing: &Outgoing,
+        answer: Option<&Answer>,
+        took: Micros,
+    ) {
         let end = end(answer);
         let id = outgoing.id();
         tracing::debug!(target: "tinflow::request", id, outcome = ENDS[end], took_us = took, "answered");
@@ -175,24 +233,61 @@
     pub fn fleet(&self, census: &linenproxy_fleet::core::Census) {
         let Some(seen) = &self.0 else { return };
         let f = &seen.figures;
-        f.gauge("tinflow_fleet_members", "Other members that run.", &[]).set(census.members.len() as f64);
-        f.gauge("tinflow_fleet_resting", "Endpoints that rest by others' word.", &[])
-            .set(census.rests.len() as f64);
+        f.gauge("tinflow_fleet_members", "Other members that run.", &[])
+            .set(census.members.len() as f64);
+        f.gauge(
+            "tinflow_fleet_resting",
+            "Endpoints that rest by others' word.",
+            &[],
+        )
+        .set(census.rests.len() as f64);
         let counts = &census.counts;
         for (name, what, value) in [
-            ("tinflow_fleet_datagrams_sent_total", "Datagrams sent.", counts.sent),
-            ("tinflow_fleet_sent_bytes_total", "Bytes of datagrams sent.", counts.sent_bytes),
-            ("tinflow_fleet_datagrams_received_total", "Datagrams that came.", counts.received),
-            ("tinflow_fleet_evidence_said_total", "Evidence given by this member.", counts.said),
-            ("tinflow_fleet_evidence_heard_total", "Evidence of others that was new.", counts.heard),
-            ("tinflow_fleet_trials_total", "Trials that fell to this member.", counts.trials),
-            ("tinflow_fleet_rests_total", "Endpoints sent to rest.", counts.rests),
+            (
+                "tinflow_fleet_datagrams_sent_total",
+                "Datagrams sent.",
+                counts.sent,
+            ),
+            (
+                "tinflow_fleet_sent_bytes_total",
+                "Bytes of datagrams sent.",
+                counts.sent_bytes,
+            ),
+            (
+                "tinflow_fleet_datagrams_received_total",
+                "Datagrams that came.",
+                counts.received,
+            ),
+            (
+                "tinflow_fleet_evidence_said_total",
+                "Evidence given by this member.",
+                counts.said,
+            ),
+            (
+                "tinflow_fleet_evidence_heard_total",
+                "Evidence of others that was new.",
+                counts.heard,
+            ),
+            (
+                "tinflow_fleet_trials_total",
+                "Trials that fell to this member.",
+                counts.trials,
+            ),
+            (
+                "tinflow_fleet_rests_total",
+                "Endpoints sent to rest.",
+                counts.rests,
+            ),
         ] {
             f.counter(name, what, &[]).absolute(value);
         }
         for (why, count) in &census.dropped {
-            f.counter("tinflow_fleet_dropped_total", "What was dropped, by reason.", &[("reason", why)])
-                .absolute(*count);
+            f.counter(
+                "tinflow_fleet_dropped_total",
+                "What was dropped, by reason.",
+                &[("reason", why)],
+            )
+            .absolute(*count);
         }
     }
 
@@ -209,11 +304,15 @@
             (&seen.open, survey.open),
             (&seen.attempts_open, survey.attempts),
             (&seen.endpoints[0], census.ready),
-            (&seen.endpoints[1], census.listed - census.ready.min(census.listed)),
+            (
+                &seen.endpoints[1],
+                census.listed - census.ready.min(census.listed),
+            ),
         ] {
             gauge.set(value as f64);
         }
-        seen.list_age.set(seen.list_at.get().elapsed().as_secs_f64());
+        seen.list_age
+            .set(seen.list_at.get().elapsed().as_secs_f64());
         seen.lines_dropped.absolute(lines_dropped);
         Some(seen.figures.text())
     }
@@ -231,7 +330,16 @@
     #[test]
     fn every_outcome_has_a_word_of_its_own() {
         use Outcome::*;
-        let all = [Ok, Error, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, NotSent];
+        let all = [
+            Ok,
+            Error,
+            Rejected,
+            TimedOut,
+            ConnectFailed,
+            Reset,
+            Cancelled,
+            NotSent,
+        ];
         for (i, outcome) in all.into_iter().enumerate() {
             assert_eq!(word(outcome).0, i, "{outcome:?}");
         }
--- a/src/bin/tinflow/open.rs
+++ b/src/bin/tinflow/open.rs
@@ -3,7 +3,9 @@
 use crate::clock::Clock;
 use crate::messages::{Answer, Ended, Outgoing};
 use crate::product::{Bound, Fleet, Observer};
-use linenproxy::{AttemptEnd, AttemptNo, ClassId, Event, Load, Micros, NewRequest, Outcome, RequestId};
+use linenproxy::{
+    AttemptEnd, AttemptNo, ClassId, Event, Load, Micros, NewRequest, Outcome, RequestId,
+};
 use std::collections::HashMap;
 use std::rc::Rc;
 use tokio::sync::oneshot;
@@ -40,7 +42,13 @@
 impl Open {
     /// Nothing yet.
     pub fn new(clock: Clock, observer: Observer, fleet: Option<Fleet>) -> Self {
-        Self { held: HashMap::new(), out: HashMap::new(), clock, observer, fleet }
+        Self {
+            held: HashMap::new(),
+            out: HashMap::new(),
+            clock,
+            observer,
+            fleet,
+        }
     }
 
     /// Requests without their answer, and attempts that are out.
@@ -50,20 +58,46 @@
     }
 
     /// A request was taken; it is told where its key is bound.
-    pub fn take(&mut self, request: &mut NewRequest, outgoing: Rc<Outgoing>, reply: oneshot::Sender<Answer>) {
+    pub fn take(
+        &mut self,
+        request: &mut NewRequest,
+        outgoing: Rc<Outgoing>,
+        reply: oneshot::Sender<Answer>,
+    ) {
         self.observer.taken(request.class, &outgoing);
-        let bound = self.fleet.as_ref().and_then(|fleet| fleet.bound(request.key));
-        request.bound = bound.as_ref().map(|bound| bound.endpoints.clone()).unwrap_or_default();
+        let bound = self
+            .fleet
+            .as_ref()
+            .and_then(|fleet| fleet.bound(request.key));
+        request.bound = bound
+            .as_ref()
+            .map(|bound| bound.endpoints.clone())
+            .unwrap_or_default();
         let (class, arrived, key) = (request.class, self.clock.now(), request.key);
-        let held = Held { reply, outgoing, attempts: 0, class, arrived, key, _bound: bound };
+        let held = Held {
+            reply,
+            outgoing,
+            attempts: 0,
+            class,
+            arrived,
+            key,
+            _bound: bound,
+        };
         self.held.insert(request.id, held);
     }
 
     /// The client of a request has left; whether it was still without its answer, as the two may cross.
     pub fn withdraw(&mut self, id: RequestId) -> bool {
-        let Some(held) = self.held.remove(&id) else { return false };
+        let Some(held) = self.held.remove(&id) else {
+            return false;
+        };
         held.outgoing.settled.set(true);
-        self.observer.answered(held.class, &held.outgoing, None, self.clock.now() - held.arrived);
+        self.observer.answered(
+            held.class,
+            &held.outgoing,
+            None,
+            self.clock.now() - held.arrived,
+        );
         true
     }
 
@@ -72,7 +106,8 @@
         if let Some(held) = self.held.remove(&id) {
             held.outgoing.settled.set(true);
             let took = self.clock.now() - held.arrived;
-            self.observer.answered(held.class, &held.outgoing, Some(&answer), took);
+            self.observer
+                .answered(held.class, &held.outgoing, Some(&answer), took);
             // A client that has just left needs none.
             let _ = held.reply.send(answer);
         }
@@ -89,7 +124,14 @@
 
     /// That attempt is out.
     pub fn sent(&mut self, key: (RequestId, AttemptNo), endpoint: usize, task: AbortHandle) {
-        self.out.insert(key, Out { endpoint, sent: self.clock.now(), task });
+        self.out.insert(
+            key,
+            Out {
+                endpoint,
+                sent: self.clock.now(),
+                task,
+            },
+        );
     }
 
     /// An attempt ended by itself; what the module is to hear of it. One that was called back has ended already,
@@ -117,7 +159,8 @@
 
     fn note(&self, key: (RequestId, AttemptNo), out: &Out, outcome: Outcome) {
         let outgoing = self.held.get(&key.0).map(|held| &*held.outgoing);
-        self.observer.ended(outgoing, outcome, self.clock.now() - out.sent);
+        self.observer
+            .ended(outgoing, outcome, self.clock.now() - out.sent);
     }
 
     fn end(
@@ -129,6 +172,14 @@
     ) -> Event {
         let took = self.clock.now() - out.sent;
         let (endpoint, settled) = (out.endpoint, !self.held.contains_key(&request));
-        Event::AttemptEnded(AttemptEnd { request, attempt, endpoint, outcome, took, settled, load })
+        Event::AttemptEnded(AttemptEnd {
+            request,
+            attempt,
+            endpoint,
+            outcome,
+            took,
+            settled,
+            load,
+        })
     }
 }
--- a/src/bin/tinflow/pages.rs
+++ b/src/bin/tinflow/pages.rs
@@ -47,7 +47,9 @@
                     state.count(&figures);
                 }
                 let survey = self.inputs.survey().await?;
-                self.observer.page(&survey, self.log.dropped()).map(Page::metrics)
+                self.observer
+                    .page(&survey, self.log.dropped())
+                    .map(Page::metrics)
             }
             _ => None,
         }
--- a/src/bin/tinflow/peers.rs
+++ b/src/bin/tinflow/peers.rs
@@ -26,10 +26,18 @@
 
 impl Peers {
     /// Binds `at`; `addresses` are the peers' in the order of their numbers, `all` reaches every one.
-    pub fn bind(at: SocketAddr, addresses: &[SocketAddr], all: Option<SocketAddr>) -> io::Result<Self> {
+    pub fn bind(
+        at: SocketAddr,
+        addresses: &[SocketAddr],
+        all: Option<SocketAddr>,
+    ) -> io::Result<Self> {
         let socket = StdSocket::bind(at)?;
         socket.set_nonblocking(true)?;
-        Ok(Self { socket: Rc::new(UdpSocket::from_std(socket)?), addresses: addresses.into(), all })
+        Ok(Self {
+            socket: Rc::new(UdpSocket::from_std(socket)?),
+            addresses: addresses.into(),
+            all,
+        })
     }
 
     /// Sends to one peer or to all. Datagrams may be lost, so one that can't leave now is.
--- a/src/bin/tinflow/pool.rs
+++ b/src/bin/tinflow/pool.rs
@@ -59,7 +59,9 @@
         }
         if before.map(|b| b.since_ms) != at.map(|a| a.since_ms) {
             self.started.set(at.map(|a| start_time(a.since_ms)));
-            self.idle.borrow_mut().retain(|idle| self.outlives(&idle.connection));
+            self.idle
+                .borrow_mut()
+                .retain(|idle| self.outlives(&idle.connection));
         }
     }
 
@@ -70,7 +72,9 @@
 
     /// Whether a connection was made to the process that is listed now.
     fn outlives(&self, connection: &Connection) -> bool {
-        self.started.get().is_none_or(|started| connection.made() >= started)
+        self.started
+            .get()
+            .is_none_or(|started| connection.made() >= started)
     }
 
     /// Closes the idle connections.
@@ -106,11 +110,19 @@
     /// At most `most` connections, made within `dial_timeout`, closed by endpoints after `idle_close`.
     pub fn new(most: usize, dial_timeout: Micros, idle_close: Micros) -> Self {
         let time = |us: Micros| Duration::from_micros(us.unsigned_abs());
-        let idle_close = time(if idle_close > 0 { idle_close } else { 10_000_000 });
+        let idle_close = time(if idle_close > 0 {
+            idle_close
+        } else {
+            10_000_000
+        });
         Self {
             endpoints: RefCell::default(),
             permits: Arc::new(Semaphore::new(most)),
-            dial_timeout: time(if dial_timeout > 0 { dial_timeout } else { 250_000 }),
+            dial_timeout: time(if dial_timeout > 0 {
+                dial_timeout
+            } else {
+                250_000
+            }),
             idle_time: idle_close - idle_close / IDLE_MARGIN,
             parked: Notify::new(),
         }
@@ -159,7 +171,10 @@
     }
 
     /// A new connection, where there is room for one.
-    pub async fn dial(&self, address: SocketAddr) -> Result<(Connection, OwnedSemaphorePermit), DialError> {
+    pub async fn dial(
+        &self,
+        address: SocketAddr,
+    ) -> Result<(Connection, OwnedSemaphorePermit), DialError> {
         let permit = self.permits.clone().try_acquire_owned().or_else(|full| {
             self.make_room();
             self.permits.clone().try_acquire_owned().map_err(|_| full)
@@ -182,8 +197,10 @@
         if self.permits.available_permits() > 0 {
             return;
         }
-        let oldest =
-            endpoints.iter().filter_map(|e| Some((e.idle.borrow().first()?.since, e))).min_by_key(|o| o.0);
+        let oldest = endpoints
+            .iter()
+            .filter_map(|e| Some((e.idle.borrow().first()?.since, e)))
+            .min_by_key(|o| o.0);
         if let Some((_, endpoint)) = oldest {
             endpoint.idle.borrow_mut().remove(0);
         }
@@ -198,9 +215,15 @@
         permit: OwnedSemaphorePermit,
     ) {
         connection.turn().await;
-        let there = endpoint.target().is_some_and(|now| now.address == target.address);
+        let there = endpoint
+            .target()
+            .is_some_and(|now| now.address == target.address);
         if there && endpoint.outlives(&connection) && connection.usable() {
-            endpoint.idle.borrow_mut().push(Idle { connection, permit, since: Instant::now() });
+            endpoint.idle.borrow_mut().push(Idle {
+                connection,
+                permit,
+                since: Instant::now(),
+            });
             self.parked.notify_one();
         }
     }
@@ -215,7 +238,10 @@
                 Some(since) => sleep_until(since + self.idle_time).await,
             }
             for endpoint in self.endpoints.borrow().iter() {
-                endpoint.idle.borrow_mut().retain(|i| i.since.elapsed() < self.idle_time);
+                endpoint
+                    .idle
+                    .borrow_mut()
+                    .retain(|i| i.since.elapsed() < self.idle_time);
             }
         }
     }
@@ -235,8 +261,15 @@
     now: Instant,
     rest: Duration,
 ) -> Option<usize> {
-    let rested = since.clone().rposition(|since| now.duration_since(since) >= rest);
-    rested.or_else(|| (0..since.len()).zip(since).min_by_key(|(_, since)| *since).map(|(index, _)| index))
+    let rested = since
+        .clone()
+        .rposition(|since| now.duration_since(since) >= rest);
+    rested.or_else(|| {
+        (0..since.len())
+            .zip(since)
+            .min_by_key(|(_, since)| *since)
+            .map(|(index, _)| index)
+    })
 }
 
 #[cfg(test)]
--- a/src/bin/tinflow/pool/tests.rs
+++ b/src/bin/tinflow/pool/tests.rs
@@ -13,9 +13,13 @@
 
 /// One whose queue is full with one connection: the system drops further openings.
 fn listen_without_room() -> (TcpListener, SocketAddr) {
-    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    let socket =
+        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
-    socket.bind(&any.into()).and_then(|()| socket.listen(0)).expect("a free port");
+    socket
+        .bind(&any.into())
+        .and_then(|()| socket.listen(0))
+        .expect("a free port");
     let listener = TcpListener::from(socket);
     let address = listener.local_addr().expect("an address");
     (listener, address)
@@ -28,8 +32,23 @@
     let (connection, permit) = pool.dial(address).await.expect("there is room");
     assert!(matches!(pool.dial(address).await, Err(DialError::NoRoom)));
     let endpoint = pool.endpoint(0);
-    endpoint.set(Some(Target { address, since_ms: 0 }), true);
-    pool.park(&endpoint, Target { address, since_ms: 0 }, connection, permit).await;
+    endpoint.set(
+        Some(Target {
+            address,
+            since_ms: 0,
+        }),
+        true,
+    );
+    pool.park(
+        &endpoint,
+        Target {
+            address,
+            since_ms: 0,
+        },
+        connection,
+        permit,
+    )
+    .await;
     assert!(pool.dial(address).await.is_ok());
     // Longer than it would have had to rest.
     tokio::time::sleep(2 * REST).await;
@@ -45,8 +64,23 @@
         let (listener, address) = listen();
         let (connection, permit) = pool.dial(address).await.expect("there is room");
         let endpoint = pool.endpoint(id);
-        endpoint.set(Some(Target { address, since_ms: 0 }), true);
-        pool.park(&endpoint, Target { address, since_ms: 0 }, connection, permit).await;
+        endpoint.set(
+            Some(Target {
+                address,
+                since_ms: 0,
+            }),
+            true,
+        );
+        pool.park(
+            &endpoint,
+            Target {
+                address,
+                since_ms: 0,
+            },
+            connection,
+            permit,
+        )
+        .await;
         peers.push(listener.accept().expect("a connection").0);
     }
     peers.try_into().expect("two")
@@ -77,7 +111,10 @@
         let (_listener, third) = listen();
         let _held = pool.dial(third).await.expect("room is made");
         tokio::time::sleep(2 * REST).await;
-        assert!(pool.reuse(&pool.endpoint(0)).await.is_some(), "the good one made way");
+        assert!(
+            pool.reuse(&pool.endpoint(0)).await.is_some(),
+            "the good one made way"
+        );
     }
 }
 
@@ -148,12 +185,21 @@
     let (listener, address) = listen();
     let pool = Pool::new(2, 5_000_000, 10_000_000);
     let (connection, permit) = pool.dial(address).await.expect("there is room");
-    let (endpoint, target) = (pool.endpoint(0), Target { address, since_ms: 0 });
+    let (endpoint, target) = (
+        pool.endpoint(0),
+        Target {
+            address,
+            since_ms: 0,
+        },
+    );
     endpoint.set(Some(target), true);
     pool.park(&endpoint, target, connection, permit).await;
     let parked = endpoint.idle.borrow()[0].since;
     assert!(pool.reuse(&endpoint).await.is_some());
-    assert!(parked.elapsed() >= REST, "it was handed out before its rest was over");
+    assert!(
+        parked.elapsed() >= REST,
+        "it was handed out before its rest was over"
+    );
     drop(listener);
 }
 
@@ -164,8 +210,13 @@
         for idle_ms in [1750, 8750] {
             let idle = Duration::from_millis(idle_ms);
             let [without, with] = [Duration::ZERO, REST].map(|rest| made(per_second, idle, rest));
-            println!("{per_second}/s, idle {idle_ms} ms: {without} of {REQUESTS}, with a rest {with}");
-            assert!(with <= without + REQUESTS / 100, "{per_second}/s, idle {idle_ms} ms: {without}, {with}");
+            println!(
+                "{per_second}/s, idle {idle_ms} ms: {without} of {REQUESTS}, with a rest {with}"
+            );
+            assert!(
+                with <= without + REQUESTS / 100,
+                "{per_second}/s, idle {idle_ms} ms: {without}, {with}"
+            );
         }
     }
 }
--- a/src/bin/tinflow/product.rs
+++ b/src/bin/tinflow/product.rs
@@ -101,7 +101,12 @@
             });
         }
         let log = Rc::new(logging::start(&holds.log, "tinflow"));
-        Ok(Self { file, bounds: Bounds::of(&holds.metrics), holds, log })
+        Ok(Self {
+            file,
+            bounds: Bounds::of(&holds.metrics),
+            holds,
+            log,
+        })
     }
 
     /// What sees the engine's doings, by these classes.
@@ -113,7 +118,11 @@
     }
 
     /// Begins a life in the state directory, where one is configured.
-    pub fn recover(&self, config: &mut Config, clock: Clock) -> Result<Option<State>, (String, ExitCode)> {
+    pub fn recover(
+        &self,
+        config: &mut Config,
+        clock: Clock,
+    ) -> Result<Option<State>, (String, ExitCode)> {
         State::begin(&self.holds.state, &self.holds.fleet.cluster, config, clock)
     }
 
@@ -133,9 +142,20 @@
             let what = "fleet.enabled needs a name of 1 to 32 bytes: LB_NAME, or name in the platform's file";
             return Err((what.to_owned(), Exit::Config.into()));
         }
-        let zone = config.decoded.settings.zone.map_or("", |zone| config.decoded.zones.name(zone));
+        let zone = config
+            .decoded
+            .settings
+            .zone
+            .map_or("", |zone| config.decoded.zones.name(zone));
         let zone = zone.get(..LONGEST_NAME).unwrap_or(zone);
-        match Fleet::join(section, &config.name, zone, inputs, clock, state.and_then(State::incarnation)) {
+        match Fleet::join(
+            section,
+            &config.name,
+            zone,
+            inputs,
+            clock,
+            state.and_then(State::incarnation),
+        ) {
             Ok(fleet) => Ok(Some(fleet)),
             Err(e) => {
                 let what = format!("cannot listen on fleet.listen {}: {e}", section.listen);
@@ -155,12 +175,19 @@
         if let Some(state) = state {
             state.host(inputs, config::written(&self.holds));
         }
-        let Some(figures) = observer.figures() else { return Ok(()) };
+        let Some(figures) = observer.figures() else {
+            return Ok(());
+        };
         let at = self.holds.metrics.address;
         let listener = std::net::TcpListener::bind(at)
             .and_then(|listener| listener.set_nonblocking(true).map(|()| listener))
             .and_then(TcpListener::from_std)
-            .map_err(|e| (format!("cannot listen on metrics.address {at}: {e}"), Exit::Unavailable.into()))?;
+            .map_err(|e| {
+                (
+                    format!("cannot listen on metrics.address {at}: {e}"),
+                    Exit::Unavailable.into(),
+                )
+            })?;
         // Where the system was to pick the port, nobody could know it otherwise.
         if let Some(at) = listener.local_addr().ok().filter(|_| at.port() == 0) {
             say!(info, "tinflow", "metrics are read at {at}");
@@ -173,7 +200,9 @@
             fleet: fleet.cloned(),
             state: state.cloned(),
         };
-        spawn_local(pages::serve(listener, self.bounds.clone(), move |ask| pages.clone().page(ask)));
+        spawn_local(pages::serve(listener, self.bounds.clone(), move |ask| {
+            pages.clone().page(ask)
+        }));
         Ok(())
     }
 
@@ -183,7 +212,11 @@
         let new: Sections = match config::load(file) {
             Ok(new) => new,
             Err(problem) => {
-                say!(warn, "tinflow", "reload failed, the old product configuration stays: {problem}");
+                say!(
+                    warn,
+                    "tinflow",
+                    "reload failed, the old product configuration stays: {problem}"
+                );
                 return;
             }
         };
@@ -191,12 +224,25 @@
         self.holds.follow(new.clone());
         self.log.set_levels(&self.holds.log);
         self.bounds.set(&self.holds.metrics);
-        let list = |keys: Vec<String>| if keys.is_empty() { "nothing".to_owned() } else { keys.join(", ") };
+        let list = |keys: Vec<String>| {
+            if keys.is_empty() {
+                "nothing".to_owned()
+            } else {
+                keys.join(", ")
+            }
+        };
         let waiting = config::changed(&self.holds, &new);
-        let rest =
-            if waiting.is_empty() { String::new() } else { format!("; {} for a restart", wait(&waiting)) };
+        let rest = if waiting.is_empty() {
+            String::new()
+        } else {
+            format!("; {} for a restart", wait(&waiting))
+        };
         let taken = list(config::changed(&before, &self.holds));
-        say!(info, "tinflow", "product configuration reloaded: {taken} changed{rest}");
+        say!(
+            info,
+            "tinflow",
+            "product configuration reloaded: {taken} changed{rest}"
+        );
     }
 
     /// The process ends: writes what still waits.
@@ -206,12 +252,19 @@
 }
 
 fn wait(keys: &[String]) -> String {
-    format!("{} {}", keys.join(", "), if keys.len() == 1 { "waits" } else { "wait" })
+    format!(
+        "{} {}",
+        keys.join(", "),
+        if keys.len() == 1 { "waits" } else { "wait" }
+    )
 }
 
 /// Prints what would hold.
 fn check(holds: &Sections) -> Result<(), String> {
-    let mut text = format!("# The product configuration that would hold.\n{}", config::written(holds));
+    let mut text = format!(
+        "# The product configuration that would hold.\n{}",
+        config::written(holds)
+    );
     if std::env::var_os("LB_CONFIG").is_some() {
         let platform = Config::from_env()?;
         text += &format!(
--- a/src/bin/tinflow/serving.rs
+++ b/src/bin/tinflow/serving.rs
@@ -82,7 +82,9 @@
 }
 
 fn close_after(reply: &mut Reply) {
-    reply.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+    reply
+        .headers_mut()
+        .insert(header::CONNECTION, HeaderValue::from_static("close"));
 }
 
 async fn api(
@@ -109,7 +111,9 @@
     };
     let body = match whole {
         Ok(Ok(body)) => body.to_bytes(),
-        Ok(Err(e)) if e.is::<LengthLimitError>() => return Ok(closing(StatusCode::PAYLOAD_TOO_LARGE)),
+        Ok(Err(e)) if e.is::<LengthLimitError>() => {
+            return Ok(closing(StatusCode::PAYLOAD_TOO_LARGE));
+        }
         Ok(Err(e)) => match e.downcast::<hyper::Error>() {
             Ok(e) => return Err(Unanswered::Body(*e)),
             Err(_) => return Ok(closing(StatusCode::BAD_REQUEST)),
--- a/src/bin/tinflow/session.rs
+++ b/src/bin/tinflow/session.rs
@@ -59,11 +59,19 @@
 
     /// Answers requests until the connection is to be closed and every answer is out.
     async fn converse(&self, client: &Rc<Client>) {
-        let idle = if *self.stop.borrow() == Stop::No { IDLE } else { IDLE_AT_STOP };
+        let idle = if *self.stop.borrow() == Stop::No {
+            IDLE
+        } else {
+            IDLE_AT_STOP
+        };
         let (this, asking) = (self.clone(), Rc::clone(client));
         let service = service_fn(move |request| {
             let answering = asking.begin();
-            let (lanes, handle, stop) = (Rc::clone(&this.lanes), this.handle.clone(), this.stop.clone());
+            let (lanes, handle, stop) = (
+                Rc::clone(&this.lanes),
+                this.handle.clone(),
+                this.stop.clone(),
+            );
             let reply = serve(lanes, handle, request, Rc::clone(&asking), stop);
             async move {
                 let _answering = answering;
@@ -72,7 +80,10 @@
         });
         let inlet = Inlet::new(Rc::clone(client), idle - LAST_LOOK, self.slowest);
         let mut builder = http1::Builder::new();
-        builder.timer(TokioTimer::new()).header_read_timeout(idle).max_buf_size(LONGEST_HEAD);
+        builder
+            .timer(TokioTimer::new())
+            .header_read_timeout(idle)
+            .max_buf_size(LONGEST_HEAD);
         let mut connection = pin!(builder.serve_connection(TokioIo::new(inlet), service));
         tokio::select! {
             biased;
@@ -111,7 +122,13 @@
 
     /// Waits until connections have to make way for new ones.
     async fn crowding(&self) {
-        if self.crowded.clone().wait_for(|crowded| *crowded).await.is_err() {
+        if self
+            .crowded
+            .clone()
+            .wait_for(|crowded| *crowded)
+            .await
+            .is_err()
+        {
             // No more are accepted.
             pending().await
         }
@@ -119,7 +136,13 @@
 
     /// Waits until a planned stop has come so far.
     pub async fn stopped(&self, stage: Stop) {
-        if self.stop.clone().wait_for(|stop| *stop >= stage).await.is_err() {
+        if self
+            .stop
+            .clone()
+            .wait_for(|stop| *stop >= stage)
+            .await
+            .is_err()
+        {
             pending().await
         }
     }
@@ -145,7 +168,11 @@
         } else {
             (client.in_hand() || client.silent()) && !impatient
         };
-        if expected { Poll::Pending } else { Poll::Ready(false) }
+        if expected {
+            Poll::Pending
+        } else {
+            Poll::Ready(false)
+        }
     })
     .await
 }
--- a/src/bin/tinflow/spaced.rs
+++ b/src/bin/tinflow/spaced.rs
@@ -14,12 +14,19 @@
 impl Spaced {
     /// One in `spacing`.
     pub const fn new(spacing: Duration) -> Self {
-        Self { spacing, last: None, left_out: 0 }
+        Self {
+            spacing,
+            last: None,
+            left_out: 0,
+        }
     }
 
     /// Whether a line may be written at `now`, and how many were left out since the last that was.
     pub fn pass(&mut self, now: Instant) -> Option<u64> {
-        if self.last.is_some_and(|last| now.saturating_duration_since(last) < self.spacing) {
+        if self
+            .last
+            .is_some_and(|last| now.saturating_duration_since(last) < self.spacing)
+        {
             self.left_out += 1;
             return None;
         }
@@ -30,7 +37,11 @@
 
 /// What is said behind a line, where others like it were left out since the last one.
 pub fn left_out(count: u64) -> String {
-    if count == 0 { String::new() } else { format!(" ({count} like it left out)") }
+    if count == 0 {
+        String::new()
+    } else {
+        format!(" ({count} like it left out)")
+    }
 }
 
 #[cfg(test)]
@@ -41,7 +52,9 @@
     fn one_passes_in_each_spacing_and_the_others_are_counted() {
         let (start, mut spaced) = (Instant::now(), Spaced::new(Duration::from_secs(5)));
         let at = |ms| start + Duration::from_millis(ms);
-        let passed: Vec<_> = [0, 1, 4999, 5000, 5001, 10_500].map(|ms| spaced.pass(at(ms))).into();
+        let passed: Vec<_> = [0, 1, 4999, 5000, 5001, 10_500]
+            .map(|ms| spaced.pass(at(ms)))
+            .into();
         assert_eq!(passed, [Some(0), None, None, Some(2), None, Some(1)]);
         assert_eq!(left_out(2), " (2 like it left out)");
         assert_eq!(left_out(0), "");
--- a/src/bin/tinflow/state.rs
+++ b/src/bin/tinflow/state.rs
@@ -10,8 +10,8 @@
 use linenproxy_common::cli::Exit;
 use linenproxy_common::metering::Figures;
 use linenproxy_recovery::{
-    Begun, Believed, Changes, Directory, Found, Life, Micros, Process, Processes, StateSection, Writer,
-    believe,
+    Begun, Believed, Changes, Directory, Found, Life, Micros, Process, Processes, StateSection,
+    Writer, believe,
 };
 use std::cell::{Cell, RefCell};
 use std::process::ExitCode;
@@ -52,20 +52,30 @@
         config: &mut Config,
         clock: Clock,
     ) -> Result<Option<Self>, (String, ExitCode)> {
-        let Some(dir) = section.dir.clone() else { return Ok(None) };
+        let Some(dir) = section.dir.clone() else {
+            return Ok(None);
+        };
         if config.name.is_empty() || config.name.len() > LONGEST_NAME {
-            let what = "state.dir needs a name of 1 to 200 bytes: LB_NAME, or name in the platform's file";
+            let what =
+                "state.dir needs a name of 1 to 200 bytes: LB_NAME, or name in the platform's file";
             return Err((what.to_owned(), Exit::Config.into()));
         }
         let owner = format!("{cluster}/{}", config.name);
         let take = move || Directory::take(&dir);
-        let (writer, begun) = Writer::start(take, owner, move || clock.now(), section.wait.0, AGAIN);
+        let (writer, begun) =
+            Writer::start(take, owner, move || clock.now(), section.wait.0, AGAIN);
         let now = clock.now();
         let (life, believed) = match begun {
-            Begun::InUse(what) => return Err((format!("state.dir: {what}"), Exit::Unavailable.into())),
+            Begun::InUse(what) => {
+                return Err((format!("state.dir: {what}"), Exit::Unavailable.into()));
+            }
             Begun::Without => (None, Believed::default()),
             Begun::Found(found) => {
-                let life = Life { incarnation: found.incarnation, began: now, ended: None };
+                let life = Life {
+                    incarnation: found.incarnation,
+                    began: now,
+                    ended: None,
+                };
                 (Some(life), told(*found, now, section))
             }
         };
@@ -91,7 +101,10 @@
 
     /// A list, or changes to one.
     pub fn listed(&self, list: &HostList, full: bool) {
-        self.0.lists.borrow_mut().take(list, full, self.0.clock.now());
+        self.0
+            .lists
+            .borrow_mut()
+            .take(list, full, self.0.clock.now());
     }
 
     /// Tells the engine what was known, and from now on keeps what it knows.
@@ -100,13 +113,19 @@
         if !known.is_empty() {
             inputs.send(Input::Recalled(known.into_iter().map(recalled).collect()));
         }
-        let first = Changes { configuration: Some(configuration), life: self.0.life, ..Changes::default() };
+        let first = Changes {
+            configuration: Some(configuration),
+            life: self.0.life,
+            ..Changes::default()
+        };
         self.0.writer.keep(first);
         let (this, inputs) = (self.clone(), inputs.clone());
         spawn_local(async move {
             loop {
                 sleep(this.0.every).await;
-                let Some((listed, known)) = inputs.recollect().await else { return };
+                let Some((listed, known)) = inputs.recollect().await else {
+                    return;
+                };
                 let changes = this.changes(listed, known, false);
                 this.0.writer.keep(changes);
                 this.say();
@@ -119,7 +138,9 @@
     pub fn stop(&self, inputs: &Inputs) {
         let (this, inputs) = (self.clone(), inputs.clone());
         spawn_local(async move {
-            let Some((listed, known)) = inputs.recollect().await else { return };
+            let Some((listed, known)) = inputs.recollect().await else {
+                return;
+            };
             let mut changes = this.changes(listed, known, true);
             let ended = Some(this.0.clock.now());
             changes.life = this.0.life.map(|life| Life { ended, ..life });
@@ -130,8 +151,11 @@
     /// What is worth keeping anew.
     fn changes(&self, listed: usize, known: Vec<Named>, last: bool) -> Changes {
         let (now, inner) = (self.0.clock.now(), &self.0);
-        let mut open: Vec<String> =
-            known.iter().filter(|(_, k)| k.open).map(|(name, _)| name.clone()).collect();
+        let mut open: Vec<String> = known
+            .iter()
+            .filter(|(_, k)| k.open)
+            .map(|(name, _)| name.clone())
+            .collect();
         open.sort_unstable();
         let due = now.saturating_sub(inner.kept.get()) >= PACE_EVERY && !known.is_empty();
         let list = inner.lists.borrow_mut().due(now, last);
@@ -139,9 +163,17 @@
             inner.kept.set(now);
             inner.open.replace(open);
             let all = known.into_iter().map(process).collect();
-            Processes { seen: now, listed: u32::try_from(listed).unwrap_or(u32::MAX), all }
+            Processes {
+                seen: now,
+                listed: u32::try_from(listed).unwrap_or(u32::MAX),
+                all,
+            }
         });
-        Changes { list, processes, ..Changes::default() }
+        Changes {
+            list,
+            processes,
+            ..Changes::default()
+        }
     }
 
     /// Says what the writer has to say.
@@ -155,15 +187,31 @@
     pub fn count(&self, figures: &Figures) {
         let counts = self.0.writer.counts();
         for (name, what, total) in [
-            ("tinflow_state_commits_total", "Commits of what is kept, each with a sync.", counts.commits),
-            ("tinflow_state_bytes_total", "Bytes of payload in them.", counts.bytes),
-            ("tinflow_state_coalesced_total", "Changes replaced by later ones unwritten.", counts.coalesced),
+            (
+                "tinflow_state_commits_total",
+                "Commits of what is kept, each with a sync.",
+                counts.commits,
+            ),
+            (
+                "tinflow_state_bytes_total",
+                "Bytes of payload in them.",
+                counts.bytes,
+            ),
+            (
+                "tinflow_state_coalesced_total",
+                "Changes replaced by later ones unwritten.",
+                counts.coalesced,
+            ),
             (
                 "tinflow_state_failures_total",
                 "Times that the disk did not do what was asked.",
                 counts.failures,
             ),
-            ("tinflow_state_set_aside_total", "Files that were not believed.", counts.asides),
+            (
+                "tinflow_state_set_aside_total",
+                "Files that were not believed.",
+                counts.asides,
+            ),
         ] {
             figures.counter(name, what, &[]).absolute(total);
         }
@@ -174,7 +222,9 @@
 
 /// Says what was found; what of it is believed.
 fn told(found: Found, now: Micros, section: &StateSection) -> Believed {
-    let Found { known, incarnation, .. } = found;
+    let Found {
+        known, incarnation, ..
+    } = found;
     let end = match known.life {
         None => "nothing was kept",
         Some(Life { ended: Some(_), .. }) => "the last life ended cleanly",
@@ -183,7 +233,11 @@
     let believed = believe(known, now, section.bounds());
     let endpoints = believed.list.as_ref().map_or(0, |list| list.entries.len());
     let open = believed.processes.iter().filter(|p| p.open).count();
-    let rest: String = believed.left_out.iter().map(|what| format!(", {what}")).collect();
+    let rest: String = believed
+        .left_out
+        .iter()
+        .map(|what| format!(", {what}"))
+        .collect();
     say!(
         info,
         "tinflow::state",
@@ -194,6 +248,22 @@
 }
 
 fn process((name, k): Named) -> Process {
-    let linenproxy::Recalled { started, seen, open, openings, slow, cap, .. } = k;
-    Process { name, started, seen, open, openings, slow, cap }
+    let linenproxy::Recalled {
+        started,
+        seen,
+        open,
+        openings,
+        slow,
+        cap,
+        ..
+    } = k;
+    Process {
+        name,
+        started,
+        seen,
+        open,
+        openings,
+        slow,
+        cap,
+    }
 }
--- a/src/bin/tinflow/upstream.rs
+++ b/src/bin/tinflow/upstream.rs
@@ -58,7 +58,13 @@
             Some(target) => self.within(times, (target, &endpoint), &outgoing).await,
             None => plain(Outcome::NotSent),
         };
-        inputs.send(Input::Ended(Ended { request, attempt, outcome, served, load }));
+        inputs.send(Input::Ended(Ended {
+            request,
+            attempt,
+            outcome,
+            served,
+            load,
+        }));
     }
 
     /// An exchange inside its times.
@@ -110,25 +116,40 @@
             if let Some(outcome) = barred(to, out, times) {
                 return plain(outcome);
             }
-            let Some(request) = out.request(times.until) else { return plain(Outcome::NotSent) };
+            let Some(request) = out.request(times.until) else {
+                return plain(Outcome::NotSent);
+            };
             let Ok(response) = connection.request(request, meter.clone()).await else {
                 // Closed by the endpoint in the moment it was taken up again, before anything was written.
                 if reused && !meter.begun() {
                     continue;
                 }
-                return plain(if meter.complete() { Outcome::Reset } else { Outcome::ConnectFailed });
+                return plain(if meter.complete() {
+                    Outcome::Reset
+                } else {
+                    Outcome::ConnectFailed
+                });
             };
             let (head, body) = response.into_parts();
-            let body = connection.drive(Limited::new(body, LONGEST_BODY).collect()).await;
+            let body = connection
+                .drive(Limited::new(body, LONGEST_BODY).collect())
+                .await;
             let whole = body.as_ref().is_some_and(|b| b.is_ok());
-            let load = head.headers.get(BACKEND_LOAD).map(read_load).unwrap_or_default();
+            let load = head
+                .headers
+                .get(BACKEND_LOAD)
+                .map(read_load)
+                .unwrap_or_default();
             let unprocessed = head.headers.get(UNPROCESSED).is_some_and(|v| v == "1");
             if whole {
                 self.pool.park(endpoint, target, connection, permit).await;
             }
             return match (head.status, body) {
                 (StatusCode::OK, Some(Ok(body))) => {
-                    let served = Served { headers: head.headers, body: body.to_bytes() };
+                    let served = Served {
+                        headers: head.headers,
+                        body: body.to_bytes(),
+                    };
                     (Outcome::Ok, Some(served), load)
                 }
                 (StatusCode::OK, Some(Err(e))) if e.is::<http_body_util::LengthLimitError>() => {
@@ -152,12 +173,25 @@
         let mut headers = HeaderMap::new();
         headers.insert(hyper::header::HOST, HeaderValue::from_static("endpoint"));
         let uri = Uri::from_static("/alive");
-        let outgoing =
-            Outgoing { method: Method::GET, uri, headers, body: Bytes::new(), settled: Cell::new(false) };
+        let outgoing = Outgoing {
+            method: Method::GET,
+            uri,
+            headers,
+            body: Bytes::new(),
+            settled: Cell::new(false),
+        };
         let until = start + PROBE_TIME;
         let (outcome, _, load) = match endpoint.target() {
             Some(target) => {
-                self.within(Times { write_by: until, until }, (target, &endpoint), &outgoing).await
+                self.within(
+                    Times {
+                        write_by: until,
+                        until,
+                    },
+                    (target, &endpoint),
+                    &outgoing,
+                )
+                .await
             }
             None => plain(Outcome::ConnectFailed),
         };
@@ -186,8 +220,13 @@
         *request.uri_mut() = self.uri.clone();
         *request.headers_mut() = self.headers.clone();
         // No time at all is no figure that an endpoint could keep to.
-        let left = until.saturating_duration_since(Instant::now()).as_micros().max(1);
-        request.headers_mut().insert(TIME_LEFT, HeaderValue::from_str(&format!("{left}u")).ok()?);
+        let left = until
+            .saturating_duration_since(Instant::now())
+            .as_micros()
+            .max(1);
+        request
+            .headers_mut()
+            .insert(TIME_LEFT, HeaderValue::from_str(&format!("{left}u")).ok()?);
         Some(request)
     }
 }
@@ -195,7 +234,12 @@
 /// Reads a load report: `name=value` pairs set apart by commas. What can't be read was not reported.
 fn read_load(value: &HeaderValue) -> Load {
     let mut load = Load::default();
-    for (name, value) in value.to_str().unwrap_or("").split(',').filter_map(|pair| pair.split_once('=')) {
+    for (name, value) in value
+        .to_str()
+        .unwrap_or("")
+        .split(',')
+        .filter_map(|pair| pair.split_once('='))
+    {
         let slot = match name.trim() {
             "inflight" => &mut load.active,
             "queue" => &mut load.waiting,
@@ -216,7 +260,16 @@
 
     #[test]
     fn a_load_report_is_read_as_far_as_it_can_be() {
-        let load = read_load(&HeaderValue::from_static("inflight=7,queue=,util=0.61,eps=NaN,odd=1,="));
-        assert_eq!(load, Load { active: Some(7.0), cpu: Some(0.61), ..Load::default() });
+        let load = read_load(&HeaderValue::from_static(
+            "inflight=7,queue=,util=0.61,eps=NaN,odd=1,=",
+        ));
+        assert_eq!(
+            load,
+            Load {
+                active: Some(7.0),
+                cpu: Some(0.61),
+                ..Load::default()
+            }
+        );
     }
 }
--- a/src/bin/tinflow/watching.rs
+++ b/src/bin/tinflow/watching.rs
@@ -35,7 +35,9 @@
 impl Watching {
     /// One that begins; where a call before it has failed, with what that may have missed.
     pub fn new(after_failure: bool) -> Self {
-        Self { missed: u32::from(after_failure) }
+        Self {
+            missed: u32::from(after_failure),
+        }
     }
 
     /// The next call, for news or, where no version is known, for the whole list; `chance` is from 0 to 1.
@@ -43,13 +45,22 @@
         // What was missed is asked for without a wait, so that a second silence costs little. Every other call takes
         // long again: an agent that takes long for each answer is heard too.
         if self.missed % 2 == 1 || (self.missed == 0 && !news) {
-            return Call { wait: Duration::ZERO, within: PATIENCE };
+            return Call {
+                wait: Duration::ZERO,
+                within: PATIENCE,
+            };
         }
         if !news {
-            return Call { wait: Duration::ZERO, within: SLOW };
+            return Call {
+                wait: Duration::ZERO,
+                within: SLOW,
+            };
         }
         let wait = WATCH.mul_f64(LEAST_WAIT + (1.0 - LEAST_WAIT) * chance);
-        Call { wait, within: wait + PATIENCE }
+        Call {
+            wait,
+            within: wait + PATIENCE,
+        }
     }
 
     /// It was answered.
--- a/src/bin/tinflow/watching/tests.rs
+++ b/src/bin/tinflow/watching/tests.rs
@@ -9,8 +9,17 @@
 /// What an answer that comes at once may take on its way.
 const ON_ITS_WAY: Duration = Duration::from_millis(150);
 /// Longest times between two questions that settings may allow, in microseconds.
-const ASK_WITHIN: [Micros; 9] =
-    [0, 1, 1000, 300_000, 1_000_000, 2_000_000, 10_000_000, 30_000_000, (1 << 50) - 1];
+const ASK_WITHIN: [Micros; 9] = [
+    0,
+    1,
+    1000,
+    300_000,
+    1_000_000,
+    2_000_000,
+    10_000_000,
+    30_000_000,
+    (1 << 50) - 1,
+];
 
 /// How a call ends that brings no list.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -25,7 +34,12 @@
     ResetLate,
 }
 
-const LOST: [Lost; 4] = [Lost::Silent, Lost::Unconnected, Lost::Refused, Lost::ResetLate];
+const LOST: [Lost; 4] = [
+    Lost::Silent,
+    Lost::Unconnected,
+    Lost::Refused,
+    Lost::ResetLate,
+];
 
 /// Follows a list as `discovery` and the engine do: the module says when to begin anew after a call that failed.
 struct Follower {
@@ -48,7 +62,14 @@
         let settings = settings::decode(&text).expect("settings").settings;
         let balancer = Balancer::new(settings, seed).expect("usable settings");
         let (timers, watching) = (BTreeSet::new(), Watching::new(false));
-        let mut follower = Self { balancer, timers, watching, now: 1_000_000, news, chance };
+        let mut follower = Self {
+            balancer,
+            timers,
+            watching,
+            now: 1_000_000,
+            news,
+            chance,
+        };
         follower.handle(Event::Endpoints(ListUpdate::Cached(Vec::new())));
         follower
     }
@@ -113,7 +134,10 @@
                 for (seed, order) in orders(calls).enumerate() {
                     let mut follower = Follower::new(mode, ask_within, news, chance, seed as u64);
                     let begun: Vec<_> = order.iter().map(|how| follower.lose(*how)).collect();
-                    check(&begun, &format!("{mode} {ask_within} {news} {order:?} {begun:?}"));
+                    check(
+                        &begun,
+                        &format!("{mode} {ask_within} {news} {order:?} {begun:?}"),
+                    );
                 }
             }
         }
@@ -130,7 +154,10 @@
 fn two_calls_may_be_lost_before_a_change_counts_as_told() {
     every_order(5, |begun, what| {
         for three in begun.windows(3) {
-            assert!(three[2] - three[0] + micros(ON_ITS_WAY) <= micros(TOLD), "{what}");
+            assert!(
+                three[2] - three[0] + micros(ON_ITS_WAY) <= micros(TOLD),
+                "{what}"
+            );
         }
     });
 }
@@ -149,7 +176,10 @@
                 follower.watching = Watching::new(false);
                 let begun: Vec<_> = order.iter().map(|how| follower.lose(*how)).collect();
                 let last = begun[2] - begun[0] + micros(ON_ITS_WAY);
-                assert!(last <= micros(TOLD_AFTER_RELOAD), "{mode} {ask_within} {order:?} {begun:?}");
+                assert!(
+                    last <= micros(TOLD_AFTER_RELOAD),
+                    "{mode} {ask_within} {order:?} {begun:?}"
+                );
             }
         }
     }
@@ -163,8 +193,14 @@
             let mut follower = Follower::new(mode, ask_within, true, 1.0, 7);
             let begun: Vec<_> = (0..12).map(|_| follower.lose(Lost::Refused)).collect();
             let waits: Vec<_> = begun.windows(2).map(|two| two[1] - two[0]).collect();
-            assert!(waits.iter().all(|wait| *wait >= 10_000), "{mode} {ask_within} {waits:?}");
-            assert!(waits[6..].iter().all(|wait| *wait >= 100_000), "{mode} {ask_within} {waits:?}");
+            assert!(
+                waits.iter().all(|wait| *wait >= 10_000),
+                "{mode} {ask_within} {waits:?}"
+            );
+            assert!(
+                waits[6..].iter().all(|wait| *wait >= 100_000),
+                "{mode} {ask_within} {waits:?}"
+            );
         }
     }
 }
@@ -182,7 +218,10 @@
         })
         .collect();
     last.sort_unstable();
-    assert!(last.windows(100).all(|w| w[99] - w[0] > 50_000), "a third of the calls within 50 ms");
+    assert!(
+        last.windows(100).all(|w| w[99] - w[0] > 50_000),
+        "a third of the calls within 50 ms"
+    );
 }
 
 // What the agent gets as discovery returns counts as told at once where lists are pushed: a call must be open then. A
@@ -207,7 +246,11 @@
             watching.silent();
             call
         });
-        assert!(calls.max_by_key(|c| c.within).is_some_and(|c| c.within > Duration::from_secs(3)));
+        assert!(
+            calls
+                .max_by_key(|c| c.within)
+                .is_some_and(|c| c.within > Duration::from_secs(3))
+        );
     }
 }
 
@@ -215,7 +258,11 @@
 #[test]
 fn a_watch_that_was_answered_waits_again() {
     let mut watching = Watching::new(true);
-    assert_eq!(watching.call(true, 1.0).wait, Duration::ZERO, "what was missed comes first");
+    assert_eq!(
+        watching.call(true, 1.0).wait,
+        Duration::ZERO,
+        "what was missed comes first"
+    );
     watching.answered();
     assert!(watching.call(true, 0.0).wait > Duration::ZERO);
 }
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -30,14 +30,38 @@
     pub fn new(set: Settings, seed: u64) -> Result<Self, SettingsError> {
         set.check()?;
         // Before anything is seen: each class's work is a part of its aim, on standard servers in calm.
-        let class_work: Vec<_> = set.classes.iter().map(|c| c.aim as f64 * FIRST_WORK).collect();
+        let class_work: Vec<_> = set
+            .classes
+            .iter()
+            .map(|c| c.aim as f64 * FIRST_WORK)
+            .collect();
         let mean_work = class_work.iter().sum::<f64>() / class_work.len().max(1) as f64;
         let tenants = vec![Fading::default(); set.tenants.len()];
-        let mut fleet = Fleet { mean_work, class_work, tenants, retries: RETRIES.1, ..Fleet::default() };
+        let mut fleet = Fleet {
+            mean_work,
+            class_work,
+            tenants,
+            retries: RETRIES.1,
+            ..Fleet::default()
+        };
         (fleet.trials, fleet.slow, fleet.bare, fleet.aim_use) = (1.0, 1.0, 1.0, FIRST_WORK);
         let (endpoints, requests, queue, timers, log, sharing) = Default::default();
-        let (rng, memory) = (fastrand::Rng::with_seed(seed), MEMORY * set.longest_aim().min(HOUR));
-        Ok(Self { set, memory, rng, endpoints, requests, queue, timers, fleet, log, sharing })
+        let (rng, memory) = (
+            fastrand::Rng::with_seed(seed),
+            MEMORY * set.longest_aim().min(HOUR),
+        );
+        Ok(Self {
+            set,
+            memory,
+            rng,
+            endpoints,
+            requests,
+            queue,
+            timers,
+            fleet,
+            log,
+            sharing,
+        })
     }
 
     /// Takes one event that happens at `now` and appends what is to be done.
@@ -69,10 +93,17 @@
             return;
         }
         let class = &self.set.classes[new.class];
-        let own = new.work.map_or(self.fleet.class_work[new.class], |w| w.clamp(1, HOUR) as f64);
-        let aim = (class.aim as f64 + class.aim_stretch * own).min(class.deadline.max(class.aim) as f64);
+        let own = new.work.map_or(self.fleet.class_work[new.class], |w| {
+            w.clamp(1, HOUR) as f64
+        });
+        let aim =
+            (class.aim as f64 + class.aim_stretch * own).min(class.deadline.max(class.aim) as f64);
         // A refused client's repeats are no new traffic: they would lead on to ever more of the fleet.
-        self.fleet.asked.add(now, f64::from(!new.repeat), (self.round() * ROUNDS_COUNTED) as Micros);
+        self.fleet.asked.add(
+            now,
+            f64::from(!new.repeat),
+            (self.round() * ROUNDS_COUNTED) as Micros,
+        );
         self.fleet.trials = (self.fleet.trials + TRIALS).min(1.0);
         self.fleet.retries = (self.fleet.retries + RETRIES.0).min(RETRIES.1);
         // Half of what a request waits for is others' work: else any server looks slow to tiny requests.
@@ -96,12 +127,18 @@
         };
         self.timers.at(request.due, Wake::Due(new.id));
         self.requests.insert(new.id, request);
-        if shed { self.finish(now, new.id, GaveUp::Shed, out) } else { self.place(now, new.id, out) }
+        if shed {
+            self.finish(now, new.id, GaveUp::Shed, out)
+        } else {
+            self.place(now, new.id, out)
+        }
     }
 
     /// Sends the request where its turn falls, lets it wait while all are capped, or counts a failed try.
     pub(crate) fn place(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
-        let Some(request) = self.requests.get(&id) else { return };
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
         match self.choose(now, request) {
             Choice::At(endpoint) => self.send(now, id, endpoint, out),
             Choice::AllOpen => self.again(now, id, out),
@@ -111,7 +148,9 @@
 
     /// The only way out for an attempt; what the rules forbid does not pass.
     fn send(&mut self, now: Micros, id: RequestId, endpoint: EndpointId, out: &mut Vec<Action>) {
-        let Some(request) = self.requests.get(&id) else { return };
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
         if !self.may_send(now, request, endpoint) {
             return;
         }
@@ -119,17 +158,42 @@
         let credit = self.cold_credit(now, &self.endpoints[endpoint]);
         let write_by = now.saturating_add(timeout).min(self.repeat_by(request));
         self.turn_to(now, endpoint);
-        let Some(request) = self.requests.get_mut(&id) else { return };
-        let (e, attempt) = (&mut self.endpoints[endpoint], request.attempts.len() as AttemptNo);
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let (e, attempt) = (
+            &mut self.endpoints[endpoint],
+            request.attempts.len() as AttemptNo,
+        );
         let (class, work, started) = (request.class, request.work, e.started);
-        e.flights.push(Flight { request: id, attempt, class, work, sent: now, started, ..Flight::default() });
+        e.flights.push(Flight {
+            request: id,
+            attempt,
+            class,
+            work,
+            sent: now,
+            started,
+            ..Flight::default()
+        });
         (e.last_sent, e.cold_at, e.cold_credit) = (now, now, credit - work);
         self.fleet.retries -= f64::from(attempt > 0);
         self.fleet.trials -= f64::from(e.gate() != Circuit::Closed);
         self.queue.remove(&request.place(id));
         let (zone, cell) = (e.zone, e.cell);
-        request.attempts.push(Attempt { endpoint, zone, cell, sent: now, live: true, may_have_run: true });
+        request.attempts.push(Attempt {
+            endpoint,
+            zone,
+            cell,
+            sent: now,
+            live: true,
+            may_have_run: true,
+        });
         request.state = State::Sent;
-        out.push(Action::Send { request: id, endpoint, timeout, write_by });
+        out.push(Action::Send {
+            request: id,
+            endpoint,
+            timeout,
+            write_by,
+        });
     }
 }
--- a/src/choice/breaker.rs
+++ b/src/choice/breaker.rs
@@ -26,7 +26,8 @@
         // Trials then show whether a connection can be made at all.
         out.push(Action::CloseIdle(i));
         if !reopened {
-            self.log.say(now, format!("circuit of endpoint {i} open"), out);
+            self.log
+                .say(now, format!("circuit of endpoint {i} open"), out);
         }
     }
 
@@ -38,6 +39,7 @@
         if std::mem::take(&mut e.unreached) >= DEAD_AFTER {
             self.chill(now, i, now);
         }
-        self.log.say(now, format!("circuit of endpoint {i} closed"), out);
+        self.log
+            .say(now, format!("circuit of endpoint {i} closed"), out);
     }
 }
--- a/src/choice/bulwark.rs
+++ b/src/choice/bulwark.rs
@@ -19,8 +19,8 @@
 impl Balancer {
     /// From 1 to 5: much while what was sent of late came back in time, little while it fails.
     pub(crate) fn leeway(&self, now: Micros) -> f64 {
-        let [sent, good] =
-            [&self.fleet.tried, &self.fleet.good].map(|sum| LEEWAY_LEAST + sum.now(now, self.memory));
+        let [sent, good] = [&self.fleet.tried, &self.fleet.good]
+            .map(|sum| LEEWAY_LEAST + sum.now(now, self.memory));
         1.0 + LEEWAY_RISE * (good / sent).powi(4)
     }
 
@@ -31,7 +31,13 @@
 
     /// Has a request wait that finds all full, unless it does already.
     pub(crate) fn wait_for_room(&mut self, now: Micros, id: RequestId) {
-        let Some(request) = self.requests.get_mut(&id).filter(|r| r.state != State::Queued) else { return };
+        let Some(request) = self
+            .requests
+            .get_mut(&id)
+            .filter(|r| r.state != State::Queued)
+        else {
+            return;
+        };
         (request.state, request.expires) = (State::Queued, later(now, request.aim * WAIT));
         self.timers.at(request.expires, Wake::Expired(id));
         self.queue.insert(request.place(id));
@@ -41,12 +47,19 @@
         let mut next = self.queue.first().copied();
         while let Some(place) = next {
             self.place(now, place.2, out);
-            let still = self.requests.get(&place.2).filter(|r| r.state == State::Queued);
+            let still = self
+                .requests
+                .get(&place.2)
+                .filter(|r| r.state == State::Queued);
             // Only retries are bound to some endpoints; a first try finds none, so no other will.
             if still.is_some_and(|r| r.attempts.is_empty()) {
                 return;
             }
-            next = self.queue.range((Excluded(place), Unbounded)).next().copied();
+            next = self
+                .queue
+                .range((Excluded(place), Unbounded))
+                .next()
+                .copied();
         }
     }
 }
--- a/src/choice/cold.rs
+++ b/src/choice/cold.rs
@@ -23,8 +23,11 @@
         }
         let tip = (self.set.rules.tip_after as f64).max(1.0);
         // What this sidecar serves is parted among those within its reach, not all that are listed.
-        let (ready, sizes) =
-            self.endpoints.iter().filter(|e| e.ready).fold((0.0, 0.0), |(n, sum), e| (n + 1.0, sum + e.size));
+        let (ready, sizes) = self
+            .endpoints
+            .iter()
+            .filter(|e| e.ready)
+            .fold((0.0, 0.0), |(n, sum), e| (n + 1.0, sum + e.size));
         let part = (self.reach(now) / f64::max(ready, 1.0)).min(1.0);
         let served = self.fleet.served.total / (2.0 * tip) * e.size / (sizes * part);
         // One request each of a thousand sidecars pushes it over: what is not earned is parted among all.
--- a/src/choice/endings.rs
+++ b/src/choice/endings.rs
@@ -9,14 +9,24 @@
 impl Balancer {
     pub(crate) fn ended(&mut self, now: Micros, end: AttemptEnd, out: &mut Vec<Action>) {
         let id = end.request;
-        let Some(Endpoint { flights, .. }) = self.endpoints.get_mut(end.endpoint) else { return };
+        let Some(Endpoint { flights, .. }) = self.endpoints.get_mut(end.endpoint) else {
+            return;
+        };
         let of_it = |f: &Flight| (f.request, f.attempt) == (id, end.attempt);
-        let Some(flight) = flights.iter().position(of_it).map(|i| flights.swap_remove(i)) else { return };
+        let Some(flight) = flights
+            .iter()
+            .position(of_it)
+            .map(|i| flights.swap_remove(i))
+        else {
+            return;
+        };
         // What became of an attempt at a process that has been replaced says nothing of the new one.
         if self.endpoints[end.endpoint].started == flight.started {
             self.learn(now, end, &flight, out);
         }
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         let ended = &mut request.attempts[end.attempt as usize];
         (ended.live, ended.may_have_run) = (false, !end.outcome.never_ran());
         if end.settled || end.outcome == Outcome::Ok {
@@ -28,16 +38,40 @@
     }
 
     /// The only final answers: a refusal where repeating is provably harmless, else a failure.
-    pub(crate) fn finish(&mut self, now: Micros, id: RequestId, why: GaveUp, out: &mut Vec<Action>) {
+    pub(crate) fn finish(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        why: GaveUp,
+        out: &mut Vec<Action>,
+    ) {
         self.log.gave_up(now, why, out);
-        let Some(request) = self.requests.get(&id) else { return };
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
         let effect = self.set.classes[request.class].effect;
         let clean = request.attempts.iter().all(|a| !a.may_have_run);
-        if clean || matches!(effect, Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. }) {
+        if clean
+            || matches!(
+                effect,
+                Effect::Safe
+                    | Effect::Keyed {
+                        scope: DedupScope::All,
+                        ..
+                    }
+            )
+        {
             // Its client is told when the circuits and queues that turned it away will have moved on.
-            let most = if self.set.limits.retry_after { self.set.limits.max_retry_after } else { 0 };
+            let most = if self.set.limits.retry_after {
+                self.set.limits.max_retry_after
+            } else {
+                0
+            };
             let hold_off = ((request.aim * HOLD_OFF) as Micros).min(most);
-            out.push(Action::Refuse { request: id, hold_off });
+            out.push(Action::Refuse {
+                request: id,
+                hold_off,
+            });
         } else {
             out.push(Action::Fail(id));
         }
@@ -46,7 +80,9 @@
 
     /// Drops a request that is over, and calls back what is still out for it.
     pub(crate) fn forget(&mut self, now: Micros, id: RequestId, good: f64, out: &mut Vec<Action>) {
-        let Some(request) = self.requests.remove(&id) else { return };
+        let Some(request) = self.requests.remove(&id) else {
+            return;
+        };
         // What waited for a bulwark in vain is no sign that work sent comes to nothing.
         if !request.attempts.is_empty() {
             self.fleet.tried.add(now, 1.0, self.memory);
@@ -58,23 +94,30 @@
 
     /// The answer has begun: the attempt is the client's, no deadline runs, and other copies are called back.
     pub(crate) fn streaming(&mut self, id: RequestId, attempt: AttemptNo, out: &mut Vec<Action>) {
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         request.state = State::Streaming;
         // How long it takes tells nothing from now on.
         let flights = self.endpoints.iter_mut().flat_map(|e| &mut e.flights);
-        flights.filter(|f| (f.request, f.attempt) == (id, attempt)).for_each(|f| f.streaming = true);
+        flights
+            .filter(|f| (f.request, f.attempt) == (id, attempt))
+            .for_each(|f| f.streaming = true);
         self.queue.remove(&request.place(id));
         request.cancel_live(id, Some(attempt), &self.set.limits, out);
     }
 
     pub(crate) fn wake(&mut self, now: Micros, token: u64, out: &mut Vec<Action>) {
         while let Some(wake) = self.timers.due(now, token) {
-            let is = |id, holds: &dyn Fn(&Request) -> bool| self.requests.get(&id).is_some_and(holds);
+            let is =
+                |id, holds: &dyn Fn(&Request) -> bool| self.requests.get(&id).is_some_and(holds);
             match wake {
                 Wake::Due(id) | Wake::Expired(id) if is(id, &|r| r.over(now)) => {
                     self.finish(now, id, GaveUp::Waiting, out)
                 }
-                Wake::Retry(id) if is(id, &|r| r.state == State::Backoff) => self.place(now, id, out),
+                Wake::Retry(id) if is(id, &|r| r.state == State::Backoff) => {
+                    self.place(now, id, out)
+                }
                 Wake::Discover => out.push(Action::Subscribe(true)),
                 _ => {}
             }
--- a/src/choice/hearsay.rs
+++ b/src/choice/hearsay.rs
@@ -23,8 +23,17 @@
     /// Follows others' words. Where they were served again its circuit need not be tried by this one too.
     pub(crate) fn heed(&mut self, now: Micros, words: Vec<Word>, out: &mut Vec<Action>) {
         for word in words {
-            let Some(e) = self.endpoints.get_mut(word.endpoint).filter(|e| e.held) else { continue };
-            let word = Word { rest: if now < word.until { word.rest } else { Rest::No }, ..word };
+            let Some(e) = self.endpoints.get_mut(word.endpoint).filter(|e| e.held) else {
+                continue;
+            };
+            let word = Word {
+                rest: if now < word.until {
+                    word.rest
+                } else {
+                    Rest::No
+                },
+                ..word
+            };
             e.word = Some(word).filter(|w| matches!(w.rest, Rest::Yes | Rest::Trial));
             if word.rest == Rest::Over && e.circuit != Circuit::Closed {
                 self.close(now, word.endpoint, out);
@@ -38,9 +47,14 @@
     /// and were sent nothing since. An open circuit is to be tried, the pace fades as any does.
     pub(crate) fn recall(&mut self, now: Micros, known: Vec<Recalled>) {
         let (mut well, first_cap) = (0.0, self.first_cap());
-        for k in known.into_iter().filter(|k| k.seen <= now && k.slow > 0.0 && (k.slow + k.cap).is_finite()) {
+        for k in known
+            .into_iter()
+            .filter(|k| k.seen <= now && k.slow > 0.0 && (k.slow + k.cap).is_finite())
+        {
             let same = |e: &&mut Endpoint| e.held && e.started == k.started && e.last_sent < k.seen;
-            let Some(e) = self.endpoints.get_mut(k.endpoint).filter(same) else { continue };
+            let Some(e) = self.endpoints.get_mut(k.endpoint).filter(same) else {
+                continue;
+            };
             let cap = first_cap + left_of(now, k.seen, self.memory) * (k.cap - first_cap);
             e.cap = cap.clamp(CAP_BOUNDS.0, CAP_BOUNDS.1);
             (e.slow, e.heard, e.last_sent) = (k.slow, k.seen, k.seen);
@@ -58,9 +72,16 @@
     fn call_back(&self, now: Micros, i: EndpointId, out: &mut Vec<Action>) {
         let e = &self.endpoints[i];
         let late = OVERDUE * self.fleet.slow.max(e.slow);
-        for f in e.flights.iter().filter(|f| !f.streaming && (now - f.sent) as f64 > late * f.work) {
+        for f in e
+            .flights
+            .iter()
+            .filter(|f| !f.streaming && (now - f.sent) as f64 > late * f.work)
+        {
             if self.set.classes[f.class].effect != Effect::Unsafe && self.fleet.retries >= 1.0 {
-                out.push(Action::Cancel { request: f.request, attempt: f.attempt });
+                out.push(Action::Cancel {
+                    request: f.request,
+                    attempt: f.attempt,
+                });
             }
         }
     }
@@ -74,9 +95,16 @@
         for (endpoint, e) in self.endpoints.iter_mut().enumerate() {
             e.word = e.word.filter(|w| now < w.until);
             let late = FAR_LATER * self.fleet.slow.max(e.slow);
-            for f in e.flights.iter_mut().filter(|f| !f.told && !f.streaming && e.heard <= f.sent) {
+            for f in e
+                .flights
+                .iter_mut()
+                .filter(|f| !f.told && !f.streaming && e.heard <= f.sent)
+            {
                 f.told = (now - f.sent) as f64 > late * f.work;
-                out.extend(f.told.then_some(Action::Witness { endpoint, served: false }));
+                out.extend(f.told.then_some(Action::Witness {
+                    endpoint,
+                    served: false,
+                }));
             }
         }
     }
@@ -96,7 +124,9 @@
             Some(key) => {
                 let drawn = fastrand::Rng::with_seed(key ^ e.alias.rotate_left(32)).f64();
                 let place = request.bound.iter().position(|b| *b == i);
-                place.map_or(-(1.0 - drawn).ln() / self.weight(now, e), |p| -1.0 / (p as f64 + 2.0))
+                place.map_or(-(1.0 - drawn).ln() / self.weight(now, e), |p| {
+                    -1.0 / (p as f64 + 2.0)
+                })
             }
         }
     }
--- a/src/choice/pace.rs
+++ b/src/choice/pace.rs
@@ -16,7 +16,11 @@
     /// Time that an endpoint takes for a unit of work: what its own answers say, and as they grow old what
     /// those of its whole kind and group say. One sidecar in many sees too little of each to tell them apart.
     pub(crate) fn slow(&self, now: Micros, e: &Endpoint) -> f64 {
-        let kind = self.fleet.kinds.get(&e.kind).map_or(self.fleet.slow, |k| k.0);
+        let kind = self
+            .fleet
+            .kinds
+            .get(&e.kind)
+            .map_or(self.fleet.slow, |k| k.0);
         let usual = kind * self.fleet.groups.get(&e.cell).map_or(1.0, |g| g.pace);
         usual + (e.slow - usual) * left_of(now, e.heard, self.memory)
     }
@@ -29,7 +33,13 @@
     /// How slow each group of endpoints is against their kinds, and the fleet against calm.
     pub(crate) fn pace_groups(&mut self, now: Micros) {
         let (calm, window) = (self.calm(), self.set.longest_aim());
-        let Fleet { groups, kinds, slow, crowd, .. } = &mut self.fleet;
+        let Fleet {
+            groups,
+            kinds,
+            slow,
+            crowd,
+            ..
+        } = &mut self.fleet;
         crowd.reckon(now, window);
         let far = STRETCH * crowd.pace;
         for e in self.endpoints.iter().filter(|e| !e.flights.is_empty()) {
--- a/src/choice/rules.rs
+++ b/src/choice/rules.rs
@@ -35,7 +35,9 @@
 
     /// Until when a repeat is dropped where the request may have run, by the earliest such attempt.
     pub(crate) fn repeat_by(&self, request: &Request) -> Micros {
-        let Effect::Keyed { ttl, .. } = self.set.classes[request.class].effect else { return FAR };
+        let Effect::Keyed { ttl, .. } = self.set.classes[request.class].effect else {
+            return FAR;
+        };
         let first = request.attempts.iter().find(|a| a.may_have_run);
         first.map_or(FAR, |a| a.sent + ttl.clamp(0, FAR) - self.set.tick)
     }
--- a/src/choice/shedding.rs
+++ b/src/choice/shedding.rs
@@ -23,12 +23,18 @@
 
     /// Whether the tenant uses clearly more of its quota than the tenants do on the whole.
     pub(crate) fn over_share(&mut self, now: Micros, tenant: Option<TenantId>) -> bool {
-        let Some(tenant) = tenant.filter(|t| *t < self.set.tenants.len()) else { return false };
+        let Some(tenant) = tenant.filter(|t| *t < self.set.tenants.len()) else {
+            return false;
+        };
         let window = 2 * self.set.longest_aim();
-        self.fleet.tenants.iter_mut().for_each(|t| t.add(now, 0.0, window));
+        self.fleet
+            .tenants
+            .iter_mut()
+            .for_each(|t| t.add(now, 0.0, window));
         self.fleet.tenants[tenant].total += 1.0;
         let quotas: f64 = self.set.tenants.iter().map(|t| t.quota_per_s).sum();
         let asked: f64 = self.fleet.tenants.iter().map(|t| t.total).sum();
-        self.fleet.tenants[tenant].total * quotas > OVER_SHARE * asked * self.set.tenants[tenant].quota_per_s
+        self.fleet.tenants[tenant].total * quotas
+            > OVER_SHARE * asked * self.set.tenants[tenant].quota_per_s
     }
 }
--- a/src/choice/turns.rs
+++ b/src/choice/turns.rs
@@ -21,7 +21,13 @@
         // good times holds a few, or a quiet fleet would refuse what comes in twos and threes.
         let all_full = busy > caps.max(self.leeway(now));
         let (mut best, mut capped, mut near) = (None, false, 0.0);
-        for i in self.fleet.ring.iter().copied().filter(|i| self.may_send(now, request, *i)) {
+        for i in self
+            .fleet
+            .ring
+            .iter()
+            .copied()
+            .filter(|i| self.may_send(now, request, *i))
+        {
             let e = &self.endpoints[i];
             // Whom this instance is to try for all others it tries wherever it stands in its own ring.
             if near >= reach && best.is_some() && !(self.sharing.words && e.called()) {
@@ -32,7 +38,11 @@
             let full = match e.gate() {
                 Circuit::Closed => {
                     // The fair part does not hold up retries, which may be bound to few endpoints.
-                    let slack = if request.attempts.is_empty() { SHARE_SLACK } else { f64::INFINITY };
+                    let slack = if request.attempts.is_empty() {
+                        SHARE_SLACK
+                    } else {
+                        f64::INFINITY
+                    };
                     let share = slack * busy * self.weight(now, e) / weights;
                     all_full || e.flights.len() as f64 + 1.0 > share.min(e.cap).ceil()
                 }
@@ -46,12 +56,22 @@
                 continue;
             }
             let tried = request.attempts.iter().any(|a| a.endpoint == i);
-            let turn = (tried, self.liking(now, request, i), e.left / self.weight(now, e), e.last_sent, i);
+            let turn = (
+                tried,
+                self.liking(now, request, i),
+                e.left / self.weight(now, e),
+                e.last_sent,
+                i,
+            );
             if best.is_none_or(|b| turn < b) {
                 best = Some(turn);
             }
         }
-        let none = if capped { Choice::Capped } else { Choice::AllOpen };
+        let none = if capped {
+            Choice::Capped
+        } else {
+            Choice::AllOpen
+        };
         best.map_or(none, |(.., i)| Choice::At(i))
     }
 
@@ -59,7 +79,9 @@
     /// connection to each and hardly ever use it: a thousand sidecars so fill every server's table, and none
     /// learns anything of a server before it changes.
     pub(crate) fn reach(&self, now: Micros) -> f64 {
-        (self.asked(now) * self.round()).max(LEAST_REACH).min(self.fleet.ring.len() as f64)
+        (self.asked(now) * self.round())
+            .max(LEAST_REACH)
+            .min(self.fleet.ring.len() as f64)
     }
 
     /// The time in which all endpoints within reach are to have their turn.
@@ -69,7 +91,9 @@
 
     /// First tries that came a microsecond, of late.
     pub(crate) fn asked(&self, now: Micros) -> f64 {
-        self.fleet.asked.rate(now, (self.round() * ROUNDS_COUNTED) as Micros)
+        self.fleet
+            .asked
+            .rate(now, (self.round() * ROUNDS_COUNTED) as Micros)
     }
 
     /// Time from one turn of an endpoint to its next.
@@ -86,7 +110,8 @@
         let all = self.fleet.keyed.then(|| self.weights(now));
         let least = all.map_or(0.0, |_| -MOST_OWED * self.sharing.ahead - 1.0);
         for (e, weight) in self.endpoints.iter_mut().zip(weights) {
-            e.left = (e.left - all.map_or(passed * weight, |all| weight / all.max(weight))).max(least);
+            e.left =
+                (e.left - all.map_or(passed * weight, |all| weight / all.max(weight))).max(least);
         }
         let e = &mut self.endpoints[to];
         e.left = if all.is_some() { e.left + 1.0 } else { 1.0 };
@@ -101,6 +126,10 @@
 
     /// An endpoint's part of the turns: its size, less while it is cold or slower than the fleet.
     pub(crate) fn weight(&self, now: Micros, e: &Endpoint) -> f64 {
-        e.size * self.warmth(now, e) * (self.fleet.slow / self.slow(now, e)).powi(2).clamp(0.05, 2.0)
+        e.size
+            * self.warmth(now, e)
+            * (self.fleet.slow / self.slow(now, e))
+                .powi(2)
+                .clamp(0.05, 2.0)
     }
 }
--- a/src/log.rs
+++ b/src/log.rs
@@ -48,10 +48,15 @@
     pub fn gave_up(&mut self, now: Micros, why: GaveUp, out: &mut Vec<Action>) {
         self.given_up[why as usize] += 1;
         self.given_up_in_all[why as usize] += 1;
-        if self.accounted.is_none_or(|last| now - last >= ACCOUNT_SPACING) {
+        if self
+            .accounted
+            .is_none_or(|last| now - last >= ACCOUNT_SPACING)
+        {
             self.accounted = Some(now);
             let [shed, waiting, failing] = std::mem::take(&mut self.given_up);
-            out.push(Action::Log(format!("gave up {shed} shed, {waiting} waiting, {failing} failing")));
+            out.push(Action::Log(format!(
+                "gave up {shed} shed, {waiting} waiting, {failing} failing"
+            )));
         }
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -31,7 +31,13 @@
     let tenants = told_apart("tenant", conf.tenants.iter().map(|t| t.name.clone()))?;
     let idle_close = conf.limits.idle_close_us;
     let settings = conf.settings(&mut zones)?;
-    Ok(Decoded { settings, classes, tenants, zones, idle_close })
+    Ok(Decoded {
+        settings,
+        classes,
+        tenants,
+        zones,
+        idle_close,
+    })
 }
 
 /// The names, none of them empty or given twice: requests name their class and tenant, and a second one of that name
@@ -52,11 +58,20 @@
         for zone in &self.zones {
             zones.id(zone);
         }
-        let classes = self.lanes.into_iter().map(Lane::class).collect::<Result<_, _>>()?;
+        let classes = self
+            .lanes
+            .into_iter()
+            .map(Lane::class)
+            .collect::<Result<_, _>>()?;
         let tenants = self.tenants.iter();
         Ok(Settings {
             classes,
-            tenants: tenants.map(|t| Tenant { quota_per_s: t.quota_per_s, share: t.share }).collect(),
+            tenants: tenants
+                .map(|t| Tenant {
+                    quota_per_s: t.quota_per_s,
+                    share: t.share,
+                })
+                .collect(),
             instances: self.balancers,
             index: self.index,
             zone: self.zone.map(|z| zones.id(&z)),
@@ -117,7 +132,10 @@
     fn class(self) -> Result<Class, String> {
         let effect = match self.effect.as_str() {
             "pure" => Effect::Safe,
-            "token" => Effect::Keyed { scope: self.scope()?, ttl: self.key_ttl_us },
+            "token" => Effect::Keyed {
+                scope: self.scope()?,
+                ttl: self.key_ttl_us,
+            },
             "side_effect" => Effect::Unsafe,
             other => return Err(format!("unknown Effect {other:?}")),
         };
--- a/src/settings/names.rs
+++ b/src/settings/names.rs
@@ -27,7 +27,11 @@
 
     /// Releases the numbers that are no longer wanted, for other names, and says which.
     pub fn release(&mut self, unwanted: impl Fn(usize) -> bool) -> Vec<usize> {
-        let mut released: Vec<usize> = self.ids.extract_if(|_, id| unwanted(*id)).map(|(_, id)| id).collect();
+        let mut released: Vec<usize> = self
+            .ids
+            .extract_if(|_, id| unwanted(*id))
+            .map(|(_, id)| id)
+            .collect();
         released.sort_unstable();
         self.free.extend(&released);
         released
--- a/src/state/endpoint.rs
+++ b/src/state/endpoint.rs
@@ -65,7 +65,9 @@
     /// Its circuit, with others' word above it.
     pub fn gate(&self) -> Circuit {
         match self.word {
-            Some(Word { rest: Rest::Trial, .. }) => Circuit::Open(-FAR),
+            Some(Word {
+                rest: Rest::Trial, ..
+            }) => Circuit::Open(-FAR),
             Some(Word { until, .. }) => Circuit::Open(until),
             None => self.circuit,
         }
@@ -73,7 +75,13 @@
 
     /// Others' word has it tried by this instance.
     pub fn called(&self) -> bool {
-        matches!(self.word, Some(Word { rest: Rest::Trial, .. }))
+        matches!(
+            self.word,
+            Some(Word {
+                rest: Rest::Trial,
+                ..
+            })
+        )
     }
 
     /// Listed ready, and nothing says that it should rest.
@@ -85,5 +93,7 @@
 /// Attempts in flight over closed circuits, one more counted in, and the sum of their caps.
 pub fn in_flight(endpoints: &[Endpoint]) -> (f64, f64) {
     let closed = endpoints.iter().filter(|e| e.closed());
-    closed.fold((1.0, 0.0), |(busy, caps), e| (busy + e.flights.len() as f64, caps + e.cap))
+    closed.fold((1.0, 0.0), |(busy, caps), e| {
+        (busy + e.flights.len() as f64, caps + e.cap)
+    })
 }
--- a/src/state/fleet.rs
+++ b/src/state/fleet.rs
@@ -18,7 +18,12 @@
 
 impl Default for Group {
     fn default() -> Self {
-        Self { time: Fading::default(), answers: Fading::default(), out: 0.0, pace: 1.0 }
+        Self {
+            time: Fading::default(),
+            answers: Fading::default(),
+            out: 0.0,
+            pace: 1.0,
+        }
     }
 }
 
@@ -32,7 +37,8 @@
     /// Brings the pace up to date, with what is out counted anew until the next time.
     pub fn reckon(&mut self, now: Micros, window: Micros) {
         let [time, answers] = [&self.time, &self.answers].map(|sum| sum.now(now, window));
-        self.pace = (USUAL_ANSWERS + time + std::mem::take(&mut self.out)) / (USUAL_ANSWERS + answers);
+        self.pace =
+            (USUAL_ANSWERS + time + std::mem::take(&mut self.out)) / (USUAL_ANSWERS + answers);
     }
 }
 
--- a/src/state/request.rs
+++ b/src/state/request.rs
@@ -41,9 +41,20 @@
 
 impl Request {
     /// Calls back what is still out for it, but for one attempt to keep.
-    pub fn cancel_live(&self, id: RequestId, keep: Option<AttemptNo>, may: &Limits, out: &mut Vec<Action>) {
-        let live = (0..).zip(&self.attempts).filter(|(n, a)| a.live && Some(*n) != keep && may.may_cancel);
-        out.extend(live.map(|(attempt, _)| Action::Cancel { request: id, attempt }));
+    pub fn cancel_live(
+        &self,
+        id: RequestId,
+        keep: Option<AttemptNo>,
+        may: &Limits,
+        out: &mut Vec<Action>,
+    ) {
+        let live = (0..)
+            .zip(&self.attempts)
+            .filter(|(n, a)| a.live && Some(*n) != keep && may.may_cancel);
+        out.extend(live.map(|(attempt, _)| Action::Cancel {
+            request: id,
+            attempt,
+        }));
     }
 
     /// Its place in the queue for a bulwark while it waits there: the least comes first.
--- a/src/state/timers.rs
+++ b/src/state/timers.rs
@@ -36,7 +36,10 @@
             && self.armed.is_none_or(|armed| at < armed)
         {
             self.armed = Some(at);
-            out.push(Action::SetTimer { after: (at - now).clamp(0, HOUR), token: at.unsigned_abs() });
+            out.push(Action::SetTimer {
+                after: (at - now).clamp(0, HOUR),
+                token: at.unsigned_abs(),
+            });
         }
     }
 
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -44,11 +44,19 @@
         number += 1;
         if input.read_until(b'\n', &mut bytes)? == 0 {
             let open = host.batch.is_some();
-            return if open { Err(WireError::Line(number, "batch without its go".into())) } else { Ok(()) };
+            return if open {
+                Err(WireError::Line(number, "batch without its go".into()))
+            } else {
+                Ok(())
+            };
         }
-        let text = std::str::from_utf8(&bytes).map_err(|_| WireError::Line(number, "not UTF-8".into()))?;
+        let text =
+            std::str::from_utf8(&bytes).map_err(|_| WireError::Line(number, "not UTF-8".into()))?;
         let text = text.trim_end_matches(['\n', '\r']);
-        if host.line(text).map_err(|what| WireError::Line(number, what))? {
+        if host
+            .line(text)
+            .map_err(|what| WireError::Line(number, what))?
+        {
             output.write_all(host.reply.as_bytes())?;
             output.flush()?;
             host.reply.clear();
@@ -76,7 +84,10 @@
             if line.name != "m" {
                 return Err(format!("catalog {roster} has {left} entries too few"));
             }
-            self.catalogs.entry(roster).or_default().push(Entry::read(&line)?);
+            self.catalogs
+                .entry(roster)
+                .or_default()
+                .push(Entry::read(&line)?);
             self.reading = Some((roster, left - 1)).filter(|(_, left)| *left > 0);
             return Ok(false);
         }
@@ -85,7 +96,11 @@
                 self.batch = Some((line.get("WallUs")?, line.get("batch")?));
                 return Ok(false);
             }
-            return if text.is_empty() { Ok(false) } else { Err(format!("{} outside a batch", line.name)) };
+            return if text.is_empty() {
+                Ok(false)
+            } else {
+                Err(format!("{} outside a batch", line.name))
+            };
         };
         match line.name {
             "mark" => return Err("mark inside a batch".into()),
@@ -101,7 +116,8 @@
                 self.reading = Some((roster, hosts)).filter(|(_, left)| *left > 0);
             }
             "start" => {
-                self.instances.insert(line.get("I")?, Instance::start(&line)?);
+                self.instances
+                    .insert(line.get("I")?, Instance::start(&line)?);
             }
             "kill" => {
                 self.instances.remove(&line.get("I")?);
--- a/src/wire/instance.rs
+++ b/src/wire/instance.rs
@@ -52,10 +52,25 @@
 impl Instance {
     pub fn start(line: &Line) -> Result<Self, String> {
         let seed: i128 = line.get("RandomSeed")?;
-        let decoded = settings::decode(line.text("Conf")?).map_err(|e| format!("start: Conf: {e}"))?;
-        let Decoded { settings, classes, tenants, zones, .. } = decoded;
-        let balancer = Balancer::new(settings, seed as u64).map_err(|e| format!("start: Conf: {e}"))?;
-        Ok(Self { balancer, classes, tenants, zones, kinds: Names::default(), endpoints: Names::default() })
+        let decoded =
+            settings::decode(line.text("Conf")?).map_err(|e| format!("start: Conf: {e}"))?;
+        let Decoded {
+            settings,
+            classes,
+            tenants,
+            zones,
+            ..
+        } = decoded;
+        let balancer =
+            Balancer::new(settings, seed as u64).map_err(|e| format!("start: Conf: {e}"))?;
+        Ok(Self {
+            balancer,
+            classes,
+            tenants,
+            zones,
+            kinds: Names::default(),
+            endpoints: Names::default(),
+        })
     }
 
     /// The event that a line tells, or none where it is of no concern.
@@ -72,8 +87,9 @@
                     return Ok(Some(Event::Endpoints(ListUpdate::Failed)));
                 }
                 let roster: u64 = line.get("RosterId")?;
-                let entries =
-                    catalogs.get(&roster).ok_or(format!("endpoints: RosterId {roster} is no catalog"))?;
+                let entries = catalogs
+                    .get(&roster)
+                    .ok_or(format!("endpoints: RosterId {roster} is no catalog"))?;
                 let list = entries.iter().map(|e| self.listing(e)).collect();
                 Event::Endpoints(match kind {
                     1 => ListUpdate::Delta(list),
@@ -90,7 +106,10 @@
                 Event::Request(NewRequest {
                     id: line.bounded("Ticket", 52)?,
                     class: class.ok_or(format!("demand: unknown Profile {profile}"))?,
-                    tenant: self.tenants.iter().position(|t| Some(t.as_str()) == project),
+                    tenant: self
+                        .tenants
+                        .iter()
+                        .position(|t| Some(t.as_str()) == project),
                     key: line.may("PartitionKey")?,
                     bound: Vec::new(),
                     due: line.get("DueUs")?,
@@ -98,9 +117,10 @@
                     repeat: flags & 2 != 0,
                 })
             }
-            "under_way" => {
-                Event::StreamStarted { request: line.bounded("Ticket", 52)?, attempt: line.get("Go")? }
-            }
+            "under_way" => Event::StreamStarted {
+                request: line.bounded("Ticket", 52)?,
+                attempt: line.get("Go")?,
+            },
             "returned" => {
                 let request = line.bounded("Ticket", 52)?;
                 let (attempt, outcome) = (line.get("Go")?, line.outcome()?);
@@ -109,21 +129,41 @@
                 let Some(endpoint) = self.endpoints.find(line.need("Endpoint")?) else {
                     return Ok(None);
                 };
-                Event::AttemptEnded(AttemptEnd { request, attempt, endpoint, outcome, took, settled, load })
+                Event::AttemptEnded(AttemptEnd {
+                    request,
+                    attempt,
+                    endpoint,
+                    outcome,
+                    took,
+                    settled,
+                    load,
+                })
             }
             "health_result" => {
                 let (outcome, took, load) = (line.outcome()?, line.get("TookUs")?, line.load()?);
                 let Some(endpoint) = self.endpoints.find(line.need("Endpoint")?) else {
                     return Ok(None);
                 };
-                Event::ProbeEnded { endpoint, outcome, took, load }
+                Event::ProbeEnded {
+                    endpoint,
+                    outcome,
+                    took,
+                    load,
+                }
             }
             "withdrawn" => Event::Abandoned(line.bounded("Ticket", 52)?),
             "peer_data" => {
                 let text = line.need("Bytes")?;
-                let bytes = if text == "-" { Ok(Vec::new()) } else { STANDARD.decode(text) };
+                let bytes = if text == "-" {
+                    Ok(Vec::new())
+                } else {
+                    STANDARD.decode(text)
+                };
                 let bytes = bytes.map_err(|e| format!("peer_data: Bytes: {e}"))?;
-                Event::PeerMessage { from: line.get("By")?, bytes }
+                Event::PeerMessage {
+                    from: line.get("By")?,
+                    bytes,
+                }
             }
             "alarm" => Event::Timer(line.bounded("Ctx", 63)?),
             _ => return Ok(None),
@@ -147,9 +187,17 @@
         let name = |e: &usize| self.endpoints.name(*e);
         let i = instance;
         let written = match action {
-            Action::Send { request, endpoint, timeout, .. } => {
+            Action::Send {
+                request,
+                endpoint,
+                timeout,
+                ..
+            } => {
                 let endpoint = name(endpoint);
-                writeln!(out, "hand_off I={i} Ticket={request} Endpoint={endpoint} TimeoutUs={timeout}")
+                writeln!(
+                    out,
+                    "hand_off I={i} Ticket={request} Endpoint={endpoint} TimeoutUs={timeout}"
+                )
             }
             Action::Refuse { request, hold_off } => {
                 writeln!(out, "not_now I={i} Ticket={request} HoldOffUs={hold_off}")
@@ -158,19 +206,33 @@
             Action::Cancel { request, attempt } => {
                 writeln!(out, "recall I={i} Ticket={request} Go={attempt}")
             }
-            Action::Probe(endpoint) => writeln!(out, "health_check I={i} Endpoint={}", name(endpoint)),
-            Action::SetTimer { after, token } => writeln!(out, "defer I={i} FromNowUs={after} Ctx={token}"),
+            Action::Probe(endpoint) => {
+                writeln!(out, "health_check I={i} Endpoint={}", name(endpoint))
+            }
+            Action::SetTimer { after, token } => {
+                writeln!(out, "defer I={i} FromNowUs={after} Ctx={token}")
+            }
             Action::Subscribe(on) => writeln!(out, "tail I={i} Active={}", u8::from(*on)),
             Action::FetchList => writeln!(out, "read_list I={i}"),
-            Action::CloseIdle(endpoint) => writeln!(out, "free_links I={i} Endpoint={}", name(endpoint)),
+            Action::CloseIdle(endpoint) => {
+                writeln!(out, "free_links I={i} Endpoint={}", name(endpoint))
+            }
             Action::Tell { to, bytes } => {
                 let to = to.map_or(-1, i64::from);
-                let bytes = if bytes.is_empty() { "-".to_owned() } else { STANDARD.encode(bytes) };
+                let bytes = if bytes.is_empty() {
+                    "-".to_owned()
+                } else {
+                    STANDARD.encode(bytes)
+                };
                 writeln!(out, "post I={i} Dst={to} Bytes={bytes}")
             }
             // Nothing is shared here.
             Action::Witness { .. } => Ok(()),
-            Action::Log(text) => writeln!(out, "say_log I={i} Text={}", text.replace(['\n', '\r'], " ")),
+            Action::Log(text) => writeln!(
+                out,
+                "say_log I={i} Text={}",
+                text.replace(['\n', '\r'], " ")
+            ),
         };
         written.expect("writing to a string cannot fail");
     }
--- a/src/wire/line.rs
+++ b/src/wire/line.rs
@@ -16,7 +16,9 @@
         Self { name, rest }
     }
     pub fn find(&self, field: &str) -> Option<&'a str> {
-        self.rest.split(' ').find_map(|part| part.strip_prefix(field)?.strip_prefix('='))
+        self.rest
+            .split(' ')
+            .find_map(|part| part.strip_prefix(field)?.strip_prefix('='))
     }
     /// The value of a field of type text, which runs to the end of the line.
     pub fn text(&self, field: &str) -> Result<&'a str, String> {
@@ -36,7 +38,10 @@
     }
     pub fn may<T: FromStr>(&self, field: &str) -> Result<Option<T>, String> {
         self.find(field)
-            .map(|v| v.parse().map_err(|_| format!("{}: {field} is not a number it can hold", self.name)))
+            .map(|v| {
+                v.parse()
+                    .map_err(|_| format!("{}: {field} is not a number it can hold", self.name))
+            })
             .transpose()
     }
     pub fn get<T: FromStr>(&self, field: &str) -> Result<T, String> {
@@ -44,11 +49,20 @@
     }
     pub fn bounded(&self, field: &str, bits: u32) -> Result<u64, String> {
         let value: u64 = self.get(field)?;
-        if value >> bits == 0 { Ok(value) } else { Err(format!("{}: {field} is too large", self.name)) }
+        if value >> bits == 0 {
+            Ok(value)
+        } else {
+            Err(format!("{}: {field} is too large", self.name))
+        }
     }
     pub fn load(&self) -> Result<Load, String> {
         let mut load = Load::default();
-        for pair in self.find("Load").unwrap_or("").split(',').filter(|p| !p.is_empty()) {
+        for pair in self
+            .find("Load")
+            .unwrap_or("")
+            .split(',')
+            .filter(|p| !p.is_empty())
+        {
             let (name, value) = pair.split_once(':').ok_or("Load is not name:value pairs")?;
             let slot = match name {
                 "active" => &mut load.active,
@@ -59,7 +73,9 @@
                 "err_rps" => &mut load.err_rps,
                 _ => continue,
             };
-            let value: f64 = value.parse().map_err(|_| format!("Load: {name} is not a number"))?;
+            let value: f64 = value
+                .parse()
+                .map_err(|_| format!("Load: {name} is not a number"))?;
             *slot = Some(value).filter(|v| v.is_finite());
         }
         Ok(load)
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -20,7 +20,10 @@
         effect,
         streaming: false,
     };
-    let keyed = Effect::Keyed { scope: DedupScope::Cell, ttl: 1200 * MS };
+    let keyed = Effect::Keyed {
+        scope: DedupScope::Cell,
+        ttl: 1200 * MS,
+    };
     Settings {
         classes: vec![class(Effect::Safe), class(keyed), class(Effect::Unsafe)],
         tenants: Vec::new(),
@@ -93,8 +96,18 @@
     pub fn new(set: Settings, endpoints: usize, seed: u64) -> Self {
         let balancer = Balancer::new(set.clone(), seed).expect("usable settings");
         let (timers, out, sends) = (Vec::new(), BTreeMap::new(), BTreeMap::new());
-        let mut rig = Self { balancer, now: START, set, timers, out, sends, next: 1 };
-        rig.event(Event::Endpoints(ListUpdate::Cached((0..endpoints).map(listing).collect())));
+        let mut rig = Self {
+            balancer,
+            now: START,
+            set,
+            timers,
+            out,
+            sends,
+            next: 1,
+        };
+        rig.event(Event::Endpoints(ListUpdate::Cached(
+            (0..endpoints).map(listing).collect(),
+        )));
         rig
     }
 
@@ -103,9 +116,21 @@
         self.balancer.handle(self.now, event, &mut actions);
         for action in &actions {
             match *action {
-                Action::Send { request, endpoint, timeout, .. } => {
+                Action::Send {
+                    request,
+                    endpoint,
+                    timeout,
+                    ..
+                } => {
                     let n = self.sends.entry(request).or_default();
-                    self.out.insert((request, *n), Out { endpoint, sent: self.now, timeout });
+                    self.out.insert(
+                        (request, *n),
+                        Out {
+                            endpoint,
+                            sent: self.now,
+                            timeout,
+                        },
+                    );
                     *n += 1;
                 }
                 Action::SetTimer { after, token } => self.timers.push((self.now + after, token)),
@@ -120,8 +145,14 @@
         let mut actions = Vec::new();
         loop {
             let timer = (0..self.timers.len()).min_by_key(|i| self.timers[*i].0);
-            let timer = timer.map(|i| (self.timers[i].0, i)).filter(|(at, _)| *at <= to);
-            let over = self.out.iter().map(|(key, o)| (o.sent + o.timeout, *key)).min();
+            let timer = timer
+                .map(|i| (self.timers[i].0, i))
+                .filter(|(at, _)| *at <= to);
+            let over = self
+                .out
+                .iter()
+                .map(|(key, o)| (o.sent + o.timeout, *key))
+                .min();
             if let Some((at, (id, n))) = over.filter(|(at, _)| *at <= timer.map_or(to, |t| t.0)) {
                 self.now = self.now.max(at);
                 actions.extend(self.end(id, n, Outcome::TimedOut));
@@ -154,12 +185,24 @@
         let id = self.next;
         self.next += 1;
         let due = self.now + left;
-        let new = NewRequest { id, class, tenant, key: Some(7), bound: Vec::new(), due, work, repeat: false };
+        let new = NewRequest {
+            id,
+            class,
+            tenant,
+            key: Some(7),
+            bound: Vec::new(),
+            due,
+            work,
+            repeat: false,
+        };
         (id, self.event(Event::Request(new)))
     }
 
     pub fn end(&mut self, request: RequestId, attempt: AttemptNo, outcome: Outcome) -> Vec<Action> {
-        let out = self.out.remove(&(request, attempt)).expect("an attempt that is out");
+        let out = self
+            .out
+            .remove(&(request, attempt))
+            .expect("an attempt that is out");
         self.event(Event::AttemptEnded(AttemptEnd {
             request,
             attempt,
@@ -183,7 +226,13 @@
 }
 
 pub fn sent(actions: &[Action]) -> Vec<EndpointId> {
-    let to = |a: &Action| if let Action::Send { endpoint, .. } = a { Some(*endpoint) } else { None };
+    let to = |a: &Action| {
+        if let Action::Send { endpoint, .. } = a {
+            Some(*endpoint)
+        } else {
+            None
+        }
+    };
     actions.iter().filter_map(to).collect()
 }
 
@@ -198,7 +247,9 @@
 }
 
 pub fn refused(actions: &[Action], id: RequestId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { request, .. } if *request == id))
+    actions
+        .iter()
+        .any(|a| matches!(a, Action::Refuse { request, .. } if *request == id))
 }
 
 pub fn failed(actions: &[Action], id: RequestId) -> bool {
--- a/tests/failures/circuits.rs
+++ b/tests/failures/circuits.rs
@@ -5,12 +5,22 @@
 
 #[test]
 fn one_heavy_request_does_not_open_a_circuit() {
-    let mut rig = Rig::new(Settings { instances: 1000, ..settings() }, 4, 1);
+    let mut rig = Rig::new(
+        Settings {
+            instances: 1000,
+            ..settings()
+        },
+        4,
+        1,
+    );
     used(&mut rig, 40);
     let (id, actions) = rig.request(UNSAFE);
     assert_eq!(sent(&actions).len(), 1);
     let seen = rig.wait(1150 * MS);
-    assert!(!seen.iter().any(|a| matches!(a, Action::Log(_))), "{seen:?}");
+    assert!(
+        !seen.iter().any(|a| matches!(a, Action::Log(_))),
+        "{seen:?}"
+    );
     rig.end(id, 0, Outcome::Ok);
 }
 
@@ -36,7 +46,14 @@
 
 #[test]
 fn trials_of_many_open_circuits_are_a_small_part_of_requests() {
-    let mut rig = Rig::new(Settings { instances: 1000, ..settings() }, 8, 3);
+    let mut rig = Rig::new(
+        Settings {
+            instances: 1000,
+            ..settings()
+        },
+        8,
+        3,
+    );
     let sick = |e: EndpointId| e >= 3;
     let (mut trials, mut all) = (0, 0);
     for n in 0..240 {
@@ -44,7 +61,15 @@
         for ((id, attempt), out) in rig.out.clone() {
             trials += usize::from(n >= 120 && sick(out.endpoint));
             all += usize::from(n >= 120);
-            rig.end(id, attempt, if sick(out.endpoint) { Outcome::Error } else { Outcome::Ok });
+            rig.end(
+                id,
+                attempt,
+                if sick(out.endpoint) {
+                    Outcome::Error
+                } else {
+                    Outcome::Ok
+                },
+            );
         }
         rig.wait(500 * MS);
     }
@@ -53,17 +78,36 @@
 
 #[test]
 fn sick_endpoints_do_not_lead_on_to_the_whole_fleet() {
-    let mut rig = Rig::new(Settings { instances: 1000, ..settings() }, 64, 5);
+    let mut rig = Rig::new(
+        Settings {
+            instances: 1000,
+            ..settings()
+        },
+        64,
+        5,
+    );
     let mut met = std::collections::BTreeSet::new();
     for _ in 0..200 {
         rig.request(UNSAFE);
         for ((id, attempt), out) in rig.out.clone() {
             met.insert(out.endpoint);
-            rig.end(id, attempt, if out.endpoint % 4 > 0 { Outcome::Error } else { Outcome::Ok });
+            rig.end(
+                id,
+                attempt,
+                if out.endpoint % 4 > 0 {
+                    Outcome::Error
+                } else {
+                    Outcome::Ok
+                },
+            );
         }
         rig.wait(500 * MS);
     }
-    assert!(met.len() <= 32, "{} of 64 tried with three in four sick", met.len());
+    assert!(
+        met.len() <= 32,
+        "{} of 64 tried with three in four sick",
+        met.len()
+    );
 }
 
 #[test]
--- a/tests/failures/cold_fleet.rs
+++ b/tests/failures/cold_fleet.rs
@@ -81,9 +81,17 @@
 
 impl Site {
     fn settings(self, instances: u32, index: u32) -> Settings {
-        let mut set = Settings { instances, index, ..settings() };
-        let class =
-            Class { aim: self.aim, deadline: self.deadline, effect: self.effect, ..set.classes[0].clone() };
+        let mut set = Settings {
+            instances,
+            index,
+            ..settings()
+        };
+        let class = Class {
+            aim: self.aim,
+            deadline: self.deadline,
+            effect: self.effect,
+            ..set.classes[0].clone()
+        };
         set.classes = vec![class];
         set.limits.may_duplicate = false;
         set.rules.overload_factor = self.overload_factor;
@@ -102,7 +110,8 @@
     /// Requests in a window that begins so long after the start from which on the server falls.
     fn bound(self, age: Micros) -> f64 {
         let allowed =
-            self.overload_factor * self.capacity * self.warmth(age) * self.tip_after as f64 / 1_000_000.0;
+            self.overload_factor * self.capacity * self.warmth(age) * self.tip_after as f64
+                / 1_000_000.0;
         allowed + 2.0 * allowed.sqrt() + 2.0
     }
 
@@ -129,7 +138,12 @@
             rig.until(next.min(end));
             if !restarted && next == restart {
                 restarted = true;
-                let back = (0..cold).map(|e| Listing { started: Some(restart), ..listing(e) }).collect();
+                let back = (0..cold)
+                    .map(|e| Listing {
+                        started: Some(restart),
+                        ..listing(e)
+                    })
+                    .collect();
                 rig.event(Event::Endpoints(ListUpdate::Delta(back)));
             } else if let Some((at, key)) = answer.filter(|(at, _)| *at <= next) {
                 answers.remove(&key);
@@ -147,7 +161,11 @@
                     continue;
                 }
                 let is_cold = restarted && out.endpoint < cold;
-                let slower = if is_cold { self.warmth(rig.now - restart) } else { 1.0 };
+                let slower = if is_cold {
+                    self.warmth(rig.now - restart)
+                } else {
+                    1.0
+                };
                 answers.insert(*key, out.sent + (self.work as f64 / slower) as Micros);
                 to_cold.extend(is_cold.then_some((out.endpoint, out.sent - restart)));
             }
@@ -165,7 +183,10 @@
         for times in times.values_mut() {
             times.sort_unstable();
             for (first, at) in times.iter().enumerate() {
-                let got = times[first..].iter().take_while(|t| **t < at + self.tip_after).count();
+                let got = times[first..]
+                    .iter()
+                    .take_while(|t| **t < at + self.tip_after)
+                    .count();
                 let part = got as f64 / self.bound(*at);
                 if part > worst.0 {
                     worst = (part, got);
@@ -187,8 +208,15 @@
 /// Plays all fleets of both sites; fails with every one that pushes a server over.
 fn stays_under(cold: Cold, traffic: Traffic) {
     let mut over = Vec::new();
-    for (site, fleet) in [JADRAN, ROTA].into_iter().flat_map(|site| FLEETS.map(|fleet| (site, fleet))) {
-        let restarted = if cold == Cold::One { 1 } else { fleet.1 * 3 / 10 };
+    for (site, fleet) in [JADRAN, ROTA]
+        .into_iter()
+        .flat_map(|site| FLEETS.map(|fleet| (site, fleet)))
+    {
+        let restarted = if cold == Cold::One {
+            1
+        } else {
+            fleet.1 * 3 / 10
+        };
         let (part, got) = site.worst(fleet, restarted, traffic);
         let line = format!(
             "{} {fleet:?} {restarted} cold, {traffic:?}: {got} in a window, {part:.2} of the bound",
--- a/tests/failures/crowd.rs
+++ b/tests/failures/crowd.rs
@@ -6,14 +6,23 @@
 #[test]
 fn tenants_far_above_their_share_wait_behind_the_others() {
     let mut set = settings();
-    set.tenants = vec![Tenant { quota_per_s: 10.0, share: 0.5 }; 2];
+    set.tenants = vec![
+        Tenant {
+            quota_per_s: 10.0,
+            share: 0.5
+        };
+        2
+    ];
     let mut rig = Rig::new(set, 1, 1);
     let request = |rig: &mut Rig, tenant| rig.request_for(SAFE, 3000 * MS, Some(tenant), None).0;
     let burst: Vec<_> = (0..12).map(|_| request(&mut rig, 0)).collect();
     let other = request(&mut rig, 1);
     rig.wait(50 * MS);
     rig.end(burst[0], 0, Outcome::Ok);
-    assert!(rig.out.contains_key(&(other, 0)), "it came last and goes first");
+    assert!(
+        rig.out.contains_key(&(other, 0)),
+        "it came last and goes first"
+    );
 }
 
 #[test]
@@ -24,7 +33,10 @@
     rig.end(ids[0], 0, Outcome::Error);
     rig.request(SAFE);
     let early = rig.wait(100 * MS);
-    assert!(!refused(&early, ids[0]), "its first wait is long over, this one is not");
+    assert!(
+        !refused(&early, ids[0]),
+        "its first wait is long over, this one is not"
+    );
     rig.end(ids[1], 0, Outcome::Ok);
     assert!(rig.out.contains_key(&(ids[0], 1)));
 }
@@ -39,7 +51,10 @@
     rig.request(SAFE);
     rig.end(id, 0, Outcome::Error);
     let seen = rig.wait(100 * MS);
-    assert!(!refused(&seen, id), "its second wait began less than 0.15 of the aim ago");
+    assert!(
+        !refused(&seen, id),
+        "its second wait began less than 0.15 of the aim ago"
+    );
     rig.end(first[1], 0, Outcome::Ok);
     assert!(rig.out.contains_key(&(id, 1)));
 }
@@ -64,8 +79,18 @@
     let fresh = rig.request(SAFE).0;
     rig.wait(50 * MS);
     let actions = rig.end(first, 0, Outcome::Ok);
-    let of = |a: &Action| if let Action::Send { request, .. } = a { Some(*request) } else { None };
-    assert_eq!(actions.iter().find_map(of), Some(fresh), "it came last and goes first");
+    let of = |a: &Action| {
+        if let Action::Send { request, .. } = a {
+            Some(*request)
+        } else {
+            None
+        }
+    };
+    assert_eq!(
+        actions.iter().find_map(of),
+        Some(fresh),
+        "it came last and goes first"
+    );
 }
 
 #[test]
@@ -98,7 +123,14 @@
 fn caps_rise_by_even_steps_from_the_smallest() {
     // Steps in proportion to the cap would keep sidecars apart for good once one has fallen behind; and a
     // cap under two must not pass for unused while the one call it allows is out.
-    let mut rig = Rig::new(Settings { instances: 4, ..settings() }, 1, 1);
+    let mut rig = Rig::new(
+        Settings {
+            instances: 4,
+            ..settings()
+        },
+        1,
+        1,
+    );
     used(&mut rig, 60);
     let mut held = Vec::new();
     for _ in 0..12 {
@@ -128,7 +160,14 @@
 #[test]
 fn a_lasting_new_pace_passes_for_the_usual_one_in_the_end() {
     // A fleet that has become eight times slower for good, still well inside the aim, is not refused for good.
-    let mut rig = Rig::new(Settings { instances: 4, ..settings() }, 2, 1);
+    let mut rig = Rig::new(
+        Settings {
+            instances: 4,
+            ..settings()
+        },
+        2,
+        1,
+    );
     let ask = |rig: &mut Rig| drop(rig.request_for(SAFE, 3000 * MS, None, Some(10 * MS)));
     (0..80).for_each(|_| {
         ask(&mut rig);
@@ -148,9 +187,19 @@
 
 #[test]
 fn many_sidecars_begin_with_caps_over_the_root_of_their_number() {
-    let mut rig = Rig::new(Settings { instances: 16, ..settings() }, 4, 1);
+    let mut rig = Rig::new(
+        Settings {
+            instances: 16,
+            ..settings()
+        },
+        4,
+        1,
+    );
     let sent: usize = (0..12).map(|_| sent(&rig.request(SAFE).1).len()).sum();
-    assert_eq!(sent, 4, "half a request each is one at a time, where one sidecar alone has two");
+    assert_eq!(
+        sent, 4,
+        "half a request each is one at a time, where one sidecar alone has two"
+    );
 }
 
 #[test]
@@ -173,12 +222,23 @@
         rig.serve(400 * MS);
     }
     (0..40).for_each(|_| drop(rig.request(SAFE)));
-    assert!(rig.out.len() <= 8, "caps fell and stay down: {}", rig.out.len());
+    assert!(
+        rig.out.len() <= 8,
+        "caps fell and stay down: {}",
+        rig.out.len()
+    );
 }
 
 #[test]
 fn a_quiet_sidecar_among_many_is_not_refused_what_comes_in_threes() {
-    let mut rig = Rig::new(Settings { instances: 150, ..settings() }, 10, 1);
+    let mut rig = Rig::new(
+        Settings {
+            instances: 150,
+            ..settings()
+        },
+        10,
+        1,
+    );
     used(&mut rig, 30);
     for _ in 0..20 {
         (0..3).for_each(|_| assert_eq!(sent(&rig.request(UNSAFE).1).len(), 1));
--- a/tests/failures/lines.rs
+++ b/tests/failures/lines.rs
@@ -23,8 +23,19 @@
         }
     }
     let account = "gave up N shed, N waiting, N failing";
-    assert_eq!(logs, [account, "circuit of endpoint N open", account, "circuit of endpoint N closed"]);
-    assert!(logs.iter().all(|l| page.contains(&format!("`{l}`"))), "{logs:?}");
+    assert_eq!(
+        logs,
+        [
+            account,
+            "circuit of endpoint N open",
+            account,
+            "circuit of endpoint N closed"
+        ]
+    );
+    assert!(
+        logs.iter().all(|l| page.contains(&format!("`{l}`"))),
+        "{logs:?}"
+    );
 }
 
 // A line a second at most: what is left out must still be counted, or three circuits look like one.
@@ -39,10 +50,12 @@
         for _ in 0..100 {
             let (id, _) = rig.request(UNSAFE);
             if rig.out.contains_key(&(id, 0)) {
-                lines.extend(rig.end(id, 0, outcome).into_iter().filter_map(|action| match action {
-                    Action::Log(text) if text.starts_with("circuit") => Some(text),
-                    _ => None,
-                }));
+                lines.extend(rig.end(id, 0, outcome).into_iter().filter_map(
+                    |action| match action {
+                        Action::Log(text) if text.starts_with("circuit") => Some(text),
+                        _ => None,
+                    },
+                ));
             }
             if rig.balancer.census().circuits_open == open {
                 break;
@@ -51,5 +64,8 @@
         }
     }
     assert_eq!(lines.len(), 2, "{lines:?}");
-    assert!(lines[0].ends_with(" open") && lines[1].ends_with(" closed (2 like it left out)"), "{lines:?}");
+    assert!(
+        lines[0].ends_with(" open") && lines[1].ends_with(" closed (2 like it left out)"),
+        "{lines:?}"
+    );
 }
--- a/tests/failures/pace.rs
+++ b/tests/failures/pace.rs
@@ -20,7 +20,10 @@
         rig.end(id, 0, Outcome::Ok);
     }
     let after = part(&mut rig);
-    assert!(after * 4 >= before * 3, "{after} of 60 turns, {before} before");
+    assert!(
+        after * 4 >= before * 3,
+        "{after} of 60 turns, {before} before"
+    );
 }
 
 #[test]
@@ -30,7 +33,10 @@
     let (_, actions) = rig.request(SAFE);
     let held = sent(&actions)[0];
     let logs = rig.wait(450 * MS);
-    assert!(!logs.iter().any(|a| matches!(a, Action::Log(_))), "{held} answers within half the aim");
+    assert!(
+        !logs.iter().any(|a| matches!(a, Action::Log(_))),
+        "{held} answers within half the aim"
+    );
 }
 
 #[test]
@@ -70,7 +76,10 @@
 #[test]
 fn a_turn_follows_what_was_learnt_since_the_last_one() {
     let mut rig = Rig::new(settings(), 4, 1);
-    let kinds = (0..4).map(|e| Listing { kind: Some(e), ..listing(e) });
+    let kinds = (0..4).map(|e| Listing {
+        kind: Some(e),
+        ..listing(e)
+    });
     rig.event(Event::Endpoints(ListUpdate::Full(kinds.collect())));
     for _ in 0..40 {
         rig.request(UNSAFE);
@@ -102,7 +111,12 @@
             to.extend(sent(&actions));
         }
         let until = rig.now + 500 * MS;
-        while let Some((at, key)) = rig.out.iter().map(|(k, o)| (o.sent + time(o.endpoint), *k)).min() {
+        while let Some((at, key)) = rig
+            .out
+            .iter()
+            .map(|(k, o)| (o.sent + time(o.endpoint), *k))
+            .min()
+        {
             if at > until {
                 break;
             }
@@ -120,10 +134,26 @@
 fn what_one_endpoint_shows_of_its_kind_holds_for_those_not_yet_met() {
     let mut slow = 0;
     for seed in 0..20 {
-        let mut rig = Rig::new(Settings { instances: 1000, ..settings() }, 0, seed);
-        let kind = |endpoint| Listing { kind: Some(endpoint % 2), ..listing(endpoint) };
-        rig.event(Event::Endpoints(ListUpdate::Full((0..40).map(kind).collect())));
-        let to = sparse(&mut rig, 48, |e| if e % 2 == 1 { 900 * MS } else { 90 * MS });
+        let mut rig = Rig::new(
+            Settings {
+                instances: 1000,
+                ..settings()
+            },
+            0,
+            seed,
+        );
+        let kind = |endpoint| Listing {
+            kind: Some(endpoint % 2),
+            ..listing(endpoint)
+        };
+        rig.event(Event::Endpoints(ListUpdate::Full(
+            (0..40).map(kind).collect(),
+        )));
+        let to = sparse(
+            &mut rig,
+            48,
+            |e| if e % 2 == 1 { 900 * MS } else { 90 * MS },
+        );
         slow += to.iter().filter(|e| **e % 2 == 1).count();
     }
     assert!(slow <= 160, "{slow} of 480 to the slow kind");
@@ -135,10 +165,26 @@
     let in_slow = |endpoint: EndpointId| endpoint / 8 == 1;
     let mut to_slow = 0;
     for seed in 0..20 {
-        let mut rig = Rig::new(Settings { instances: 100, ..settings() }, 0, seed);
-        let grouped = |endpoint| Listing { cell: endpoint as u64 / 8, ..listing(endpoint) };
-        rig.event(Event::Endpoints(ListUpdate::Full((0..40).map(grouped).collect())));
-        let to = sparse(&mut rig, 40, |e| if in_slow(e) { 900 * MS } else { 90 * MS });
+        let mut rig = Rig::new(
+            Settings {
+                instances: 100,
+                ..settings()
+            },
+            0,
+            seed,
+        );
+        let grouped = |endpoint| Listing {
+            cell: endpoint as u64 / 8,
+            ..listing(endpoint)
+        };
+        rig.event(Event::Endpoints(ListUpdate::Full(
+            (0..40).map(grouped).collect(),
+        )));
+        let to = sparse(
+            &mut rig,
+            40,
+            |e| if in_slow(e) { 900 * MS } else { 90 * MS },
+        );
         to_slow += to.iter().filter(|e| in_slow(**e)).count();
     }
     // One in five endpoints, and one in five of 400 sends if nothing were learnt.
@@ -151,10 +197,26 @@
     let in_slow = |endpoint: EndpointId| endpoint / 8 == 1;
     let mut to_slow = 0;
     for seed in 0..20 {
-        let mut rig = Rig::new(Settings { instances: 100, ..settings() }, 0, seed);
-        let grouped = |endpoint| Listing { cell: endpoint as u64 / 8, ..listing(endpoint) };
-        rig.event(Event::Endpoints(ListUpdate::Full((0..40).map(grouped).collect())));
-        let to = sparse(&mut rig, 80, |e| if in_slow(e) { 270 * MS } else { 90 * MS });
+        let mut rig = Rig::new(
+            Settings {
+                instances: 100,
+                ..settings()
+            },
+            0,
+            seed,
+        );
+        let grouped = |endpoint| Listing {
+            cell: endpoint as u64 / 8,
+            ..listing(endpoint)
+        };
+        rig.event(Event::Endpoints(ListUpdate::Full(
+            (0..40).map(grouped).collect(),
+        )));
+        let to = sparse(
+            &mut rig,
+            80,
+            |e| if in_slow(e) { 270 * MS } else { 90 * MS },
+        );
         to_slow += to.iter().filter(|e| in_slow(**e)).count();
     }
     // A fifth of 800 sends is 160.
--- a/tests/gossip/affinity.rs
+++ b/tests/gossip/affinity.rs
@@ -8,7 +8,16 @@
 fn about(rig: &mut Rig, class: ClassId, key: Option<u64>) -> (RequestId, Vec<Action>) {
     let (id, due) = (rig.next, rig.now + 3 * SECOND);
     rig.next += 1;
-    let new = NewRequest { id, class, tenant: None, key, bound: Vec::new(), due, work: None, repeat: false };
+    let new = NewRequest {
+        id,
+        class,
+        tenant: None,
+        key,
+        bound: Vec::new(),
+        due,
+        work: None,
+        repeat: false,
+    };
     (id, rig.event(Event::Request(new)))
 }
 
@@ -52,9 +61,15 @@
         assert!(ahead_now <= ahead + 2.0, "after {n}: {counts:?}");
         assert!(behind <= 8.0 * ahead + 2.0, "after {n}: {counts:?}");
     }
-    let top: usize = by_key.iter().map(|k| k.iter().max().copied().unwrap_or(0)).sum();
+    let top: usize = by_key
+        .iter()
+        .map(|k| k.iter().max().copied().unwrap_or(0))
+        .sum();
     // Round robin would bring a fifth of a key's requests to any endpoint.
-    assert!(top * 2 > 2000, "{top} of 2000 went to their key's first endpoint");
+    assert!(
+        top * 2 > 2000,
+        "{top} of 2000 went to their key's first endpoint"
+    );
 }
 
 /// One key alone must not keep the others from their turns.
@@ -64,7 +79,9 @@
     rig.balancer.share(sharing(false, 2.0));
     let mut counts = [0; 4];
     for _ in 0..400 {
-        sent(&about(&mut rig, SAFE, Some(1)).1).into_iter().for_each(|e| counts[e] += 1);
+        sent(&about(&mut rig, SAFE, Some(1)).1)
+            .into_iter()
+            .for_each(|e| counts[e] += 1);
         rig.serve(20 * MS);
     }
     // The others are owed turns, up to so many; weights differ a little while paces are learnt.
--- a/tests/gossip/ejection.rs
+++ b/tests/gossip/ejection.rs
@@ -25,13 +25,19 @@
 fn no_word_gives_work_to_what_drains_or_makes_an_unlisted_one_known() {
     let mut rig = Rig::new(settings(), 3, 1);
     rig.balancer.share(sharing(true, 0.0));
-    let draining = Listing { status: Status::Draining, ..listing(1) };
+    let draining = Listing {
+        status: Status::Draining,
+        ..listing(1)
+    };
     rig.event(Event::Endpoints(ListUpdate::Delta(vec![draining])));
     for rest in [Rest::Trial, Rest::Over, Rest::No] {
         rig.event(word(1, rest, rig.now + 60 * SECOND));
         rig.event(word(77, rest, rig.now + 60 * SECOND));
         let used = used(&mut rig, 6);
-        assert!(!used.contains(&1) && !used.contains(&77), "{rest:?}: {used:?}");
+        assert!(
+            !used.contains(&1) && !used.contains(&77),
+            "{rest:?}: {used:?}"
+        );
     }
     assert!(!rig.balancer.knows(77));
 }
@@ -56,7 +62,11 @@
     rig.balancer.share(sharing(true, 0.0));
     for _ in 0..40 {
         for endpoint in sent(&rig.request(SAFE).1) {
-            let outcome = if endpoint == 1 { Outcome::Error } else { Outcome::Ok };
+            let outcome = if endpoint == 1 {
+                Outcome::Error
+            } else {
+                Outcome::Ok
+            };
             end_at(&mut rig, endpoint, outcome);
         }
     }
@@ -75,10 +85,16 @@
         let endpoint = sent(&actions)[0];
         // Just sent: as likely as not it is only on its way.
         let soon = rig.event(word(endpoint, Rest::Yes, rig.now + 60 * SECOND));
-        assert!(!soon.iter().any(|a| matches!(a, Action::Cancel { .. })), "{soon:?}");
+        assert!(
+            !soon.iter().any(|a| matches!(a, Action::Cancel { .. })),
+            "{soon:?}"
+        );
         rig.now += 400 * MS;
         let late = rig.event(word(endpoint, Rest::Yes, rig.now + 60 * SECOND));
-        let cancels = late.contains(&Action::Cancel { request: id, attempt: 0 });
+        let cancels = late.contains(&Action::Cancel {
+            request: id,
+            attempt: 0,
+        });
         assert_eq!(cancels, called, "class {class}: {late:?}");
     }
 }
--- a/tests/gossip/health_reports.rs
+++ b/tests/gossip/health_reports.rs
@@ -34,7 +34,9 @@
     let (first, _) = rig.request(SAFE);
     assert_eq!(told(&rig.wait(300 * MS)), 0);
     rig.now += 500 * MS;
-    let looks: usize = (0..3).map(|_| told(&rig.event(Event::Words(Vec::new())))).sum();
+    let looks: usize = (0..3)
+        .map(|_| told(&rig.event(Event::Words(Vec::new()))))
+        .sum();
     assert_eq!(looks, 1);
     rig.end(first, 0, Outcome::Ok);
     // Another that was sent after it is answered first: it is slow, not silent.
--- a/tests/gossip/main.rs
+++ b/tests/gossip/main.rs
@@ -15,12 +15,24 @@
 
 /// Ends whatever is out at an endpoint.
 fn end_at(rig: &mut Rig, endpoint: EndpointId, outcome: Outcome) -> Vec<Action> {
-    let there: Vec<_> = rig.out.iter().filter(|(_, o)| o.endpoint == endpoint).map(|(key, _)| *key).collect();
-    there.into_iter().flat_map(|(id, attempt)| rig.end(id, attempt, outcome)).collect()
+    let there: Vec<_> = rig
+        .out
+        .iter()
+        .filter(|(_, o)| o.endpoint == endpoint)
+        .map(|(key, _)| *key)
+        .collect();
+    there
+        .into_iter()
+        .flat_map(|(id, attempt)| rig.end(id, attempt, outcome))
+        .collect()
 }
 
 fn word(endpoint: EndpointId, rest: Rest, until: Micros) -> Event {
-    Event::Words(vec![Word { endpoint, rest, until }])
+    Event::Words(vec![Word {
+        endpoint,
+        rest,
+        until,
+    }])
 }
 
 fn sharing(words: bool, ahead: f64) -> Sharing {
--- a/tests/gossip/staleness.rs
+++ b/tests/gossip/staleness.rs
@@ -6,7 +6,10 @@
 
 /// A history drawn from a seed; `more` may say things in between. Gives all that was asked for.
 fn history(seed: u64, share: Sharing, more: impl Fn(&mut Rig, &mut fastrand::Rng)) -> Vec<Action> {
-    let (mut rig, mut rng) = (Rig::new(settings(), 12, seed), fastrand::Rng::with_seed(seed));
+    let (mut rig, mut rng) = (
+        Rig::new(settings(), 12, seed),
+        fastrand::Rng::with_seed(seed),
+    );
     // What is drawn for words must not move what is drawn for the history.
     let mut others = fastrand::Rng::with_seed(!seed);
     rig.balancer.share(share);
@@ -36,24 +39,38 @@
 #[test]
 fn words_past_their_bound_change_no_decision_at_all() {
     for seed in 0..60 {
-        let lone = history(seed, Sharing::default(), |rig, _| drop(rig.event(Event::Words(Vec::new()))));
+        let lone = history(seed, Sharing::default(), |rig, _| {
+            drop(rig.event(Event::Words(Vec::new())))
+        });
         let same = |one: &[Action], other: &[Action], what: &str| {
             let differs = one.iter().zip(other).position(|(a, b)| a != b);
-            assert_eq!((differs, one.len()), (None, other.len()), "{what}, seed {seed}");
+            assert_eq!(
+                (differs, one.len()),
+                (None, other.len()),
+                "{what}, seed {seed}"
+            );
         };
         let late = history(seed, sharing(true, 0.0), |rig, rng| {
             let rests = [Rest::Yes, Rest::Trial, Rest::Over];
             let mut words = Vec::new();
             for _ in 0..rng.usize(0..4) {
                 let (endpoint, until) = (rng.usize(0..12), rig.now - rng.i64(0..5 * SECOND));
-                words.push(Word { endpoint, rest: rests[rng.usize(0..3)], until });
+                words.push(Word {
+                    endpoint,
+                    rest: rests[rng.usize(0..3)],
+                    until,
+                });
             }
             rig.event(Event::Words(words));
         });
         same(&late, &lone, "past the bound");
         let taken_back = history(seed, sharing(true, 0.0), |rig, rng| {
             let (endpoint, until) = (rng.usize(0..12), rig.now + SECOND);
-            let both = [Rest::Yes, Rest::No].map(|rest| Word { endpoint, rest, until });
+            let both = [Rest::Yes, Rest::No].map(|rest| Word {
+                endpoint,
+                rest,
+                until,
+            });
             rig.event(Event::Words(both.to_vec()));
         });
         same(&taken_back, &lone, "taken back");
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -38,8 +38,15 @@
 /// The files under `policy` in the deploy file, in its order.
 fn policy_files() -> Vec<String> {
     let deploy = fs::read_to_string(root().join("deploy/balancer.toml")).expect("the deploy file");
-    let list = deploy.lines().find_map(|line| line.strip_prefix("policy = [")).expect("a list under policy");
-    list.split('"').skip(1).step_by(2).map(str::to_owned).collect()
+    let list = deploy
+        .lines()
+        .find_map(|line| line.strip_prefix("policy = ["))
+        .expect("a list under policy");
+    list.split('"')
+        .skip(1)
+        .step_by(2)
+        .map(str::to_owned)
+        .collect()
 }
 
 /// All files below `folder`, as paths from the root.
@@ -100,7 +107,9 @@
 fn no_decision_file_does_io_or_reads_a_clock() {
     for file in policy_files() {
         let text = read(&file);
-        let code = text.lines().filter(|line| !line.trim_start().starts_with("//"));
+        let code = text
+            .lines()
+            .filter(|line| !line.trim_start().starts_with("//"));
         for line in code {
             let found = FORBIDDEN.iter().find(|word| line.contains(**word));
             assert_eq!(found, None, "{file}: {line}");
--- a/tests/ordinary/guards.rs
+++ b/tests/ordinary/guards.rs
@@ -12,7 +12,9 @@
         let bad = sent(&actions)[0] == 0;
         rig.wait(10 * MS);
         let after = rig.end(id, 0, if bad { Outcome::Reset } else { Outcome::Ok });
-        opened |= after.iter().any(|a| matches!(a, Action::Log(t) if t.contains("open")));
+        opened |= after
+            .iter()
+            .any(|a| matches!(a, Action::Log(t) if t.contains("open")));
         rig.serve(150 * MS);
     }
     assert!(opened);
@@ -21,11 +23,18 @@
     rig.serve(20 * MS);
     rig.wait(9000 * MS);
     let tries: Vec<_> = (0..4).flat_map(|_| sent(&rig.request(SAFE).1)).collect();
-    assert_eq!(tries.iter().filter(|e| **e == 0).count(), 1, "half open: one trial at a time");
+    assert_eq!(
+        tries.iter().filter(|e| **e == 0).count(),
+        1,
+        "half open: one trial at a time"
+    );
     rig.serve(20 * MS);
     rig.wait(9000 * MS);
     let again: Vec<_> = (0..4).flat_map(|_| sent(&rig.request(SAFE).1)).collect();
-    assert!(again.iter().filter(|e| **e == 0).count() > 1, "closed again: {again:?}");
+    assert!(
+        again.iter().filter(|e| **e == 0).count() > 1,
+        "closed again: {again:?}"
+    );
 }
 
 #[test]
@@ -35,13 +44,25 @@
         let (id, actions) = rig.request(SAFE);
         rig.wait(10 * MS);
         for (n, e) in (0..).zip(sent(&actions)) {
-            rig.end(id, n, if e == 0 { Outcome::ConnectFailed } else { Outcome::Ok });
+            rig.end(
+                id,
+                n,
+                if e == 0 {
+                    Outcome::ConnectFailed
+                } else {
+                    Outcome::Ok
+                },
+            );
         }
         rig.serve(200 * MS);
     }
     rig.wait(9000 * MS);
     let first: Vec<_> = (0..3).map(|_| rig.request(SAFE)).collect();
-    let trial = first.iter().find(|(_, a)| sent(a) == [0]).expect("a trial").0;
+    let trial = first
+        .iter()
+        .find(|(_, a)| sent(a) == [0])
+        .expect("a trial")
+        .0;
     rig.end(trial, 0, Outcome::ConnectFailed);
     rig.serve(20 * MS);
     let later: Vec<_> = (0..4).flat_map(|_| sent(&rig.request(SAFE).1)).collect();
@@ -82,10 +103,17 @@
     };
     let mut seen = Vec::new();
     for n in 0..60 {
-        seen.extend(end(if n % 12 < 10 { Outcome::Ok } else { Outcome::Reset }));
+        seen.extend(end(if n % 12 < 10 {
+            Outcome::Ok
+        } else {
+            Outcome::Reset
+        }));
     }
     assert!(!seen.contains(&opened));
-    assert!((0..4).any(|_| end(Outcome::Reset).contains(&opened)), "none but errors do");
+    assert!(
+        (0..4).any(|_| end(Outcome::Reset).contains(&opened)),
+        "none but errors do"
+    );
 }
 
 #[test]
@@ -103,14 +131,21 @@
     }
     let (id, actions) = rig.request(UNSAFE);
     assert!(sent(&actions).is_empty() && !refused(&actions, id));
-    assert!(refused(&rig.wait(1000 * MS), id), "it never ran, so trying again is harmless");
+    assert!(
+        refused(&rig.wait(1000 * MS), id),
+        "it never ran, so trying again is harmless"
+    );
 }
 
 #[test]
 fn requests_wait_only_while_all_are_capped_and_go_when_one_is_free() {
     let mut rig = Rig::new(settings(), 2, 4);
     let ids: Vec<_> = (0..5).map(|_| rig.request(SAFE)).collect();
-    let waiting: Vec<_> = ids.iter().filter(|(_, a)| sent(a).is_empty()).map(|(id, _)| *id).collect();
+    let waiting: Vec<_> = ids
+        .iter()
+        .filter(|(_, a)| sent(a).is_empty())
+        .map(|(id, _)| *id)
+        .collect();
     assert_eq!(waiting.len(), 1, "caps of two at two endpoints");
     rig.wait(50 * MS);
     let after = rig.end(ids[0].0, 0, Outcome::Ok);
@@ -121,15 +156,20 @@
 #[test]
 fn a_request_that_waits_too_long_is_refused() {
     let mut rig = Rig::new(settings(), 2, 4);
-    let last = (0..9).map(|_| rig.request(UNSAFE).0).last().expect("nine requests");
+    let last = (0..9)
+        .map(|_| rig.request(UNSAFE).0)
+        .last()
+        .expect("nine requests");
     assert!(refused(&rig.wait(450 * MS), last));
 }
 
 #[test]
 fn a_refusal_says_when_to_come_back_where_clients_honour_that() {
-    for (may, most, within) in
-        [(true, 2000 * MS, 1..=1000 * MS), (true, 5 * MS, 1..=5 * MS), (false, 0, 0..=0)]
-    {
+    for (may, most, within) in [
+        (true, 2000 * MS, 1..=1000 * MS),
+        (true, 5 * MS, 1..=5 * MS),
+        (false, 0, 0..=0),
+    ] {
         let mut set = settings();
         (set.limits.retry_after, set.limits.max_retry_after) = (may, most);
         let mut rig = Rig::new(set, 0, 4);
@@ -139,7 +179,10 @@
             Action::Refuse { request, hold_off } if *request == id => Some(*hold_off),
             _ => None,
         });
-        assert!(named.is_some_and(|n| within.contains(&n)), "{named:?} of {within:?}");
+        assert!(
+            named.is_some_and(|n| within.contains(&n)),
+            "{named:?} of {within:?}"
+        );
     }
 }
 
--- a/tests/ordinary/retries.rs
+++ b/tests/ordinary/retries.rs
@@ -16,7 +16,10 @@
             rig.end(id, n as AttemptNo, Outcome::Error);
             rig.wait(200 * MS);
             let wait = rig.out[&(id, n as AttemptNo + 1)].sent - failed;
-            assert!((1000 * MS / 64..=1000 * MS / 8 + 5 * MS).contains(&wait), "{wait}");
+            assert!(
+                (1000 * MS / 64..=1000 * MS / 8 + 5 * MS).contains(&wait),
+                "{wait}"
+            );
             seen.push(wait);
         }
     }
@@ -33,13 +36,18 @@
         let (id, _) = rig.request_for(SAFE, left * MS, None, Some(20 * MS));
         let first = rig.out[&(id, 0)].timeout;
         let usable = left * MS - 10 * MS;
-        let fits = (0..3)
-            .any(|r| (r + 1) * first + r * 125 * MS <= usable && (r + 2) * first > usable - 125 * 3 * MS);
+        let fits = (0..3).any(|r| {
+            (r + 1) * first + r * 125 * MS <= usable && (r + 2) * first > usable - 125 * 3 * MS
+        });
         assert!(first > 0 && fits, "{left}: {first}");
     }
     let mut rig = Rig::new(settings(), 4, 3);
     let (id, _) = rig.request_for(UNSAFE, 3000 * MS, None, Some(20 * MS));
-    assert_eq!(rig.out[&(id, 0)].timeout, 2990 * MS, "an unsafe request gets no second try for a time-out");
+    assert_eq!(
+        rig.out[&(id, 0)].timeout,
+        2990 * MS,
+        "an unsafe request gets no second try for a time-out"
+    );
 }
 
 #[test]
@@ -61,7 +69,15 @@
 #[test]
 fn the_retry_filter_by_class_and_outcome() {
     use Outcome::*;
-    for outcome in [Error, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, NotSent] {
+    for outcome in [
+        Error,
+        Rejected,
+        TimedOut,
+        ConnectFailed,
+        Reset,
+        Cancelled,
+        NotSent,
+    ] {
         for class in [SAFE, KEYED, UNSAFE] {
             let mut rig = Rig::new(settings(), 6, 5);
             let (id, first) = rig.request(class);
@@ -75,7 +91,11 @@
             let next = sent(&after);
             assert_eq!(next.len(), 1, "{class} {outcome:?}");
             if class == KEYED && !outcome.never_ran() {
-                assert_eq!(next[0] / 2, sent(&first)[0] / 2, "stays in its cell after {outcome:?}");
+                assert_eq!(
+                    next[0] / 2,
+                    sent(&first)[0] / 2,
+                    "stays in its cell after {outcome:?}"
+                );
             }
         }
     }
@@ -91,7 +111,10 @@
     let mut after = rig.end(id, 0, Outcome::Error);
     after.extend(rig.wait(1500 * MS));
     assert!(sent(&after).is_empty());
-    assert!(failed(&after, id), "it may have run, so it cannot be refused");
+    assert!(
+        failed(&after, id),
+        "it may have run, so it cannot be refused"
+    );
 }
 
 #[test]
--- a/tests/ordinary/turns.rs
+++ b/tests/ordinary/turns.rs
@@ -17,7 +17,10 @@
 #[test]
 fn turns_follow_listed_sizes() {
     let mut rig = Rig::new(settings(), 2, 1);
-    rig.event(Event::Endpoints(ListUpdate::Delta(vec![Listing { size: 3.0, ..listing(1) }])));
+    rig.event(Event::Endpoints(ListUpdate::Delta(vec![Listing {
+        size: 3.0,
+        ..listing(1)
+    }])));
     let mut counts = [0; 2];
     for _ in 0..80 {
         counts[sent(&rig.request(SAFE).1)[0]] += 1;
@@ -33,7 +36,9 @@
         let mut used = std::collections::BTreeMap::new();
         for _ in 0..400 {
             let (_, actions) = rig.request(SAFE);
-            sent(&actions).iter().for_each(|e| *used.entry(*e).or_insert(0) += 1);
+            sent(&actions)
+                .iter()
+                .for_each(|e| *used.entry(*e).or_insert(0) += 1);
             rig.serve(20 * MS);
             rig.wait(pause - 20 * MS);
         }
@@ -45,8 +50,17 @@
 #[test]
 fn an_endpoint_has_its_next_turn_before_what_was_learnt_there_fades() {
     let mut set = settings();
-    set.classes.iter_mut().for_each(|c| (c.aim, c.deadline) = (300 * MS, 1340 * MS));
-    let mut rig = Rig::new(Settings { instances: 297, ..set }, 151, 1);
+    set.classes
+        .iter_mut()
+        .for_each(|c| (c.aim, c.deadline) = (300 * MS, 1340 * MS));
+    let mut rig = Rig::new(
+        Settings {
+            instances: 297,
+            ..set
+        },
+        151,
+        1,
+    );
     let mut last = std::collections::BTreeMap::new();
     let mut pauses = Vec::new();
     for n in 0..800 {
@@ -59,13 +73,23 @@
     }
     pauses.sort_unstable();
     let median = pauses[pauses.len() / 2];
-    assert!(median <= 1200 * MS, "half of the turns come more than {median} us after the one before");
+    assert!(
+        median <= 1200 * MS,
+        "half of the turns come more than {median} us after the one before"
+    );
 }
 
 // Refused clients come back: their repeats, and a moment's more traffic, must not lead on to endpoints not met yet.
 #[test]
 fn repeats_and_a_short_burst_do_not_lead_on_to_further_endpoints() {
-    let mut rig = Rig::new(Settings { marks_repeat: true, ..settings() }, 64, 1);
+    let mut rig = Rig::new(
+        Settings {
+            marks_repeat: true,
+            ..settings()
+        },
+        64,
+        1,
+    );
     let mut met = |rounds, repeats, pause| {
         let mut used = std::collections::BTreeSet::new();
         for _ in 0..rounds {
@@ -90,8 +114,14 @@
         used.len()
     };
     let few = met(400, 0, 380 * MS);
-    assert!(met(200, 2, 340 * MS) <= few + 2, "repeats lead on beyond {few}");
-    assert!(met(20, 0, 180 * MS) <= few + 2, "four seconds of twice the traffic lead on beyond {few}");
+    assert!(
+        met(200, 2, 340 * MS) <= few + 2,
+        "repeats lead on beyond {few}"
+    );
+    assert!(
+        met(20, 0, 180 * MS) <= few + 2,
+        "four seconds of twice the traffic lead on beyond {few}"
+    );
 }
 
 #[test]
@@ -104,7 +134,10 @@
         rig.serve(20 * MS);
         rig.wait(480 * MS);
     }
-    let gone = Listing { status: Status::Gone, ..listing(first.expect("a pick")) };
+    let gone = Listing {
+        status: Status::Gone,
+        ..listing(first.expect("a pick"))
+    };
     rig.event(Event::Endpoints(ListUpdate::Delta(vec![gone])));
     for _ in 0..40 {
         let (_, actions) = rig.request(SAFE);
--- a/tests/product/configuration.rs
+++ b/tests/product/configuration.rs
@@ -13,25 +13,44 @@
         assert!(text.contains(word), "{word} is not in\n{text}");
     }
     let version = run(&["--version"], &[]);
-    assert!(String::from_utf8(version.stdout).expect("text").starts_with("tinflow 0."));
+    assert!(
+        String::from_utf8(version.stdout)
+            .expect("text")
+            .starts_with("tinflow 0.")
+    );
     assert_eq!(run(&["--confg", "a"], &[]).status.code(), Some(64));
 }
 
 #[test]
 fn a_product_configuration_that_cannot_be_used_ends_the_start_with_file_line_and_key() {
     for (text, place) in [
-        ("[metrics]\naddres = \"127.0.0.1:1\"\n", ":2: metrics.addres: unknown field"),
-        ("[log]\n\nbuffer = \"64s\"\n", ":3: log.buffer: \"64s\" is not a size"),
+        (
+            "[metrics]\naddres = \"127.0.0.1:1\"\n",
+            ":2: metrics.addres: unknown field",
+        ),
+        (
+            "[log]\n\nbuffer = \"64s\"\n",
+            ":3: log.buffer: \"64s\" is not a size",
+        ),
         ("[metrics]\ntimeout = \"0s\"\n", ":2: metrics.timeout: "),
-        ("[log]\nlevel = \"loud\"\n", ":2: log.level: unknown variant"),
+        (
+            "[log]\nlevel = \"loud\"\n",
+            ":2: log.level: unknown variant",
+        ),
         ("[log]\nlevel = \"in", ":2: "),
     ] {
         let file = File::new(text);
         let path = file.0.to_str().expect("a path of text");
-        for output in [run(&["--config", path], &[]), run(&["--check"], &[("LINENPROXY_CONFIG", path)])] {
+        for output in [
+            run(&["--config", path], &[]),
+            run(&["--check"], &[("LINENPROXY_CONFIG", path)]),
+        ] {
             let said = String::from_utf8(output.stderr).expect("text");
             assert_eq!(output.status.code(), Some(78), "{said}");
-            assert!(said.starts_with(&format!("tinflow: {path}{place}")), "{said}");
+            assert!(
+                said.starts_with(&format!("tinflow: {path}{place}")),
+                "{said}"
+            );
             assert_eq!(said.lines().count(), 1, "{said}");
         }
     }
@@ -44,18 +63,42 @@
     let output = run(&["--check", "--config", path], &[]);
     let text = String::from_utf8(output.stdout).expect("text");
     assert_eq!(output.status.code(), Some(0));
-    for line in ["readers = 7", "enabled = false", "level = \"info\"", "buffer = \"64KiB\""] {
+    for line in [
+        "readers = 7",
+        "enabled = false",
+        "level = \"info\"",
+        "buffer = \"64KiB\"",
+    ] {
         assert!(text.lines().any(|l| l == line), "{line} is not in\n{text}");
     }
     // What is printed is a configuration itself.
     let again = File::new(&text);
-    let repeated = run(&["--check", "--config", again.0.to_str().expect("a path of text")], &[]);
+    let repeated = run(
+        &[
+            "--check",
+            "--config",
+            again.0.to_str().expect("a path of text"),
+        ],
+        &[],
+    );
     assert_eq!(String::from_utf8(repeated.stdout).expect("text"), text);
 
     let address = "127.0.0.1:9".parse().expect("an address");
-    let (good, bad) = (File::new(&config(address, address, "null")), File::new("{}"));
-    let with = |platform: &File| run(&["--check"], &[("LB_CONFIG", platform.0.to_str().expect("text"))]);
-    assert!(String::from_utf8(with(&good).stdout).expect("text").contains("can be used: listen 127.0.0.1:9"));
+    let (good, bad) = (
+        File::new(&config(address, address, "null")),
+        File::new("{}"),
+    );
+    let with = |platform: &File| {
+        run(
+            &["--check"],
+            &[("LB_CONFIG", platform.0.to_str().expect("text"))],
+        )
+    };
+    assert!(
+        String::from_utf8(with(&good).stdout)
+            .expect("text")
+            .contains("can be used: listen 127.0.0.1:9")
+    );
     assert_eq!(with(&bad).status.code(), Some(78));
 }
 
@@ -75,18 +118,28 @@
     });
     assert_eq!(ask(&sidecar), 200);
     assert_eq!(said.count("debug:"), 0, "half of a file was taken in");
-    file.write(&whole.replace("\"info\"", "\"debug\"").replace("readers = 3", "readers = 2"));
+    file.write(
+        &whole
+            .replace("\"info\"", "\"debug\"")
+            .replace("readers = 3", "readers = 2"),
+    );
     sidecar.signal("-HUP");
     let taken = "product configuration reloaded: log.level, metrics.readers changed\n";
     await_that("the whole file is taken in", || said.count(taken) == 1);
     assert_eq!(ask(&sidecar), 200);
-    await_that("each line of a request has its id", || said.count("debug: answered id=\"9b1f03aa\"") == 1);
+    await_that("each line of a request has its id", || {
+        said.count("debug: answered id=\"9b1f03aa\"") == 1
+    });
     let other = unused_address();
     file.write(&whole.replace(&at.to_string(), &other.to_string()));
     sidecar.signal("-HUP");
-    let waits = "reloaded: log.level, metrics.readers changed; metrics.address waits for a restart\n";
+    let waits =
+        "reloaded: log.level, metrics.readers changed; metrics.address waits for a restart\n";
     await_that("what waits is named", || said.count(waits) == 1);
-    assert!(page(at, "/metrics").contains("tinflow_requests_total"), "the old address stays");
+    assert!(
+        page(at, "/metrics").contains("tinflow_requests_total"),
+        "the old address stays"
+    );
 }
 
 #[test]
@@ -103,5 +156,7 @@
     });
     file.write("[log]\nlevel = \"info\"\n");
     sidecar.signal("-HUP");
-    await_that("the last one is followed", || said.count("reloaded: log.level changed") == 1);
+    await_that("the last one is followed", || {
+        said.count("reloaded: log.level changed") == 1
+    });
 }
--- a/tests/product/fleet.rs
+++ b/tests/product/fleet.rs
@@ -18,9 +18,19 @@
         .skip(1)
         .filter_map(|l| Some(format!("socket:[{}]", l.split_whitespace().nth(9)?)))
         .collect();
-    let held = std::fs::read_dir(format!("/proc/{process}/fd")).expect("it runs").flatten();
-    let held = held.filter_map(|fd| std::fs::read_link(fd.path()).ok()?.into_os_string().into_string().ok());
-    held.filter(|socket| inodes.contains(socket)).collect::<BTreeSet<_>>().len()
+    let held = std::fs::read_dir(format!("/proc/{process}/fd"))
+        .expect("it runs")
+        .flatten();
+    let held = held.filter_map(|fd| {
+        std::fs::read_link(fd.path())
+            .ok()?
+            .into_os_string()
+            .into_string()
+            .ok()
+    });
+    held.filter(|socket| inodes.contains(socket))
+        .collect::<BTreeSet<_>>()
+        .len()
 }
 
 #[test]
@@ -36,7 +46,9 @@
         await_that("the other is known", || {
             page(at, "/fleet").contains(&format!("\"name\": \"{other}\",\n      \"zone\""))
         });
-        await_that("it is counted", || page(at, "/metrics").contains("tinflow_fleet_members 1"));
+        await_that("it is counted", || {
+            page(at, "/metrics").contains("tinflow_fleet_members 1")
+        });
     }
     assert_eq!((ask(&first), ask(&second)), (200, 200));
     await_that("a steward is told of the server that was served", || {
@@ -45,7 +57,9 @@
     });
     assert_eq!(datagram_sockets(first.process.id()), 1);
     second.terminate();
-    await_that("it has left", || page(pages[0], "/metrics").contains("tinflow_fleet_members 0"));
+    await_that("it has left", || {
+        page(pages[0], "/metrics").contains("tinflow_fleet_members 0")
+    });
     assert_eq!(ask(&first), 200);
 }
 
@@ -56,16 +70,26 @@
     let [one, two] = [unused_datagrams(), unused_datagrams()];
     let pages = [unused_address(), unused_address()];
     let file = |listen, seed, page| {
-        let fleet = format!("[fleet]\nenabled = true\nlisten = \"{listen}\"\nseeds = [\"{seed}\"]\n");
-        File::new(&metrics(page, &(fleet + "[fleet.standing]\nenabled = true\n")))
+        let fleet =
+            format!("[fleet]\nenabled = true\nlisten = \"{listen}\"\nseeds = [\"{seed}\"]\n");
+        File::new(&metrics(
+            page,
+            &(fleet + "[fleet.standing]\nenabled = true\n"),
+        ))
     };
     let files = [file(one, two, pages[0]), file(two, one, pages[1])];
     let (first, said) = start_named("one", &discovery, &endpoint, &files[0]);
-    await_that("it is alone", || page(pages[0], "/fleet/servers").contains("\"answers\":false"));
+    await_that("it is alone", || {
+        page(pages[0], "/fleet/servers").contains("\"answers\":false")
+    });
     let (second, _said) = start_named("two", &discovery, &endpoint, &files[1]);
-    await_that("it says that it is whole", || said.count("standing: whole") == 1);
+    await_that("it says that it is whole", || {
+        said.count("standing: whole") == 1
+    });
     let version = format!("\"version\": \"{}\"", env!("CARGO_PKG_VERSION"));
-    await_that("the other's version is known", || page(pages[0], "/fleet").contains(&version));
+    await_that("the other's version is known", || {
+        page(pages[0], "/fleet").contains(&version)
+    });
     assert_eq!((ask(&first), ask(&second)), (200, 200));
     await_that("what has served is well", || {
         let page = page(pages[0], "/fleet/servers");
@@ -96,12 +120,22 @@
     let platform = File::new(&config(unused_address(), unused_address(), "null"));
     let paths = [&file, &platform].map(|f| f.0.to_str().expect("text").to_owned());
     for (name, code, words) in [
-        ("a", 69, format!("tinflow: cannot listen on fleet.listen {at}: ")),
+        (
+            "a",
+            69,
+            format!("tinflow: cannot listen on fleet.listen {at}: "),
+        ),
         ("", 78, "tinflow: fleet.enabled needs a name".to_owned()),
     ] {
-        let output = run(&["--config", &paths[0]], &[("LB_CONFIG", &paths[1]), ("LB_NAME", name)]);
+        let output = run(
+            &["--config", &paths[0]],
+            &[("LB_CONFIG", &paths[1]), ("LB_NAME", name)],
+        );
         let said = String::from_utf8(output.stderr).expect("text");
         assert_eq!(output.status.code(), Some(code), "{said}");
-        assert!(said.starts_with(&words) && said.lines().count() == 1, "{said}");
+        assert!(
+            said.starts_with(&words) && said.lines().count() == 1,
+            "{said}"
+        );
     }
 }
--- a/tests/product/harness.rs
+++ b/tests/product/harness.rs
@@ -51,14 +51,25 @@
     start_named("", discovery, endpoint, file)
 }
 
-pub fn start_named(name: &str, discovery: &Discovery, endpoint: &Endpoint, file: &File) -> (Sidecar, Said) {
+pub fn start_named(
+    name: &str,
+    discovery: &Discovery,
+    endpoint: &Endpoint,
+    file: &File,
+) -> (Sidecar, Said) {
     let mut sidecar = start_piped(name, discovery, endpoint, &file.0);
-    let (said, mut pipe) = (Said::default(), sidecar.process.stderr.take().expect("it is a pipe"));
+    let (said, mut pipe) = (
+        Said::default(),
+        sidecar.process.stderr.take().expect("it is a pipe"),
+    );
     let into = said.clone();
     thread::spawn(move || {
         let mut bytes = [0; 4096];
         while let Ok(length @ 1..) = pipe.read(&mut bytes) {
-            into.0.lock().expect("no reader panics").push_str(&String::from_utf8_lossy(&bytes[..length]));
+            into.0
+                .lock()
+                .expect("no reader panics")
+                .push_str(&String::from_utf8_lossy(&bytes[..length]));
         }
     });
     (sidecar, said)
@@ -71,27 +82,45 @@
         1024,
         |c| c,
         |command| {
-            command.arg("--config").arg(file).env("LB_NAME", name).stderr(Stdio::piped());
+            command
+                .arg("--config")
+                .arg(file)
+                .env("LB_NAME", name)
+                .stderr(Stdio::piped());
         },
     )
 }
 
 pub fn ask(sidecar: &Sidecar) -> u16 {
-    sidecar.ask(&request("look", "", "")).expect("an answer").status()
+    sidecar
+        .ask(&request("look", "", ""))
+        .expect("an answer")
+        .status()
 }
 
 pub fn run(args: &[&str], variables: &[(&str, &str)]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_tinflow"));
-    command.args(args).env_remove("LB_CONFIG").envs(variables.iter().copied()).stdin(Stdio::null());
+    command
+        .args(args)
+        .env_remove("LB_CONFIG")
+        .envs(variables.iter().copied())
+        .stdin(Stdio::null());
     command.output().expect("it starts")
 }
 
 /// Reads a page of the metrics' address; empty where the reader is turned away.
 pub fn page(at: SocketAddr, path: &str) -> String {
-    let Ok(mut stream) = TcpStream::connect(at) else { return String::new() };
-    stream.set_read_timeout(Some(LONG)).expect("a time-out can be set");
+    let Ok(mut stream) = TcpStream::connect(at) else {
+        return String::new();
+    };
+    stream
+        .set_read_timeout(Some(LONG))
+        .expect("a time-out can be set");
     let mut text = String::new();
-    if stream.write_all(format!("GET {path} HTTP/1.1\r\nHost: a\r\n\r\n").as_bytes()).is_ok() {
+    if stream
+        .write_all(format!("GET {path} HTTP/1.1\r\nHost: a\r\n\r\n").as_bytes())
+        .is_ok()
+    {
         let _ = stream.read_to_string(&mut text);
     }
     text
--- a/tests/product/logs.rs
+++ b/tests/product/logs.rs
@@ -19,17 +19,31 @@
 fn lines_are_json_where_that_is_configured() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| served());
-    let file = File::new("[log]\nformat = \"json\"\ntargets = { \"tinflow::request\" = \"debug\" }\n");
+    let file =
+        File::new("[log]\nformat = \"json\"\ntargets = { \"tinflow::request\" = \"debug\" }\n");
     let (sidecar, said) = start(&discovery, &endpoint, &file);
     assert_eq!(ask(&sidecar), 200);
     sidecar.terminate();
     await_that("the last line is there", || said.count("told to stop") == 1);
-    let lines: Vec<serde_json::Value> =
-        said.text().lines().map(|line| serde_json::from_str(line).expect(line)).collect();
-    let of_request: Vec<_> = lines.iter().filter(|l| l["target"] == "tinflow::request").collect();
-    let words: Vec<_> = of_request.iter().map(|l| l["message"].as_str().expect("words")).collect();
+    let lines: Vec<serde_json::Value> = said
+        .text()
+        .lines()
+        .map(|line| serde_json::from_str(line).expect(line))
+        .collect();
+    let of_request: Vec<_> = lines
+        .iter()
+        .filter(|l| l["target"] == "tinflow::request")
+        .collect();
+    let words: Vec<_> = of_request
+        .iter()
+        .map(|l| l["message"].as_str().expect("words"))
+        .collect();
     assert_eq!(words, ["taken", "sent", "attempt ended", "answered"]);
-    assert!(of_request.iter().all(|l| l["id"] == "9b1f03aa" && l["level"] == "DEBUG"));
+    assert!(
+        of_request
+            .iter()
+            .all(|l| l["id"] == "9b1f03aa" && l["level"] == "DEBUG")
+    );
     assert_eq!(lines.last().expect("a line")["message"], "told to stop");
 }
 
@@ -46,7 +60,8 @@
     let mut pipe = sidecar.process.stderr.take().expect("it is a pipe");
     // Its capacity is 64 KiB; the rest of 1,000 requests' lines is gone. Room makes it speak again, with the count.
     let mut pipe = within_long("the pipe is filled", move || {
-        pipe.read_exact(&mut vec![0; 48 << 10]).expect("it was filled");
+        pipe.read_exact(&mut vec![0; 48 << 10])
+            .expect("it was filled");
         pipe
     });
     assert_eq!(ask(&sidecar), 200);
@@ -56,7 +71,15 @@
         pipe.read_to_string(&mut rest).expect("text until it ends");
         rest
     });
-    assert!(rest.contains("lines dropped, standard error did not take them\n"), "{rest}");
+    assert!(
+        rest.contains("lines dropped, standard error did not take them\n"),
+        "{rest}"
+    );
     assert!(rest.ends_with("tinflow: told to stop\n"), "{rest}");
-    assert!(rest.lines().skip(1).all(|line| line.starts_with("tinflow: ")), "a line is not whole: {rest}");
+    assert!(
+        rest.lines()
+            .skip(1)
+            .all(|line| line.starts_with("tinflow: ")),
+        "a line is not whole: {rest}"
+    );
 }
--- a/tests/product/metrics.rs
+++ b/tests/product/metrics.rs
@@ -18,14 +18,22 @@
     for _ in 0..20 {
         assert_eq!(ask(&sidecar), 200);
     }
-    assert_eq!(sidecar.ask(&request("book", "X-Fail: 1\r\n", "{}")).expect("an answer").status(), 502);
+    assert_eq!(
+        sidecar
+            .ask(&request("book", "X-Fail: 1\r\n", "{}"))
+            .expect("an answer")
+            .status(),
+        502
+    );
     thread::scope(|scope| {
         scope.spawn(|| (0..5).for_each(|_| sidecar.signal("-HUP")));
         for _ in 0..20 {
             assert!(page(at, "/metrics").starts_with("HTTP/1.1 200 OK\r\n"));
         }
     });
-    await_that("a reload was made", || said.count("product configuration reloaded: nothing changed") >= 1);
+    await_that("a reload was made", || {
+        said.count("product configuration reloaded: nothing changed") >= 1
+    });
     let text = page(at, "/metrics");
     for line in [
         "tinflow_requests_total{class=\"look\",outcome=\"served\"} 20",
@@ -51,11 +59,15 @@
     let at = unused_address();
     let file = File::new(&metrics(at, "readers = 2\ntimeout = \"600s\"\n"));
     let (sidecar, _said) = start(&discovery, &endpoint, &file);
-    let stuck: Vec<_> = (0..2).map(|_| TcpStream::connect(at).expect("it accepts")).collect();
+    let stuck: Vec<_> = (0..2)
+        .map(|_| TcpStream::connect(at).expect("it accepts"))
+        .collect();
     await_that("both are in", || page(at, "/metrics").is_empty());
     assert_eq!(ask(&sidecar), 200);
     drop(stuck);
-    await_that("there is room again", || page(at, "/metrics").contains("tinflow_requests_total"));
+    await_that("there is room again", || {
+        page(at, "/metrics").contains("tinflow_requests_total")
+    });
 }
 
 #[test]
@@ -70,6 +82,9 @@
     );
     let said = String::from_utf8(output.stderr).expect("text");
     assert_eq!(output.status.code(), Some(69), "{said}");
-    assert!(said.starts_with(&format!("tinflow: cannot listen on metrics.address {at}: ")), "{said}");
+    assert!(
+        said.starts_with(&format!("tinflow: cannot listen on metrics.address {at}: ")),
+        "{said}"
+    );
     assert_eq!(said.lines().count(), 1, "{said}");
 }
--- a/tests/product/state.rs
+++ b/tests/product/state.rs
@@ -10,7 +10,10 @@
 fn keeping(dir: &Path, page: std::net::SocketAddr) -> File {
     File::new(&metrics(
         page,
-        &format!("[state]\ndir = \"{}\"\nevery = \"50ms\"\nwait = \"20s\"\n", dir.display()),
+        &format!(
+            "[state]\ndir = \"{}\"\nevery = \"50ms\"\nwait = \"20s\"\n",
+            dir.display()
+        ),
     ))
 }
 
@@ -21,16 +24,22 @@
 /// A figure of the page.
 fn figure(at: std::net::SocketAddr, name: &str) -> f64 {
     let page = page(at, "/metrics");
-    page.lines().find_map(|l| l.strip_prefix(name)?.trim().parse().ok()).unwrap_or(-1.0)
+    page.lines()
+        .find_map(|l| l.strip_prefix(name)?.trim().parse().ok())
+        .unwrap_or(-1.0)
 }
 
 fn threads(process: u32) -> usize {
-    std::fs::read_dir(format!("/proc/{process}/task")).expect("it runs").count()
+    std::fs::read_dir(format!("/proc/{process}/task"))
+        .expect("it runs")
+        .count()
 }
 
 fn files(dir: &Path) -> Vec<String> {
     let names = std::fs::read_dir(dir).expect("it is there").flatten();
-    let mut names: Vec<_> = names.filter_map(|e| e.file_name().into_string().ok()).collect();
+    let mut names: Vec<_> = names
+        .filter_map(|e| e.file_name().into_string().ok())
+        .collect();
     names.sort();
     names
 }
@@ -39,20 +48,32 @@
 fn after_a_kill_the_list_and_the_circuits_are_known_again() {
     let (dir, discovery, at) = (directory(), Discovery::start(), unused_address());
     let old = Endpoint::start(|_| served());
-    let [well, sick] = [served as fn() -> Reply, || Reply::Answer(500, "", Vec::new())];
-    let (well, sick) = (Endpoint::start(move |_| well()), Endpoint::start(move |_| sick()));
-    let named = [("s-2", well.address, "active"), ("s-3", sick.address, "active")];
+    let [well, sick] = [served as fn() -> Reply, || {
+        Reply::Answer(500, "", Vec::new())
+    }];
+    let (well, sick) = (
+        Endpoint::start(move |_| well()),
+        Endpoint::start(move |_| sick()),
+    );
+    let named = [
+        ("s-2", well.address, "active"),
+        ("s-3", sick.address, "active"),
+    ];
     discovery.publish(7, list(7, true, &named));
     let file = keeping(dir.path(), at);
     let (sidecar, said) = start_named("n1", &discovery, &old, &file);
-    await_that("nothing was kept", || said.count("nothing was kept: 0 endpoints") == 1);
+    await_that("nothing was kept", || {
+        said.count("nothing was kept: 0 endpoints") == 1
+    });
     discovery.await_watch(7);
     await_that("the circuit opens", || {
         ask(&sidecar);
         figure(at, "tinflow_circuits_open ") == 1.0
     });
     let commits = figure(at, "tinflow_state_commits_total ");
-    await_that("that is kept", || figure(at, "tinflow_state_commits_total ") > commits);
+    await_that("that is kept", || {
+        figure(at, "tinflow_state_commits_total ") > commits
+    });
     drop(sidecar);
     // Discovery is gone, and the platform only knows the one of old.
     discovery.failing.store(true, Ordering::SeqCst);
@@ -77,8 +98,14 @@
     let (sidecar, _said) = start_named("n1", &discovery, &endpoint, &file);
     let platform = File::new(&config(unused_address(), discovery.address, "null"));
     let [product, platform] = [&file, &platform].map(|f| f.0.to_str().expect("text").to_owned());
-    for (name, code, words) in [("n1", 69, "another process uses"), ("", 78, "state.dir needs a name")] {
-        let output = run(&["--config", &product], &[("LB_CONFIG", &platform), ("LB_NAME", name)]);
+    for (name, code, words) in [
+        ("n1", 69, "another process uses"),
+        ("", 78, "state.dir needs a name"),
+    ] {
+        let output = run(
+            &["--config", &product],
+            &[("LB_CONFIG", &platform), ("LB_NAME", name)],
+        );
         let said = String::from_utf8(output.stderr).expect("text");
         assert_eq!(output.status.code(), Some(code), "{said}");
         assert!(said.contains(words) && said.lines().count() == 1, "{said}");
@@ -96,7 +123,13 @@
     for _ in 0..20 {
         assert_eq!(ask(&sidecar), 200);
     }
-    assert_eq!((figure(at, "tinflow_state_failing "), said.count("nothing is kept for now")), (1.0, 1));
+    assert_eq!(
+        (
+            figure(at, "tinflow_state_failing "),
+            said.count("nothing is kept for now")
+        ),
+        (1.0, 1)
+    );
     sidecar.terminate();
     let mut sidecar = sidecar;
     assert!(sidecar.await_end().success());
@@ -116,7 +149,10 @@
 /// environment says how many.
 #[test]
 fn killed_under_load_over_and_over_it_begins_each_life_with_a_new_number_and_sets_nothing_aside() {
-    let kills: u64 = std::env::var("KILLS").ok().and_then(|n| n.parse().ok()).unwrap_or(15);
+    let kills: u64 = std::env::var("KILLS")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(15);
     let (dir, discovery) = (directory(), Discovery::start());
     let endpoint = Endpoint::start(|_| served());
     discovery.publish(2, list(2, true, &[("s-1", endpoint.address, "active")]));
@@ -126,7 +162,10 @@
         let word = "; incarnation ";
         await_that("it tells its incarnation", || said.count(word) == 1);
         let text = said.text();
-        let number = text.split(word).nth(1).and_then(|t| t.lines().next()?.trim().parse().ok());
+        let number = text
+            .split(word)
+            .nth(1)
+            .and_then(|t| t.lines().next()?.trim().parse().ok());
         let number: u64 = number.expect("a number");
         assert!(std::mem::replace(&mut last, number) < number, "{text}");
     };
@@ -145,6 +184,11 @@
     assert!(sidecar.await_end().success());
     let (_sidecar, said) = start_named("n1", &discovery, &endpoint, &file);
     incarnation(&said);
-    assert_eq!(said.count("the last life ended cleanly"), 1, "{}", said.text());
+    assert_eq!(
+        said.count("the last life ended cleanly"),
+        1,
+        "{}",
+        said.text()
+    );
     assert_eq!(files(dir.path()), ["known", "lock", "numbers"]);
 }
--- a/tests/recall.rs
+++ b/tests/recall.rs
@@ -8,7 +8,15 @@
 
 fn known(endpoint: EndpointId, open: bool) -> Recalled {
     let (slow, cap, openings) = (1.0, 2.0, 2 * u32::from(open));
-    Recalled { endpoint, started: None, seen: START - 2 * SECOND, open, openings, slow, cap }
+    Recalled {
+        endpoint,
+        started: None,
+        seen: START - 2 * SECOND,
+        open,
+        openings,
+        slow,
+        cap,
+    }
 }
 
 /// Sends requests, answers those at endpoint 1 with `bad`, and says what was sent there.
@@ -45,33 +53,68 @@
 #[test]
 fn a_process_that_was_started_since_is_unknown() {
     let started = Some(START - SECOND);
-    for (listed, kept) in [(started, None), (None, started), (started, Some(START - 9 * SECOND))] {
+    for (listed, kept) in [
+        (started, None),
+        (None, started),
+        (started, Some(START - 9 * SECOND)),
+    ] {
         let mut rig = Rig::new(settings(), 4, 1);
         rig.event(Event::Endpoints(ListUpdate::Full(
-            (0..4).map(|e| Listing { started: listed, ..listing(e) }).collect(),
+            (0..4)
+                .map(|e| Listing {
+                    started: listed,
+                    ..listing(e)
+                })
+                .collect(),
         )));
-        rig.event(Event::Recalled(vec![Recalled { started: kept, ..known(1, true) }]));
-        assert_eq!(rig.balancer.census().circuits_open, 0, "{listed:?} {kept:?}");
+        rig.event(Event::Recalled(vec![Recalled {
+            started: kept,
+            ..known(1, true)
+        }]));
+        assert_eq!(
+            rig.balancer.census().circuits_open,
+            0,
+            "{listed:?} {kept:?}"
+        );
     }
     // One that the list says was started only later is unknown from then on.
     let mut rig = Rig::new(settings(), 4, 1);
     rig.event(Event::Recalled(vec![known(1, true)]));
-    rig.event(Event::Endpoints(ListUpdate::Delta(vec![Listing { started, ..listing(1) }])));
+    rig.event(Event::Endpoints(ListUpdate::Delta(vec![Listing {
+        started,
+        ..listing(1)
+    }])));
     assert_eq!(rig.balancer.census().circuits_open, 0);
 }
 
 #[test]
 fn what_is_unlisted_drains_or_comes_from_the_future_gets_nothing_by_it() {
     let mut rig = Rig::new(settings(), 3, 1);
-    let draining = Listing { status: Status::Draining, ..listing(1) };
+    let draining = Listing {
+        status: Status::Draining,
+        ..listing(1)
+    };
     rig.event(Event::Endpoints(ListUpdate::Delta(vec![draining])));
-    let future = Recalled { seen: START + SECOND, ..known(2, true) };
-    let senseless = [f64::NAN, 0.0, f64::INFINITY].map(|slow| Recalled { slow, ..known(0, true) });
+    let future = Recalled {
+        seen: START + SECOND,
+        ..known(2, true)
+    };
+    let senseless = [f64::NAN, 0.0, f64::INFINITY].map(|slow| Recalled {
+        slow,
+        ..known(0, true)
+    });
     rig.event(Event::Recalled(
-        [vec![known(77, false), known(1, false), future], senseless.to_vec()].concat(),
+        [
+            vec![known(77, false), known(1, false), future],
+            senseless.to_vec(),
+        ]
+        .concat(),
     ));
     let used = used(&mut rig, 12);
-    assert!(!used.contains(&1) && used.contains(&0) && used.contains(&2), "{used:?}");
+    assert!(
+        !used.contains(&1) && used.contains(&0) && used.contains(&2),
+        "{used:?}"
+    );
     assert!(!rig.balancer.knows(77));
     assert_eq!(rig.balancer.census().circuits_open, 0);
 }
@@ -86,7 +129,11 @@
     used(&mut later, 12);
     let before = later.balancer.memory();
     later.event(Event::Recalled((0..4).map(|e| known(e, true)).collect()));
-    assert_eq!(later.balancer.memory(), before, "each was sent something since");
+    assert_eq!(
+        later.balancer.memory(),
+        before,
+        "each was sent something since"
+    );
 }
 
 /// Pace is a prior: after the time in which what is learnt fades, one that knew and one that did not part their turns
@@ -94,7 +141,10 @@
 #[test]
 fn pace_from_before_gives_way_to_own_answers() {
     let mut rig = Rig::new(settings(), 4, 1);
-    let slow = |e| Recalled { slow: if e == 1 { 4.0 } else { 1.0 }, ..known(e, false) };
+    let slow = |e| Recalled {
+        slow: if e == 1 { 4.0 } else { 1.0 },
+        ..known(e, false)
+    };
     rig.event(Event::Recalled((0..4).map(slow).collect()));
     let first = sent_to_one(&mut rig, 40, Outcome::Ok);
     sent_to_one(&mut rig, 2000, Outcome::Ok);
--- a/tests/rules/judge.rs
+++ b/tests/rules/judge.rs
@@ -30,21 +30,34 @@
 
 impl Judge {
     fn ran(open: &Open) -> impl Iterator<Item = &Sent> {
-        open.attempts.iter().filter(|a| a.outcome.is_none_or(|o| !o.never_ran()))
+        open.attempts
+            .iter()
+            .filter(|a| a.outcome.is_none_or(|o| !o.never_ran()))
     }
 
     pub fn look(&mut self, now: Micros, actions: &[Action]) {
         for action in actions {
             match *action {
-                Action::Send { request, endpoint, timeout, write_by } => {
-                    let open = self.open.get_mut(&request).expect("a send for an open request");
+                Action::Send {
+                    request,
+                    endpoint,
+                    timeout,
+                    write_by,
+                } => {
+                    let open = self
+                        .open
+                        .get_mut(&request)
+                        .expect("a send for an open request");
                     let to = &self.status[endpoint];
                     assert_eq!(to.status, Status::Ready, "drains are kept");
                     assert!(timeout > 0 && now < open.due && open.streaming.is_none());
                     assert!(now < write_by && write_by <= now + timeout);
                     assert!((open.attempts.len() as u32) < self.set.limits.max_attempts);
                     let live = open.attempts.iter().filter(|a| a.outcome.is_none()).count();
-                    assert!(live == 0 || self.set.limits.may_duplicate, "one attempt at a time");
+                    assert!(
+                        live == 0 || self.set.limits.may_duplicate,
+                        "one attempt at a time"
+                    );
                     for earlier in Self::ran(open) {
                         match self.set.classes[open.class].effect {
                             Effect::Safe => {}
@@ -56,24 +69,40 @@
                                     DedupScope::Zone => from.zone == to.zone,
                                     DedupScope::Cell => from.cell == to.cell,
                                 };
-                                assert!(same && now - earlier.at < ttl, "inside the group and its time");
+                                assert!(
+                                    same && now - earlier.at < ttl,
+                                    "inside the group and its time"
+                                );
                                 assert!(write_by - earlier.at < ttl, "written inside that time");
                             }
                         }
                     }
-                    open.attempts.push(Sent { to: to.clone(), at: now, outcome: None });
+                    open.attempts.push(Sent {
+                        to: to.clone(),
+                        at: now,
+                        outcome: None,
+                    });
                 }
                 Action::Refuse { request, .. } => {
-                    let open = self.open.remove(&request).expect("a refusal of an open request");
+                    let open = self
+                        .open
+                        .remove(&request)
+                        .expect("a refusal of an open request");
                     let harmless = match self.set.classes[open.class].effect {
-                        Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. } => true,
+                        Effect::Safe
+                        | Effect::Keyed {
+                            scope: DedupScope::All,
+                            ..
+                        } => true,
                         _ => Self::ran(&open).next().is_none(),
                     };
                     assert!(harmless, "refused though it may have run");
                     self.close(request);
                 }
                 Action::Fail(request) => {
-                    self.open.remove(&request).expect("a failure of an open request");
+                    self.open
+                        .remove(&request)
+                        .expect("a failure of an open request");
                     self.close(request);
                 }
                 Action::Cancel { .. } => assert!(self.set.limits.may_cancel),
@@ -85,7 +114,10 @@
         }
         for (id, open) in &self.open {
             let end = open.due + self.set.rules.answer_slack;
-            assert!(open.streaming.is_some() || now <= end, "request {id} is unanswered after its deadline");
+            assert!(
+                open.streaming.is_some() || now <= end,
+                "request {id} is unanswered after its deadline"
+            );
         }
     }
 
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -12,17 +12,33 @@
 fn random_settings(rng: &mut fastrand::Rng) -> Settings {
     let mut set = settings();
     let scopes = [DedupScope::All, DedupScope::Zone, DedupScope::Cell];
-    set.classes[KEYED].effect =
-        Effect::Keyed { scope: *rng.choice(&scopes).expect("three"), ttl: rng.i64(50..2000) * MS };
+    set.classes[KEYED].effect = Effect::Keyed {
+        scope: *rng.choice(&scopes).expect("three"),
+        ttl: rng.i64(50..2000) * MS,
+    };
     set.classes[SAFE].streaming = rng.bool();
-    set.classes.iter_mut().for_each(|c| c.aim = rng.i64(100..1500) * MS);
-    set.classes.iter_mut().for_each(|c| c.late_share = if rng.bool() { 0.3 } else { 0.0 });
+    set.classes
+        .iter_mut()
+        .for_each(|c| c.aim = rng.i64(100..1500) * MS);
+    set.classes
+        .iter_mut()
+        .for_each(|c| c.late_share = if rng.bool() { 0.3 } else { 0.0 });
     set.limits.may_duplicate = rng.bool();
     set.limits.may_cancel = rng.bool();
     set.limits.max_attempts = rng.u32(1..6);
     set.instances = rng.u32(1..20);
-    set.discovery = if rng.bool() { Discovery::OnRequest } else { Discovery::Pushed };
-    set.tenants = vec![Tenant { quota_per_s: 10.0, share: 0.5 }; rng.usize(0..3)];
+    set.discovery = if rng.bool() {
+        Discovery::OnRequest
+    } else {
+        Discovery::Pushed
+    };
+    set.tenants = vec![
+        Tenant {
+            quota_per_s: 10.0,
+            share: 0.5
+        };
+        rng.usize(0..3)
+    ];
     set
 }
 
@@ -33,8 +49,13 @@
     let endpoints = rng.usize(1..9);
     let mut rig = Rig::new(set.clone(), endpoints, seed);
     let status = (0..endpoints).map(listing).collect();
-    let mut judge =
-        Judge { set: set.clone(), open: BTreeMap::new(), ended: BTreeSet::new(), status, answered: 0 };
+    let mut judge = Judge {
+        set: set.clone(),
+        open: BTreeMap::new(),
+        ended: BTreeSet::new(),
+        status,
+        answered: 0,
+    };
     let mut log = Vec::new();
     let outcomes = [
         Outcome::Ok,
@@ -56,7 +77,15 @@
                 let work = rng.bool().then(|| rng.i64(0..400) * MS);
                 let id = rig.next;
                 let due = rig.now + left.max(0);
-                judge.open.insert(id, Open { class, due, attempts: Vec::new(), streaming: None });
+                judge.open.insert(
+                    id,
+                    Open {
+                        class,
+                        due,
+                        attempts: Vec::new(),
+                        streaming: None,
+                    },
+                );
                 asked += 1;
                 let (_, actions) = rig.request_for(class, left.max(0), tenant, work);
                 judge.look(rig.now, &actions);
@@ -64,24 +93,43 @@
             }
             40..70 => {
                 let keys: Vec<_> = rig.out.keys().copied().collect();
-                let Some(&(id, n)) = rng.choice(&keys) else { continue };
-                finish(&mut rig, &mut judge, &mut log, (id, n), *rng.choice(&outcomes).expect("some"));
+                let Some(&(id, n)) = rng.choice(&keys) else {
+                    continue;
+                };
+                finish(
+                    &mut rig,
+                    &mut judge,
+                    &mut log,
+                    (id, n),
+                    *rng.choice(&outcomes).expect("some"),
+                );
             }
             70..72 => {
                 let keys: Vec<_> = rig.out.keys().copied().collect();
-                let Some(&(id, n)) = rng.choice(&keys) else { continue };
-                let Some(open) = judge.open.get_mut(&id).filter(|o| set.classes[o.class].streaming) else {
+                let Some(&(id, n)) = rng.choice(&keys) else {
+                    continue;
+                };
+                let Some(open) = judge
+                    .open
+                    .get_mut(&id)
+                    .filter(|o| set.classes[o.class].streaming)
+                else {
                     continue;
                 };
                 if open.streaming.is_none() {
                     open.streaming = Some(n);
-                    let actions = rig.event(Event::StreamStarted { request: id, attempt: n });
+                    let actions = rig.event(Event::StreamStarted {
+                        request: id,
+                        attempt: n,
+                    });
                     judge.look(rig.now, &actions);
                 }
             }
             72..74 => {
                 let keys: Vec<_> = judge.open.keys().copied().collect();
-                let Some(&id) = rng.choice(&keys) else { continue };
+                let Some(&id) = rng.choice(&keys) else {
+                    continue;
+                };
                 judge.open.remove(&id);
                 judge.close(id);
                 let actions = rig.event(Event::Abandoned(id));
@@ -112,9 +160,19 @@
     }
     for _ in 0..80 {
         pass(&mut rig, &mut judge, &mut log, 50 * MS);
-        let streams: Vec<_> =
-            judge.open.iter().filter(|(_, o)| o.streaming.is_some()).map(|(id, _)| *id).collect();
-        for (id, n) in rig.out.keys().copied().filter(|k| streams.contains(&k.0)).collect::<Vec<_>>() {
+        let streams: Vec<_> = judge
+            .open
+            .iter()
+            .filter(|(_, o)| o.streaming.is_some())
+            .map(|(id, _)| *id)
+            .collect();
+        for (id, n) in rig
+            .out
+            .keys()
+            .copied()
+            .filter(|k| streams.contains(&k.0))
+            .collect::<Vec<_>>()
+        {
             finish(&mut rig, &mut judge, &mut log, (id, n), Outcome::Ok);
         }
     }
@@ -144,7 +202,15 @@
     }
     let (endpoint, took) = (out.endpoint, rig.now - out.sent);
     let load = Load::default();
-    let end = AttemptEnd { request, attempt, endpoint, outcome, took, settled, load };
+    let end = AttemptEnd {
+        request,
+        attempt,
+        endpoint,
+        outcome,
+        took,
+        settled,
+        load,
+    };
     let actions = rig.event(Event::AttemptEnded(end));
     judge.look(rig.now, &actions);
     log.push(format!("{actions:?}"));
@@ -155,12 +221,25 @@
     let to = rig.now + time;
     while rig.now < to {
         rig.now += 5 * MS;
-        let streaming = |id| judge.open.get(id).is_some_and(|o: &Open| o.streaming.is_some());
-        let over = rig.out.iter().filter(|(k, o)| o.sent + o.timeout <= rig.now && !streaming(&k.0));
+        let streaming = |id| {
+            judge
+                .open
+                .get(id)
+                .is_some_and(|o: &Open| o.streaming.is_some())
+        };
+        let over = rig
+            .out
+            .iter()
+            .filter(|(k, o)| o.sent + o.timeout <= rig.now && !streaming(&k.0));
         for key in over.map(|(k, _)| *k).collect::<Vec<_>>() {
             finish(rig, judge, log, key, Outcome::TimedOut);
         }
-        let due: Vec<_> = rig.timers.iter().filter(|t| t.0 <= rig.now).copied().collect();
+        let due: Vec<_> = rig
+            .timers
+            .iter()
+            .filter(|t| t.0 <= rig.now)
+            .copied()
+            .collect();
         rig.timers.retain(|t| t.0 > rig.now);
         for (_, token) in due {
             let actions = rig.event(Event::Timer(token));
--- a/tests/sidecar/answers.rs
+++ b/tests/sidecar/answers.rs
@@ -40,10 +40,16 @@
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
     let mut client = sidecar.connect();
     for number in 0..20 {
-        client.write_all(numbered(number).as_bytes()).expect("the sidecar takes it");
+        client
+            .write_all(numbered(number).as_bytes())
+            .expect("the sidecar takes it");
         let served = read_message(&mut client).expect("an answer");
         assert_eq!(served.status(), 200);
-        assert_eq!(String::from_utf8_lossy(&served.body), number.to_string(), "another request's answer");
+        assert_eq!(
+            String::from_utf8_lossy(&served.body),
+            number.to_string(),
+            "another request's answer"
+        );
     }
     assert_eq!(endpoint.requests(), 20);
 }
@@ -54,13 +60,20 @@
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|message| {
         let number = message.header("x-number").expect("its number");
-        let once = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{number}", number.len());
+        let once = format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{number}",
+            number.len()
+        );
         Reply::bytes([once.as_str(), once.as_str()].concat(), Then::KeepOn)
     });
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
     for number in 0..5 {
         let served = sidecar.ask(&numbered(number)).expect("an answer");
-        assert_eq!(String::from_utf8_lossy(&served.body), number.to_string(), "another request's answer");
+        assert_eq!(
+            String::from_utf8_lossy(&served.body),
+            number.to_string(),
+            "another request's answer"
+        );
         // Longer than a connection rests: it is whole otherwise.
         thread::sleep(Duration::from_millis(60));
     }
@@ -74,16 +87,56 @@
     ("HTTP/1.1 200 OK\r\n\r\nwhole", Then::Reset, 502),
     ("HTTP/1.0 200 OK\r\n\r\nwhole", Then::Close, 200),
     ("HTTP/1.0 200 OK\r\n\r\nwhole", Then::Reset, 502),
-    ("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nwhole", Then::Close, 502),
-    ("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nwhole", Then::Reset, 502),
-    ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n0\r\n\r\n", Then::KeepOn, 200),
-    ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n", Then::Close, 502),
-    ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n0\r\n", Then::Close, 502),
-    ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nz\r\nwhole\r\n0\r\n\r\n", Then::KeepOn, 502),
-    ("HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nwhole", Then::KeepOn, 502),
-    ("HTTP/1.1 200 OK\r\nContent-Length: 5 5\r\n\r\nwhole", Then::KeepOn, 502),
-    ("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 5\r\n\r\nwhole", Then::KeepOn, 200),
-    ("HTTP/1.1 103 Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole", Then::KeepOn, 200),
+    (
+        "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nwhole",
+        Then::Close,
+        502,
+    ),
+    (
+        "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nwhole",
+        Then::Reset,
+        502,
+    ),
+    (
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n0\r\n\r\n",
+        Then::KeepOn,
+        200,
+    ),
+    (
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n",
+        Then::Close,
+        502,
+    ),
+    (
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n0\r\n",
+        Then::Close,
+        502,
+    ),
+    (
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nz\r\nwhole\r\n0\r\n\r\n",
+        Then::KeepOn,
+        502,
+    ),
+    (
+        "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nwhole",
+        Then::KeepOn,
+        502,
+    ),
+    (
+        "HTTP/1.1 200 OK\r\nContent-Length: 5 5\r\n\r\nwhole",
+        Then::KeepOn,
+        502,
+    ),
+    (
+        "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 5\r\n\r\nwhole",
+        Then::KeepOn,
+        200,
+    ),
+    (
+        "HTTP/1.1 103 Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole",
+        Then::KeepOn,
+        200,
+    ),
     ("HTTP/1.1 20", Then::Close, 502),
 ];
 
@@ -115,8 +168,14 @@
 fn an_answer_without_an_end_is_cut_off_and_its_connection_closed() {
     for (start, more) in [
         ("HTTP/1.1 200 OK\r\n\r\n", b"more".as_slice()),
-        ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", b"4\r\nmore\r\n"),
-        ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4", b";more"),
+        (
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
+            b"4\r\nmore\r\n",
+        ),
+        (
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4",
+            b";more",
+        ),
         ("HTTP/1.1 200 OK\r\n", b"X-More: more\r\n"),
         ("HTTP/1.1 200 OK\r\nX-More: ", b"more"),
         ("HTTP/1.1 200 ", b"more"),
@@ -126,7 +185,14 @@
         let endpoint = Endpoint::start(move |_| endless(start, more));
         let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
         let asked = Instant::now();
-        assert_eq!(sidecar.ask(&request("book", "", "{}")).expect("an answer").status(), 502, "{start}");
+        assert_eq!(
+            sidecar
+                .ask(&request("book", "", "{}"))
+                .expect("an answer")
+                .status(),
+            502,
+            "{start}"
+        );
         // By its length, not by the client's time of 19 s.
         assert!(asked.elapsed() < Duration::from_millis(9500), "{start}");
         assert_eq!(endpoint.requests(), 1, "{start}");
@@ -137,15 +203,23 @@
 fn narrow() -> TcpListener {
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    socket.set_recv_buffer_size(1).and_then(|()| socket.set_tcp_mss(1000)).expect("small sizes");
-    socket.bind(&any.into()).and_then(|()| socket.listen(8)).expect("a free port");
+    socket
+        .set_recv_buffer_size(1)
+        .and_then(|()| socket.set_tcp_mss(1000))
+        .expect("small sizes");
+    socket
+        .bind(&any.into())
+        .and_then(|()| socket.listen(8))
+        .expect("a free port");
     socket.into()
 }
 
 /// What is left to read on a connection until the sidecar has closed it.
 fn taken(mut stream: TcpStream) -> usize {
     // The rest need not come in small pieces.
-    SockRef::from(&stream).set_recv_buffer_size(1 << 20).expect("a size can be set");
+    SockRef::from(&stream)
+        .set_recv_buffer_size(1 << 20)
+        .expect("a size can be set");
     let mut rest = Vec::new();
     // It may also be reset, as there was an answer that came to nothing.
     let _ = stream.read_to_end(&mut rest);
@@ -168,14 +242,20 @@
             answer(&mut first, early, "", b"early");
             // Tried again, it is served.
             let (mut second, _) = listener.accept().expect("a connection");
-            SockRef::from(&second).set_recv_buffer_size(1 << 20).expect("a size can be set");
+            SockRef::from(&second)
+                .set_recv_buffer_size(1 << 20)
+                .expect("a size can be set");
             read_message(&mut second).expect("the whole request");
             answer(&mut second, 200, "", b"served");
             first
         });
         let whole = request("book", "", &"b".repeat(64 << 10));
         let served = sidecar.ask(&whole).expect("an answer");
-        assert_eq!((served.status(), served.body), (200, b"served".to_vec()), "known not to have run");
+        assert_eq!(
+            (served.status(), served.body),
+            (200, b"served".to_vec()),
+            "known not to have run"
+        );
         let stream = stub.join().expect("no stub panics");
         assert!(taken(stream) < 64 << 10, "its last byte went out");
     }
