--- a/tests/sidecar/bad_settings.rs
+++ b/tests/sidecar/bad_settings.rs
@@ -33,8 +33,17 @@
 ];
 
 /// A file that stands for no field.
-const WHOLE: [&str; 9] =
-    ["", "{", "null", "[]", "{}", "\u{feff}{}", "{\"settings\":NaN}", "{\"settings\":1e999}", "\u{0}"];
+const WHOLE: [&str; 9] = [
+    "",
+    "{",
+    "null",
+    "[]",
+    "{}",
+    "\u{feff}{}",
+    "{\"settings\":NaN}",
+    "{\"settings\":1e999}",
+    "\u{0}",
+];
 
 /// What is taken although it says little: the field keeps its meaning of absent, or nothing is decided by it. One line
 /// a field, with the damages that are taken.
@@ -45,9 +54,11 @@
     /// Where peers' datagrams would arrive; the same for all, as each address is kept until the tests end.
     static PEERS: OnceLock<[SocketAddr; 2]> = OnceLock::new();
     let known = list(1, true, &[("s-1", endpoint, "active")]);
-    let mut file: Value = serde_json::from_str(&config(listen, discovery, &known)).expect("a good file");
+    let mut file: Value =
+        serde_json::from_str(&config(listen, discovery, &known)).expect("a good file");
     let [own, spare] = PEERS.get_or_init(|| [unused_datagrams(), unused_datagrams()]);
-    (file["peer_listen"], file["peers"], file["peers_all"]) = (json!(own), json!([spare]), json!(spare));
+    (file["peer_listen"], file["peers"], file["peers_all"]) =
+        (json!(own), json!([spare]), json!(spare));
     let settings = &mut file["settings"];
     for (field, value) in [
         ("Clients", json!({"MarksRetry": true})),
@@ -78,14 +89,18 @@
 fn damaged(file: &Value, field: &str, damage: &str) -> String {
     let mut file = file.clone();
     let (parent, name) = field.rsplit_once('/').expect("a place");
-    let parent = file.pointer_mut(parent).expect("the good file names every field");
+    let parent = file
+        .pointer_mut(parent)
+        .expect("the good file names every field");
     match (damage, parent) {
         ("-", Value::Object(fields)) => drop(fields.remove(name).expect("it is there")),
         ("-", Value::Array(values)) => values.clear(),
         (damage, parent) => {
             let place = match parent {
                 Value::Array(values) => &mut values[0],
-                other => other.get_mut(name).expect("the good file names every field"),
+                other => other
+                    .get_mut(name)
+                    .expect("the good file names every field"),
             };
             *place = serde_json::from_str(damage).expect("a value");
         }
@@ -94,7 +109,9 @@
 }
 
 fn taken(field: &str, damage: &str) -> bool {
-    let line = TAKEN.lines().find_map(|l| l.strip_prefix(&format!("{field} = ")));
+    let line = TAKEN
+        .lines()
+        .find_map(|l| l.strip_prefix(&format!("{field} = ")));
     line.is_some_and(|damages| damages.split("  ").any(|d| d == damage))
 }
 
@@ -106,7 +123,11 @@
     for field in FIELDS.split_whitespace() {
         let mut line = Vec::new();
         for damage in DAMAGES {
-            let text = damaged(&whole(listen, discovery.address, endpoint.address), field, damage);
+            let text = damaged(
+                &whole(listen, discovery.address, endpoint.address),
+                field,
+                damage,
+            );
             let started = start(&text, listen);
             let serving = started == Start::Serving;
             if serving {
@@ -132,16 +153,44 @@
     let endpoint = Endpoint::start(|_| ok("served"));
     let mut wrong = Vec::new();
     for (what, from, to) in [
-        ("two classes of one name", "\"Name\":\"book\"", "\"Name\":\"look\""),
-        ("a class without a name", "\"Name\":\"book\"", "\"Name\":\"\""),
-        ("two tenants of one name", "[{\"Name\":\"acme\"", "[{\"Name\":\"acme\"},{\"Name\":\"acme\""),
-        ("an unknown scope of repeats", "\"DedupScope\":\"all\"", "\"DedupScope\":\"rack\""),
-        ("a window before its send", "\"KeyTtlUs\":5000000", "\"KeyTtlUs\":-9223372036854775808"),
+        (
+            "two classes of one name",
+            "\"Name\":\"book\"",
+            "\"Name\":\"look\"",
+        ),
+        (
+            "a class without a name",
+            "\"Name\":\"book\"",
+            "\"Name\":\"\"",
+        ),
+        (
+            "two tenants of one name",
+            "[{\"Name\":\"acme\"",
+            "[{\"Name\":\"acme\"},{\"Name\":\"acme\"",
+        ),
+        (
+            "an unknown scope of repeats",
+            "\"DedupScope\":\"all\"",
+            "\"DedupScope\":\"rack\"",
+        ),
+        (
+            "a window before its send",
+            "\"KeyTtlUs\":5000000",
+            "\"KeyTtlUs\":-9223372036854775808",
+        ),
         ("no classes", "\"Lanes\":[", "\"Lanes\":[],\"Others\":["),
-        ("more descriptors than can be counted", "\"sockets\":1024", "\"sockets\":18446744073709551616"),
+        (
+            "more descriptors than can be counted",
+            "\"sockets\":1024",
+            "\"sockets\":18446744073709551616",
+        ),
     ] {
         let listen = unused_address();
-        let good = config(listen, discovery.address, &list(1, true, &[("s-1", endpoint.address, "active")]));
+        let good = config(
+            listen,
+            discovery.address,
+            &list(1, true, &[("s-1", endpoint.address, "active")]),
+        );
         let text = good.replace(from, to);
         assert_ne!(text, good, "{what}");
         if start(&text, listen) == Start::Serving {
@@ -159,12 +208,23 @@
     let known: Vec<_> = ["s-1", "s-2", "s-3"].into_iter().zip(&endpoints).collect();
     let sidecar = Sidecar::start_altered(&discovery, &known, 1024, |text| {
         let text = text.replace("\"DedupScope\":\"all\",", "");
-        (1..=3)
-            .fold(text, |text, cell| text.replacen("\"group\":1,", &format!("\"group\" :{},", cell + 1), 1))
+        (1..=3).fold(text, |text, cell| {
+            text.replacen("\"group\":1,", &format!("\"group\" :{},", cell + 1), 1)
+        })
     });
     // A refusal would invite the client to come again by another sidecar, to any server.
-    assert_eq!(sidecar.ask(&request("pay", "", "")).expect("an answer").status(), 502);
-    let reached: Vec<_> = endpoints.iter().map(Endpoint::requests).filter(|n| *n > 0).collect();
+    assert_eq!(
+        sidecar
+            .ask(&request("pay", "", ""))
+            .expect("an answer")
+            .status(),
+        502
+    );
+    let reached: Vec<_> = endpoints
+        .iter()
+        .map(Endpoint::requests)
+        .filter(|n| *n > 0)
+        .collect();
     assert!(reached.len() == 1 && reached[0] > 1, "{reached:?}");
 }
 
@@ -180,30 +240,54 @@
         1024,
         |text| text,
         |command| {
-            command.stderr(log).env_remove("LB_LISTEN").env_remove("LB_DISCOVERY");
+            command
+                .stderr(log)
+                .env_remove("LB_LISTEN")
+                .env_remove("LB_DISCOVERY");
         },
     );
     let good = whole(sidecar.address, discovery.address, endpoint.address);
     let fields = FIELDS.split_whitespace();
     let all = fields.flat_map(|field| DAMAGES.map(|damage| (field, damage)));
-    let refused: Vec<_> = all.filter(|(field, damage)| !taken(field, damage)).collect();
-    let texts = refused.iter().map(|(field, damage)| damaged(&good, field, damage));
+    let refused: Vec<_> = all
+        .filter(|(field, damage)| !taken(field, damage))
+        .collect();
+    let texts = refused
+        .iter()
+        .map(|(field, damage)| damaged(&good, field, damage));
     let lines = || {
         let said = std::fs::read_to_string(&said).expect("text");
-        let whole = said.split_inclusive('\n').filter(|l| l.ends_with('\n') && l.contains("reload"));
+        let whole = said
+            .split_inclusive('\n')
+            .filter(|l| l.ends_with('\n') && l.contains("reload"));
         whole.map(str::to_owned).collect::<Vec<_>>()
     };
     for (n, text) in texts.chain(WHOLE.map(str::to_owned)).enumerate() {
         sidecar.reconfigure(|_| text.clone());
         await_that("the reload is answered", || lines().len() > n);
         let last = lines().swap_remove(n);
-        assert!(last.starts_with("tinflow: reload failed, the old configuration stays: "), "{last}: {text}");
+        assert!(
+            last.starts_with("tinflow: reload failed, the old configuration stays: "),
+            "{last}: {text}"
+        );
     }
     assert_eq!(sidecar.process.try_wait().expect("it can be asked"), None);
-    assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").status(), 200);
+    assert_eq!(
+        sidecar
+            .ask(&request("book", "", ""))
+            .expect("an answer")
+            .status(),
+        200
+    );
     // Discovery is followed where it was.
     discovery.publish(2, list(2, false, &[("s-1", endpoint.address, "leaving")]));
     discovery.await_watch(2);
-    assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").status(), 503);
+    assert_eq!(
+        sidecar
+            .ask(&request("book", "", ""))
+            .expect("an answer")
+            .status(),
+        503
+    );
     let _ = std::fs::remove_file(said);
 }
--- a/tests/sidecar/connections.rs
+++ b/tests/sidecar/connections.rs
@@ -20,17 +20,35 @@
     // The last answer on the first connection does not say that it is the last. The next request must not be
     // written to a connection that is closed, where it would end as a reset and, being unsafe, fail.
     for headers in ["", "", "X-Last: 1\r\n"] {
-        assert_eq!(sidecar.ask(&request("book", headers, "")).expect("an answer").status(), 200);
+        assert_eq!(
+            sidecar
+                .ask(&request("book", headers, ""))
+                .expect("an answer")
+                .status(),
+            200
+        );
         assert_eq!(made(), 1);
         // Longer than a connection rests after an answer.
         thread::sleep(Duration::from_millis(100));
     }
     await_that("the close has come in", || !holds_open(endpoint.address));
-    assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").status(), 200);
+    assert_eq!(
+        sidecar
+            .ask(&request("book", "", ""))
+            .expect("an answer")
+            .status(),
+        200
+    );
     assert_eq!((made(), endpoint.closed()), (2, 0));
     // The sidecar closes it by itself before the endpoint's idle time is over, which is never here.
     await_that("the idle connection is retired", || endpoint.closed() == 1);
-    assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").status(), 200);
+    assert_eq!(
+        sidecar
+            .ask(&request("book", "", ""))
+            .expect("an answer")
+            .status(),
+        200
+    );
     assert_eq!(made(), 3);
 }
 
@@ -40,7 +58,13 @@
     let endpoint = Endpoint::start(|_| ok("served"));
     let sidecar = Sidecar::start_with(&discovery, &[("s-1", &endpoint)], 1024, 64);
     let crowd: Vec<_> = (0..100).map(|_| sidecar.connect()).collect();
-    assert_eq!(sidecar.ask(&request("look", "", "")).expect("an answer").status(), 200);
+    assert_eq!(
+        sidecar
+            .ask(&request("look", "", ""))
+            .expect("an answer")
+            .status(),
+        200
+    );
     drop(crowd);
 }
 
@@ -52,9 +76,15 @@
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
     let patient = request("book", "", "{}").replace("19000m", "600000m");
     let [mut silent, mut half, mut bodiless] = [(); 3].map(|()| sidecar.connect());
-    half.write_all(&patient.as_bytes()[..40]).expect("the sidecar takes it");
-    bodiless.write_all(&patient.as_bytes()[..patient.len() - 1]).expect("the sidecar takes it");
-    assert_eq!(read_message(&mut bodiless).expect("an answer").status(), 408);
+    half.write_all(&patient.as_bytes()[..40])
+        .expect("the sidecar takes it");
+    bodiless
+        .write_all(&patient.as_bytes()[..patient.len() - 1])
+        .expect("the sidecar takes it");
+    assert_eq!(
+        read_message(&mut bodiless).expect("an answer").status(),
+        408
+    );
     for peer in [&mut silent, &mut half, &mut bodiless] {
         assert!(await_close(peer), "a connection stayed open");
     }
@@ -70,7 +100,9 @@
     thread::sleep(Duration::from_millis(200));
     drop(crowd);
     await_that("it serves again", || {
-        sidecar.ask(&request("look", "", "")).is_some_and(|a| a.status() == 200)
+        sidecar
+            .ask(&request("look", "", ""))
+            .is_some_and(|a| a.status() == 200)
     });
 }
 
@@ -83,7 +115,9 @@
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
     let mut client = sidecar.connect();
     let ask = |client: &mut TcpStream| {
-        client.write_all(request("book", "", "").as_bytes()).expect("the system takes it");
+        client
+            .write_all(request("book", "", "").as_bytes())
+            .expect("the system takes it");
     };
     ask(&mut client);
     assert_eq!(read_message(&mut client).expect("an answer").status(), 200);
@@ -102,20 +136,41 @@
 
 // Discovery and the endpoints have descriptors of their own, which clients can't take.
 #[test]
-fn idle_clients_that_fill_the_descriptors_while_discovery_is_down_cost_no_service_after_it_is_back() {
+fn idle_clients_that_fill_the_descriptors_while_discovery_is_down_cost_no_service_after_it_is_back()
+{
     let discovery = Discovery::start();
-    let (old, new) = (Endpoint::start(|_| ok("old")), Endpoint::start(|_| ok("new")));
+    let (old, new) = (
+        Endpoint::start(|_| ok("old")),
+        Endpoint::start(|_| ok("new")),
+    );
     let sidecar = Sidecar::start_with(&discovery, &[("s-old", &old)], 64, 64);
     discovery.failing.store(true, Ordering::SeqCst);
     let calls = discovery.calls().len();
     let crowd: Vec<_> = (0..200).map(|_| sidecar.connect()).collect();
-    await_that("discovery is still called", || discovery.calls().len() >= calls + 3);
-    assert_eq!(sidecar.ask(&request("look", "", "")).expect("an answer").body, b"old");
-    let changes = [("s-old", old.address, "leaving"), ("s-new", new.address, "active")];
+    await_that("discovery is still called", || {
+        discovery.calls().len() >= calls + 3
+    });
+    assert_eq!(
+        sidecar
+            .ask(&request("look", "", ""))
+            .expect("an answer")
+            .body,
+        b"old"
+    );
+    let changes = [
+        ("s-old", old.address, "leaving"),
+        ("s-new", new.address, "active"),
+    ];
     discovery.publish(2, list(2, false, &changes));
     discovery.failing.store(false, Ordering::SeqCst);
     discovery.await_watch(2);
-    assert_eq!(sidecar.ask(&request("look", "", "")).expect("an answer").body, b"new");
+    assert_eq!(
+        sidecar
+            .ask(&request("look", "", ""))
+            .expect("an answer")
+            .body,
+        b"new"
+    );
     drop(crowd);
 }
 
@@ -127,7 +182,10 @@
     let good = request("book", "", "");
     let chunked = good.replace("Content-Length: 0", "Transfer-Encoding: chunked");
     let bad = [
-        good.replace("Content-Length: 0", "Content-Length: 1\r\nContent-Length: 2") + "ab",
+        good.replace(
+            "Content-Length: 0",
+            "Content-Length: 1\r\nContent-Length: 2",
+        ) + "ab",
         good.replace("Content-Length: 0", "Content-Length: -1"),
         good.replace("Content-Length: 0", "Content-Length: 99999999999999999999"),
         good.replace("Content-Length: 0", "Transfer-Encoding: odd"),
@@ -146,12 +204,17 @@
         (bad, peer)
     });
     for (bad, mut peer) in connected {
-        assert!(await_close(&mut peer), "a connection stayed open after {bad:?}");
+        assert!(
+            await_close(&mut peer),
+            "a connection stayed open after {bad:?}"
+        );
     }
     assert_eq!(endpoint.requests(), 0);
     // What comes behind a request is no part of it, and ends the connection alone.
     let mut client = sidecar.connect();
-    client.write_all((good + "\0\0\0\r\n\r\n").as_bytes()).expect("the sidecar takes it");
+    client
+        .write_all((good + "\0\0\0\r\n\r\n").as_bytes())
+        .expect("the sidecar takes it");
     assert_eq!(read_message(&mut client).expect("an answer").status(), 200);
     assert_eq!(read_message(&mut client).expect("an error").status(), 400);
     assert!(await_close(&mut client));
--- a/tests/sidecar/cuts.rs
+++ b/tests/sidecar/cuts.rs
@@ -35,7 +35,9 @@
 
 impl Cutters {
     fn new() -> Self {
-        Self { state: Arc::new(Mutex::new((Mode::Good, 0))) }
+        Self {
+            state: Arc::new(Mutex::new((Mode::Good, 0))),
+        }
     }
 
     fn start(&self) -> SocketAddr {
@@ -63,7 +65,9 @@
 }
 
 fn serve(mut stream: TcpStream, state: &Mutex<(Mode, usize)>) {
-    stream.set_read_timeout(Some(LONG)).expect("a time-out can be set");
+    stream
+        .set_read_timeout(Some(LONG))
+        .expect("a time-out can be set");
     while stream.peek(&mut [0]).is_ok_and(|n| n > 0) {
         let mode = {
             let mut state = state.lock().expect("no stub panics");
@@ -90,7 +94,9 @@
             }
         };
         if end == End::Reset {
-            SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("it can be reset");
+            SockRef::from(&stream)
+                .set_linger(Some(Duration::ZERO))
+                .expect("it can be reset");
         }
         return;
     }
@@ -100,11 +106,20 @@
 /// it began to arrive at.
 fn ask(sidecar: &Sidecar, cutters: &Cutters, mode: Mode) -> (u16, usize) {
     cutters.set(mode);
-    let status = sidecar.ask(&request("book", "", "{}")).expect("an answer").status();
+    let status = sidecar
+        .ask(&request("book", "", "{}"))
+        .expect("an answer")
+        .status();
     let begun = cutters.begun();
     cutters.set(Mode::Good);
     for _ in 0..GOOD_BETWEEN {
-        assert_eq!(sidecar.ask(&request("book", "", "{}")).expect("an answer").status(), 200);
+        assert_eq!(
+            sidecar
+                .ask(&request("book", "", "{}"))
+                .expect("an answer")
+                .status(),
+            200
+        );
     }
     (status, begun)
 }
@@ -112,7 +127,10 @@
 fn sidecar(cutters: &Cutters) -> (Discovery, Sidecar) {
     let discovery = Discovery::start();
     let sidecar = Sidecar::start(&discovery, &[]);
-    let both = [("s-1", cutters.start(), "active"), ("s-2", cutters.start(), "active")];
+    let both = [
+        ("s-1", cutters.start(), "active"),
+        ("s-2", cutters.start(), "active"),
+    ];
     discovery.publish(2, list(2, false, &both));
     discovery.await_watch(2);
     (discovery, sidecar)
@@ -125,7 +143,11 @@
     let (_discovery, sidecar) = sidecar(&cutters);
     // Longer than the request by some.
     for length in 1..300 {
-        assert_eq!(ask(&sidecar, &cutters, Mode::CutRequest(length)), (502, 1), "after {length} bytes");
+        assert_eq!(
+            ask(&sidecar, &cutters, Mode::CutRequest(length)),
+            (502, 1),
+            "after {length} bytes"
+        );
     }
 }
 
@@ -135,10 +157,19 @@
     let (_discovery, sidecar) = sidecar(&cutters);
     for (text, unframed) in [
         ("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved", false),
-        ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nserved\r\n0\r\n\r\n", false),
+        (
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nserved\r\n0\r\n\r\n",
+            false,
+        ),
         ("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nserved", true),
-        ("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved", false),
-        ("HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 4\r\n\r\nfull", false),
+        (
+            "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved",
+            false,
+        ),
+        (
+            "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 4\r\n\r\nfull",
+            false,
+        ),
         (
             "HTTP/1.1 504 Late\r\nX-Unprocessed: 1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n",
             false,
@@ -150,7 +181,11 @@
                 // Without a length, what has come up to a close is the answer; a reset is no end.
                 let whole = unframed && end == End::Close && length >= head;
                 let seen = ask(&sidecar, &cutters, Mode::CutAnswer(text, length, end));
-                assert_eq!(seen, (if whole { 200 } else { 502 }, 1), "{text:?} {end:?} after {length}");
+                assert_eq!(
+                    seen,
+                    (if whole { 200 } else { 502 }, 1),
+                    "{text:?} {end:?} after {length}"
+                );
             }
         }
     }
--- a/tests/sidecar/dials.rs
+++ b/tests/sidecar/dials.rs
@@ -18,7 +18,10 @@
     fn start() -> Self {
         let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-        socket.bind(&any.into()).and_then(|()| socket.listen(0)).expect("a free port");
+        socket
+            .bind(&any.into())
+            .and_then(|()| socket.listen(0))
+            .expect("a free port");
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().expect("an address");
         let filler = TcpStream::connect(address).expect("one fits");
@@ -45,7 +48,9 @@
     discovery.publish(2, list(2, false, &[("s-1", full.address(), "active")]));
     discovery.await_watch(2);
     let mut client = sidecar.connect();
-    client.write_all(request("book", "", "{}").as_bytes()).expect("the sidecar takes it");
+    client
+        .write_all(request("book", "", "{}").as_bytes())
+        .expect("the sidecar takes it");
     await_that("the endpoint is dialled", || being_dialled(full.address()));
     let endpoint = full.open();
     assert_eq!(read_message(&mut client).expect("an answer").status(), 200);
@@ -56,7 +61,8 @@
 #[test]
 fn a_connection_that_comes_up_too_late_is_none() {
     let (discovery, full) = (Discovery::start(), Full::start());
-    let short = |config: String| config.replace("\"DialTimeoutUs\":5000000", "\"DialTimeoutUs\":100000");
+    let short =
+        |config: String| config.replace("\"DialTimeoutUs\":5000000", "\"DialTimeoutUs\":100000");
     let sidecar = Sidecar::start_altered(&discovery, &[], 1024, short);
     discovery.publish(2, list(2, false, &[("s-1", full.address(), "active")]));
     discovery.await_watch(2);
@@ -66,7 +72,9 @@
     let endpoint = full.open();
     // Others are served by then; this shows that what came before it has been looked at.
     let mut other = TcpStream::connect(endpoint.address).expect("it takes connections");
-    other.write_all(request("look", "", "").as_bytes()).expect("it takes it");
+    other
+        .write_all(request("look", "", "").as_bytes())
+        .expect("it takes it");
     assert_eq!(read_message(&mut other).expect("an answer").status(), 200);
     assert_eq!(endpoint.requests(), 1);
 }
--- a/tests/sidecar/draining.rs
+++ b/tests/sidecar/draining.rs
@@ -14,7 +14,10 @@
     let (release, held) = channel();
     let held = Mutex::new(held);
     let endpoint = Endpoint::start(move |_| {
-        held.lock().expect("no stub panics").recv().expect("it is released");
+        held.lock()
+            .expect("no stub panics")
+            .recv()
+            .expect("it is released");
         reply()
     });
     (endpoint, release)
@@ -23,7 +26,10 @@
 /// The answer to a request, and whether it was said to be the last.
 fn answered(stream: &mut TcpStream) -> (u16, bool) {
     let answer = read_message(stream).expect("an answer");
-    (answer.status(), answer.header("connection") == Some("close"))
+    (
+        answer.status(),
+        answer.header("connection") == Some("close"),
+    )
 }
 
 #[test]
@@ -33,19 +39,31 @@
     let (release, held) = channel();
     let (held, arrive) = (Mutex::new(held), Mutex::new(arrive));
     let endpoint = Endpoint::start(move |_| {
-        arrive.lock().expect("no stub panics").send(()).expect("the test goes on");
-        held.lock().expect("no stub panics").recv().expect("it is released");
+        arrive
+            .lock()
+            .expect("no stub panics")
+            .send(())
+            .expect("the test goes on");
+        held.lock()
+            .expect("no stub panics")
+            .recv()
+            .expect("it is released");
         ok("served")
     });
     let mut sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
     let mut client = resting(&sidecar);
-    client.write_all(request("book", "", "{}").repeat(3).as_bytes()).expect("the sidecar takes it");
+    client
+        .write_all(request("book", "", "{}").repeat(3).as_bytes())
+        .expect("the sidecar takes it");
     arrived.recv().expect("the first one arrives");
     stop(&sidecar);
     for _ in 0..3 {
         release.send(()).expect("the endpoint waits");
     }
-    assert_eq!([(); 3].map(|()| answered(&mut client)), [(200, false), (200, false), (200, true)]);
+    assert_eq!(
+        [(); 3].map(|()| answered(&mut client)),
+        [(200, false), (200, false), (200, true)]
+    );
     assert!(await_close(&mut client));
     assert_eq!(sidecar.process.wait().expect("it ends").code(), Some(0));
     assert_eq!(endpoint.requests(), 3);
@@ -53,7 +71,12 @@
 
 #[test]
 fn a_request_of_which_a_part_had_come_is_served() {
-    for (cut, kept) in [("X-Account", true), ("X-Account", false), ("{}", true), ("{}", false)] {
+    for (cut, kept) in [
+        ("X-Account", true),
+        ("X-Account", false),
+        ("{}", true),
+        ("{}", false),
+    ] {
         in_time(|| parted_by_a_stop(cut, kept));
     }
 }
@@ -64,20 +87,32 @@
     let endpoint = Endpoint::start(|_| ok("served"));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
     let stopping = Stopping::prepare(&sidecar);
-    let mut client = if kept { resting(&sidecar) } else { sidecar.connect() };
+    let mut client = if kept {
+        resting(&sidecar)
+    } else {
+        sidecar.connect()
+    };
     let here = client.local_addr().expect("an address");
     let whole = request("book", "", "{}");
     let (first, rest) = whole.split_at(whole.find(cut).expect("it has that"));
     let begun = Instant::now();
-    client.write_all(first.as_bytes()).expect("the sidecar takes it");
-    await_that("the sidecar has read it", || unread(sidecar.address, here) == Some(0));
+    client
+        .write_all(first.as_bytes())
+        .expect("the sidecar takes it");
+    await_that("the sidecar has read it", || {
+        unread(sidecar.address, here) == Some(0)
+    });
     stopping.stop();
     let sent = client.write_all(rest.as_bytes());
     if begun.elapsed() > PATIENCE {
         return false;
     }
     sent.expect("the sidecar takes it");
-    assert_eq!(answered(&mut client), (200, true), "cut at {cut}, kept: {kept}");
+    assert_eq!(
+        answered(&mut client),
+        (200, true),
+        "cut at {cut}, kept: {kept}"
+    );
     assert!(await_close(&mut client));
     true
 }
@@ -113,7 +148,9 @@
     sidecar.terminate();
     assert!(await_close(&mut client));
     // The sidecar still reads: its system answers with no reset.
-    client.write_all(request("book", "", "{}").as_bytes()).expect("the sidecar takes it");
+    client
+        .write_all(request("book", "", "{}").as_bytes())
+        .expect("the sidecar takes it");
     client.shutdown(Shutdown::Write).expect("it was not reset");
     assert_eq!(sidecar.process.wait().expect("it ends").code(), Some(0));
     assert_eq!(endpoint.requests(), 0);
@@ -135,7 +172,9 @@
         }
         let ask = |_| {
             let mut client = sidecar.connect();
-            client.write_all(request("look", "", "").as_bytes()).expect("the system takes it");
+            client
+                .write_all(request("look", "", "").as_bytes())
+                .expect("the system takes it");
             client
         };
         let clients: Vec<_> = (0..20).map(ask).collect();
@@ -157,10 +196,17 @@
     let mut sidecar = Sidecar::start(&discovery, &[("s-1", &failing)]);
     discovery.await_watch(1);
     let mut client = sidecar.connect();
-    client.write_all(request("look", "", "").as_bytes()).expect("the sidecar takes it");
-    await_that("it is sent on", || failing.made.load(std::sync::atomic::Ordering::SeqCst) == 1);
+    client
+        .write_all(request("look", "", "").as_bytes())
+        .expect("the sidecar takes it");
+    await_that("it is sent on", || {
+        failing.made.load(std::sync::atomic::Ordering::SeqCst) == 1
+    });
     stop(&sidecar);
-    let entries = [("s-1", failing.address, "leaving"), ("s-2", good.address, "active")];
+    let entries = [
+        ("s-1", failing.address, "leaving"),
+        ("s-2", good.address, "active"),
+    ];
     discovery.publish(2, list(2, false, &entries));
     discovery.await_watch(2);
     release.send(()).expect("the endpoint waits");
@@ -176,8 +222,12 @@
     let endpoint = Arc::new(endpoint);
     let mut sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
     let mut client = sidecar.connect();
-    client.write_all(request("book", "", "{}").as_bytes()).expect("the sidecar takes it");
-    await_that("it is sent on", || endpoint.made.load(std::sync::atomic::Ordering::SeqCst) == 1);
+    client
+        .write_all(request("book", "", "{}").as_bytes())
+        .expect("the sidecar takes it");
+    await_that("it is sent on", || {
+        endpoint.made.load(std::sync::atomic::Ordering::SeqCst) == 1
+    });
     sidecar.signal("-HUP");
     stop(&sidecar);
     for signal in ["-TERM", "-HUP", "-INT", "-TERM"] {
@@ -201,7 +251,9 @@
     let mut sidecar = Sidecar::start_with(&discovery, &known, 1024, 64);
     let ask = |_| {
         let mut client = sidecar.connect();
-        client.write_all(request("book", "", "{}").as_bytes()).expect("the system takes it");
+        client
+            .write_all(request("book", "", "{}").as_bytes())
+            .expect("the system takes it");
         client
     };
     let served: Vec<_> = (0..20).map(ask).collect();
--- a/tests/sidecar/extremes.rs
+++ b/tests/sidecar/extremes.rs
@@ -24,7 +24,14 @@
         let alter = altered("KeyTtlUs", "5000000", window);
         let sidecar = Sidecar::start_altered(&discovery, &[("s-1", &endpoint)], 1024, alter);
         // By the page a client may repeat it wherever all endpoints drop repeats.
-        assert_eq!(sidecar.ask(&request("pay", "", "{}")).expect("an answer").status(), 503, "{window}");
+        assert_eq!(
+            sidecar
+                .ask(&request("pay", "", "{}"))
+                .expect("an answer")
+                .status(),
+            503,
+            "{window}"
+        );
         assert_eq!(endpoint.requests(), copies, "{window}");
     }
 }
@@ -54,9 +61,15 @@
             assert_eq!(answer.body, b"served", "{name} {to} {class}");
             let silent = request(class, "X-Silent: 1\r\n", "").replace("19000m", "200m");
             let status = sidecar.ask(&silent).expect("an answer").status();
-            assert!(status >= 500 && (class != "book" || status != 503), "{name} {to} {class}: {status}");
+            assert!(
+                status >= 500 && (class != "book" || status != 503),
+                "{name} {to} {class}: {status}"
+            );
             let none = request(class, "", "").replace("19000m", "0m");
-            assert!(sidecar.ask(&none).expect("an answer").status() >= 500, "{name} {to} {class}");
+            assert!(
+                sidecar.ask(&none).expect("an answer").status() >= 500,
+                "{name} {to} {class}"
+            );
         }
     }
 }
--- a/tests/sidecar/handovers.rs
+++ b/tests/sidecar/handovers.rs
@@ -23,13 +23,24 @@
     discovery.publish(2, listed(2));
     discovery.await_watch(2);
     let mut client = sidecar.connect();
-    client.write_all(request("book", "", "{}").as_bytes()).expect("the sidecar takes it");
+    client
+        .write_all(request("book", "", "{}").as_bytes())
+        .expect("the sidecar takes it");
     await_that("the endpoint is dialled", || being_dialled(held.address));
-    discovery.publish(3, listed(3).replace("\"since_ms\":0", "\"since_ms\":1700000000000"));
+    discovery.publish(
+        3,
+        listed(3).replace("\"since_ms\":0", "\"since_ms\":1700000000000"),
+    );
     discovery.await_watch(3);
     let endpoint = Endpoint::on(held.release(), |_| ok("by the new process"));
-    assert_eq!(read_message(&mut client).expect("an answer").status(), 503, "known not to have run");
-    await_that("the dial comes up", || endpoint.made.load(Ordering::SeqCst) >= 2);
+    assert_eq!(
+        read_message(&mut client).expect("an answer").status(),
+        503,
+        "known not to have run"
+    );
+    await_that("the dial comes up", || {
+        endpoint.made.load(Ordering::SeqCst) >= 2
+    });
     assert_eq!(endpoint.requests(), 0);
 }
 
@@ -38,16 +49,21 @@
 #[test]
 fn a_client_that_left_before_the_connection_came_up_is_noticed_before_anything_is_written() {
     let (discovery, held) = (Discovery::start(), Held::start());
-    let no_cancel = |config: String| one_try(config).replace("\"MayCancel\":true", "\"MayCancel\":false");
+    let no_cancel =
+        |config: String| one_try(config).replace("\"MayCancel\":true", "\"MayCancel\":false");
     let sidecar = Sidecar::start_altered(&discovery, &[], 1024, no_cancel);
     discovery.publish(2, list(2, false, &[("s-1", held.address, "active")]));
     discovery.await_watch(2);
     let mut client = sidecar.connect();
-    client.write_all(request("book", "", "{}").as_bytes()).expect("the sidecar takes it");
+    client
+        .write_all(request("book", "", "{}").as_bytes())
+        .expect("the sidecar takes it");
     await_that("the endpoint is dialled", || being_dialled(held.address));
     sidecar.stop();
     let endpoint = Endpoint::on(held.release(), |_| Reply::Silence);
-    await_that("the connection is up", || endpoint.made.load(Ordering::SeqCst) == 2);
+    await_that("the connection is up", || {
+        endpoint.made.load(Ordering::SeqCst) == 2
+    });
     client.shutdown(Shutdown::Both).expect("it closes");
     sidecar.signal("-CONT");
     // With it whatever was written has been read.
@@ -63,16 +79,24 @@
     discovery.publish(2, list(2, false, &[("s-1", held.address, "active")]));
     discovery.await_watch(2);
     let mut client = sidecar.connect();
-    client.write_all(request("book", "", "{}").as_bytes()).expect("the sidecar takes it");
+    client
+        .write_all(request("book", "", "{}").as_bytes())
+        .expect("the sidecar takes it");
     await_that("the endpoint is dialled", || being_dialled(held.address));
     sidecar.stop();
     let address = held.address;
     let endpoint = Endpoint::on(held.release(), |_| ok("too late"));
-    await_that("the connection is up", || endpoint.made.load(Ordering::SeqCst) == 2);
+    await_that("the connection is up", || {
+        endpoint.made.load(Ordering::SeqCst) == 2
+    });
     discovery.publish(3, list(3, false, &[("s-1", address, "leaving")]));
     discovery.await_told(3);
     sidecar.signal("-CONT");
-    assert_eq!(read_message(&mut client).expect("an answer").status(), 503, "known not to have run");
+    assert_eq!(
+        read_message(&mut client).expect("an answer").status(),
+        503,
+        "known not to have run"
+    );
     assert_eq!(endpoint.requests(), 0);
 }
 
@@ -80,18 +104,24 @@
 #[test]
 fn an_answer_that_came_while_the_process_was_stopped_counts_though_its_time_is_over() {
     let discovery = Discovery::start();
-    let endpoint = Endpoint::start(|_| Reply::Later(Duration::from_millis(500), b"in time".to_vec()));
+    let endpoint =
+        Endpoint::start(|_| Reply::Later(Duration::from_millis(500), b"in time".to_vec()));
     // Two ticks before its client stops waiting the module does.
     let long_tick = |config: String| config.replace("\"TickUs\":5000", "\"TickUs\":5000000");
     let sidecar = Sidecar::start_altered(&discovery, &[("s-1", &endpoint)], 1024, long_tick);
     let mut client = sidecar.connect();
     let short = request("book", "", "{}").replace("19000m", "12000m");
-    client.write_all(short.as_bytes()).expect("the sidecar takes it");
+    client
+        .write_all(short.as_bytes())
+        .expect("the sidecar takes it");
     await_that("the request is out", || endpoint.requests() == 1);
     sidecar.stop();
     std::thread::sleep(Duration::from_millis(2500));
     sidecar.signal("-CONT");
-    assert_eq!(read_message(&mut client).expect("an answer").body, b"in time");
+    assert_eq!(
+        read_message(&mut client).expect("an answer").body,
+        b"in time"
+    );
 }
 
 // What became of a request at the process before says nothing of the one that was started in its place.
@@ -102,16 +132,27 @@
     let short = |config: String| config.replace("\"AimUs\":8000000", "\"AimUs\":100000");
     let sidecar = Sidecar::start_altered(&discovery, &[("s-1", &old.endpoint)], 1024, short);
     let mut client = sidecar.connect();
-    client.write_all(request("book", "", "{}").as_bytes()).expect("the sidecar takes it");
+    client
+        .write_all(request("book", "", "{}").as_bytes())
+        .expect("the sidecar takes it");
     old.await_request();
     std::thread::sleep(Duration::from_millis(1500));
     let new = Endpoint::start(|_| ok("by the new process"));
     let listed = list(2, false, &[("s-1", new.address, "active")]);
-    discovery.publish(2, listed.replace("\"since_ms\":0", "\"since_ms\":1700000000000"));
+    discovery.publish(
+        2,
+        listed.replace("\"since_ms\":0", "\"since_ms\":1700000000000"),
+    );
     discovery.await_watch(2);
     old.close();
     assert_eq!(read_message(&mut client).expect("an answer").status(), 502);
-    assert_eq!(sidecar.ask(&request("look", "", "")).expect("an answer").body, b"by the new process");
+    assert_eq!(
+        sidecar
+            .ask(&request("look", "", ""))
+            .expect("an answer")
+            .body,
+        b"by the new process"
+    );
 }
 
 /// The first back-off lasts from two to three seconds.
@@ -126,14 +167,19 @@
 fn a_client_that_leaves_in_the_back_off_is_not_sent_on() {
     let (discovery, first) = (Discovery::start(), Holding::start());
     let second = Endpoint::start(|_| ok("too late"));
-    let sidecar = Sidecar::start_altered(&discovery, &[("s-1", &first.endpoint)], 1024, long_backoff);
+    let sidecar =
+        Sidecar::start_altered(&discovery, &[("s-1", &first.endpoint)], 1024, long_backoff);
     let mut client = sidecar.connect();
-    client.write_all(request("look", "", "").as_bytes()).expect("the sidecar takes it");
+    client
+        .write_all(request("look", "", "").as_bytes())
+        .expect("the sidecar takes it");
     first.await_request();
     discovery.publish(2, list(2, false, &[("s-2", second.address, "active")]));
     discovery.await_watch(2);
     first.close();
-    await_that("the first attempt has broken off", || first.endpoint.requests() == 1);
+    await_that("the first attempt has broken off", || {
+        first.endpoint.requests() == 1
+    });
     client.shutdown(Shutdown::Both).expect("it closes");
     std::thread::sleep(BACKOFF_OVER);
     assert_eq!((first.endpoint.requests(), second.requests()), (1, 0));
@@ -143,15 +189,23 @@
 fn an_endpoint_that_leaves_in_the_back_off_gets_no_repeat() {
     let (discovery, first) = (Discovery::start(), Holding::start());
     let second = Endpoint::start(|_| ok("too late"));
-    let sidecar = Sidecar::start_altered(&discovery, &[("s-1", &first.endpoint)], 1024, long_backoff);
+    let sidecar =
+        Sidecar::start_altered(&discovery, &[("s-1", &first.endpoint)], 1024, long_backoff);
     let mut client = sidecar.connect();
-    client.write_all(request("look", "", "").as_bytes()).expect("the sidecar takes it");
+    client
+        .write_all(request("look", "", "").as_bytes())
+        .expect("the sidecar takes it");
     first.await_request();
     discovery.publish(2, list(2, false, &[("s-2", second.address, "active")]));
     discovery.await_watch(2);
     first.close();
-    await_that("the first attempt has broken off", || first.endpoint.requests() == 1);
-    let gone = [("s-1", first.endpoint.address, "leaving"), ("s-2", second.address, "left")];
+    await_that("the first attempt has broken off", || {
+        first.endpoint.requests() == 1
+    });
+    let gone = [
+        ("s-1", first.endpoint.address, "leaving"),
+        ("s-2", second.address, "left"),
+    ];
     discovery.publish(3, list(3, false, &gone));
     discovery.await_watch(3);
     assert_eq!(read_message(&mut client).expect("an answer").status(), 503);
--- a/tests/sidecar/idle.rs
+++ b/tests/sidecar/idle.rs
@@ -13,10 +13,19 @@
         let discovery = Discovery::start();
         let endpoint = Endpoint::start(|_| ok("served"));
         let sidecar = Sidecar::start_altered(&discovery, &[("s-1", &endpoint)], 1024, |config| {
-            config.replace("\"IdleCloseUs\":2000000", &format!("\"IdleCloseUs\":{idle_close}"))
+            config.replace(
+                "\"IdleCloseUs\":2000000",
+                &format!("\"IdleCloseUs\":{idle_close}"),
+            )
         });
         for _ in 0..3 {
-            assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").status(), 200);
+            assert_eq!(
+                sidecar
+                    .ask(&request("book", "", ""))
+                    .expect("an answer")
+                    .status(),
+                200
+            );
             // Longer than a connection rests.
             thread::sleep(Duration::from_millis(100));
         }
--- a/tests/sidecar/leaving.rs
+++ b/tests/sidecar/leaving.rs
@@ -10,28 +10,37 @@
 
 /// A request under an id of its own, whose client would wait for longer than these tests do.
 fn patient(class: &str, id: &str) -> String {
-    request(class, "", "").replace("19000m", "600000m").replace("9b1f03aa", id)
+    request(class, "", "")
+        .replace("19000m", "600000m")
+        .replace("9b1f03aa", id)
 }
 
 /// The ids of the requests that reached an endpoint, in their order.
 fn ids(endpoint: &Endpoint) -> Vec<String> {
     let seen = endpoint.seen.lock().expect("no stub panics");
-    seen.iter().filter_map(|message| message.header("x-correlation-id")).map(str::to_owned).collect()
+    seen.iter()
+        .filter_map(|message| message.header("x-correlation-id"))
+        .map(str::to_owned)
+        .collect()
 }
 
 /// Closes a connection, with a reset where that is asked for.
 fn leave(client: TcpStream, reset: bool) {
     let socket = socket2::Socket::from(client);
     if reset {
-        socket.set_linger(Some(Duration::ZERO)).expect("it can be reset");
+        socket
+            .set_linger(Some(Duration::ZERO))
+            .expect("it can be reset");
     }
 }
 
 #[test]
 fn a_client_that_leaves_behind_what_it_sent_takes_its_attempt_along() {
-    for (behind, reset) in
-        [(patient("book", "second"), false), (patient("book", "second"), true), ("?".into(), false)]
-    {
+    for (behind, reset) in [
+        (patient("book", "second"), false),
+        (patient("book", "second"), true),
+        ("?".into(), false),
+    ] {
         let discovery = Discovery::start();
         let endpoint = Endpoint::start(|message| match message.header("x-correlation-id") {
             Some("last") => ok("served"),
@@ -40,13 +49,25 @@
         let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
         let mut client = sidecar.connect();
         let all = patient("book", "first") + &behind;
-        client.write_all(all.as_bytes()).expect("the sidecar takes it");
+        client
+            .write_all(all.as_bytes())
+            .expect("the sidecar takes it");
         await_that("the request is out", || endpoint.requests() == 1);
         leave(client, reset);
         await_that("the attempt is given up", || endpoint.closed() == 1);
         // What was to be begun behind it would have been by now.
-        assert_eq!(sidecar.ask(&patient("book", "last")).expect("an answer").status(), 200);
-        assert_eq!(ids(&endpoint), ["first", "last"], "behind it: {behind}, reset: {reset}");
+        assert_eq!(
+            sidecar
+                .ask(&patient("book", "last"))
+                .expect("an answer")
+                .status(),
+            200
+        );
+        assert_eq!(
+            ids(&endpoint),
+            ["first", "last"],
+            "behind it: {behind}, reset: {reset}"
+        );
     }
 }
 
@@ -73,14 +94,22 @@
     let mut client = sidecar.connect();
     let here = client.local_addr().expect("an address");
     let both = patient("look", "first") + &patient("look", "second");
-    client.write_all(both.as_bytes()).expect("the sidecar takes it");
+    client
+        .write_all(both.as_bytes())
+        .expect("the sidecar takes it");
     arrived.recv().expect("the first request arrives");
     drop(client);
     // "08": the other side has closed, this one has not.
     let knows = || state_of(sidecar.address, here).is_none_or(|state| state == "08");
     await_that("the sidecar's system knows", knows);
     drop(release);
-    assert_eq!(sidecar.ask(&patient("look", "last")).expect("an answer").status(), 200);
+    assert_eq!(
+        sidecar
+            .ask(&patient("look", "last"))
+            .expect("an answer")
+            .status(),
+        200
+    );
     let mut all = [ids(&one), ids(&two)].concat();
     all.sort_unstable();
     assert_eq!(all, ["first", "last"]);
--- a/tests/sidecar/list_forms.rs
+++ b/tests/sidecar/list_forms.rs
@@ -38,12 +38,21 @@
     let agent = Agent::start();
     let (old, new) = old_and_new();
     let sidecar = agent.sidecar("pushed", &[("s-old", &old)]);
-    let text = replaced(2, false, &old, &new).replace("{\"index\"", "{\"note\":{\"a\":[null]},\"index\"");
-    let text = text.replace(',', ",\r\n\t  ").replace('{', "{\n  ").replace('}', "\n}");
+    let text =
+        replaced(2, false, &old, &new).replace("{\"index\"", "{\"note\":{\"a\":[null]},\"index\"");
+    let text = text
+        .replace(',', ",\r\n\t  ")
+        .replace('{', "{\n  ")
+        .replace('}', "\n}");
     let middle = text.len() / 2;
     let chunk = |part: &str| format!("{:X};x=y\r\n{part}\r\n", part.len());
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    let parts = [head.to_owned(), chunk(&text[..middle]), chunk(&text[middle..]), "0\r\n\r\n".to_owned()];
+    let parts = [
+        head.to_owned(),
+        chunk(&text[..middle]),
+        chunk(&text[middle..]),
+        "0\r\n\r\n".to_owned(),
+    ];
     let _watch = tell(&agent, 2, |mut call| {
         // Byte by byte, so that the sidecar reads it in many pieces.
         for byte in parts.concat().bytes() {
@@ -84,7 +93,12 @@
     let agent = Agent::start();
     let (old, new) = old_and_new();
     let sidecar = agent.sidecar("pushed", &[("s-old", &old)]);
-    let as_answer = |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    let as_answer = |body: &str| {
+        format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        )
+    };
     let wrong = list(7, true, &[("s-old", old.address, "active")]);
     let call = agent.call();
     assert_eq!(call.after(), Some(1));
--- a/tests/sidecar/moves.rs
+++ b/tests/sidecar/moves.rs
@@ -22,7 +22,10 @@
 }
 
 fn old_and_new() -> (Endpoint, Endpoint) {
-    (Endpoint::start(|_| ok("old")), Endpoint::start(|_| ok("new")))
+    (
+        Endpoint::start(|_| ok("old")),
+        Endpoint::start(|_| ok("new")),
+    )
 }
 
 /// The next call at an agent asks for the whole list and is answered; returns the watch that follows.
@@ -53,8 +56,18 @@
     assert!(await_close(&mut stream), "the old watch is closed");
     whole.answer(&only(5, "s-new", &new));
     let watch = after.call();
-    assert_eq!(watch.after(), Some(5), "versions of the old agent count no more");
-    assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").body, b"new");
+    assert_eq!(
+        watch.after(),
+        Some(5),
+        "versions of the old agent count no more"
+    );
+    assert_eq!(
+        sidecar
+            .ask(&request("book", "", ""))
+            .expect("an answer")
+            .body,
+        b"new"
+    );
     assert_eq!(old.requests(), 0);
 }
 
@@ -71,7 +84,13 @@
         move_to(&sidecar, after.address);
         sidecar.signal("-CONT");
         let _watch = follow(&after, 5, &only(5, "s-new", &new));
-        assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").body, b"new");
+        assert_eq!(
+            sidecar
+                .ask(&request("book", "", ""))
+                .expect("an answer")
+                .body,
+            b"new"
+        );
         assert_eq!(old.requests(), 0);
     }
 }
@@ -85,16 +104,27 @@
         config.replace("\"AskWithinUs\":2000000", "\"AskWithinUs\":30000000")
     });
     for _ in 0..6 {
-        before.call_within(TOLD).expect("the old agent is asked again in time").answer_as(503, "", "");
+        before
+            .call_within(TOLD)
+            .expect("the old agent is asked again in time")
+            .answer_as(503, "", "");
     }
     move_to(&sidecar, after.address);
     for _ in 0..3 {
-        let call = after.call_within(TOLD).expect("the new agent is asked in time");
+        let call = after
+            .call_within(TOLD)
+            .expect("the new agent is asked in time");
         assert_eq!(call.after(), None);
         call.answer_as(503, "", "");
     }
     let _watch = follow(&after, 5, &only(5, "s-new", &new));
-    assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").body, b"new");
+    assert_eq!(
+        sidecar
+            .ask(&request("book", "", ""))
+            .expect("an answer")
+            .body,
+        b"new"
+    );
 }
 
 #[test]
@@ -102,9 +132,13 @@
     let (first, last) = (Agent::start(), Agent::start());
     let (old, new) = old_and_new();
     // With its queue full the system drops further openings.
-    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    let socket =
+        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
-    socket.bind(&any.into()).and_then(|()| socket.listen(0)).expect("a free port");
+    socket
+        .bind(&any.into())
+        .and_then(|()| socket.listen(0))
+        .expect("a free port");
     let listener = TcpListener::from(socket);
     let hanging = listener.local_addr().expect("an address");
     let _filler = TcpStream::connect(hanging).expect("one fits");
@@ -119,11 +153,23 @@
     await_that("the new address is dialled", || being_dialled(hanging));
     move_to(&sidecar, last.address);
     let _watch = follow(&last, 5, &only(5, "s-new", &new));
-    assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").body, b"new");
+    assert_eq!(
+        sidecar
+            .ask(&request("book", "", ""))
+            .expect("an answer")
+            .body,
+        b"new"
+    );
     // And back: its versions may have gone on.
     move_to(&sidecar, first.address);
     let _watch = follow(&first, 2, &only(2, "s-old", &old));
-    assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").body, b"old");
+    assert_eq!(
+        sidecar
+            .ask(&request("book", "", ""))
+            .expect("an answer")
+            .body,
+        b"old"
+    );
 }
 
 // A process that knows no list asks for the whole one; what it asks in vain is asked three times within a second each.
@@ -138,5 +184,11 @@
     });
     let _lost = (agent.call(), agent.call());
     let _watch = follow(&agent, 5, &only(5, "s-1", &endpoint));
-    assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").body, b"served");
+    assert_eq!(
+        sidecar
+            .ask(&request("book", "", ""))
+            .expect("an answer")
+            .body,
+        b"served"
+    );
 }
--- a/tests/sidecar/odd_lists.rs
+++ b/tests/sidecar/odd_lists.rs
@@ -14,7 +14,10 @@
 /// The changes under that version: `s-old` leaves, and these entries.
 fn changes(index: u64, old: &Endpoint, entries: &[String]) -> String {
     let leaves = entry("s-old", old, "active", "leaving");
-    format!("{{\"index\":{index},\"snapshot\":false,\"endpoints\":[{leaves},{}]}}", entries.join(","))
+    format!(
+        "{{\"index\":{index},\"snapshot\":false,\"endpoints\":[{leaves},{}]}}",
+        entries.join(",")
+    )
 }
 
 /// Has a sidecar take these changes in; they count only where it goes on from them.
@@ -54,7 +57,10 @@
     ];
     for (part, odd) in whole.into_iter().chain(parts) {
         let (old, new, other) = three();
-        let entries = [entry("s-odd", &other, part, odd), entry("s-new", &new, "active", "active")];
+        let entries = [
+            entry("s-odd", &other, part, odd),
+            entry("s-new", &new, "active", "active"),
+        ];
         let sidecar = taken(&[("s-old", &old)], &changes(2, &old, &entries));
         for _ in 0..4 {
             let answer = sidecar.ask(&request("book", "", "")).expect("an answer");
@@ -79,12 +85,26 @@
         (false, "17"),
     ] {
         let (old, new, other) = three();
-        let part = if state { "\"active\"".to_owned() } else { address(&other) };
-        let entries = [entry("s-odd", &other, &part, odd), entry("s-new", &new, "active", "active")];
+        let part = if state {
+            "\"active\"".to_owned()
+        } else {
+            address(&other)
+        };
+        let entries = [
+            entry("s-odd", &other, &part, odd),
+            entry("s-new", &new, "active", "active"),
+        ];
         let known = [("s-old", &old), ("s-odd", &other)];
         let sidecar = taken(&known, &changes(2, &old, &entries));
         for _ in 0..4 {
-            assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").body, b"new", "{odd}");
+            assert_eq!(
+                sidecar
+                    .ask(&request("book", "", ""))
+                    .expect("an answer")
+                    .body,
+                b"new",
+                "{odd}"
+            );
         }
         assert_eq!((old.requests(), other.requests()), (0, 0), "{odd}");
     }
@@ -93,16 +113,29 @@
 // The known list comes from a lists of the same form: it must not keep a sidecar from starting.
 #[test]
 fn a_known_list_with_an_odd_entry_lets_it_start() {
-    let (agent, known, other) =
-        (Agent::start(), Endpoint::start(|_| ok("known")), Endpoint::start(|_| ok("other")));
+    let (agent, known, other) = (
+        Agent::start(),
+        Endpoint::start(|_| ok("known")),
+        Endpoint::start(|_| ok("other")),
+    );
     let odd = entry("s-odd", &other, "\"active\"", "\"odd\"");
     let sidecar = agent.sidecar_altered(&[("s-1", &known)], |config| {
         config.replace("\"endpoints\":[", &format!("\"endpoints\":[{odd},"))
     });
-    assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").body, b"known");
+    assert_eq!(
+        sidecar
+            .ask(&request("book", "", ""))
+            .expect("an answer")
+            .body,
+        b"known"
+    );
     assert_eq!(agent.call().after(), Some(1));
 }
 
 fn three() -> (Endpoint, Endpoint, Endpoint) {
-    (Endpoint::start(|_| ok("old")), Endpoint::start(|_| ok("new")), Endpoint::start(|_| ok("other")))
+    (
+        Endpoint::start(|_| ok("old")),
+        Endpoint::start(|_| ok("new")),
+        Endpoint::start(|_| ok("other")),
+    )
 }
--- a/tests/sidecar/requests.rs
+++ b/tests/sidecar/requests.rs
@@ -11,18 +11,29 @@
 fn a_request_goes_on_unchanged_and_the_answer_comes_back_unchanged() {
     let (discovery, body) = (Discovery::start(), vec![0xA5; 40_000]);
     let answered = body.clone();
-    let endpoint = Endpoint::start(move |_| Reply::Answer(200, "Content-Type: x/y\r\n", answered.clone()));
+    let endpoint =
+        Endpoint::start(move |_| Reply::Answer(200, "Content-Type: x/y\r\n", answered.clone()));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
-    let answer = sidecar.ask(&request("pay", "", &"b".repeat(60_000))).expect("an answer");
-    assert_eq!((answer.status(), answer.header("content-type")), (200, Some("x/y")));
+    let answer = sidecar
+        .ask(&request("pay", "", &"b".repeat(60_000)))
+        .expect("an answer");
+    assert_eq!(
+        (answer.status(), answer.header("content-type")),
+        (200, Some("x/y"))
+    );
     assert!(answer.body == body);
     let seen = endpoint.seen.lock().expect("no stub panics");
     assert_eq!(seen[0].start, "POST /api?site=4 HTTP/1.1");
     assert_eq!(seen[0].header("x-correlation-id"), Some("9b1f03aa"));
     assert_eq!(seen[0].header("idempotency-key"), Some("5c0f6e1a"));
     assert!(seen[0].body == "b".repeat(60_000).as_bytes());
-    let left = seen[0].header("x-time-left").and_then(|v| v.strip_suffix('u')?.parse::<u64>().ok());
-    assert!(left.is_some_and(|us| us > 0 && us <= 19_000_000), "{left:?}");
+    let left = seen[0]
+        .header("x-time-left")
+        .and_then(|v| v.strip_suffix('u')?.parse::<u64>().ok());
+    assert!(
+        left.is_some_and(|us| us > 0 && us <= 19_000_000),
+        "{left:?}"
+    );
 }
 
 #[test]
@@ -39,10 +50,16 @@
         (good.replace("19000m", "m"), 400),
         (good.replace("X-Time-Left: 19000m\r\n", ""), 400),
         (good.replace("X-Correlation-Id: 9b1f03aa\r\n", ""), 400),
-        (request("pay", "", "").replace("Idempotency-Key: 5c0f6e1a\r\n", ""), 400),
+        (
+            request("pay", "", "").replace("Idempotency-Key: 5c0f6e1a\r\n", ""),
+            400,
+        ),
         (request("book", "Idempotency-Key: 5c0f6e1a\r\n", ""), 400),
         (request("book", "X-Correlation-Id: 9b1f03ab\r\n", ""), 400),
-        (good.replace("Content-Length: 0", "Content-Length: 70000"), 413),
+        (
+            good.replace("Content-Length: 0", "Content-Length: 70000"),
+            413,
+        ),
         (good.replace("/api?site=4", "/other"), 404),
     ] {
         let answer = sidecar.ask(&bad).expect("an answer");
@@ -59,13 +76,18 @@
 // nor be refused, which would invite the client to repeat it.
 #[test]
 fn an_unsafe_request_that_may_have_run_is_sent_once_and_fails() {
-    for reply in
-        [|| Reply::Close, || Reply::Answer(500, "", Vec::new()), || Reply::Answer(503, "", Vec::new())]
-    {
+    for reply in [
+        || Reply::Close,
+        || Reply::Answer(500, "", Vec::new()),
+        || Reply::Answer(503, "", Vec::new()),
+    ] {
         let discovery = Discovery::start();
         let [one, two] = [(); 2].map(|()| Endpoint::start(move |_| reply()));
         let sidecar = Sidecar::start(&discovery, &[("s-1", &one), ("s-2", &two)]);
-        let status = sidecar.ask(&request("book", "", "{}")).expect("an answer").status();
+        let status = sidecar
+            .ask(&request("book", "", "{}"))
+            .expect("an answer")
+            .status();
         assert!(status >= 500 && status != 503, "{status}");
         assert_eq!(one.requests() + two.requests(), 1);
     }
@@ -83,7 +105,13 @@
         discovery.await_watch(2);
         // Two turns go round both endpoints.
         for _ in 0..2 {
-            assert_eq!(sidecar.ask(&request("book", "", "{}")).expect("an answer").status(), 200);
+            assert_eq!(
+                sidecar
+                    .ask(&request("book", "", "{}"))
+                    .expect("an answer")
+                    .status(),
+                200
+            );
         }
     }
     assert_eq!(good.requests(), 4);
@@ -95,7 +123,13 @@
     let discovery = Discovery::start();
     let sidecar = Sidecar::start(&discovery, &[]);
     let asked = Instant::now();
-    assert_eq!(sidecar.ask(&request("book", "", "{}")).expect("an answer").status(), 503);
+    assert_eq!(
+        sidecar
+            .ask(&request("book", "", "{}"))
+            .expect("an answer")
+            .status(),
+        503
+    );
     // Its client would wait 19 s: half of that is far from at once, and far from held until then.
     assert!(asked.elapsed() < Duration::from_millis(9500));
 }
@@ -109,7 +143,10 @@
         let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
         let short = request(class, "", "").replace("19000m", "400m");
         let status = sidecar.ask(&short).expect("an answer").status();
-        assert!(status != 200 && (class != "book" || status != 503), "{class}: {status}");
+        assert!(
+            status != 200 && (class != "book" || status != 503),
+            "{class}: {status}"
+        );
         // Giving up an attempt closes its connection, or the answer to it would meet the next request.
         await_that("all connections are closed", || {
             let made = endpoint.made.load(Ordering::SeqCst);
@@ -126,7 +163,9 @@
     let mut client = sidecar.connect();
     // It would wait for longer than this test does: only its leaving can end the attempt.
     let patient = request("book", "", "{}").replace("19000m", "600000m");
-    client.write_all(patient.as_bytes()).expect("the sidecar takes it");
+    client
+        .write_all(patient.as_bytes())
+        .expect("the sidecar takes it");
     await_that("the request is out", || endpoint.requests() == 1);
     client.shutdown(Shutdown::Both).expect("it closes");
     await_that("the attempt is given up", || endpoint.closed() == 1);
@@ -137,10 +176,21 @@
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|message| match message.header("x-long") {
         Some(_) => Reply::Answer(200, "", vec![b'x'; 70_000]),
-        None => Reply::AnswerAndClose(200, "Transfer-Encoding: chunked\r\nX-Not-", b"5\r\nhel".to_vec()),
+        None => Reply::AnswerAndClose(
+            200,
+            "Transfer-Encoding: chunked\r\nX-Not-",
+            b"5\r\nhel".to_vec(),
+        ),
     });
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
     for headers in ["X-Long: 1\r\n", ""] {
-        assert_eq!(sidecar.ask(&request("book", headers, "")).expect("an answer").status(), 502, "{headers}");
+        assert_eq!(
+            sidecar
+                .ask(&request("book", headers, ""))
+                .expect("an answer")
+                .status(),
+            502,
+            "{headers}"
+        );
     }
 }
--- a/tests/sidecar/restarts.rs
+++ b/tests/sidecar/restarts.rs
@@ -8,7 +8,10 @@
 
 /// One entry of the list, whose process started then.
 fn started(version: u64, endpoint: &Endpoint, since: SystemTime) -> String {
-    let since = since.duration_since(UNIX_EPOCH).expect("after 1970").as_millis();
+    let since = since
+        .duration_since(UNIX_EPOCH)
+        .expect("after 1970")
+        .as_millis();
     list(version, false, &[("s-1", endpoint.address, "active")])
         .replace("\"since_ms\":0", &format!("\"since_ms\":{since}"))
 }
@@ -41,7 +44,9 @@
         None => ok("after"),
     });
     let sidecar = sidecar(&discovery, &endpoint);
-    let before = sidecar.ask(&request("book", "X-Before: 1\r\n", "")).expect("an answer");
+    let before = sidecar
+        .ask(&request("book", "X-Before: 1\r\n", ""))
+        .expect("an answer");
     assert_eq!(before.body, b"before");
     vanished.store(true, Ordering::SeqCst);
     // Later than its connection was made.
@@ -51,7 +56,10 @@
     // Longer than a connection rests: it would be used again.
     std::thread::sleep(Duration::from_millis(100));
     let after = sidecar.ask(&request("book", "", "")).expect("an answer");
-    assert_eq!((after.status(), endpoint.made.load(Ordering::SeqCst)), (200, 2));
+    assert_eq!(
+        (after.status(), endpoint.made.load(Ordering::SeqCst)),
+        (200, 2)
+    );
 }
 
 // The news of a restart may come when connections to the new process are in use already.
@@ -62,12 +70,24 @@
     let restart = SystemTime::now();
     let sidecar = sidecar(&discovery, &endpoint);
     for version in [2, 3] {
-        assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").status(), 200);
+        assert_eq!(
+            sidecar
+                .ask(&request("book", "", ""))
+                .expect("an answer")
+                .status(),
+            200
+        );
         // The second time it is listed just as before.
         discovery.publish(version, started(version, &endpoint, restart));
         discovery.await_watch(version);
         std::thread::sleep(Duration::from_millis(100));
     }
-    assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").status(), 200);
+    assert_eq!(
+        sidecar
+            .ask(&request("book", "", ""))
+            .expect("an answer")
+            .status(),
+        200
+    );
     assert_eq!(endpoint.made.load(Ordering::SeqCst), 1);
 }
--- a/tests/sidecar/room.rs
+++ b/tests/sidecar/room.rs
@@ -11,13 +11,22 @@
 /// Those that it holds. It may have been given some beyond that number at its start.
 fn held(sidecar: &Sidecar) -> usize {
     let path = format!("/proc/{}/fd", sidecar.process.id());
-    let names = std::fs::read_dir(path).into_iter().flatten().flatten().map(|entry| entry.file_name());
-    names.filter_map(|name| name.to_str()?.parse().ok()).filter(|number: &usize| *number < GRANTED).count()
+    let names = std::fs::read_dir(path)
+        .into_iter()
+        .flatten()
+        .flatten()
+        .map(|entry| entry.file_name());
+    names
+        .filter_map(|name| name.to_str()?.parse().ok())
+        .filter(|number: &usize| *number < GRANTED)
+        .count()
 }
 
 /// One request on a connection that stays; the status of its answer.
 fn ask(client: &mut TcpStream, request: &str) -> u16 {
-    client.write_all(request.as_bytes()).expect("the sidecar takes it");
+    client
+        .write_all(request.as_bytes())
+        .expect("the sidecar takes it");
     read_message(client).expect("an answer").status()
 }
 
--- a/tests/sidecar/starting.rs
+++ b/tests/sidecar/starting.rs
@@ -11,9 +11,17 @@
 fn a_configuration_that_cannot_be_used_ends_it_with_one_plain_line() {
     let address = "127.0.0.1:9".parse().expect("an address");
     let good = config(address, address, "null");
-    let texts = ["", "{}", &good.replace("\"side_effect\"", "\"odd\""), &good.replace("1024", "3")];
+    let texts = [
+        "",
+        "{}",
+        &good.replace("\"side_effect\"", "\"odd\""),
+        &good.replace("1024", "3"),
+    ];
     let paths: Vec<_> = texts.iter().map(|text| Some(config_file(text))).collect();
-    for path in paths.into_iter().chain([None, Some("/nonexistent/config.json".into())]) {
+    for path in paths
+        .into_iter()
+        .chain([None, Some("/nonexistent/config.json".into())])
+    {
         let mut command = Command::new(env!("CARGO_BIN_EXE_tinflow"));
         match &path {
             Some(path) => command.env("LB_CONFIG", path),
@@ -22,7 +30,10 @@
         let output = command.stdin(Stdio::null()).output().expect("it starts");
         let said = String::from_utf8(output.stderr).expect("text");
         assert_eq!(output.status.code(), Some(1), "{said}");
-        assert!(said.starts_with("tinflow: ") && said.lines().count() == 1, "{said}");
+        assert!(
+            said.starts_with("tinflow: ") && said.lines().count() == 1,
+            "{said}"
+        );
     }
 }
 
@@ -48,8 +59,16 @@
     other.publish(1, list(1, true, &[("s-1", endpoint.address, "active")]));
     let to = config(sidecar.address, other.address, "null");
     sidecar.reconfigure(|_| to.clone());
-    await_that("discovery is followed", || !other.calls().is_empty() || sidecar.process.id() == 0);
-    assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").status(), 200);
+    await_that("discovery is followed", || {
+        !other.calls().is_empty() || sidecar.process.id() == 0
+    });
+    assert_eq!(
+        sidecar
+            .ask(&request("book", "", ""))
+            .expect("an answer")
+            .status(),
+        200
+    );
 }
 
 // A port that was noted and let go of would be found in use by some of the sidecars that are to listen there.
@@ -60,7 +79,10 @@
     assert_eq!(refused, ErrorKind::ConnectionRefused);
     // Who does not allow reuse asks for a port as the system does that picks a free one.
     let other = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    assert_eq!(other.bind(&at.into()).expect_err("it is kept").kind(), ErrorKind::AddrInUse);
+    assert_eq!(
+        other.bind(&at.into()).expect_err("it is kept").kind(),
+        ErrorKind::AddrInUse
+    );
     let _listener = TcpListener::bind(at).expect("it is kept for a listener that allows reuse");
     TcpStream::connect(at).expect("it listens");
 }
--- a/tests/sidecar/two_settings.rs
+++ b/tests/sidecar/two_settings.rs
@@ -73,13 +73,21 @@
         let discovery = [Discovery::start(), Discovery::start()];
         let begin = |discovery: &Discovery, settings: &str| {
             let known = known(&servers);
-            let alter = |text: String| text.replace(SETTINGS, settings).replace(&list(1, true, &[]), &known);
+            let alter = |text: String| {
+                text.replace(SETTINGS, settings)
+                    .replace(&list(1, true, &[]), &known)
+            };
             Sidecar::start_adapted(discovery, &[], 1024, alter, |command| {
                 command.stderr(Stdio::piped());
             })
         };
         let (freight, clinic) = (begin(&discovery[0], FREIGHT), begin(&discovery[1], CLINIC));
-        Self { servers, freight, clinic, _discovery: discovery }
+        Self {
+            servers,
+            freight,
+            clinic,
+            _discovery: discovery,
+        }
     }
 
     /// The same request at both.
@@ -90,7 +98,9 @@
     fn ask_at(&self, sidecar: &Sidecar, request: &str) -> Seen {
         let id = sidecar.address.to_string();
         let before: Vec<_> = (0..SERVERS).map(|s| self.reached(s, &id)).collect();
-        let answer = sidecar.ask(&request.replace("9b1f03aa", &id)).expect("an answer");
+        let answer = sidecar
+            .ask(&request.replace("9b1f03aa", &id))
+            .expect("an answer");
         let new = |s: usize| vec![s; self.reached(s, &id) - before[s]];
         Seen {
             status: answer.status(),
@@ -101,15 +111,23 @@
 
     fn reached(&self, server: usize, id: &str) -> usize {
         let seen = self.servers[server].seen.lock().expect("no stub panics");
-        seen.iter().filter(|m| m.header("x-correlation-id") == Some(id)).count()
+        seen.iter()
+            .filter(|m| m.header("x-correlation-id") == Some(id))
+            .count()
     }
 }
 
 /// The list that both know at their start: each server is a cell of its own.
 fn known(servers: &[Endpoint]) -> String {
-    let entries: Vec<(String, SocketAddr)> =
-        servers.iter().enumerate().map(|(n, s)| (format!("s-{n}"), s.address)).collect();
-    let entries: Vec<_> = entries.iter().map(|(name, at)| (name.as_str(), *at, "active")).collect();
+    let entries: Vec<(String, SocketAddr)> = servers
+        .iter()
+        .enumerate()
+        .map(|(n, s)| (format!("s-{n}"), s.address))
+        .collect();
+    let entries: Vec<_> = entries
+        .iter()
+        .map(|(name, at)| (name.as_str(), *at, "active"))
+        .collect();
     let mut text = list(1, true, &entries);
     for cell in 1..=SERVERS {
         text = text.replacen("\"group\":1,", &format!("\"group\" :{},", 10 + cell), 1);
@@ -118,8 +136,10 @@
 }
 
 fn of(class: &str, form: &str, does: &str) -> String {
-    request(form, &format!("X-Do: {does}\r\n"), "")
-        .replace(&format!("X-Service-Class: {form}\r\n"), &format!("X-Service-Class: {class}\r\n"))
+    request(form, &format!("X-Do: {does}\r\n"), "").replace(
+        &format!("X-Service-Class: {form}\r\n"),
+        &format!("X-Service-Class: {class}\r\n"),
+    )
 }
 
 const GET: &str = "look";
@@ -143,7 +163,11 @@
         let seen = two.ask(&of(class, form, "serve"));
         for (seen, status) in seen.iter().zip(statuses) {
             assert_eq!(seen.status, status, "{class}: {seen:?}");
-            assert_eq!(seen.reached.len(), usize::from(status == 200), "{class}: {seen:?}");
+            assert_eq!(
+                seen.reached.len(),
+                usize::from(status == 200),
+                "{class}: {seen:?}"
+            );
         }
     }
     // Whoever is no tenant here is served as one that has named none.
@@ -157,10 +181,17 @@
 fn attempts_and_hold_offs_follow_the_limits_of_each_deployment() {
     let two = Two::start();
     let [freight, clinic] = two.ask(&of("status", GET, "turn-away"));
-    assert_eq!([freight.reached.len(), clinic.reached.len()], [4, 2], "{freight:?} {clinic:?}");
+    assert_eq!(
+        [freight.reached.len(), clinic.reached.len()],
+        [4, 2],
+        "{freight:?} {clinic:?}"
+    );
     assert_eq!([freight.status, clinic.status], [503, 503]);
     // A quarter of the aim, and at most what clients honour, where they are told one at all.
-    assert_eq!([freight.hold_off.as_deref(), clinic.hold_off.as_deref()], [Some("0.300"), None]);
+    assert_eq!(
+        [freight.hold_off.as_deref(), clinic.hold_off.as_deref()],
+        [Some("0.300"), None]
+    );
 }
 
 #[test]
@@ -187,8 +218,15 @@
     let two = Two::start();
     // Everywhere at the one; in the own cell alone at the other, whose client may then not come again elsewhere.
     let [freight, clinic] = two.ask(&of("order", POST_WITH_KEY, "break"));
-    assert!(freight.servers() > 1 && freight.status == 503, "{freight:?}");
-    assert_eq!((clinic.reached.len(), clinic.servers(), clinic.status), (2, 1, 502), "{clinic:?}");
+    assert!(
+        freight.servers() > 1 && freight.status == 503,
+        "{freight:?}"
+    );
+    assert_eq!(
+        (clinic.reached.len(), clinic.servers(), clinic.status),
+        (2, 1, 502),
+        "{clinic:?}"
+    );
 }
 
 #[test]
@@ -196,11 +234,18 @@
     let two = Two::start();
     let request = of("status", GET, "serve").replace("9b1f03aa", "the-same");
     let heads = [&two.freight, &two.clinic].map(|sidecar| {
-        two.servers.iter().for_each(|s| s.seen.lock().expect("no stub panics").clear());
+        two.servers
+            .iter()
+            .for_each(|s| s.seen.lock().expect("no stub panics").clear());
         assert_eq!(sidecar.ask(&request).expect("an answer").status(), 200);
-        let seen = two.servers.iter().flat_map(|s| s.seen.lock().expect("no stub panics").clone());
+        let seen = two
+            .servers
+            .iter()
+            .flat_map(|s| s.seen.lock().expect("no stub panics").clone());
         let mut message = seen.last().expect("one server was reached");
-        message.headers.retain(|(name, _)| !name.eq_ignore_ascii_case("x-time-left"));
+        message
+            .headers
+            .retain(|(name, _)| !name.eq_ignore_ascii_case("x-time-left"));
         (message.start, message.headers, message.body)
     });
     assert_eq!(heads[0], heads[1]);
@@ -216,16 +261,30 @@
         .map(|(name, sidecar)| {
             let mut stream = sidecar.connect();
             let request = of("status", GET, "hang").replace("19000m", "600000m");
-            stream.write_all(request.as_bytes()).expect("the sidecar takes it");
+            stream
+                .write_all(request.as_bytes())
+                .expect("the sidecar takes it");
             let order = order.clone();
             thread::spawn(move || order.send((name, read_message(&mut stream).map(|m| m.status()))))
         })
         .collect();
-    await_that("both requests are out", || two.servers.iter().map(Endpoint::requests).sum::<usize>() >= 2);
+    await_that("both requests are out", || {
+        two.servers.iter().map(Endpoint::requests).sum::<usize>() >= 2
+    });
     // The one with the longer deadline is told first.
     two.freight.terminate();
     two.clinic.terminate();
-    let all: Vec<_> = (0..held.len()).map(|_| ended.recv_timeout(LONG).expect("it ends")).collect();
-    assert_eq!(all.iter().map(|(name, _)| *name).collect::<Vec<_>>(), ["clinic", "freight"], "{all:?}");
-    assert!(all.iter().all(|(_, status)| status.is_some_and(|s| s >= 500)), "{all:?}");
+    let all: Vec<_> = (0..held.len())
+        .map(|_| ended.recv_timeout(LONG).expect("it ends"))
+        .collect();
+    assert_eq!(
+        all.iter().map(|(name, _)| *name).collect::<Vec<_>>(),
+        ["clinic", "freight"],
+        "{all:?}"
+    );
+    assert!(
+        all.iter()
+            .all(|(_, status)| status.is_some_and(|s| s >= 500)),
+        "{all:?}"
+    );
 }
--- a/tests/sidecar/watches.rs
+++ b/tests/sidecar/watches.rs
@@ -9,12 +9,18 @@
 
 /// Where `s-new` has taken the place of `s-old`, as a change or as the whole list.
 pub fn replaced(index: u64, snapshot: bool, old: &Endpoint, new: &Endpoint) -> String {
-    let both = [("s-old", old.address, "leaving"), ("s-new", new.address, "active")];
+    let both = [
+        ("s-old", old.address, "leaving"),
+        ("s-new", new.address, "active"),
+    ];
     list(index, snapshot, &both[usize::from(snapshot)..])
 }
 
 pub fn old_and_new() -> (Endpoint, Endpoint) {
-    (Endpoint::start(|_| ok("old")), Endpoint::start(|_| ok("new")))
+    (
+        Endpoint::start(|_| ok("old")),
+        Endpoint::start(|_| ok("new")),
+    )
 }
 
 /// Answers calls in this way until one asks for news after that version, which is given back.
@@ -31,7 +37,10 @@
 }
 
 pub fn body(sidecar: &Sidecar) -> Vec<u8> {
-    sidecar.ask(&request("book", "", "")).expect("an answer").body
+    sidecar
+        .ask(&request("book", "", ""))
+        .expect("an answer")
+        .body
 }
 
 // Invariant: whatever the settings allow between two questions, discovery that failed is asked again before what it has
@@ -42,11 +51,15 @@
         let agent = Agent::start();
         let (old, new) = old_and_new();
         let sidecar = agent.sidecar_altered(&[("s-old", &old)], |config| {
-            config.replace("\"AskWithinUs\":2000000", &format!("\"AskWithinUs\":{within}"))
+            config.replace(
+                "\"AskWithinUs\":2000000",
+                &format!("\"AskWithinUs\":{within}"),
+            )
         });
         for failure in 0..8 {
             let call = agent.call_within(TOLD);
-            let call = call.unwrap_or_else(|| panic!("no call within {TOLD:?} of failure {failure}"));
+            let call =
+                call.unwrap_or_else(|| panic!("no call within {TOLD:?} of failure {failure}"));
             call.answer_as(503, "", "");
         }
         let change = replaced(2, false, &old, &new);
@@ -62,7 +75,10 @@
         let agent = Agent::start();
         let endpoint = Endpoint::start(|_| ok("served"));
         let _sidecar = agent.sidecar_altered(&[("s-1", &endpoint)], |config| {
-            config.replace("\"AskWithinUs\":2000000", &format!("\"AskWithinUs\":{within}"))
+            config.replace(
+                "\"AskWithinUs\":2000000",
+                &format!("\"AskWithinUs\":{within}"),
+            )
         });
         agent.call().answer_as(503, "", "");
         let (until, mut calls) = (Instant::now() + Duration::from_secs(1), 0);
@@ -83,18 +99,36 @@
         let (old, new) = old_and_new();
         let sidecar = agent.sidecar(mode, &[("s-old", &old)]);
         let first = agent.call();
-        assert!(first.wait_ms().is_some_and(|ms| ms > 0), "{mode}: {}", first.start);
+        assert!(
+            first.wait_ms().is_some_and(|ms| ms > 0),
+            "{mode}: {}",
+            first.start
+        );
         first.reset();
         // Silent again directly after it was opened anew.
         let second = agent.call();
-        assert_eq!((second.after(), second.wait_ms()), (Some(1), Some(0)), "{mode}");
+        assert_eq!(
+            (second.after(), second.wait_ms()),
+            (Some(1), Some(0)),
+            "{mode}"
+        );
         let third = agent.call();
-        assert!(third.wait_ms().is_some_and(|ms| ms > 0), "{mode}: {}", third.start);
+        assert!(
+            third.wait_ms().is_some_and(|ms| ms > 0),
+            "{mode}: {}",
+            third.start
+        );
         third.answer(&replaced(2, false, &old, &new));
-        let _watch = tell(&agent, 2, |call| call.answer(&replaced(2, false, &old, &new)));
+        let _watch = tell(&agent, 2, |call| {
+            call.answer(&replaced(2, false, &old, &new))
+        });
         // What the given-up call brings now is not read.
         second.answer(&list(9, true, &[("s-old", old.address, "active")]));
-        assert_eq!((body(&sidecar), old.requests()), (b"new".to_vec(), 0), "{mode}");
+        assert_eq!(
+            (body(&sidecar), old.requests()),
+            (b"new".to_vec(), 0),
+            "{mode}"
+        );
     }
 }
 
@@ -109,7 +143,9 @@
             assert_eq!(call.after(), Some(1));
             if reset { call.reset() } else { drop(call) }
         }
-        let _watch = tell(&agent, 2, |call| call.answer(&replaced(2, true, &old, &new)));
+        let _watch = tell(&agent, 2, |call| {
+            call.answer(&replaced(2, true, &old, &new))
+        });
         assert_eq!((body(&sidecar), old.requests()), (b"new".to_vec(), 0));
     }
 }
@@ -127,7 +163,9 @@
         calls += 1;
     }
     assert!((1..=25).contains(&calls), "{calls} calls in a second");
-    let _watch = tell(&agent, 2, |call| call.answer(&replaced(2, false, &old, &new)));
+    let _watch = tell(&agent, 2, |call| {
+        call.answer(&replaced(2, false, &old, &new))
+    });
     assert_eq!((body(&sidecar), old.requests()), (b"new".to_vec(), 0));
 }
 
@@ -137,7 +175,9 @@
     let agent = Agent::start();
     let (old, new) = old_and_new();
     let sidecar = agent.sidecar("pushed", &[("s-old", &old)]);
-    let mut call = tell(&agent, 41, |call| call.answer(&list(41, true, &[("s-old", old.address, "active")])));
+    let mut call = tell(&agent, 41, |call| {
+        call.answer(&list(41, true, &[("s-old", old.address, "active")]))
+    });
     let until = Instant::now() + LONG;
     while call.after() == Some(41) && Instant::now() < until {
         call.answer(&list(3, false, &[]));
@@ -146,7 +186,9 @@
     let whole = call;
     assert_eq!(whole.after(), None, "{}", whole.start);
     whole.answer(&replaced(3, true, &old, &new));
-    let _watch = tell(&agent, 3, |call| call.answer(&replaced(3, true, &old, &new)));
+    let _watch = tell(&agent, 3, |call| {
+        call.answer(&replaced(3, true, &old, &new))
+    });
     assert_eq!((body(&sidecar), old.requests()), (b"new".to_vec(), 0));
 }
 
@@ -156,9 +198,13 @@
     let agent = Agent::start();
     let (old, new) = old_and_new();
     let sidecar = agent.sidecar("pushed", &[("s-old", &old)]);
-    let watch = tell(&agent, 41, |call| call.answer(&list(41, true, &[("s-old", old.address, "active")])));
+    let watch = tell(&agent, 41, |call| {
+        call.answer(&list(41, true, &[("s-old", old.address, "active")]))
+    });
     watch.answer(&replaced(3, true, &old, &new));
-    let _watch = tell(&agent, 3, |call| call.answer(&replaced(3, true, &old, &new)));
+    let _watch = tell(&agent, 3, |call| {
+        call.answer(&replaced(3, true, &old, &new))
+    });
     assert_eq!((body(&sidecar), old.requests()), (b"new".to_vec(), 0));
 }
 
@@ -171,8 +217,10 @@
         let (old, new) = old_and_new();
         let sidecar = agent.sidecar_granted(&[("s-old", &old)], granted, 64);
         let watch = agent.call();
-        let held =
-            || std::fs::read_dir(format!("/proc/{}/fd", sidecar.process.id())).map_or(0, Iterator::count);
+        let held = || {
+            std::fs::read_dir(format!("/proc/{}/fd", sidecar.process.id()))
+                .map_or(0, Iterator::count)
+        };
         let before = held();
         // Of 64 they may hold 20; from there on idle ones would make way for each other.
         let clients: Vec<_> = (0..19).map(|_| sidecar.connect()).collect();
@@ -190,7 +238,9 @@
             await_that("it is taken again", || held() >= granted as usize);
             drop(clients);
         }
-        let _watch = tell(&agent, 2, |call| call.answer(&replaced(2, false, &old, &new)));
+        let _watch = tell(&agent, 2, |call| {
+            call.answer(&replaced(2, false, &old, &new))
+        });
         assert_eq!((body(&sidecar), old.requests()), (b"new".to_vec(), 0));
     }
 }
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -32,7 +32,10 @@
 impl Agent {
     fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let agent = Self { address: listener.local_addr().expect("an address"), state: Arc::default() };
+        let agent = Self {
+            address: listener.local_addr().expect("an address"),
+            state: Arc::default(),
+        };
         let state = agent.state.clone();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
@@ -54,7 +57,9 @@
                 answer(&mut stream, 200, "", known.body.clone().as_bytes());
             } else {
                 // Whoever waits for news hears nothing, whatever becomes known.
-                known.silent.push(stream.try_clone().expect("a socket can be cloned"));
+                known
+                    .silent
+                    .push(stream.try_clone().expect("a socket can be cloned"));
             }
         }
     }
@@ -65,7 +70,11 @@
 
     /// Calls for news after that version so far.
     fn watches(&self, version: u64) -> usize {
-        self.known().calls.iter().filter(|call| field(call, "after") == Some(version)).count()
+        self.known()
+            .calls
+            .iter()
+            .filter(|call| field(call, "after") == Some(version))
+            .count()
     }
 
     fn sidecar(&self, discovery: &str, endpoints: &[(&str, &Endpoint)]) -> Sidecar {
@@ -81,7 +90,9 @@
 /// The number of that name in the query of a call.
 fn field(call: &str, name: &str) -> Option<u64> {
     let (_, query) = call.split_once('?')?;
-    let value = query.split(['&', ' ']).find_map(|part| part.strip_prefix(name)?.strip_prefix('='));
+    let value = query
+        .split(['&', ' '])
+        .find_map(|part| part.strip_prefix(name)?.strip_prefix('='));
     value?.parse().ok()
 }
 
@@ -91,23 +102,52 @@
 fn a_watch_that_falls_silent_is_opened_anew_before_what_it_misses_counts_as_told() {
     for mode in ["pushed", "on_request"] {
         let agent = Agent::start();
-        let (old, new) = (Endpoint::start(|_| served("old")), Endpoint::start(|_| served("new")));
+        let (old, new) = (
+            Endpoint::start(|_| served("old")),
+            Endpoint::start(|_| served("new")),
+        );
         let sidecar = agent.sidecar(mode, &[("s-old", &old)]);
         await_that("the watch is open", || agent.watches(1) == 1);
-        let wait = agent.known().calls.iter().find_map(|call| field(call, "wait_ms"));
-        assert!(wait.is_some_and(|ms| ms > 0 && ms + 3000 <= TOLD_MS), "{mode}: {wait:?}");
+        let wait = agent
+            .known()
+            .calls
+            .iter()
+            .find_map(|call| field(call, "wait_ms"));
+        assert!(
+            wait.is_some_and(|ms| ms > 0 && ms + 3000 <= TOLD_MS),
+            "{mode}: {wait:?}"
+        );
         {
             let mut known = agent.known();
-            let changes = [("s-old", old.address, "leaving"), ("s-new", new.address, "active")];
+            let changes = [
+                ("s-old", old.address, "leaving"),
+                ("s-new", new.address, "active"),
+            ];
             (known.version, known.body) = (2, list(2, false, &changes));
         }
-        await_that("the silent watch is given up and opened anew", || agent.watches(2) == 1);
+        await_that("the silent watch is given up and opened anew", || {
+            agent.watches(2) == 1
+        });
         // It asks for what it missed, not for the whole list again.
         assert_eq!(agent.watches(1), 2, "{mode}");
         // And without a wait, or a second silence would last as long as the first.
-        let waits: Vec<_> = agent.known().calls.iter().filter_map(|call| field(call, "wait_ms")).collect();
-        assert!(waits[0] > 0 && waits[1] == 0 && waits[2] > 0, "{mode}: {waits:?}");
-        assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").body, b"new");
+        let waits: Vec<_> = agent
+            .known()
+            .calls
+            .iter()
+            .filter_map(|call| field(call, "wait_ms"))
+            .collect();
+        assert!(
+            waits[0] > 0 && waits[1] == 0 && waits[2] > 0,
+            "{mode}: {waits:?}"
+        );
+        assert_eq!(
+            sidecar
+                .ask(&request("book", "", ""))
+                .expect("an answer")
+                .body,
+            b"new"
+        );
         assert_eq!(old.requests(), 0);
     }
 }
@@ -115,7 +155,10 @@
 #[test]
 fn an_answer_to_a_watch_that_was_given_up_changes_nothing() {
     let agent = Agent::start();
-    let (old, new) = (Endpoint::start(|_| served("old")), Endpoint::start(|_| served("new")));
+    let (old, new) = (
+        Endpoint::start(|_| served("old")),
+        Endpoint::start(|_| served("new")),
+    );
     let sidecar = agent.sidecar("pushed", &[("s-old", &old)]);
     await_that("the watch is open", || agent.watches(1) == 1);
     {
@@ -129,7 +172,13 @@
     answer(&mut first, 200, "", late.as_bytes());
     assert!(await_close(&mut first), "the given-up watch is closed");
     for _ in 0..5 {
-        assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").body, b"new");
+        assert_eq!(
+            sidecar
+                .ask(&request("book", "", ""))
+                .expect("an answer")
+                .body,
+            b"new"
+        );
     }
     assert_eq!(old.requests(), 0);
 }
@@ -138,17 +187,35 @@
 fn a_failed_call_keeps_the_list_and_is_made_again() {
     let agent = Agent::start();
     agent.known().failing = true;
-    let (old, new) = (Endpoint::start(|_| served("old")), Endpoint::start(|_| served("new")));
+    let (old, new) = (
+        Endpoint::start(|_| served("old")),
+        Endpoint::start(|_| served("new")),
+    );
     let sidecar = agent.sidecar("pushed", &[("s-old", &old)]);
     await_that("several calls have failed", || agent.watches(1) >= 3);
-    assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").body, b"old");
+    assert_eq!(
+        sidecar
+            .ask(&request("book", "", ""))
+            .expect("an answer")
+            .body,
+        b"old"
+    );
     {
         let mut known = agent.known();
-        let changes = [("s-old", old.address, "leaving"), ("s-new", new.address, "active")];
+        let changes = [
+            ("s-old", old.address, "leaving"),
+            ("s-new", new.address, "active"),
+        ];
         (known.failing, known.version, known.body) = (false, 2, list(2, false, &changes));
     }
     await_that("the list is followed again", || agent.watches(2) == 1);
-    assert_eq!(sidecar.ask(&request("book", "", "")).expect("an answer").body, b"new");
+    assert_eq!(
+        sidecar
+            .ask(&request("book", "", ""))
+            .expect("an answer")
+            .body,
+        b"new"
+    );
 }
 
 fn served(body: &str) -> Reply {
--- a/tests/stubs/agent.rs
+++ b/tests/stubs/agent.rs
@@ -37,7 +37,10 @@
                 read_next(stream, sender.clone());
             }
         });
-        Self { address, calls: Mutex::new(calls) }
+        Self {
+            address,
+            calls: Mutex::new(calls),
+        }
     }
 
     /// The next call.
@@ -47,7 +50,11 @@
 
     /// The next call, where one comes in that time.
     pub fn call_within(&self, time: Duration) -> Option<Call> {
-        self.calls.lock().expect("no stub panics").recv_timeout(time).ok()
+        self.calls
+            .lock()
+            .expect("no stub panics")
+            .recv_timeout(time)
+            .ok()
     }
 
     /// A sidecar that follows it, and that knows these endpoints as version 1 of the list; `mode` is what the settings say
@@ -76,9 +83,19 @@
     }
 
     /// One that the system grants so many file descriptors, and that is told of another number.
-    pub fn sidecar_granted(&self, endpoints: &[(&str, &Endpoint)], granted: u32, told: u32) -> Sidecar {
+    pub fn sidecar_granted(
+        &self,
+        endpoints: &[(&str, &Endpoint)],
+        granted: u32,
+        told: u32,
+    ) -> Sidecar {
         let told = format!("\"sockets\":{told}");
-        self.start_sidecar(endpoints, granted, |config| config.replace("\"sockets\":1024", &told), |_| {})
+        self.start_sidecar(
+            endpoints,
+            granted,
+            |config| config.replace("\"sockets\":1024", &told),
+            |_| {},
+        )
     }
 
     fn start_sidecar(
@@ -109,7 +126,9 @@
 
     fn field(&self, name: &str) -> Option<u64> {
         let (_, query) = self.start.split_once('?')?;
-        let value = query.split(['&', ' ']).find_map(|part| part.strip_prefix(name)?.strip_prefix('='));
+        let value = query
+            .split(['&', ' '])
+            .find_map(|part| part.strip_prefix(name)?.strip_prefix('='));
         value?.parse().ok()
     }
 
@@ -134,7 +153,9 @@
     /// Resets the connection.
     pub fn reset(self) {
         let socket = socket2::SockRef::from(&self.stream);
-        socket.set_linger(Some(Duration::ZERO)).expect("a socket may be reset");
+        socket
+            .set_linger(Some(Duration::ZERO))
+            .expect("a socket may be reset");
     }
 }
 
@@ -143,7 +164,11 @@
     thread::spawn(move || {
         if let Some(Message { start, .. }) = read_message(&mut stream) {
             // The test may be over.
-            let _ = calls.clone().send(Call { start, stream, calls });
+            let _ = calls.clone().send(Call {
+                start,
+                stream,
+                calls,
+            });
         }
     });
 }
--- a/tests/stubs/discovery.rs
+++ b/tests/stubs/discovery.rs
@@ -29,7 +29,11 @@
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("an address");
-        let discovery = Self { address, state: Arc::default(), failing: Arc::default() };
+        let discovery = Self {
+            address,
+            state: Arc::default(),
+            failing: Arc::default(),
+        };
         let (state, failing) = (discovery.state.clone(), discovery.failing.clone());
         thread::spawn(move || {
             for mut stream in listener.incoming().map_while(Result::ok) {
@@ -46,10 +50,19 @@
         discovery
     }
 
-    fn wait(state: &(Mutex<Listed>, Condvar), failing: &AtomicBool, call: &Message) -> (u16, String) {
+    fn wait(
+        state: &(Mutex<Listed>, Condvar),
+        failing: &AtomicBool,
+        call: &Message,
+    ) -> (u16, String) {
         let mut listed = state.0.lock().expect("no stub panics");
         listed.calls.push(call.start.clone());
-        let after = call.start.split(['=', '&']).nth(1).and_then(|n| n.parse().ok()).unwrap_or(0);
+        let after = call
+            .start
+            .split(['=', '&'])
+            .nth(1)
+            .and_then(|n| n.parse().ok())
+            .unwrap_or(0);
         let until = Instant::now() + LONG;
         loop {
             if failing.load(Ordering::SeqCst) {
@@ -59,9 +72,16 @@
                 return (200, listed.body.clone());
             }
             if Instant::now() >= until {
-                return (200, format!(r#"{{"index":{after},"snapshot":false,"endpoints":[]}}"#));
+                return (
+                    200,
+                    format!(r#"{{"index":{after},"snapshot":false,"endpoints":[]}}"#),
+                );
             }
-            listed = state.1.wait_timeout(listed, Duration::from_millis(20)).expect("no stub panics").0;
+            listed = state
+                .1
+                .wait_timeout(listed, Duration::from_millis(20))
+                .expect("no stub panics")
+                .0;
         }
     }
 
@@ -79,15 +99,24 @@
     /// Waits until that version has been written to somebody's connection, whether it is read or not.
     pub fn await_told(&self, version: u64) {
         let told = format!("\"index\":{version},");
-        let written =
-            || self.state.0.lock().expect("no stub panics").answers.iter().any(|a| a.contains(&told));
+        let written = || {
+            self.state
+                .0
+                .lock()
+                .expect("no stub panics")
+                .answers
+                .iter()
+                .any(|a| a.contains(&told))
+        };
         await_that("the news is written", written);
     }
 
     /// Waits until a watch for news after `version` is open: what came before has then been taken in.
     pub fn await_watch(&self, version: u64) {
         let call = format!("after={version}&");
-        await_that("the watch goes on", || self.calls().iter().any(|c| c.contains(&call)));
+        await_that("the watch goes on", || {
+            self.calls().iter().any(|c| c.contains(&call))
+        });
     }
 }
 
@@ -99,5 +128,8 @@
         )
     };
     let entries: Vec<_> = entries.iter().map(entry).collect();
-    format!(r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#, entries.join(","))
+    format!(
+        r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#,
+        entries.join(",")
+    )
 }
--- a/tests/stubs/endpoint.rs
+++ b/tests/stubs/endpoint.rs
@@ -59,13 +59,28 @@
 
 impl Endpoint {
     pub fn start(reply: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Self {
-        Self::on(TcpListener::bind("127.0.0.1:0").expect("a free port"), reply)
+        Self::on(
+            TcpListener::bind("127.0.0.1:0").expect("a free port"),
+            reply,
+        )
     }
 
-    pub fn on(listener: TcpListener, reply: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Self {
+    pub fn on(
+        listener: TcpListener,
+        reply: impl Fn(&Message) -> Reply + Send + Sync + 'static,
+    ) -> Self {
         let address = listener.local_addr().expect("an address");
-        let endpoint = Self { address, seen: Arc::default(), made: Arc::default(), closed: Arc::default() };
-        let (seen, made, closed) = (endpoint.seen.clone(), endpoint.made.clone(), endpoint.closed.clone());
+        let endpoint = Self {
+            address,
+            seen: Arc::default(),
+            made: Arc::default(),
+            closed: Arc::default(),
+        };
+        let (seen, made, closed) = (
+            endpoint.seen.clone(),
+            endpoint.made.clone(),
+            endpoint.closed.clone(),
+        );
         let reply = Arc::new(reply);
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
@@ -119,5 +134,7 @@
 
 /// Has the connection end as a reset once it is dropped.
 fn reset(stream: &TcpStream) {
-    SockRef::from(stream).set_linger(Some(Duration::ZERO)).expect("it can linger for no time");
+    SockRef::from(stream)
+        .set_linger(Some(Duration::ZERO))
+        .expect("it can linger for no time");
 }
--- a/tests/stubs/holding.rs
+++ b/tests/stubs/holding.rs
@@ -22,7 +22,11 @@
             await_that("it is told to close", || go.load(Ordering::SeqCst));
             Reply::Close
         });
-        Self { endpoint, reached, told }
+        Self {
+            endpoint,
+            reached,
+            told,
+        }
     }
 
     /// Waits until a request has come; it was sent no later than the instant that is returned.
--- a/tests/stubs/message.rs
+++ b/tests/stubs/message.rs
@@ -15,11 +15,18 @@
 
 impl Message {
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
+        self.headers
+            .iter()
+            .find(|(n, _)| n.eq_ignore_ascii_case(name))
+            .map(|(_, v)| v.as_str())
     }
 
     pub fn status(&self) -> u16 {
-        self.start.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status line")
+        self.start
+            .split(' ')
+            .nth(1)
+            .and_then(|s| s.parse().ok())
+            .expect("a status line")
     }
 }
 
@@ -30,7 +37,9 @@
 
 /// The same where nothing may be said for that long.
 pub fn read_message_within(stream: &mut TcpStream, silence: Duration) -> Option<Message> {
-    stream.set_read_timeout(Some(silence)).expect("a time-out can be set");
+    stream
+        .set_read_timeout(Some(silence))
+        .expect("a time-out can be set");
     let mut head = Vec::new();
     let mut byte = [0];
     while !head.ends_with(b"\r\n\r\n") {
@@ -47,8 +56,14 @@
     let start = lines.next()?.to_owned();
     let pairs = lines.filter_map(|l| l.split_once(": "));
     let headers: Vec<_> = pairs.map(|(n, v)| (n.to_owned(), v.to_owned())).collect();
-    let mut message = Message { start, headers, body: Vec::new() };
-    let length = message.header("content-length").map_or(0, |v| v.parse().expect("a length"));
+    let mut message = Message {
+        start,
+        headers,
+        body: Vec::new(),
+    };
+    let length = message
+        .header("content-length")
+        .map_or(0, |v| v.parse().expect("a length"));
     message.body = vec![0; length];
     stream.read_exact(&mut message.body).ok()?;
     Some(message)
@@ -56,7 +71,10 @@
 
 /// Writes an answer.
 pub fn answer(stream: &mut TcpStream, status: u16, headers: &str, body: &[u8]) {
-    let head = format!("HTTP/1.1 {status} stub\r\n{headers}Content-Length: {}\r\n\r\n", body.len());
+    let head = format!(
+        "HTTP/1.1 {status} stub\r\n{headers}Content-Length: {}\r\n\r\n",
+        body.len()
+    );
     let whole: Vec<u8> = head.bytes().chain(body.iter().copied()).collect();
     // The sidecar may have given up on it.
     let _ = stream.write_all(&whole);
@@ -79,7 +97,9 @@
 
 /// Waits until the other side has closed the connection.
 pub fn await_close(stream: &mut TcpStream) -> bool {
-    stream.set_read_timeout(Some(LONG)).expect("a time-out can be set");
+    stream
+        .set_read_timeout(Some(LONG))
+        .expect("a time-out can be set");
     let mut rest = [0; 1024];
     loop {
         match stream.read(&mut rest) {
--- a/tests/stubs/mod.rs
+++ b/tests/stubs/mod.rs
@@ -42,7 +42,9 @@
 pub fn within_long<T: Send + 'static>(what: &str, act: impl FnOnce() -> T + Send + 'static) -> T {
     let (done, result) = mpsc::channel();
     thread::spawn(move || done.send(act()));
-    result.recv_timeout(LONG).unwrap_or_else(|_| panic!("it never came that {what}"))
+    result
+        .recv_timeout(LONG)
+        .unwrap_or_else(|_| panic!("it never came that {what}"))
 }
 
 /// The host of whatever listens for connections.
@@ -67,11 +69,20 @@
     /// Keeps an address of that loopback host.
     pub fn on(host: [u8; 4]) -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-        socket.set_reuse_address(true).expect("a socket may be bound again");
+        socket
+            .set_reuse_address(true)
+            .expect("a socket may be bound again");
         let any = SocketAddr::from((host, 0));
         socket.bind(&any.into()).expect("a free port");
-        let address = socket.local_addr().expect("an address").as_socket().expect("an address of IPv4");
-        Self { address, _socket: socket }
+        let address = socket
+            .local_addr()
+            .expect("an address")
+            .as_socket()
+            .expect("an address of IPv4");
+        Self {
+            address,
+            _socket: socket,
+        }
     }
 }
 
@@ -97,7 +108,9 @@
 /// Whether some process here is trying to connect to that port (state 2 of the system's table: SYN sent).
 pub fn being_dialled(address: SocketAddr) -> bool {
     let table = std::fs::read_to_string("/proc/net/tcp").expect("the table of sockets");
-    table.lines().any(|l| l.contains(&format!(":{:04X} 02 ", address.port())))
+    table
+        .lines()
+        .any(|l| l.contains(&format!(":{:04X} 02 ", address.port())))
 }
 
 /// The state in which the system's table has the connection's end at `local`, as its two digits there ("01": established);
@@ -114,24 +127,41 @@
 fn entry(local: SocketAddr, remote: SocketAddr) -> Option<(String, usize)> {
     let table = std::fs::read_to_string("/proc/net/tcp").expect("the table of sockets");
     let ends = format!(" {} {} ", written(local), written(remote));
-    let line = table.lines().find_map(|line| Some(line.split_once(&ends)?.1))?;
+    let line = table
+        .lines()
+        .find_map(|line| Some(line.split_once(&ends)?.1))?;
     let mut fields = line.split([' ', ':']);
     let (state, _to_send) = (fields.next()?, fields.next()?);
-    Some((state.to_owned(), usize::from_str_radix(fields.next()?, 16).ok()?))
+    Some((
+        state.to_owned(),
+        usize::from_str_radix(fields.next()?, 16).ok()?,
+    ))
 }
 
 /// An address as the system's table has it.
 fn written(address: SocketAddr) -> String {
-    let SocketAddr::V4(address) = address else { panic!("these tests use no other addresses") };
-    format!("{:08X}:{:04X}", u32::from_le_bytes(address.ip().octets()), address.port())
+    let SocketAddr::V4(address) = address else {
+        panic!("these tests use no other addresses")
+    };
+    format!(
+        "{:08X}:{:04X}",
+        u32::from_le_bytes(address.ip().octets()),
+        address.port()
+    )
 }
 
 /// Whether whoever listens there has a connection that is up (state 1), or a close of its own on the way (state 4: the
 /// other side's system has not confirmed it).
 pub fn holds_open(address: SocketAddr) -> bool {
     let table = std::fs::read_to_string("/proc/net/tcp").expect("the table of sockets");
-    let SocketAddr::V4(at) = address else { panic!("{address} is not an address of IPv4") };
-    let own = format!("{:08X}:{:04X}", u32::from_ne_bytes(at.ip().octets()), at.port());
+    let SocketAddr::V4(at) = address else {
+        panic!("{address} is not an address of IPv4")
+    };
+    let own = format!(
+        "{:08X}:{:04X}",
+        u32::from_ne_bytes(at.ip().octets()),
+        at.port()
+    );
     table.lines().any(|line| {
         let fields: Vec<_> = line.split_whitespace().collect();
         fields.len() > 3 && fields[1] == own && ["01", "04"].contains(&fields[3])
--- a/tests/stubs/sidecar.rs
+++ b/tests/stubs/sidecar.rs
@@ -38,8 +38,8 @@
 /// Writes a configuration file of its own.
 pub fn config_file(text: &str) -> PathBuf {
     let number = STARTED.fetch_add(1, Ordering::SeqCst);
-    let path =
-        PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{number}.json", std::process::id()));
+    let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
+        .join(format!("{}-{number}.json", std::process::id()));
     std::fs::write(&path, text).expect("the file can be written");
     path
 }
@@ -66,7 +66,9 @@
         told: u32,
     ) -> Self {
         let told = format!("\"sockets\":{told}");
-        Self::start_altered(discovery, endpoints, granted, |config| config.replace("\"sockets\":1024", &told))
+        Self::start_altered(discovery, endpoints, granted, |config| {
+            config.replace("\"sockets\":1024", &told)
+        })
     }
 
     /// The same with a configuration that is altered first.
@@ -87,21 +89,33 @@
         alter: impl Fn(String) -> String,
         adapt: impl FnOnce(&mut Command),
     ) -> Self {
-        let known: Vec<_> = endpoints.iter().map(|(name, e)| (*name, e.address, "active")).collect();
+        let known: Vec<_> = endpoints
+            .iter()
+            .map(|(name, e)| (*name, e.address, "active"))
+            .collect();
         let reserved = Reserved::on(LOCALHOST);
         let address = reserved.address;
         let config = config(address, discovery.address, &list(1, true, &known));
         let config = config_file(&alter(config));
         let mut command = Command::new("/bin/sh");
         command
-            .args(["-c", &format!("ulimit -n {granted}; exec \"$0\" \"$@\""), env!("CARGO_BIN_EXE_tinflow")])
+            .args([
+                "-c",
+                &format!("ulimit -n {granted}; exec \"$0\" \"$@\""),
+                env!("CARGO_BIN_EXE_tinflow"),
+            ])
             .env("LB_CONFIG", &config)
             .env("LB_LISTEN", address.to_string())
             .env("LB_DISCOVERY", discovery.address.to_string())
             .stdin(Stdio::null());
         adapt(&mut command);
         let process = command.spawn().expect("the sidecar starts");
-        let mut sidecar = Self { address, process, config, _reserved: reserved };
+        let mut sidecar = Self {
+            address,
+            process,
+            config,
+            _reserved: reserved,
+        };
         sidecar.await_up();
         sidecar
     }
@@ -111,15 +125,24 @@
         let until = Instant::now() + LONG;
         while self.up().is_none_or(|answer| answer.status() != 200) {
             let ended = self.process.try_wait().expect("its state");
-            assert!(ended.is_none(), "the sidecar at {} ended as it started: {ended:?}", self.address);
-            assert!(Instant::now() < until, "it never came that the sidecar is up");
+            assert!(
+                ended.is_none(),
+                "the sidecar at {} ended as it started: {ended:?}",
+                self.address
+            );
+            assert!(
+                Instant::now() < until,
+                "it never came that the sidecar is up"
+            );
             thread::sleep(LOOK);
         }
     }
 
     fn up(&self) -> Option<Message> {
         let mut stream = TcpStream::connect_timeout(&self.address, LOOK_WITHIN).ok()?;
-        stream.write_all(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n").ok()?;
+        stream
+            .write_all(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
+            .ok()?;
         read_message_within(&mut stream, LOOK_WITHIN)
     }
 
@@ -130,7 +153,10 @@
             if let Some(status) = self.process.try_wait().expect("its state") {
                 return status;
             }
-            assert!(Instant::now() < until, "it never came that the sidecar ends");
+            assert!(
+                Instant::now() < until,
+                "it never came that the sidecar ends"
+            );
             thread::sleep(LOOK);
         }
     }
@@ -138,7 +164,9 @@
     /// One request on a connection of its own.
     pub fn ask(&self, request: &str) -> Option<Message> {
         let mut stream = self.connect();
-        stream.write_all(request.as_bytes()).expect("the sidecar takes it");
+        stream
+            .write_all(request.as_bytes())
+            .expect("the sidecar takes it");
         read_message(&mut stream)
     }
 
@@ -183,7 +211,13 @@
 
     pub fn signal(&self, name: &str) {
         let id = self.process.id().to_string();
-        assert!(Command::new("kill").args([name, &id]).status().expect("kill runs").success());
+        assert!(
+            Command::new("kill")
+                .args([name, &id])
+                .status()
+                .expect("kill runs")
+                .success()
+        );
     }
 }
 
--- a/tests/stubs/stop.rs
+++ b/tests/stubs/stop.rs
@@ -10,7 +10,9 @@
 /// A connection on which one request has been answered.
 pub fn resting(sidecar: &Sidecar) -> TcpStream {
     let mut stream = sidecar.connect();
-    stream.write_all(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n").expect("the sidecar takes it");
+    stream
+        .write_all(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
+        .expect("the sidecar takes it");
     assert_eq!(read_message(&mut stream).expect("an answer").status(), 200);
     stream
 }
@@ -27,7 +29,10 @@
         let script = format!("read line && kill -TERM {}", sidecar.process.id());
         let mut command = Command::new("/bin/sh");
         command.args(["-c", &script]).stdin(Stdio::piped());
-        Self { idle: resting(sidecar), process: command.spawn().expect("a shell starts") }
+        Self {
+            idle: resting(sidecar),
+            process: command.spawn().expect("a shell starts"),
+        }
     }
 
     /// Tells it, and waits until it has heard of that: it closes resting connections then.
@@ -35,7 +40,10 @@
         let mut line = self.process.stdin.take().expect("it is a pipe");
         line.write_all(b"\n").expect("the shell reads it");
         assert!(self.process.wait().expect("it ends").success());
-        assert!(await_close(&mut self.idle), "an idle connection stayed open");
+        assert!(
+            await_close(&mut self.idle),
+            "an idle connection stayed open"
+        );
     }
 }
 
@@ -50,5 +58,8 @@
 /// Tries an order of events until it came about within the time that a sidecar waits for it, which the try tells. On a
 /// busy machine a try may take longer, and shows nothing then.
 pub fn in_time(attempt: impl Fn() -> bool) {
-    assert!((0..40).any(|_| attempt()), "the machine is too busy for this");
+    assert!(
+        (0..40).any(|_| attempt()),
+        "the machine is too busy for this"
+    );
 }
--- a/tests/wire/messages.rs
+++ b/tests/wire/messages.rs
@@ -15,14 +15,24 @@
 fn a_demand_is_handed_off_and_an_answer_ends_it() {
     let input = batch(1, &(start(0) + &demand(0, 593372770898372)));
     let reply = run(&input).expect("readable");
-    assert!(reply.contains("hand_off I=0 Ticket=593372770898372 Endpoint=10.0.0."), "{reply}");
+    assert!(
+        reply.contains("hand_off I=0 Ticket=593372770898372 Endpoint=10.0.0."),
+        "{reply}"
+    );
     assert!(reply.ends_with("next batch=1\n"));
-    let endpoint = if reply.contains("10.0.0.1:80") { "10.0.0.1:80" } else { "10.0.0.2:80" };
+    let endpoint = if reply.contains("10.0.0.1:80") {
+        "10.0.0.1:80"
+    } else {
+        "10.0.0.2:80"
+    };
     let returned = format!(
         "returned I=0 Ticket=593372770898372 Disposition=OK Endpoint={endpoint} TookUs=18500 Go=0 Settled=1 Load=cpu:0.5,odd:1\n"
     );
     let after = run(&(input + &batch(2, &returned))).expect("readable");
-    assert!(!after.contains("not_now") && !after.contains("error"), "{after}");
+    assert!(
+        !after.contains("not_now") && !after.contains("error"),
+        "{after}"
+    );
 }
 
 #[test]
@@ -36,7 +46,10 @@
            endpoints I=0 Epoch=42 Kind=0 RosterId=0\nendpoints I=0 Epoch=43 Kind=1 RosterId=0\n\
            endpoints I=0 Epoch=44 Kind=3 RosterId=0\nstrange I=0 What=ever\nkill I=0\nalarm I=0 Ctx=3\n";
     let reply = run(&batch(1, &events)).expect("readable");
-    assert!(reply.contains("hand_off") && reply.ends_with("next batch=1\n"), "{reply}");
+    assert!(
+        reply.contains("hand_off") && reply.ends_with("next batch=1\n"),
+        "{reply}"
+    );
 }
 
 #[test]
@@ -51,14 +64,17 @@
         "CANCELLED",
         "TOO_LATE",
     ] {
-        let line = format!("returned I=0 Ticket=1 Disposition={word} Endpoint=10.0.0.1:80 TookUs=1 Go=0\n");
+        let line = format!(
+            "returned I=0 Ticket=1 Disposition={word} Endpoint=10.0.0.1:80 TookUs=1 Go=0\n"
+        );
         assert!(run(&batch(1, &(start(0) + &line))).is_ok(), "{word}");
     }
 }
 
 #[test]
 fn a_reused_catalog_number_means_the_latest_list_before_the_event() {
-    let list = |host: &str| format!("catalog RosterId=0 Hosts=1\nm Endpoint={host} Status=1 Group=0\n");
+    let list =
+        |host: &str| format!("catalog RosterId=0 Hosts=1\nm Endpoint={host} Status=1 Group=0\n");
     let both = format!(
         "start I=0 RandomSeed=1 Conf={0}\nstart I=1 RandomSeed=1 Conf={0}\n{1}endpoints I=0 Epoch=1 Kind=2 RosterId=0\n\
          {2}endpoints I=1 Epoch=1 Kind=2 RosterId=0\n{3}{4}",
@@ -69,8 +85,14 @@
         demand(1, 2)
     );
     let reply = run(&batch(1, &both)).expect("readable");
-    assert!(reply.contains("hand_off I=0 Ticket=1 Endpoint=h:1 "), "{reply}");
-    assert!(reply.contains("hand_off I=1 Ticket=2 Endpoint=h:2 "), "{reply}");
+    assert!(
+        reply.contains("hand_off I=0 Ticket=1 Endpoint=h:1 "),
+        "{reply}"
+    );
+    assert!(
+        reply.contains("hand_off I=1 Ticket=2 Endpoint=h:2 "),
+        "{reply}"
+    );
 }
 
 #[test]
--- a/tests/wire/play.rs
+++ b/tests/wire/play.rs
@@ -31,7 +31,10 @@
 }
 
 pub fn batch(number: u32, events: &str) -> String {
-    format!("mark WallUs={} batch={number}\n{events}go\n", 8_000_000 + 5000 * number)
+    format!(
+        "mark WallUs={} batch={number}\n{events}go\n",
+        8_000_000 + 5000 * number
+    )
 }
 
 pub fn demand(instance: u32, ticket: u64) -> String {
