--- a/benches/overhead.rs
+++ b/benches/overhead.rs
@@ -3,12 +3,12 @@
 //!
 //! `cargo bench --features product --profile product --bench overhead`
 
-use linenproxy::settings::decode;
-use linenproxy::{
+use load_balancer::settings::decode;
+use load_balancer::{
     Action, AttemptEnd, Balancer, Event, ListUpdate, Listing, Load, Micros, NewRequest, Outcome,
     Status,
 };
-use linenproxy_common::metering::Figures;
+use load_balancer_common::metering::Figures;
 use std::time::{Duration, Instant};
 
 /// Endpoints on the list: the size of the whole fleet.
--- a/crates/bindings/src/histories.rs
+++ b/crates/affinity/src/histories.rs
@@ -12,7 +12,7 @@
 use crate::time::Times;
 use crate::word::Process;
 use crate::{Micros, mix};
-use linenproxy_common::units::Time;
+use load_balancer_common::units::Time;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
--- a/crates/bindings/src/histories/runs.rs
+++ b/crates/affinity/src/histories/runs.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-#[ignore = "minutes; run once for the figures in docs/bindings.md"]
+#[ignore = "minutes; run once for the figures in docs/affinity.md"]
 fn the_properties_hold_in_a_hundred_thousand_histories() {
     println!("looked at {:?}", many(0..MANY));
 }
--- a/crates/bindings/src/lib.rs
+++ b/crates/affinity/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A *binding* is the note that a key is warm at one process of an endpoint. Members tell each other of uses in words that
 //! form a join semilattice: whatever is lost, repeated or reordered, the same words make the same table. What is gone
-//! follows from a word and the hour alone, so that a late word revives nothing. docs/bindings.md states the rules.
+//! follows from a word and the hour alone, so that a late word revives nothing. docs/affinity.md states the rules.
 //!
 //! - [`section`]: the `[fleet.bindings]` section of a product configuration.
 //! - [`time`]: slots that all members count alike.
--- a/crates/bindings/src/section.rs
+++ b/crates/affinity/src/section.rs
@@ -1,11 +1,11 @@
-//! The `[fleet.bindings]` section of a product configuration. Changes with what can be configured; docs/bindings.md is its
+//! The `[fleet.bindings]` section of a product configuration. Changes with what can be configured; docs/affinity.md is its
 //! reference.
 
 use crate::Micros;
 use crate::telling::Rates;
 use crate::time::Times;
-use linenproxy_common::config::Contradiction;
-use linenproxy_common::units::Time;
+use load_balancer_common::config::Contradiction;
+use load_balancer_common::units::Time;
 use serde::{Deserialize, Serialize};
 
 /// The section.
--- a/crates/common/build.rs
+++ b/crates/common/build.rs
@@ -4,17 +4,17 @@
 use std::process::Command;
 
 fn main() {
-    println!("cargo::rerun-if-env-changed=LINENPROXY_COMMIT");
+    println!("cargo::rerun-if-env-changed=LOAD_BALANCER_COMMIT");
     // The log of HEAD changes with each commit and checkout; without it there is no commit to tell either.
     let log = Path::new("../../.git/logs/HEAD");
     if log.exists() {
         println!("cargo::rerun-if-changed={}", log.display());
     }
-    let given = std::env::var("LINENPROXY_COMMIT")
+    let given = std::env::var("LOAD_BALANCER_COMMIT")
         .ok()
         .filter(|commit| !commit.is_empty());
     if let Some(commit) = given.or_else(asked) {
-        println!("cargo::rustc-env=LINENPROXY_COMMIT={commit}");
+        println!("cargo::rustc-env=LOAD_BALANCER_COMMIT={commit}");
     }
 }
 
--- a/crates/common/src/cli.rs
+++ b/crates/common/src/cli.rs
@@ -45,7 +45,7 @@
 /// Version of the programs; they are released together.
 pub const VERSION: &str = env!("CARGO_PKG_VERSION");
 /// The commit they were built from, where that was known.
-pub const COMMIT: Option<&str> = option_env!("LINENPROXY_COMMIT");
+pub const COMMIT: Option<&str> = option_env!("LOAD_BALANCER_COMMIT");
 
 /// Reads the command line. Where the program is not to go on, the code to end with comes back: help and version
 /// have then been printed to standard output, or what is wrong with the call to standard error.
--- a/crates/common/src/logging.rs
+++ b/crates/common/src/logging.rs
@@ -25,7 +25,7 @@
     pub format: Format,
     /// The least level that is written.
     pub level: Level,
-    /// The same for single targets, which are named in the reference, such as `"tinflow::request" = "debug"`.
+    /// The same for single targets, which are named in the reference, such as `"sidecar::request" = "debug"`.
     pub targets: BTreeMap<String, Level>,
     /// How much may wait for a standard error that takes nothing.
     pub buffer: Size,
@@ -86,6 +86,23 @@
         Ok(())
     }
 
+    /// Takes targets under a program's earlier name as those under its name of today. One that is named both ways keeps
+    /// today's level.
+    pub fn rename_targets(&mut self, earlier: &str, today: &str) {
+        for (target, level) in std::mem::take(&mut self.targets) {
+            match target.strip_prefix(earlier) {
+                Some(rest) if rest.is_empty() || rest.starts_with("::") => {
+                    self.targets
+                        .entry(format!("{today}{rest}"))
+                        .or_insert(level);
+                }
+                _ => {
+                    self.targets.insert(target, level);
+                }
+            }
+        }
+    }
+
     fn filter(&self) -> Targets {
         let targets = self
             .targets
@@ -253,6 +270,36 @@
         assert!(!section.filter().would_enable("a", &tracing::Level::ERROR));
     }
 
+    #[test]
+    fn targets_under_an_earlier_program_name_count_as_todays() {
+        let targets = [
+            ("old", Level::Warn),
+            ("old::a", Level::Debug),
+            ("new::b", Level::Info),
+        ];
+        let mut section = LogSection {
+            targets: targets
+                .map(|(target, level)| (target.to_owned(), level))
+                .into(),
+            ..LogSection::default()
+        };
+        section.targets.insert("old::b".to_owned(), Level::Off);
+        section.targets.insert("older".to_owned(), Level::Off);
+        section.rename_targets("old", "new");
+        let expected = [
+            ("new", Level::Warn),
+            ("new::a", Level::Debug),
+            ("new::b", Level::Info),
+            ("older", Level::Off),
+        ];
+        assert_eq!(
+            section.targets,
+            expected
+                .map(|(target, level)| (target.to_owned(), level))
+                .into()
+        );
+    }
+
     #[test]
     fn a_buffer_that_holds_no_line_is_refused() {
         let section = LogSection {
--- a/crates/common/src/metering.rs
+++ b/crates/common/src/metering.rs
@@ -178,7 +178,7 @@
     }
 }
 
-const METADATA: Metadata<'static> = Metadata::new("linenproxy", Level::INFO, None);
+const METADATA: Metadata<'static> = Metadata::new("load_balancer", Level::INFO, None);
 
 fn key(name: &'static str, labels: &[(&'static str, &str)]) -> Key {
     let labels: Vec<_> = labels
--- a/crates/steward/src/agreement/contract.rs
+++ b/crates/coordinator/src/agreement/contract.rs
@@ -1,6 +1,6 @@
 //! What a node and its host owe each other. Changes with the questions and answers between them.
 
-use linenproxy_store::Trouble;
+use load_balancer_record_store::Trouble;
 use raft::eraftpb::Message;
 use serde::Serialize;
 use std::fmt;
--- a/crates/steward/src/agreement/shelf.rs
+++ b/crates/coordinator/src/agreement/shelf.rs
@@ -3,7 +3,7 @@
 //! All of it is in memory too: it is read, and checked, once. Every write is one commit, synced before it returns.
 
 use super::entry::{self, Kept};
-use linenproxy_store::{Change, Store, Trouble};
+use load_balancer_record_store::{Change, Store, Trouble};
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::util::limit_size;
--- a/crates/steward/src/bindings.rs
+++ b/crates/coordinator/src/bindings.rs
@@ -2,7 +2,7 @@
 
 use crate::fetch::fetch;
 use crate::looks::Looks;
-use linenproxy_maintenance::Unclear;
+use load_balancer_maintenance::Unclear;
 use serde::Deserialize;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
--- a/crates/steward/src/calls.rs
+++ b/crates/coordinator/src/calls.rs
@@ -1,8 +1,8 @@
 //! Callers who wait for an answer of the agreement. Changes with how long they wait.
 
 use crate::keeper::Told;
-use linenproxy_maintenance::Event;
-use linenproxy_steward::core::{Input, Reply};
+use load_balancer_coordinator::core::{Input, Reply};
+use load_balancer_maintenance::Event;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/steward/src/clock.rs
+++ b/crates/coordinator/src/clock.rs
@@ -1,6 +1,6 @@
 //! The host's clocks. Changes with where time is read.
 
-use linenproxy_steward::core::Now;
+use load_balancer_coordinator::core::Now;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 /// Both clocks, read together.
--- a/crates/steward/src/commands.rs
+++ b/crates/coordinator/src/commands.rs
@@ -2,8 +2,8 @@
 
 use crate::fetch::fetch;
 use clap::{Args, Subcommand};
-use linenproxy_common::cli::Exit;
-use linenproxy_common::units::Time;
+use load_balancer_common::cli::Exit;
+use load_balancer_common::units::Time;
 use serde_json::{Value, json};
 use std::io::Write;
 use std::net::SocketAddr;
--- a/crates/steward/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -1,10 +1,10 @@
 //! The steward's configuration. Changes with what can be configured.
 
-use linenproxy_common::config::{Configuration, Contradiction};
-use linenproxy_common::logging::LogSection;
-use linenproxy_common::metering::MetricsSection;
-use linenproxy_common::units::Time;
-use linenproxy_maintenance::Agreement;
+use load_balancer_common::config::{Configuration, Contradiction};
+use load_balancer_common::logging::LogSection;
+use load_balancer_common::metering::MetricsSection;
+use load_balancer_common::units::Time;
+use load_balancer_maintenance::Agreement;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
--- a/crates/steward/src/core/contract.rs
+++ b/crates/coordinator/src/core/contract.rs
@@ -1,10 +1,10 @@
 //! What a steward and its host owe each other. Changes with the questions and answers between them.
 
 use crate::agreement::{Admission, Message, Standing};
-use linenproxy_maintenance::{
+use load_balancer_maintenance::{
     Act, Agreement, Answer, CapacityView, Event, Outcome, Server, Unclear,
 };
-use linenproxy_maintenance::{WindowView, Word};
+use load_balancer_maintenance::{WindowView, Word};
 use serde::Serialize;
 
 /// Both clocks of the host.
--- a/crates/steward/src/core/lead.rs
+++ b/crates/coordinator/src/core/lead.rs
@@ -6,7 +6,7 @@
 
 use super::contract::{Input, Now, Order};
 use super::steward::{Steward, Whose};
-use linenproxy_maintenance::{Act, Answer, Event, Outcome, Server, Step, Unclear};
+use load_balancer_maintenance::{Act, Answer, Event, Outcome, Server, Step, Unclear};
 use std::collections::BTreeMap;
 
 /// An event that the leader brings itself. One of each waits for agreement at a time.
--- a/crates/steward/src/core/steward.rs
+++ b/crates/coordinator/src/core/steward.rs
@@ -4,7 +4,7 @@
 use super::lead::{Lead, Own};
 use super::replica::{self, Replica};
 use crate::agreement::{Halt, Message, Node, Options, Refused, Shelf, Standing};
-use linenproxy_maintenance::Event;
+use load_balancer_maintenance::Event;
 use std::collections::BTreeMap;
 
 /// One steward.
@@ -198,7 +198,7 @@
     }
 
     /// The machine of windows.
-    pub fn machine(&self) -> &linenproxy_maintenance::Machine {
+    pub fn machine(&self) -> &load_balancer_maintenance::Machine {
         &self.node.machine().0
     }
 }
--- a/crates/steward/src/evidence.rs
+++ b/crates/coordinator/src/evidence.rs
@@ -1,10 +1,10 @@
 //! What sidecars say of servers, weighed. Changes with how many of whom must agree.
 
-use linenproxy_maintenance::{Health, Server, Word};
+use load_balancer_maintenance::{Health, Server, Word};
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What one sidecar says: `GET /fleet/servers`, docs/fleet.md.
+/// What one sidecar says: `GET /fleet/servers`, docs/gossip.md.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Page {
     /// Its name.
--- a/crates/steward/src/keeper.rs
+++ b/crates/coordinator/src/keeper.rs
@@ -3,8 +3,8 @@
 
 use crate::clock::Clock;
 use crate::config::Sections;
-use linenproxy_steward::agreement::{Halt, Options, Shelf};
-use linenproxy_steward::core::{Input, Output, Reply, Settings, Steward, View};
+use load_balancer_coordinator::agreement::{Halt, Options, Shelf};
+use load_balancer_coordinator::core::{Input, Output, Reply, Settings, Steward, View};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, watch};
@@ -130,7 +130,7 @@
 
     fn open(&self, found: bool) -> Result<Steward, Halt> {
         let own = &self.sections.steward;
-        let opened = linenproxy_store::open(&own.data, &own.name)?;
+        let opened = load_balancer_record_store::open(&own.data, &own.name)?;
         if let Some(aside) = opened.aside {
             let what = format!(
                 "what {} kept is not believed ({})",
--- a/crates/steward/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -1,4 +1,4 @@
-//! linenproxy-steward: three or five of them decide what only one may decide. Changes with the program's command line.
+//! coordinator: three or five of them decide what only one may decide. Changes with the program's command line.
 #![forbid(unsafe_code)]
 
 mod acts;
@@ -18,21 +18,21 @@
 mod serve;
 
 use clap::{Parser, Subcommand};
-use linenproxy_common::cli::{self, Exit};
-use linenproxy_common::config as files;
-use linenproxy_common::logging;
+use load_balancer_common::cli::{self, Exit};
+use load_balancer_common::config as files;
+use load_balancer_common::logging;
 use std::io::Write;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 /// The program's name, in its lines.
-const NAME: &str = "linenproxy-steward";
+const NAME: &str = "coordinator";
 
 /// A steward: one of three or five processes that agree on maintenance windows and carry them out.
 #[derive(Parser)]
-#[command(name = "linenproxy-steward", subcommand_negates_reqs = true)]
+#[command(name = "coordinator", subcommand_negates_reqs = true)]
 struct Call {
-    /// Runs a steward with this configuration: a TOML file, see docs/steward.md.
+    /// Runs a steward with this configuration: a TOML file, see docs/coordinator.md.
     #[arg(long, value_name = "FILE", required = true)]
     config: Option<PathBuf>,
     #[command(subcommand)]
@@ -43,7 +43,7 @@
 enum Command {
     /// Runs a steward.
     Run {
-        /// Its configuration: a TOML file, see docs/steward.md.
+        /// Its configuration: a TOML file, see docs/coordinator.md.
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
         /// Read it, print what would hold, defaults included, and exit.
--- a/crates/steward/src/pages.rs
+++ b/crates/coordinator/src/pages.rs
@@ -1,4 +1,4 @@
-//! The steward's pages: what people, tools and other stewards ask for. Changes with the interface; docs/steward.md
+//! The steward's pages: what people, tools and other stewards ask for. Changes with the interface; docs/coordinator.md
 //! describes it.
 
 use crate::calls::Calls;
@@ -8,9 +8,9 @@
 use crate::peers::{self, Peers};
 use crate::serve::{Answer, Asked};
 use hyper::StatusCode;
-use linenproxy_maintenance::{Event, Outcome, Refusal, Request};
-use linenproxy_steward::agreement::Admission;
-use linenproxy_steward::core::{Input, Reply};
+use load_balancer_coordinator::agreement::Admission;
+use load_balancer_coordinator::core::{Input, Reply};
+use load_balancer_maintenance::{Event, Outcome, Refusal, Request};
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 use serde_json::{Value, json};
@@ -115,7 +115,7 @@
         }
     }
 
-    fn shown(&self, what: impl Fn(&linenproxy_steward::core::View) -> Value) -> Answer {
+    fn shown(&self, what: impl Fn(&load_balancer_coordinator::core::View) -> Value) -> Answer {
         match self.seen.borrow().view.as_ref() {
             Some(view) => Answer::of(StatusCode::OK, what(view)),
             None => Answer::wrong(
@@ -161,7 +161,7 @@
             let open = view
                 .windows
                 .iter()
-                .filter(|w| w.state != linenproxy_maintenance::State::Closed);
+                .filter(|w| w.state != load_balancer_maintenance::State::Closed);
             status["open_windows"] = json!(open.count());
             status["holds"] = json!(view.capacity.as_ref().map(|capacity| capacity.holds));
         }
--- a/crates/steward/tests/agreement/book.rs
+++ b/crates/coordinator/tests/agreement/book.rs
@@ -1,6 +1,6 @@
 //! The machine of these tests, and the one history that all copies of it must share. Changes with what is compared.
 
-use linenproxy_steward::agreement::Replicated;
+use load_balancer_coordinator::agreement::Replicated;
 use std::cell::RefCell;
 use std::rc::Rc;
 
--- a/crates/steward/tests/agreement/faults.rs
+++ b/crates/coordinator/tests/agreement/faults.rs
@@ -2,8 +2,8 @@
 
 use crate::book::Book;
 use crate::world::World;
-use linenproxy_steward::agreement::Node;
-use linenproxy_store::disk::Disk;
+use load_balancer_coordinator::agreement::Node;
+use load_balancer_record_store::disk::Disk;
 use std::collections::BTreeSet;
 
 /// What happened, so that a test can see that its faults were there.
--- a/crates/steward/tests/agreement/main.rs
+++ b/crates/coordinator/tests/agreement/main.rs
@@ -55,7 +55,7 @@
     sweep(0..40);
 }
 
-/// The larger sweep whose figures stand in docs/steward.md: `STEWARD_SEEDS` says how many seeds.
+/// The larger sweep whose figures stand in docs/coordinator.md: `STEWARD_SEEDS` says how many seeds.
 #[test]
 #[ignore = "takes minutes"]
 fn nothing_agreed_is_lost_or_parted_in_many_histories() {
--- a/crates/steward/tests/agreement/world.rs
+++ b/crates/coordinator/tests/agreement/world.rs
@@ -3,9 +3,11 @@
 
 use crate::book::{Book, History};
 use crate::faults::{Counts, Faults};
-use linenproxy_steward::agreement::{Admission, Message, Node, Options, Shelf, decode, encode};
-use linenproxy_store::disk::Disk;
-use linenproxy_store::{Refusal, Store};
+use load_balancer_coordinator::agreement::{
+    Admission, Message, Node, Options, Shelf, decode, encode,
+};
+use load_balancer_record_store::disk::Disk;
+use load_balancer_record_store::{Refusal, Store};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
--- a/crates/steward/tests/core/carry.rs
+++ b/crates/coordinator/tests/core/carry.rs
@@ -1,8 +1,8 @@
 //! What is on its way between stewards, platform and callers. Changes with what may happen to it.
 
 use crate::world::{PATIENCE, World};
-use linenproxy_maintenance::{Act, Answer, Outcome, Unclear};
-use linenproxy_steward::core::{Input, Output, Reply};
+use load_balancer_coordinator::core::{Input, Output, Reply};
+use load_balancer_maintenance::{Act, Answer, Outcome, Unclear};
 
 /// What is on its way.
 pub enum Parcel {
--- a/crates/steward/tests/core/main.rs
+++ b/crates/coordinator/tests/core/main.rs
@@ -7,7 +7,7 @@
 mod platform;
 mod world;
 
-use linenproxy_maintenance::Event;
+use load_balancer_maintenance::Event;
 use world::{Net, World};
 
 const CALM: Net = Net { loss: 0, delay: 1 };
@@ -115,7 +115,7 @@
     sweep(0..12);
 }
 
-/// The larger sweep whose figures stand in docs/steward.md: `STEWARD_SEEDS` says how many seeds.
+/// The larger sweep whose figures stand in docs/coordinator.md: `STEWARD_SEEDS` says how many seeds.
 #[test]
 #[ignore = "takes minutes"]
 fn capacity_holds_and_nothing_is_forgotten_in_many_histories() {
--- a/crates/steward/tests/core/platform.rs
+++ b/crates/coordinator/tests/core/platform.rs
@@ -1,6 +1,6 @@
 //! A platform with its servers, and what must hold of every act that it accepts. Changes with the promises on servers.
 
-use linenproxy_maintenance::{Act, Agreement, Answer, Health, Server, Step, Unclear, Word};
+use load_balancer_maintenance::{Act, Agreement, Answer, Health, Server, Step, Unclear, Word};
 use std::collections::BTreeMap;
 
 /// Time is counted in heartbeats.
--- a/crates/steward/tests/core/world.rs
+++ b/crates/coordinator/tests/core/world.rs
@@ -2,11 +2,11 @@
 
 use crate::carry::Parcel;
 use crate::platform::{Place, Platform, TICK_MS};
-use linenproxy_maintenance::{Agreement, Event, Request, Target};
-use linenproxy_steward::agreement::{Options, Shelf};
-use linenproxy_steward::core::{Input, Now, Settings, Steward};
-use linenproxy_store::disk::Disk;
-use linenproxy_store::{Refusal, Store};
+use load_balancer_coordinator::agreement::{Options, Shelf};
+use load_balancer_coordinator::core::{Input, Now, Settings, Steward};
+use load_balancer_maintenance::{Agreement, Event, Request, Target};
+use load_balancer_record_store::disk::Disk;
+use load_balancer_record_store::{Refusal, Store};
 use std::collections::{BTreeMap, BTreeSet};
 
 const START_MS: i64 = 1_800_000_000_000;
@@ -269,6 +269,6 @@
     }
 }
 
-fn closed(seat: &linenproxy_maintenance::SeatView) -> bool {
-    seat.state == linenproxy_maintenance::State::Closed
+fn closed(seat: &load_balancer_maintenance::SeatView) -> bool {
+    seat.state == load_balancer_maintenance::State::Closed
 }
--- a/crates/steward/tests/evidence.rs
+++ b/crates/coordinator/tests/evidence.rs
@@ -1,8 +1,8 @@
 //! What sidecars say of servers, weighed: who counts, how many must agree, how old and warm it is. Changes with how
 //! evidence is weighed.
 
-use linenproxy_maintenance::{Health, Server, Word};
-use linenproxy_steward::evidence::{Heard, Page, Weights, weigh};
+use load_balancer_coordinator::evidence::{Heard, Page, Weights, weigh};
+use load_balancer_maintenance::{Health, Server, Word};
 use serde_json::json;
 
 const NOW_MS: i64 = 1_000_000;
--- a/crates/steward/tests/process/crew.rs
+++ b/crates/coordinator/tests/process/crew.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::net::TcpSocket;
 
-pub const PROGRAM: &str = env!("CARGO_BIN_EXE_linenproxy-steward");
+pub const PROGRAM: &str = env!("CARGO_BIN_EXE_coordinator");
 /// A machine under load takes its time; a verdict never rests on how long.
 const PATIENCE: Duration = Duration::from_secs(60);
 
--- a/crates/steward/tests/process/main.rs
+++ b/crates/coordinator/tests/process/main.rs
@@ -58,7 +58,7 @@
             "{said}"
         );
         assert!(
-            said.starts_with("linenproxy-steward: ") && said.contains(words),
+            said.starts_with("coordinator: ") && said.contains(words),
             "{said}"
         );
     }
--- a/crates/lab/pairs/recorder/steward.rs
+++ b/crates/emulator/pairs/recorder/coordinator.rs
@@ -1,13 +1,16 @@
-//! A steward's agreement on lines of text, without sockets and clock, over a store in a file: what an earlier revision's
-//! steward says, keeps and reads. Built as an example of `crates/steward` of a pinned revision, and as a part of today's
-//! lab, so that it names only what all of them have.
+//! A coordinator's replicated log on lines of text, without sockets and clock, over a store in a file: what an earlier
+//! revision's replica says, keeps and reads. Built as an example of the coordinator package of a pinned revision, and as
+//! a part of today's emulator. The names come from `coordinator_interface`, which is another file for each form of that
+//! package.
 //!
 //! Told, a line each: `start NAME ID RUN FOUNDS FILE`, `tick`, `step HEX`, `propose AT_MS ORDER`, `admit ID NAME`, `stop`,
 //! `state`. Answered: any of `message TO HEX`, `agreed ORDER`, `admitted`, `aside WHY`, `passed BOOL`,
 //! `state ID ACTS LINES` (the applied orders with their times), then `.`.
 
+use super::coordinator_interface::{
+    Admission, Node, Options, Replicated, Shelf, decode, encode, open,
+};
 use super::lines::{bytes, hex, read};
-use linenproxy_steward::agreement::{Admission, Node, Options, Replicated, Shelf, decode, encode};
 use std::fmt::Write as _;
 use std::path::Path;
 
@@ -64,8 +67,7 @@
         let mut answers = Vec::new();
         match words[..] {
             ["start", name, id, run, founds, file] => {
-                let opened =
-                    linenproxy_store::open(Path::new(file), name).map_err(|e| e.to_string())?;
+                let opened = open(Path::new(file), name).map_err(|e| e.to_string())?;
                 answers.extend(opened.aside.map(|aside| format!("aside {:?}", aside.why)));
                 let shelf = Shelf::open(opened.store, read(id)?).map_err(|e| e.to_string())?;
                 let options = Options {
--- a/crates/lab/pairs/recorder/member.rs
+++ b/crates/emulator/pairs/recorder/member.rs
@@ -1,16 +1,13 @@
 //! A member of a fleet on lines of text, without sockets and clock: what an earlier revision's member says and reads. This
-//! file is built as an example of `crates/fleet` of a pinned revision, and as a part of today's lab, so that it names only
-//! what all pinned revisions have; `later.rs` beside it is the part that they have not in common.
+//! file is built as an example of the gossip package of a pinned revision, and as a part of today's emulator. The names
+//! come from `member_interface`, which is another file for each form of that package.
 //!
 //! Told, a line each: `start NAME ZONE INCARNATION SEED NOW ADDRESS SEEDS`, `list NOW NAMES`, `tick NOW`,
 //! `datagram NOW FROM HEX`, `witness NOW ENDPOINT SERVED`, `carry NOW KIND HEX`, `leave NOW`, `state`. Answered: any of
 //! `datagram TO HEX`, `word ENDPOINT REST`, `carried KIND HEX`, `state MEMBERS RECEIVED HEARD DROPPED`, then `.`.
 
-use super::later;
 use super::lines::{bytes, hex, read};
-use linenproxy_fleet::core::{Core, Listed};
-use linenproxy_fleet::evidence::Sign;
-use linenproxy_fleet::section::FleetSection;
+use super::member_interface::{self as interface, Core, FleetSection, Listed, Sign};
 
 /// A member, once it has been started.
 #[derive(Default)]
@@ -36,7 +33,7 @@
                 .filter(|s| *s != "-")
                 .map(read)
                 .collect::<Result<_, _>>()?;
-            later::prepare(&mut section);
+            interface::prepare(&mut section);
             let core = Core::new(
                 &section,
                 name,
@@ -75,7 +72,9 @@
                 };
                 core.witness(read(now)?, read(endpoint)?, sign);
             }
-            ["carry", now, kind, hex] => later::carry(core, read(now)?, read(kind)?, &bytes(hex)?),
+            ["carry", now, kind, hex] => {
+                interface::carry(core, read(now)?, read(kind)?, &bytes(hex)?)
+            }
             ["leave", now] => core.leave(read(now)?),
             ["state"] => {
                 let counts = core.counts();
@@ -90,7 +89,10 @@
             _ => return Err(format!("cannot read {line:?}")),
         }
         let effects = core.effects();
-        let mut answers = later::carried(&effects);
+        let mut answers: Vec<String> = interface::carried(&effects)
+            .into_iter()
+            .map(|(kind, content)| format!("carried {kind} {}", hex(&content)))
+            .collect();
         answers.extend(
             effects
                 .datagrams
--- a/crates/lab/src/bin/linenproxy-lab/call.rs
+++ b/crates/emulator/src/bin/fleet-emulator/call.rs
@@ -2,14 +2,14 @@
 
 use crate::pair::Pair;
 use clap::{Args, Parser, Subcommand};
-use linenproxy_common::units::Time;
-use linenproxy_lab::supervisor::KEEP;
+use load_balancer_common::units::Time;
+use load_balancer_emulator::supervisor::KEEP;
 use std::path::PathBuf;
 
 /// A lab for fleets of sidecars on this machine's loopback addresses: real processes, stand-ins for everything around
 /// them, faults, auditors, reports.
 #[derive(Parser)]
-#[command(name = "linenproxy-lab")]
+#[command(name = "fleet-emulator")]
 pub struct Call {
     /// What is to be done.
     #[command(subcommand)]
@@ -68,14 +68,14 @@
     /// The sidecars' product configuration.
     #[arg(long, value_name = "FILE")]
     pub config: Option<PathBuf>,
-    /// The sidecars' program; tinflow beside this one where that is left out.
+    /// The sidecars' program; sidecar beside this one where that is left out.
     #[arg(long, value_name = "FILE")]
     pub program: Option<PathBuf>,
 }
 
 #[derive(Args)]
 pub struct Played {
-    /// The experiment: a TOML file, see docs/lab.md.
+    /// The experiment: a TOML file, see docs/emulator.md.
     pub file: PathBuf,
     /// The first play's seed.
     #[arg(long, default_value_t = 1)]
@@ -102,7 +102,7 @@
     /// How it is played.
     #[command(flatten)]
     pub played: Played,
-    /// The sidecars' program; tinflow beside this one where that is left out.
+    /// The sidecars' program; sidecar beside this one where that is left out.
     #[arg(long, value_name = "FILE")]
     pub program: Option<PathBuf>,
 }
--- a/crates/lab/src/bin/linenproxy-lab/main.rs
+++ b/crates/emulator/src/bin/fleet-emulator/main.rs
@@ -7,15 +7,15 @@
 mod up;
 
 use call::{Call, Played, What};
-use linenproxy_common::cli::{self, Exit};
-use linenproxy_common::config;
-use linenproxy_common::units::Time;
-use linenproxy_lab::comparison::{Order, compare};
-use linenproxy_lab::experiment::{Experiment, Variant};
-use linenproxy_lab::pairs::builds::folder;
-use linenproxy_lab::play::{Launch, Progress};
-use linenproxy_lab::report::html;
-use linenproxy_lab::supervisor::{Bringing, keep};
+use load_balancer_common::cli::{self, Exit};
+use load_balancer_common::config;
+use load_balancer_common::units::Time;
+use load_balancer_emulator::comparison::{Order, compare};
+use load_balancer_emulator::experiment::{Experiment, Variant};
+use load_balancer_emulator::pairs::builds::{SIDECAR, folder};
+use load_balancer_emulator::play::{Launch, Progress};
+use load_balancer_emulator::report::html;
+use load_balancer_emulator::supervisor::{Bringing, keep};
 use std::cell::Cell;
 use std::fmt::Display;
 use std::io::{IsTerminal, Write};
@@ -79,7 +79,7 @@
 const REFRESH: Duration = Duration::from_secs(1);
 
 fn say(what: &dyn Display, exit: Exit) -> Exit {
-    let _ = writeln!(std::io::stderr(), "linenproxy-lab: {what}");
+    let _ = writeln!(std::io::stderr(), "fleet-emulator: {what}");
     exit
 }
 
@@ -94,7 +94,7 @@
                 .iter_mut()
                 .filter_map(|variant| variant.mix.as_mut())
             {
-                let built = folder(&run.builds, &mix.revision).join("tinflow");
+                let built = folder(&run.builds, &mix.revision).join(SIDECAR);
                 mix.program = Some(program(mix.program.take().or(Some(built)))?);
             }
             played(&experiment, &run.played, launch).await
@@ -166,7 +166,7 @@
     let beside = || {
         std::env::current_exe()
             .ok()
-            .map(|own| own.with_file_name("tinflow"))
+            .map(|own| own.with_file_name("sidecar"))
     };
     let program = named
         .or_else(beside)
--- a/crates/lab/src/bin/linenproxy-lab/pair.rs
+++ b/crates/emulator/src/bin/fleet-emulator/pair.rs
@@ -3,13 +3,15 @@
 
 use crate::say;
 use clap::Subcommand;
-use linenproxy_common::cli::Exit;
-use linenproxy_common::units::Time;
-use linenproxy_lab::pairs::builds::{BuildError, MEMBER, STEWARD, build};
-use linenproxy_lab::pairs::feed::{answers, parting};
-use linenproxy_lab::pairs::histories::{Kind, history};
-use linenproxy_lab::pairs::pins::{Pins, Revision};
-use linenproxy_lab::pairs::{lan, stewards};
+use load_balancer_common::cli::Exit;
+use load_balancer_common::units::Time;
+use load_balancer_emulator::pairs::builds::{
+    BuildError, COORDINATOR, MEMBER, SIMULATOR_ADAPTER, build,
+};
+use load_balancer_emulator::pairs::feed::{answers, parting};
+use load_balancer_emulator::pairs::histories::{Kind, history};
+use load_balancer_emulator::pairs::pins::{Pins, Revision};
+use load_balancer_emulator::pairs::{lan, stewards};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::io::Write as _;
@@ -135,7 +137,7 @@
 }
 
 fn hold(revision: &Revision, builds: &Path, numbers: std::ops::Range<u64>) -> Result<Exit, Exit> {
-    let program = builds.join(&revision.name).join("linenproxy-wirehost");
+    let program = builds.join(&revision.name).join(SIMULATOR_ADAPTER);
     if !program.is_file() {
         return Err(say(
             &format!("{} is not built: see pair build", program.display()),
@@ -203,7 +205,7 @@
             write(&folder.join("member.txt"), &came[0].told)?;
         }
     }
-    let steward = build.join(STEWARD);
+    let steward = build.join(COORDINATOR);
     if steward.is_file() {
         let (old, new) = (Some(steward.as_path()), None);
         let folder = tempfile::tempdir().map_err(failed)?;
--- a/crates/lab/src/bin/linenproxy-lab/table.rs
+++ b/crates/emulator/src/bin/fleet-emulator/table.rs
@@ -1,8 +1,8 @@
 //! The table that is printed after an experiment. Changes with what is shown of it.
 
-use linenproxy_lab::comparison::Comparison;
-use linenproxy_lab::outcome::Measure;
-use linenproxy_lab::report::figure;
+use load_balancer_emulator::comparison::Comparison;
+use load_balancer_emulator::outcome::Measure;
+use load_balancer_emulator::report::figure;
 
 /// What an experiment came to, in lines.
 pub fn table(comparison: &Comparison) -> String {
--- a/crates/lab/src/bin/linenproxy-lab/up.rs
+++ b/crates/emulator/src/bin/fleet-emulator/up.rs
@@ -2,17 +2,17 @@
 
 use crate::call::Up;
 use crate::{REFRESH, kept, program, say};
-use linenproxy_common::cli::Exit;
-use linenproxy_common::config;
-use linenproxy_common::units::Time;
-use linenproxy_lab::draw::draw;
-use linenproxy_lab::experiment::{Experiment, Variant};
-use linenproxy_lab::live::Live;
-use linenproxy_lab::outcome::Measure;
-use linenproxy_lab::play::{Progress, play};
-use linenproxy_lab::record::Record;
-use linenproxy_lab::report::figure;
-use linenproxy_lab::supervisor::READY_WITHIN;
+use load_balancer_common::cli::Exit;
+use load_balancer_common::config;
+use load_balancer_common::units::Time;
+use load_balancer_emulator::draw::draw;
+use load_balancer_emulator::experiment::{Experiment, Variant};
+use load_balancer_emulator::live::Live;
+use load_balancer_emulator::outcome::Measure;
+use load_balancer_emulator::play::{Progress, play};
+use load_balancer_emulator::record::Record;
+use load_balancer_emulator::report::figure;
+use load_balancer_emulator::supervisor::READY_WITHIN;
 use std::io::{IsTerminal, Write};
 use std::sync::Arc;
 use std::time::Instant;
--- a/crates/lab/src/comparison.rs
+++ b/crates/emulator/src/comparison.rs
@@ -13,14 +13,14 @@
 use crate::statistics::Interval;
 use crate::tally::Tally;
 use judge::judge;
-use linenproxy_common::config::Problem;
+use load_balancer_common::config::Problem;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// How an experiment went: the content of `result.json`. docs/lab.md describes each field.
+/// How an experiment went: the content of `result.json`. docs/emulator.md describes each field.
 #[derive(Clone, Debug, Serialize)]
 pub struct Comparison {
     /// Version of this form.
--- a/crates/lab/src/draw.rs
+++ b/crates/emulator/src/draw.rs
@@ -17,7 +17,7 @@
 use faults::Faults;
 use windows::{kept, windows};
 
-fn us(time: linenproxy_common::units::Time) -> Us {
+fn us(time: load_balancer_common::units::Time) -> Us {
     Us::try_from(time.0.as_micros()).unwrap_or(Us::MAX)
 }
 
@@ -138,7 +138,7 @@
     use super::*;
     use crate::experiment::{Fault, FaultKind};
     use crate::site::CLASSES;
-    use linenproxy_common::units::Time;
+    use load_balancer_common::units::Time;
 
     fn experiment() -> Experiment {
         Experiment {
--- a/crates/lab/src/experiment.rs
+++ b/crates/emulator/src/experiment.rs
@@ -1,5 +1,5 @@
 //! The form of an experiment's file: topology, load, faults, variants, bounds. Changes with what an experiment may
-//! ask for; docs/lab.md is its reference.
+//! ask for; docs/emulator.md is its reference.
 
 mod check;
 mod fault;
@@ -8,7 +8,7 @@
 
 use crate::outcome::Measure;
 pub use fault::{Fault, FaultKind, Way};
-use linenproxy_common::units::Time;
+use load_balancer_common::units::Time;
 pub use maintenance::{
     Agreed, Blackout, Carried, StewardFault, StewardFaultKind, Stewards, Who, Window,
 };
--- a/crates/lab/src/experiment/check.rs
+++ b/crates/emulator/src/experiment/check.rs
@@ -1,7 +1,7 @@
 //! What an experiment's file may not ask for. Changes with the limits of the lab.
 
 use super::{Carried, Experiment, FaultKind};
-use linenproxy_common::config::{Configuration, Contradiction};
+use load_balancer_common::config::{Configuration, Contradiction};
 
 const MOST_SIDECARS: usize = 10_000;
 const MOST_SERVERS: usize = 1000;
@@ -171,7 +171,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use linenproxy_common::config::parse;
+    use load_balancer_common::config::parse;
     use std::path::Path;
 
     #[test]
--- a/crates/lab/src/experiment/fault.rs
+++ b/crates/emulator/src/experiment/fault.rs
@@ -1,6 +1,6 @@
 //! What can go wrong in an experiment. Changes with the kinds of faults.
 
-use linenproxy_common::units::Time;
+use load_balancer_common::units::Time;
 use serde::{Deserialize, Serialize};
 
 /// Something that goes wrong.
--- a/crates/lab/src/experiment/maintenance.rs
+++ b/crates/emulator/src/experiment/maintenance.rs
@@ -1,7 +1,7 @@
 //! The part of an experiment's file on maintenance: windows, who carries them out, what was agreed. Changes with what
 //! an experiment may ask of maintenance.
 
-use linenproxy_common::units::Time;
+use load_balancer_common::units::Time;
 use serde::{Deserialize, Serialize};
 
 /// A wish for maintenance of servers.
--- a/crates/lab/src/experiment/mix.rs
+++ b/crates/emulator/src/experiment/mix.rs
@@ -1,8 +1,8 @@
 //! The part of an experiment's file on mixed fleets: which of a variant's sidecars run the program of an earlier revision,
 //! and when they change over. Changes with how two versions may be mixed.
 
-use linenproxy_common::config::Contradiction;
-use linenproxy_common::units::Time;
+use load_balancer_common::config::Contradiction;
+use load_balancer_common::units::Time;
 use serde::{Deserialize, Serialize};
 use std::path::PathBuf;
 
--- a/crates/lab/src/fronts.rs
+++ b/crates/emulator/src/fronts.rs
@@ -5,7 +5,7 @@
 use crate::net::Net;
 use crate::relay::Link;
 use crate::reserved::Reserved;
-use linenproxy_fleet::section::FleetSection;
+use load_balancer_gossip::section::FleetSection;
 use std::collections::HashMap;
 use std::io;
 use std::net::{IpAddr, SocketAddr};
--- a/crates/lab/src/liar.rs
+++ b/crates/emulator/src/liar.rs
@@ -1,10 +1,10 @@
 //! A member of a fleet that is no sidecar and says of every server that it is dead. Changes with how it lies.
 
-use linenproxy_fleet::core::Core;
-use linenproxy_fleet::evidence::{Datum, Process, Sign};
-use linenproxy_fleet::frame::{self, Content, EVIDENCE, Head, Piece};
-use linenproxy_fleet::section::FleetSection;
-use linenproxy_fleet::{Micros, hash};
+use load_balancer_gossip::core::Core;
+use load_balancer_gossip::evidence::{Datum, Process, Sign};
+use load_balancer_gossip::frame::{self, Content, EVIDENCE, Head, Piece};
+use load_balancer_gossip::section::FleetSection;
+use load_balancer_gossip::{Micros, hash};
 use std::net::SocketAddr;
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::net::UdpSocket;
--- a/crates/lab/src/pairs/histories.rs
+++ b/crates/emulator/src/pairs/histories.rs
@@ -6,8 +6,8 @@
 use crate::experiment::{Experiment, Fault, FaultKind, Variant, Way};
 use crate::sim::simulate_tapped;
 use crate::{SECOND, Us};
-use linenproxy_common::config::Problem;
-use linenproxy_common::units::Time;
+use load_balancer_common::config::Problem;
+use load_balancer_common::units::Time;
 use serde::{Deserialize, Serialize};
 
 /// What goes wrong in a history.
--- a/crates/lab/src/pairs/lan.rs
+++ b/crates/emulator/src/pairs/lan.rs
@@ -3,7 +3,7 @@
 
 use super::member::Session;
 use super::part::Part;
-use linenproxy_fleet::frame::Dropped;
+use load_balancer_gossip::frame::Dropped;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::io;
--- a/crates/lab/src/pairs/pins.rs
+++ b/crates/emulator/src/pairs/pins.rs
@@ -2,7 +2,7 @@
 //! what is pinned; docs/versions.md says how the file is moved on.
 
 use super::histories::Kind;
-use linenproxy_common::config::{self, Configuration, Contradiction, Problem};
+use load_balancer_common::config::{self, Configuration, Contradiction, Problem};
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
 
@@ -26,14 +26,20 @@
     pub commit: String,
     /// Why this one.
     pub about: String,
-    /// What is built of it: package and program.
-    pub program: Vec<Program>,
+    /// Its sidecar.
+    pub sidecar: Program,
+    /// Its adapter for the simulator's wire.
+    pub simulator_adapter: Program,
+    /// How a member of its fleet is recorded.
+    pub member: Recorded,
+    /// How one of its coordinators is recorded, where it has any.
+    pub coordinator: Option<Recorded>,
     /// Differences of its decisions from today's that are meant.
     pub difference: Vec<Difference>,
 }
 
 /// A program of a revision.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Program {
     /// Its package.
@@ -42,6 +48,24 @@
     pub name: String,
 }
 
+/// A library package of a revision that is talked to in lines of text.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct Recorded {
+    /// The package.
+    pub package: String,
+    /// Its folder below `crates`.
+    pub folder: String,
+    /// The file below `pairs/recorder`, without `.rs`, that gives its names as the recorder uses them.
+    pub interface: String,
+}
+
+impl Recorded {
+    fn is_named(&self) -> bool {
+        is_name(&self.package) && is_name(&self.folder) && is_name(&self.interface)
+    }
+}
+
 /// A difference that is meant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -54,6 +78,12 @@
     pub histories: Vec<Kind>,
 }
 
+/// Whether a file or package may have this name.
+fn is_name(text: &str) -> bool {
+    let allowed = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-' || byte == b'_';
+    !text.is_empty() && text.bytes().all(allowed)
+}
+
 /// Letters of a commit in full.
 const COMMIT: usize = 40;
 
@@ -62,11 +92,8 @@
         let wrong = |key: &str, what: &str| Err(Contradiction::new(key, what));
         let commit =
             |text: &str| text.len() == COMMIT && text.bytes().all(|b| b.is_ascii_hexdigit());
-        let word = |text: &str| {
-            !text.is_empty() && text.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-')
-        };
         for (number, revision) in self.revision.iter().enumerate() {
-            if !word(&revision.name)
+            if !is_name(&revision.name)
                 || self.revision[..number]
                     .iter()
                     .any(|r| r.name == revision.name)
@@ -79,14 +106,16 @@
             if !commit(&revision.commit) || !revision.difference.iter().all(|d| commit(&d.commit)) {
                 return wrong("revision.commit", "a commit in full, 40 hexadecimal digits");
             }
-            if !revision
-                .program
+            let programs = [&revision.sidecar, &revision.simulator_adapter];
+            let recorded = [Some(&revision.member), revision.coordinator.as_ref()];
+            if !programs
                 .iter()
-                .all(|p| word(&p.package) && word(&p.name))
+                .all(|p| is_name(&p.package) && is_name(&p.name))
+                || !recorded.iter().flatten().all(|r| r.is_named())
             {
                 return wrong(
-                    "revision.program",
-                    "package and name: letters, digits and hyphens",
+                    "revision",
+                    "packages, programs, folders and interfaces: letters, digits, hyphens and underscores",
                 );
             }
             if revision
--- a/crates/lab/src/pairs/stewards.rs
+++ b/crates/emulator/src/pairs/stewards.rs
@@ -1,9 +1,9 @@
 //! Stewards of two versions that agree with each other, each over its own file, while they are rolled forward and back:
 //! messages and logs of either are read by the other. Changes with what such stewards go through.
 
+use super::coordinator::Session;
 use super::lines::{bytes, hex};
 use super::part::Part;
-use super::steward::Session;
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
 use std::path::{Path, PathBuf};
--- a/crates/lab/src/pairs/wire.rs
+++ b/crates/emulator/src/pairs/wire.rs
@@ -3,7 +3,7 @@
 
 use crate::sim::Tap;
 use crate::site::{CLASSES, KINDS, ZONES};
-use linenproxy::{Action, Event, ListUpdate, Listing, Micros, Outcome, Status};
+use load_balancer::{Action, Event, ListUpdate, Listing, Micros, Outcome, Status};
 use std::fmt::Write as _;
 use xxhash_rust::xxh3::xxh3_64;
 
--- a/crates/lab/src/play/build.rs
+++ b/crates/emulator/src/play/build.rs
@@ -228,7 +228,7 @@
                 .map_err(io("no address for the platform"))?;
             tasks.spawn(Arc::clone(&platform).listen(listener));
             let mut bringing = bringing.clone();
-            bringing.program = bringing.program.with_file_name("linenproxy-steward");
+            bringing.program = bringing.program.with_file_name("coordinator");
             let around = Around {
                 net: &net,
                 platform: (Arc::clone(&platform), at),
--- a/crates/lab/src/play/mix.rs
+++ b/crates/emulator/src/play/mix.rs
@@ -27,8 +27,9 @@
 
 /// Every change: when, which sidecar, to what.
 pub(super) fn changes(mix: &Mix, plan: &Plan) -> Vec<(Us, usize, Version)> {
-    let us =
-        |time: linenproxy_common::units::Time| Us::try_from(time.0.as_micros()).unwrap_or(Us::MAX);
+    let us = |time: load_balancer_common::units::Time| {
+        Us::try_from(time.0.as_micros()).unwrap_or(Us::MAX)
+    };
     let order = order(plan);
     let of = |roll: &Roll| {
         let (at, lasts, all) = (us(roll.at), us(roll.lasts), count(plan, roll.part));
@@ -50,7 +51,7 @@
     use super::*;
     use crate::draw::draw;
     use crate::experiment::Experiment;
-    use linenproxy_common::units::Time;
+    use load_balancer_common::units::Time;
 
     #[test]
     fn a_larger_part_holds_a_smaller_one_and_a_way_back_concerns_the_same() {
--- a/crates/lab/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -247,7 +247,7 @@
     use super::*;
     use crate::comparison::{Order, compare};
     use crate::experiment::{Experiment, Fault, FaultKind, Variant};
-    use linenproxy_common::units::Time;
+    use load_balancer_common::units::Time;
     use std::path::Path;
 
     #[tokio::test]
--- a/crates/lab/src/sim/attempts.rs
+++ b/crates/emulator/src/sim/attempts.rs
@@ -8,7 +8,7 @@
 use crate::servers::{arrival_of, try_number};
 use crate::site::{CLASSES, Repeat};
 use crate::world::{Admission, Done, Job};
-use linenproxy::{AttemptNo, Micros, Outcome, RequestId};
+use load_balancer::{AttemptNo, Micros, Outcome, RequestId};
 
 impl Sim<'_> {
     pub(super) fn send(
--- a/crates/lab/src/sim/clients.rs
+++ b/crates/emulator/src/sim/clients.rs
@@ -7,7 +7,7 @@
 use crate::record::{Seen, Try};
 use crate::servers::try_number;
 use crate::site::{CLASSES, CLIENT_RETRIES, Repeat};
-use linenproxy::{Event, Micros, NewRequest, RequestId};
+use load_balancer::{Event, Micros, NewRequest, RequestId};
 
 impl Sim<'_> {
     pub(super) fn ask(&mut self, arrival: usize, attempt: u32) {
--- a/crates/lab/src/sim/event.rs
+++ b/crates/emulator/src/sim/event.rs
@@ -1,7 +1,7 @@
 //! What is yet to happen in simulated time. Changes with the kinds of things that happen.
 
 use crate::record::Try;
-use linenproxy::{AttemptNo, RequestId};
+use load_balancer::{AttemptNo, RequestId};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum What {
--- a/crates/lab/src/sim/faults.rs
+++ b/crates/emulator/src/sim/faults.rs
@@ -4,7 +4,7 @@
 use super::{AWAY, Sim};
 use crate::plan::Step;
 use crate::record::{Seen, Try};
-use linenproxy_fleet::core::Core;
+use load_balancer_gossip::core::Core;
 
 impl Sim<'_> {
     pub(super) fn fault(&mut self, step: Step) {
--- a/crates/lab/src/sim/network.rs
+++ b/crates/emulator/src/sim/network.rs
@@ -6,9 +6,9 @@
 use crate::Us;
 use crate::datagrams::HELD_UP;
 use crate::experiment::Way;
-use linenproxy::{Event, Micros, Rest, Word};
-use linenproxy_fleet::core::Core;
-use linenproxy_fleet::verdict;
+use load_balancer::{Event, Micros, Rest, Word};
+use load_balancer_gossip::core::Core;
+use load_balancer_gossip::verdict;
 use std::net::SocketAddr;
 
 impl Sim<'_> {
@@ -22,7 +22,7 @@
     pub(super) fn delay(&mut self, from: usize, to: usize) -> Us {
         let network = &self.experiment.network;
         let us =
-            |time: linenproxy_common::units::Time| Us::try_from(time.0.as_micros()).unwrap_or(0);
+            |time: load_balancer_common::units::Time| Us::try_from(time.0.as_micros()).unwrap_or(0);
         let base = us(if from == to {
             network.inside
         } else {
@@ -64,7 +64,7 @@
         for (to, bytes) in effects.datagrams {
             self.post(sidecar, to, bytes);
         }
-        let word = |word: linenproxy_fleet::core::Word| Word {
+        let word = |word: load_balancer_gossip::core::Word| Word {
             endpoint: word.endpoint,
             rest: match word.rest {
                 verdict::Rest::No => Rest::No,
--- a/crates/lab/src/sim/sidecars.rs
+++ b/crates/emulator/src/sim/sidecars.rs
@@ -9,13 +9,13 @@
 use crate::listing;
 use crate::record::Seen;
 use crate::site;
-use linenproxy::settings::decode;
-use linenproxy::{
+use load_balancer::settings::decode;
+use load_balancer::{
     Action, AttemptEnd, AttemptNo, Balancer, Event, ListUpdate, Listing, Load, Micros, Outcome,
     RequestId, Sharing, Status,
 };
-use linenproxy_fleet::core::{Core, Listed, TICK};
-use linenproxy_fleet::evidence::Sign;
+use load_balancer_gossip::core::{Core, Listed, TICK};
+use load_balancer_gossip::evidence::Sign;
 use std::collections::{BTreeMap, VecDeque};
 
 impl Sim<'_> {
--- a/crates/lab/src/sim/tap.rs
+++ b/crates/emulator/src/sim/tap.rs
@@ -1,6 +1,6 @@
 //! What may be heard of a sidecar's module while a play in simulated time goes on. Changes with what passes there.
 
-use linenproxy::{Action, Event, Micros};
+use load_balancer::{Action, Event, Micros};
 
 /// Hears whatever passes between sidecars and their modules, in order. An instance is one life of a sidecar.
 pub trait Tap {
--- a/crates/lab/src/sim/tests.rs
+++ b/crates/emulator/src/sim/tests.rs
@@ -4,7 +4,7 @@
 use crate::draw::draw;
 use crate::experiment::{Fault, FaultKind};
 use crate::outcome::Measure;
-use linenproxy_common::units::Time;
+use load_balancer_common::units::Time;
 
 fn experiment(kind: Option<FaultKind>) -> Experiment {
     let mut experiment = Experiment {
--- a/crates/lab/src/site.rs
+++ b/crates/emulator/src/site.rs
@@ -191,8 +191,8 @@
 
     #[test]
     fn a_sidecar_can_use_its_settings() {
-        let decoded =
-            linenproxy::settings::decode(&settings(60, 3, 1).to_string()).expect("they are read");
+        let decoded = load_balancer::settings::decode(&settings(60, 3, 1).to_string())
+            .expect("they are read");
         assert_eq!(decoded.settings.check(), Ok(()));
         assert_eq!(decoded.classes, CLASSES.map(|c| c.name));
         assert_eq!(
--- a/crates/lab/src/supervisor.rs
+++ b/crates/emulator/src/supervisor.rs
@@ -10,7 +10,7 @@
 use crate::net::Clock;
 use crate::record::{Record, Seen};
 pub use bringing::{Bringing, KEEP, keep};
-use linenproxy_common::process::usage_of;
+use load_balancer_common::process::usage_of;
 use release::Other;
 pub(crate) use running::Running;
 use rustix::process::{Pid, Signal, kill_process};
@@ -124,7 +124,8 @@
             .stdout(Stdio::null())
             .stderr(Stdio::from(log));
         if let Some(product) = &self.product {
-            command.env("LINENPROXY_CONFIG", product);
+            // Earlier revisions know the argument too, but not the variable of today.
+            command.arg("--config").arg(product);
         }
         self.child = Some(Running::start(&mut command)?);
         Ok(())
--- a/crates/lab/tests/auditors.rs
+++ b/crates/emulator/tests/auditors.rs
@@ -1,13 +1,13 @@
 //! Each auditor against a sidecar that breaks its rule: a stand-in of a few lines in place of the real one. One that
 //! breaks none is not complained of.
 
-use linenproxy_common::units::Time;
-use linenproxy_lab::audit::Rule;
-use linenproxy_lab::draw::draw;
-use linenproxy_lab::experiment::{Experiment, Fault, FaultKind, Variant};
-use linenproxy_lab::play::{Launch, Progress, play};
-use linenproxy_lab::record::Record;
-use linenproxy_lab::supervisor::Told;
+use load_balancer_common::units::Time;
+use load_balancer_emulator::audit::Rule;
+use load_balancer_emulator::draw::draw;
+use load_balancer_emulator::experiment::{Experiment, Fault, FaultKind, Variant};
+use load_balancer_emulator::play::{Launch, Progress, play};
+use load_balancer_emulator::record::Record;
+use load_balancer_emulator::supervisor::Told;
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
--- a/crates/lab/tests/leftovers.rs
+++ b/crates/emulator/tests/leftovers.rs
@@ -1,9 +1,9 @@
 //! However a lab ends, nothing that it started goes on, and no folder of its own stays.
 
-use linenproxy_lab::experiment::Variant;
-use linenproxy_lab::net::Clock;
-use linenproxy_lab::record::Record;
-use linenproxy_lab::supervisor::{Bringing, Supervised, Told};
+use load_balancer_emulator::experiment::Variant;
+use load_balancer_emulator::net::Clock;
+use load_balancer_emulator::record::Record;
+use load_balancer_emulator::supervisor::{Bringing, Supervised, Told};
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitStatus, Stdio};
@@ -22,7 +22,7 @@
 fn lab(folder: &Path, more: &[&str]) -> Child {
     let file = folder.join("left.toml");
     fs::write(&file, EXPERIMENT).expect("it can be written");
-    Command::new(env!("CARGO_BIN_EXE_linenproxy-lab"))
+    Command::new(env!("CARGO_BIN_EXE_fleet-emulator"))
         .arg("run")
         .arg(&file)
         .args(more)
--- a/crates/lab/tests/pairs.rs
+++ b/crates/emulator/tests/pairs.rs
@@ -1,9 +1,9 @@
 //! Today's version against earlier ones, by what was recorded of those: decisions, datagrams, store files, steward logs.
 
-use linenproxy_lab::pairs::feed::parting;
-use linenproxy_lab::pairs::histories::{Kind, history};
-use linenproxy_lab::pairs::pins::Pins;
-use linenproxy_lab::pairs::{lan, member, steward, stewards};
+use load_balancer_emulator::pairs::feed::parting;
+use load_balancer_emulator::pairs::histories::{Kind, history};
+use load_balancer_emulator::pairs::pins::Pins;
+use load_balancer_emulator::pairs::{coordinator, lan, member, stewards};
 use std::path::{Path, PathBuf};
 
 fn recorded(name: &str) -> PathBuf {
@@ -22,7 +22,8 @@
     for number in 0..2 * Kind::ALL.len() as u64 {
         let mut history = history(number).expect("it has no configuration");
         let mut answered = Vec::new();
-        linenproxy::wire::serve(history.told.as_bytes(), &mut answered).expect("it is the wire");
+        load_balancer::simulator_wire::serve(history.told.as_bytes(), &mut answered)
+            .expect("it is the wire");
         let answered = String::from_utf8(answered).expect("text");
         assert_eq!(parting(&history, &answered), None, "history {number}");
         assert!(
@@ -86,7 +87,9 @@
         .split(',')
         .map(|n| n.parse().expect("a number"))
         .collect();
-    use linenproxy_fleet::frame::Dropped::{Cluster, Forged, Kind, Malformed, TooLong, Version};
+    use load_balancer_gossip::frame::Dropped::{
+        Cluster, Forged, Kind, Malformed, TooLong, Version,
+    };
     let unread =
         [TooLong, Malformed, Version, Cluster, Forged, Kind].map(|why| dropped[why as usize]);
     assert_eq!(unread, [0; 6], "{state}");
@@ -109,7 +112,7 @@
     let file = folder.path().join("steward-2.redb");
     let bytes = stewards::whole(&self::text("steward-store.txt")).expect("it holds a file");
     std::fs::write(&file, bytes).expect("it can be written");
-    let mut session = steward::Session::default();
+    let mut session = coordinator::Session::default();
     let mut ask = |line: &str| {
         session
             .line(line)
@@ -141,7 +144,7 @@
     assert_eq!(lan::judge(&came, |_| false), [""; 0]);
     // A datagram that cannot be read is found.
     let mut other = came.clone();
-    other[0].dropped[linenproxy_fleet::frame::Dropped::Version as usize] = 1;
+    other[0].dropped[load_balancer_gossip::frame::Dropped::Version as usize] = 1;
     assert_eq!(lan::judge(&other, |_| false).len(), 1);
     let folder = tempfile::tempdir().expect("a folder");
     let mut came =
--- a/crates/lab/tests/platform.rs
+++ b/crates/emulator/tests/platform.rs
@@ -1,16 +1,16 @@
 //! The platform's stand-in over its sockets: what an act does, what a low token does, how servers come back. Changes
 //! with the platform's interface.
 
-use linenproxy_lab::SECOND;
-use linenproxy_lab::catalogue::Catalogue;
-use linenproxy_lab::directory::State;
-use linenproxy_lab::draw::draw;
-use linenproxy_lab::experiment::Experiment;
-use linenproxy_lab::net::Clock;
-use linenproxy_lab::plan::Returns;
-use linenproxy_lab::platform::Platform;
-use linenproxy_lab::record::{Act, Record, Seen};
-use linenproxy_lab::servers::Servers;
+use load_balancer_emulator::SECOND;
+use load_balancer_emulator::catalogue::Catalogue;
+use load_balancer_emulator::directory::State;
+use load_balancer_emulator::draw::draw;
+use load_balancer_emulator::experiment::Experiment;
+use load_balancer_emulator::net::Clock;
+use load_balancer_emulator::plan::Returns;
+use load_balancer_emulator::platform::Platform;
+use load_balancer_emulator::record::{Act, Record, Seen};
+use load_balancer_emulator::servers::Servers;
 use serde_json::Value;
 use std::sync::Arc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, duplex};
--- a/crates/lab/tests/processes.rs
+++ b/crates/emulator/tests/processes.rs
@@ -1,14 +1,14 @@
 //! A short play with real sidecars, one of which is killed and one zone of which is cut off: judged by the auditors
 //! alone, so that the verdict is the same on a slow machine.
 
-use linenproxy_common::units::Time;
-use linenproxy_lab::draw::{Plan, draw};
-use linenproxy_lab::experiment::{Experiment, Fault, FaultKind, Variant, Way};
-use linenproxy_lab::outcome::Measure;
-use linenproxy_lab::play::{Launch, PlayError, Progress, play};
-use linenproxy_lab::record::Record;
-use linenproxy_lab::supervisor::Bringing;
-use linenproxy_lab::tally::Tally;
+use load_balancer_common::units::Time;
+use load_balancer_emulator::draw::{Plan, draw};
+use load_balancer_emulator::experiment::{Experiment, Fault, FaultKind, Variant, Way};
+use load_balancer_emulator::outcome::Measure;
+use load_balancer_emulator::play::{Launch, PlayError, Progress, play};
+use load_balancer_emulator::record::Record;
+use load_balancer_emulator::supervisor::Bringing;
+use load_balancer_emulator::tally::Tally;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 use std::sync::Arc;
@@ -37,7 +37,7 @@
     variant: &Variant,
     folder: &Path,
 ) -> Result<Tally, PlayError> {
-    let launch = Launch::Program(Bringing::plain(program("tinflow")));
+    let launch = Launch::Program(Bringing::plain(program("sidecar")));
     let (sender, _progress) = watch::channel(Progress::default());
     play(
         experiment,
@@ -103,7 +103,7 @@
         let log = std::fs::read_to_string(folder.path().join(format!("n{sidecar}.log")))
             .expect("its log is kept");
         assert!(
-            log.ends_with("tinflow: told to stop\n"),
+            log.ends_with("sidecar: told to stop\n"),
             "sidecar {sidecar}: {log}"
         );
     }
@@ -151,7 +151,7 @@
         let log = std::fs::read_to_string(folder.path().join(format!("n{sidecar}.log")))
             .expect("its log is kept");
         assert_eq!(
-            log.matches("tinflow: told to stop\n").count(),
+            log.matches("sidecar: told to stop\n").count(),
             2,
             "sidecar {sidecar}: {log}"
         );
@@ -261,7 +261,7 @@
 }
 
 fn lab(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_linenproxy-lab"))
+    Command::new(env!("CARGO_BIN_EXE_fleet-emulator"))
         .args(args)
         .output()
         .expect("it starts")
@@ -290,7 +290,7 @@
     assert_eq!(missing.status.code(), Some(78));
     let said = String::from_utf8(missing.stderr).expect("text");
     assert!(
-        said.starts_with("linenproxy-lab: /nonexistent.toml: cannot read it")
+        said.starts_with("fleet-emulator: /nonexistent.toml: cannot read it")
             && said.lines().count() == 1
     );
     let calm = experiments.join("calm.toml");
--- a/crates/lab/tests/reserved.rs
+++ b/crates/emulator/tests/reserved.rs
@@ -1,6 +1,6 @@
 //! An address that is kept for a process is nobody else's until that process listens there.
 
-use linenproxy_lab::reserved::Reserved;
+use load_balancer_emulator::reserved::Reserved;
 use socket2::{Domain, Socket, Type};
 use std::io::ErrorKind;
 use std::net::{Ipv4Addr, TcpListener, TcpStream};
--- a/crates/fleet/benches/cost.rs
+++ b/crates/gossip/benches/cost.rs
@@ -1,16 +1,16 @@
 //! What membership and verdicts cost a member, by the size of its fleet: bytes and processor time a second, memory. A few
 //! members are real; all others are answered for, as their own memory would not fit on one machine.
 //!
-//! `cargo bench --profile product -p linenproxy-fleet --bench cost`
+//! `cargo bench --profile product -p load-balancer-gossip --bench cost`
 
 use foca::{Codec, Header, Message, PostcardCodec};
-use linenproxy_common::process::usage;
-use linenproxy_fleet::core::{Core, Listed};
-use linenproxy_fleet::evidence::Sign;
-use linenproxy_fleet::frame::{self, Content, Head};
-use linenproxy_fleet::member::Member;
-use linenproxy_fleet::section::FleetSection;
-use linenproxy_fleet::{Micros, SECOND};
+use load_balancer_common::process::usage;
+use load_balancer_gossip::core::{Core, Listed};
+use load_balancer_gossip::evidence::Sign;
+use load_balancer_gossip::frame::{self, Content, Head};
+use load_balancer_gossip::member::Member;
+use load_balancer_gossip::section::FleetSection;
+use load_balancer_gossip::{Micros, SECOND};
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Instant;
--- a/crates/fleet/src/section.rs
+++ b/crates/gossip/src/section.rs
@@ -3,9 +3,9 @@
 
 use crate::Micros;
 use ipnet::{IpNet, Ipv4Net};
-use linenproxy_bindings::section::BindingsSection;
-use linenproxy_common::config::Contradiction;
-use linenproxy_common::units::Time;
+use load_balancer_affinity::section::BindingsSection;
+use load_balancer_common::config::Contradiction;
+use load_balancer_common::units::Time;
 use serde::{Deserialize, Serialize};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
--- a/crates/fleet/src/standing.rs
+++ b/crates/gossip/src/standing.rs
@@ -1,5 +1,5 @@
 //! What a member concludes of its own place in the fleet, and what each other part may do there. Changes with the table
-//! below alone; docs/fleet.md has the same one, and a test holds both equal.
+//! below alone; docs/gossip.md has the same one, and a test holds both equal.
 
 use serde::Serialize;
 
@@ -233,7 +233,7 @@
                 .enumerate()
                 .all(|(n, (kind, _))| *kind as usize == n)
         );
-        let page = include_str!("../../../docs/fleet.md");
+        let page = include_str!("../../../docs/gossip.md");
         let written: Vec<&str> = page
             .lines()
             .skip_while(|l| !l.starts_with("| standing |"))
--- a/crates/fleet/tests/carried.rs
+++ b/crates/gossip/tests/carried.rs
@@ -3,10 +3,10 @@
 mod lan;
 
 use lan::{EPOCH, Lan, address};
-use linenproxy_fleet::carrier::Letter;
-use linenproxy_fleet::core::{CARRIED, LONGEST_BODY, NotCarried};
-use linenproxy_fleet::frame::{self, Content, Dropped, Head, Piece};
-use linenproxy_fleet::{SECOND, hash};
+use load_balancer_gossip::carrier::Letter;
+use load_balancer_gossip::core::{CARRIED, LONGEST_BODY, NotCarried};
+use load_balancer_gossip::frame::{self, Content, Dropped, Head, Piece};
+use load_balancer_gossip::{SECOND, hash};
 
 const KIND: u8 = *CARRIED.start();
 
--- a/crates/fleet/tests/lan/mod.rs
+++ b/crates/gossip/tests/lan/mod.rs
@@ -2,15 +2,15 @@
 //! network can do to datagrams and members.
 #![allow(dead_code, reason = "each file of tests uses its part")]
 
-use linenproxy_fleet::core::{Carried, Core, Listed, Word};
-use linenproxy_fleet::effects::Note;
-use linenproxy_fleet::evidence::{Datum, Process, Sign};
-use linenproxy_fleet::frame::{self, Content, Dropped, EVIDENCE, Head, Piece};
-use linenproxy_fleet::member::Member;
-use linenproxy_fleet::section::FleetSection;
-use linenproxy_fleet::standing::Kind;
-use linenproxy_fleet::verdict::Rest;
-use linenproxy_fleet::{Micros, SECOND, hash};
+use load_balancer_gossip::core::{Carried, Core, Listed, Word};
+use load_balancer_gossip::effects::Note;
+use load_balancer_gossip::evidence::{Datum, Process, Sign};
+use load_balancer_gossip::frame::{self, Content, Dropped, EVIDENCE, Head, Piece};
+use load_balancer_gossip::member::Member;
+use load_balancer_gossip::section::FleetSection;
+use load_balancer_gossip::standing::Kind;
+use load_balancer_gossip::verdict::Rest;
+use load_balancer_gossip::{Micros, SECOND, hash};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use std::cmp::Reverse;
--- a/crates/fleet/tests/membership.rs
+++ b/crates/gossip/tests/membership.rs
@@ -3,10 +3,10 @@
 mod lan;
 
 use lan::{EPOCH, Lan, NOBODY, address, section};
-use linenproxy_fleet::core::Core;
-use linenproxy_fleet::evidence::{Datum, Process, Sign};
-use linenproxy_fleet::frame::{self, Content, Dropped, EVIDENCE, Head, Piece};
-use linenproxy_fleet::{SECOND, hash};
+use load_balancer_gossip::core::Core;
+use load_balancer_gossip::evidence::{Datum, Process, Sign};
+use load_balancer_gossip::frame::{self, Content, Dropped, EVIDENCE, Head, Piece};
+use load_balancer_gossip::{SECOND, hash};
 use std::net::SocketAddr;
 
 /// All know all: from seeds alone, through losses; who ends is missed, who starts anew under its name is back at once.
--- a/crates/fleet/tests/roster.rs
+++ b/crates/gossip/tests/roster.rs
@@ -3,11 +3,11 @@
 mod lan;
 
 use lan::Lan;
-use linenproxy_fleet::SECOND;
-use linenproxy_fleet::core::Core;
-use linenproxy_fleet::effects::Note;
-use linenproxy_fleet::evidence::Sign;
-use linenproxy_fleet::roster::Left;
+use load_balancer_gossip::SECOND;
+use load_balancer_gossip::core::Core;
+use load_balancer_gossip::effects::Note;
+use load_balancer_gossip::evidence::Sign;
+use load_balancer_gossip::roster::Left;
 
 /// How members left is known, and two processes of one name are found, by each that knows both.
 #[test]
--- a/crates/fleet/tests/standing.rs
+++ b/crates/gossip/tests/standing.rs
@@ -3,11 +3,11 @@
 mod lan;
 
 use lan::{Lan, listed};
-use linenproxy_fleet::census::State;
-use linenproxy_fleet::effects::Note;
-use linenproxy_fleet::evidence::Sign;
-use linenproxy_fleet::standing::{Kind, Way};
-use linenproxy_fleet::{Micros, SECOND, hash};
+use load_balancer_gossip::census::State;
+use load_balancer_gossip::effects::Note;
+use load_balancer_gossip::evidence::Sign;
+use load_balancer_gossip::standing::{Kind, Way};
+use load_balancer_gossip::{Micros, SECOND, hash};
 
 const PERIOD: Micros = SECOND;
 
--- a/crates/fleet/tests/standing_long.rs
+++ b/crates/gossip/tests/standing_long.rs
@@ -1,12 +1,12 @@
 //! Standing at sizes and over times that CI has no room for: a smaller part by default, all by environment variables
-//! (docs/fleet.md has the figures).
+//! (docs/gossip.md has the figures).
 
 mod lan;
 
 use lan::Lan;
-use linenproxy_fleet::SECOND;
-use linenproxy_fleet::effects::Note;
-use linenproxy_fleet::standing::Kind;
+use load_balancer_gossip::SECOND;
+use load_balancer_gossip::effects::Note;
+use load_balancer_gossip::standing::Kind;
 
 /// A number from the environment, for runs by hand.
 fn asked(name: &str, usually: usize) -> usize {
--- a/crates/fleet/tests/verdicts.rs
+++ b/crates/gossip/tests/verdicts.rs
@@ -3,10 +3,10 @@
 mod lan;
 
 use lan::{ENDPOINTS, Lan, NOBODY, listed};
-use linenproxy_fleet::SECOND;
-use linenproxy_fleet::core::Listed;
-use linenproxy_fleet::evidence::Sign;
-use linenproxy_fleet::verdict::Rest;
+use load_balancer_gossip::SECOND;
+use load_balancer_gossip::core::Listed;
+use load_balancer_gossip::evidence::Sign;
+use load_balancer_gossip::verdict::Rest;
 use std::collections::BTreeMap;
 
 /// Loss, repeats, delay and reordering change how soon, never what: all come to the same verdict, and it ends for all.
--- a/crates/duties/src/model/explore.rs
+++ b/crates/leases/src/model/explore.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-#[ignore = "minutes and gigabytes: the depth that docs/duties.md states"]
+#[ignore = "minutes and gigabytes: the depth that docs/leases.md states"]
 fn no_order_of_words_breaks_a_rule_deeper() {
     let depth = std::env::var("MODEL_DEPTH")
         .ok()
--- a/crates/duties/tests/world/mod.rs
+++ b/crates/leases/tests/world/mod.rs
@@ -3,7 +3,7 @@
 
 mod troubles;
 
-use linenproxy_duties::{Claimant, Duties, Event, Gate, Holder, Outcome, Terms, Watch};
+use load_balancer_leases::{Claimant, Duties, Event, Gate, Holder, Outcome, Terms, Watch};
 use std::collections::BTreeMap;
 
 /// A lease, in milliseconds.
--- a/crates/duties/tests/world/troubles.rs
+++ b/crates/leases/tests/world/troubles.rs
@@ -1,7 +1,7 @@
 //! What goes wrong: stops, kills, duties given back, leaders that change. Changes with the faults.
 
 use super::{LEASE_MS, STEP_MS, World, holders};
-use linenproxy_duties::Watch;
+use load_balancer_leases::Watch;
 
 impl World {
     pub(super) fn trouble(&mut self) {
--- a/crates/maintenance/tests/play/mod.rs
+++ b/crates/maintenance/tests/play/mod.rs
@@ -3,7 +3,7 @@
 
 mod moves;
 
-use linenproxy_maintenance::{
+use load_balancer_maintenance::{
     Act, Agreement, Event, Health, Machine, Outcome, Span, State, Step, WindowView,
 };
 
--- a/crates/maintenance/tests/play/moves.rs
+++ b/crates/maintenance/tests/play/moves.rs
@@ -2,7 +2,7 @@
 
 use jiff::Timestamp;
 use jiff::tz::TimeZone;
-use linenproxy_maintenance::{
+use load_balancer_maintenance::{
     Act, Answer, Blackout, Event, Every, Machine, Outcome, Request, Span, State, Step, Target,
 };
 
--- a/crates/maintenance/tests/promises.rs
+++ b/crates/maintenance/tests/promises.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use linenproxy_maintenance::{Event, Machine, Outcome, Request, State, Target};
+use load_balancer_maintenance::{Event, Machine, Outcome, Request, State, Target};
 use world::{World, agreement};
 
 /// Requests far ahead that all fit only just; a plan that is made anew for no cause must not lose any of them.
--- a/crates/maintenance/tests/rules.rs
+++ b/crates/maintenance/tests/rules.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use linenproxy_maintenance::{Blackout, Event, Every, Machine, Outcome, State, Step, Why};
+use load_balancer_maintenance::{Blackout, Event, Every, Machine, Outcome, State, Step, Why};
 use world::agreement;
 use world::stage::{START_MS, Stage};
 
--- a/crates/maintenance/tests/size.rs
+++ b/crates/maintenance/tests/size.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use linenproxy_maintenance::{Event, Machine, Outcome, Request, State, Target};
+use load_balancer_maintenance::{Event, Machine, Outcome, Request, State, Target};
 use world::{World, agreement};
 
 /// A fleet in three zones of which an eighth may be away, and what it hears.
--- a/crates/maintenance/tests/solver.rs
+++ b/crates/maintenance/tests/solver.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use linenproxy_maintenance::{
+use load_balancer_maintenance::{
     Act, Agreement, Event, Machine, Outcome, Request, State, Step, Target,
 };
 use world::{World, agreement};
--- a/crates/maintenance/tests/world/mod.rs
+++ b/crates/maintenance/tests/world/mod.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use linenproxy_maintenance::{Act, Agreement, Answer, Event, Health, Server, Step, Word};
+use load_balancer_maintenance::{Act, Agreement, Answer, Event, Health, Server, Step, Word};
 
 /// A server as it really is.
 #[derive(Clone, Debug)]
--- a/crates/maintenance/tests/world/stage.rs
+++ b/crates/maintenance/tests/world/stage.rs
@@ -1,6 +1,6 @@
 //! Changes with how a test plays a few servers by hand.
 
-use linenproxy_maintenance::{
+use load_balancer_maintenance::{
     Act, Agreement, Event, Machine, Outcome, Request, SeatView, Step, Target,
 };
 
--- a/crates/store/tests/faults.rs
+++ b/crates/record_store/tests/faults.rs
@@ -3,8 +3,8 @@
 //! The invariant: a commit that returned is whole after any crash; one that did not return is whole or absent; what
 //! was changed by anybody else is never believed.
 
-use linenproxy_store::disk::Disk;
-use linenproxy_store::{Broken, Change, Numbers, Refusal, Store};
+use load_balancer_record_store::disk::Disk;
+use load_balancer_record_store::{Broken, Change, Numbers, Refusal, Store};
 use std::fs;
 
 fn payload(turn: u64, part: u64) -> Vec<u8> {
@@ -118,16 +118,16 @@
 fn what_cannot_be_believed_is_set_aside_as_it_was() {
     let directory = tempfile::tempdir().expect("a directory");
     let file = directory.path().join("deep").join("a.store");
-    let opened = linenproxy_store::open(&file, "a").expect("new");
+    let opened = load_balancer_record_store::open(&file, "a").expect("new");
     assert!(opened.aside.is_none() && turn(&opened.store, 1));
     // One process at a time.
-    assert!(linenproxy_store::open(&file, "a").is_err());
+    assert!(load_balancer_record_store::open(&file, "a").is_err());
     drop(opened);
-    let opened = linenproxy_store::open(&file, "a").expect("whole");
+    let opened = load_balancer_record_store::open(&file, "a").expect("whole");
     assert_eq!((turn_of(&opened.store), opened.aside), (1, None));
     drop(opened.store);
     // Somebody else's, then no store at all.
-    let opened = linenproxy_store::open(&file, "b").expect("begins anew");
+    let opened = load_balancer_record_store::open(&file, "b").expect("begins anew");
     let aside = opened.aside.expect("set aside");
     assert_eq!(aside.why, Broken::Owner("a".to_owned()));
     assert_eq!(
@@ -136,12 +136,13 @@
     );
     drop(opened.store);
     fs::write(&file, b"not a store").expect("written");
-    let aside = linenproxy_store::open(&file, "b")
+    let aside = load_balancer_record_store::open(&file, "b")
         .expect("begins anew")
         .aside
         .expect("set aside");
     assert_eq!(fs::read(aside.file).expect("kept"), b"not a store");
     // The first is still whole under its new name.
-    let kept = linenproxy_store::open(&file.with_extension("store.aside-1"), "a").expect("whole");
+    let kept = load_balancer_record_store::open(&file.with_extension("store.aside-1"), "a")
+        .expect("whole");
     assert_eq!((turn_of(&kept.store), kept.aside), (1, None));
 }
--- a/crates/recovery/src/bin/linenproxy-state.rs
+++ b/crates/snapshot/src/bin/snapshot-inspect.rs
@@ -1,9 +1,9 @@
-//! linenproxy-state: shows, verifies and exports what a sidecar has kept. It reads only. Changes with what it shows.
+//! snapshot-inspect: shows, verifies and exports what a sidecar has kept. It reads only. Changes with what it shows.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
-use linenproxy_common::cli::{self, Exit};
-use linenproxy_recovery::{Contents, Micros, SCHEMA, contents};
+use load_balancer_common::cli::{self, Exit};
+use load_balancer_snapshot::{Contents, Micros, SCHEMA, contents};
 use serde_json::{Value, json};
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -12,7 +12,7 @@
 
 /// Looks at the state directory of a sidecar that runs, or at a copy of one, and changes nothing there.
 #[derive(Parser)]
-#[command(name = "linenproxy-state", after_help = cli::EXIT_CODES)]
+#[command(name = "snapshot-inspect", after_help = cli::EXIT_CODES)]
 struct Call {
     #[command(subcommand)]
     what: What,
--- a/crates/recovery/src/directory.rs
+++ b/crates/snapshot/src/directory.rs
@@ -1,6 +1,6 @@
 //! The files of a state directory, and that one process at a time has them. Changes with where things lie.
 
-use linenproxy_store::{Opened, Trouble};
+use load_balancer_record_store::{Opened, Trouble};
 use std::fmt;
 use std::fs::{self, File, TryLockError};
 use std::path::{Path, PathBuf};
@@ -109,10 +109,10 @@
 
 impl Place for Directory {
     fn open(&self, file: FileKind, owner: &str) -> Result<Opened, Trouble> {
-        linenproxy_store::open(&self.path.join(file.name()), owner)
+        load_balancer_record_store::open(&self.path.join(file.name()), owner)
     }
 
     fn set_aside(&self, file: FileKind) -> Result<PathBuf, Trouble> {
-        linenproxy_store::set_aside(&self.path.join(file.name()))
+        load_balancer_record_store::set_aside(&self.path.join(file.name()))
     }
 }
--- a/crates/recovery/src/form.rs
+++ b/crates/snapshot/src/form.rs
@@ -3,7 +3,7 @@
 
 use crate::form_before;
 use crate::known::{Changes, Known, Processes};
-use linenproxy_store::{Change, Store, Trouble};
+use load_balancer_record_store::{Change, Store, Trouble};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::fmt;
--- a/crates/recovery/src/keeper.rs
+++ b/crates/snapshot/src/keeper.rs
@@ -5,7 +5,7 @@
 use crate::directory::{FileKind, Place};
 use crate::form::{self, Unread};
 use crate::known::{Changes, Known};
-use linenproxy_store::{Change, Store, Trouble};
+use load_balancer_record_store::{Change, Store, Trouble};
 use std::path::PathBuf;
 
 /// Where the highest incarnation that was ever given lies among the numbers.
--- a/crates/recovery/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -1,4 +1,4 @@
-//! What a sidecar knows again after a crash or a loss of power (docs/state.md): what is kept, what of it is believed
+//! What a sidecar knows again after a crash or a loss of power (docs/snapshot.md): what is kept, what of it is believed
 //! and until which age, and the one thread that writes it. Nothing here stands in the way of a request. Changes with
 //! what callers may keep; each concept has a file of its own.
 #![forbid(unsafe_code)]
--- a/crates/recovery/src/reader.rs
+++ b/crates/snapshot/src/reader.rs
@@ -7,8 +7,8 @@
 use crate::form;
 use crate::keeper::last_incarnation;
 use crate::known::Known;
-use linenproxy_store::disk::Disk;
-use linenproxy_store::{Broken, Refusal, Store};
+use load_balancer_record_store::disk::Disk;
+use load_balancer_record_store::{Broken, Refusal, Store};
 use std::path::Path;
 use std::time::Duration;
 
--- a/crates/recovery/src/section.rs
+++ b/crates/snapshot/src/section.rs
@@ -3,8 +3,8 @@
 
 use crate::Micros;
 use crate::belief::Bounds;
-use linenproxy_common::config::Contradiction;
-use linenproxy_common::units::Time;
+use load_balancer_common::config::Contradiction;
+use load_balancer_common::units::Time;
 use serde::{Deserialize, Serialize};
 use std::path::PathBuf;
 
--- a/crates/recovery/tests/common/mod.rs
+++ b/crates/snapshot/tests/common/mod.rs
@@ -1,9 +1,9 @@
 //! Two disks in memory in the place of a directory, and things to keep. Changes with what the tests here share.
 #![allow(dead_code)]
 
-use linenproxy_recovery::*;
-use linenproxy_store::disk::Disk;
-use linenproxy_store::{Opened, Refusal, Store, Trouble};
+use load_balancer_record_store::disk::Disk;
+use load_balancer_record_store::{Opened, Refusal, Store, Trouble};
+use load_balancer_snapshot::*;
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -75,7 +75,7 @@
                     Store::on(self.disk(file), owner).map_err(|e| Trouble(e.to_string()))?;
                 Ok(Opened {
                     store,
-                    aside: Some(linenproxy_store::Aside { file: aside, why }),
+                    aside: Some(load_balancer_record_store::Aside { file: aside, why }),
                 })
             }
         }
--- a/crates/recovery/tests/crashes.rs
+++ b/crates/snapshot/tests/crashes.rs
@@ -5,7 +5,7 @@
 
 mod common;
 use common::*;
-use linenproxy_recovery::*;
+use load_balancer_snapshot::*;
 
 /// Lives in a row, each of which loses power at any write: also of a start, where nothing was kept yet. `lives` in
 /// all; how many began.
--- a/crates/recovery/tests/faults.rs
+++ b/crates/snapshot/tests/faults.rs
@@ -2,8 +2,8 @@
 
 mod common;
 use common::*;
-use linenproxy_recovery::*;
-use linenproxy_store::disk::{Breakdown, Disk};
+use load_balancer_record_store::disk::{Breakdown, Disk};
+use load_balancer_snapshot::*;
 use std::time::Duration;
 
 fn written(endpoints: usize) -> Disks {
--- a/crates/recovery/tests/migration.rs
+++ b/crates/snapshot/tests/migration.rs
@@ -5,9 +5,9 @@
 
 mod common;
 use common::*;
-use linenproxy_recovery::*;
-use linenproxy_store::disk::{Disk, SECTOR};
-use linenproxy_store::{Change, Store};
+use load_balancer_record_store::disk::{Disk, SECTOR};
+use load_balancer_record_store::{Change, Store};
+use load_balancer_snapshot::*;
 
 const LENGTH: usize = 73_728;
 
--- a/crates/recovery/tests/tool.rs
+++ b/crates/snapshot/tests/tool.rs
@@ -3,12 +3,12 @@
 
 mod common;
 use common::*;
-use linenproxy_recovery::*;
+use load_balancer_snapshot::*;
 use std::path::Path;
 use std::process::{Command, Output};
 
 fn run(what: &str, dir: &Path) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_linenproxy-state"))
+    Command::new(env!("CARGO_BIN_EXE_snapshot-inspect"))
         .arg(what)
         .arg(dir)
         .output()
--- a/src/bin/tinflow/alarms.rs
+++ b/src/bin/sidecar/alarms.rs
@@ -1,7 +1,7 @@
 //! The timers that the module has asked for, on its clock. Changes with how they are kept.
 
 use crate::clock::Clock;
-use linenproxy::Micros;
+use load_balancer::Micros;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use tokio::time::{Instant, sleep_until};
--- a/src/bin/tinflow/bindings.rs
+++ b/src/bin/sidecar/bindings.rs
@@ -3,16 +3,16 @@
 
 use crate::bindings_list::List;
 use crate::clock::Clock;
-use linenproxy::{EndpointId, Micros};
-use linenproxy_bindings::exchange::TICK;
-use linenproxy_bindings::phase::NotBegun;
-use linenproxy_bindings::report::{Census, Clear};
-use linenproxy_bindings::word::Word;
-use linenproxy_bindings::{Bindings, Process};
-use linenproxy_fleet::core::{Carried, Listed};
-use linenproxy_fleet::section::{FleetSection, micros};
-use linenproxy_fleet::standing::Bindings as May;
-use linenproxy_fleet::udp;
+use load_balancer::{EndpointId, Micros};
+use load_balancer_affinity::exchange::TICK;
+use load_balancer_affinity::phase::NotBegun;
+use load_balancer_affinity::report::{Census, Clear};
+use load_balancer_affinity::word::Word;
+use load_balancer_affinity::{Bindings, Process};
+use load_balancer_gossip::core::{Carried, Listed};
+use load_balancer_gossip::section::{FleetSection, micros};
+use load_balancer_gossip::standing::Bindings as May;
+use load_balancer_gossip::udp;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -228,7 +228,7 @@
     pub fn leave(&self) -> Vec<Leaving> {
         let (core, list) = (self.0.core.borrow(), self.0.list.borrow());
         let leaving = |(process, phase, reported): (Process, _, _)| {
-            let phase: linenproxy_bindings::phase::Phase = phase;
+            let phase: load_balancer_affinity::phase::Phase = phase;
             Leaving {
                 name: list.names.get(&process).cloned(),
                 process,
--- a/src/bin/tinflow/bindings_list.rs
+++ b/src/bin/sidecar/bindings_list.rs
@@ -1,8 +1,8 @@
 //! The listed endpoints as processes. Changes with how a process is told from the list.
 
-use linenproxy::EndpointId;
-use linenproxy_bindings::{Process, hash};
-use linenproxy_fleet::core::Listed;
+use load_balancer::EndpointId;
+use load_balancer_affinity::{Process, hash};
+use load_balancer_gossip::core::Listed;
 use std::collections::{HashMap, HashSet, VecDeque};
 
 /// Processes that are remembered to have been listed: more than words on them may be under way.
--- a/src/bin/tinflow/bindings_pages.rs
+++ b/src/bin/sidecar/bindings_pages.rs
@@ -3,11 +3,11 @@
 
 use crate::bindings::Host;
 use hyper::StatusCode;
-use linenproxy_bindings::phase::NotBegun;
-use linenproxy_bindings::report::Census;
-use linenproxy_bindings::{Process, hash};
-use linenproxy_common::pages::{Ask, Page};
-use linenproxy_fleet::standing::Bindings as May;
+use load_balancer_affinity::phase::NotBegun;
+use load_balancer_affinity::report::Census;
+use load_balancer_affinity::{Process, hash};
+use load_balancer_common::pages::{Ask, Page};
+use load_balancer_gossip::standing::Bindings as May;
 use serde::{Deserialize, Serialize};
 
 /// Bindings in one dump: all of the default table.
@@ -168,7 +168,7 @@
 fn dump(host: &Host) -> Dump {
     let (census, _, slot) = host.census();
     let binding =
-        |(key, server, process, word): (u64, _, Process, linenproxy_bindings::word::Word)| {
+        |(key, server, process, word): (u64, _, Process, load_balancer_affinity::word::Word)| {
             Binding {
                 key,
                 server,
--- a/src/bin/tinflow/clock.rs
+++ b/src/bin/sidecar/clock.rs
@@ -1,6 +1,6 @@
 //! The clock of the decision module. Changes with how real time becomes the module's.
 
-use linenproxy::Micros;
+use load_balancer::Micros;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
--- a/src/bin/tinflow/config.rs
+++ b/src/bin/sidecar/config.rs
@@ -2,7 +2,7 @@
 //! Changes with the platform's form of them.
 
 use crate::hosts::HostList;
-use linenproxy::settings::{self, Decoded};
+use load_balancer::settings::{self, Decoded};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
--- a/src/bin/tinflow/engine.rs
+++ b/src/bin/sidecar/engine.rs
@@ -21,7 +21,7 @@
 use crate::report::say;
 use crate::spaced::{Spaced, left_out};
 use crate::upstream::Upstream;
-use linenproxy::{Balancer, Discovery, Event, ListUpdate};
+use load_balancer::{Balancer, Discovery, Event, ListUpdate};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -219,7 +219,7 @@
 
     fn complain(&mut self, what: &str) {
         if let Some(others) = self.complaints.pass(Instant::now()) {
-            say!(warn, "tinflow::discovery", "{what}{}", left_out(others));
+            say!(warn, "sidecar::discovery", "{what}{}", left_out(others));
         }
     }
 
--- a/src/bin/tinflow/engine/actions.rs
+++ b/src/bin/sidecar/engine/actions.rs
@@ -5,7 +5,7 @@
 use crate::messages::Answer;
 use crate::report::say;
 use crate::upstream::Times;
-use linenproxy::{Action, Micros, RequestId};
+use load_balancer::{Action, Micros, RequestId};
 use std::rc::Rc;
 use tokio::task::spawn_local;
 
@@ -39,9 +39,9 @@
                 spawn_local(upstream.probe(endpoint, inputs));
             }
             Action::SetTimer { after, token } => self.timers.set(after, token),
-            Action::Subscribe(on) => {
-                drop(self.asks.send(if on { Ask::Watch } else { Ask::StopWatch }))
-            }
+            // Only the end of the process takes discovery's task away.
+            Action::Subscribe(true) => drop(self.asks.send(Ask::Watch)),
+            Action::Subscribe(false) => drop(self.asks.send(Ask::StopWatch)),
             Action::FetchList => drop(self.asks.send(Ask::Fetch)),
             Action::CloseIdle(endpoint) => self.pool.endpoint(endpoint).close_idle(),
             Action::Tell { to, bytes } => {
@@ -54,7 +54,7 @@
                     fleet.witness(endpoint, served);
                 }
             }
-            Action::Log(text) => say!(info, "tinflow::balancer", "{text}"),
+            Action::Log(text) => say!(info, "sidecar::balancer", "{text}"),
         }
     }
 
--- a/src/bin/tinflow/facts.rs
+++ b/src/bin/sidecar/facts.rs
@@ -4,7 +4,7 @@
 use crate::messages::{CORRELATION_ID, TIME_LEFT};
 use hyper::Method;
 use hyper::header::{self, HeaderMap, HeaderName};
-use linenproxy::{Effect, Micros};
+use load_balancer::{Effect, Micros};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// No client waits longer than this, whatever it says.
--- a/src/bin/tinflow/fleet.rs
+++ b/src/bin/sidecar/fleet.rs
@@ -5,14 +5,14 @@
 use crate::clock::Clock;
 use crate::messages::{Input, Inputs};
 use crate::report::say;
-use linenproxy::{EndpointId, Listing, Micros, Rest, Sharing, Status, Word};
-use linenproxy_common::cli;
-use linenproxy_fleet::census::Servers;
-use linenproxy_fleet::core::{Census, Listed};
-use linenproxy_fleet::effects::Note;
-use linenproxy_fleet::evidence::Sign;
-use linenproxy_fleet::section::FleetSection;
-use linenproxy_fleet::{hash, udp, verdict};
+use load_balancer::{EndpointId, Listing, Micros, Rest, Sharing, Status, Word};
+use load_balancer_common::cli;
+use load_balancer_gossip::census::Servers;
+use load_balancer_gossip::core::{Census, Listed};
+use load_balancer_gossip::effects::Note;
+use load_balancer_gossip::evidence::Sign;
+use load_balancer_gossip::section::FleetSection;
+use load_balancer_gossip::{hash, udp, verdict};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
@@ -39,7 +39,7 @@
         incarnation: Option<u64>,
     ) -> io::Result<Self> {
         let inputs = inputs.clone();
-        let told = Rc::new(move |words: Vec<linenproxy_fleet::core::Word>| {
+        let told = Rc::new(move |words: Vec<load_balancer_gossip::core::Word>| {
             inputs.send(Input::Words(words.into_iter().map(word).collect()));
         });
         let member = udp::Fleet::bind(
@@ -172,7 +172,7 @@
     }
 }
 
-fn word(word: linenproxy_fleet::core::Word) -> Word {
+fn word(word: load_balancer_gossip::core::Word) -> Word {
     let rest = match word.rest {
         verdict::Rest::No => Rest::No,
         verdict::Rest::Yes => Rest::Yes,
@@ -206,7 +206,7 @@
             } else {
                 format!(" from {}", zones.join(", "))
             };
-            say!(info, "tinflow::fleet", "standing: {word}{from}{side}");
+            say!(info, "sidecar::fleet", "standing: {word}{from}{side}");
         }
         Note::Twice {
             name,
@@ -214,14 +214,14 @@
         } => {
             say!(
                 warn,
-                "tinflow::fleet",
+                "sidecar::fleet",
                 "two processes are members under the name {name}: {one} and {other}"
             );
         }
         Note::Quarantined { name } => {
             say!(
                 warn,
-                "tinflow::fleet",
+                "sidecar::fleet",
                 "{name} fails again and again: its word does not count for now"
             );
         }
--- a/src/bin/tinflow/handle.rs
+++ b/src/bin/sidecar/handle.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Clock;
 use crate::messages::{Answer, Input, Inputs, Outgoing};
-use linenproxy::{Micros, NewRequest, RequestId};
+use load_balancer::{Micros, NewRequest, RequestId};
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::oneshot;
--- a/src/bin/tinflow/inbound.rs
+++ b/src/bin/sidecar/inbound.rs
@@ -107,7 +107,7 @@
                 if let Some(others) = failures.pass(Instant::now()) {
                     say!(
                         warn,
-                        "tinflow::inbound",
+                        "sidecar::inbound",
                         "cannot accept: {e}{}",
                         left_out(others)
                     );
--- a/src/bin/tinflow/kept.rs
+++ b/src/bin/sidecar/kept.rs
@@ -3,8 +3,8 @@
 use crate::config::Config;
 use crate::hosts::{Host, HostList, HostStatus};
 use crate::messages::Named;
-use linenproxy::Recalled;
-use linenproxy_recovery::{Entry, List, Micros, Process};
+use load_balancer::Recalled;
+use load_balancer_snapshot::{Entry, List, Micros, Process};
 use std::collections::BTreeMap;
 
 /// How often a list is kept anew that discovery only confirms: a tenth of the time for which it is believed.
--- a/src/bin/tinflow/listed.rs
+++ b/src/bin/sidecar/listed.rs
@@ -6,10 +6,10 @@
 use crate::messages::Named;
 use crate::pool::{Pool, Target};
 use crate::product::{Fleet, State};
-use linenproxy::settings::Names;
+use load_balancer::settings::Names;
 #[cfg(feature = "product")]
-use linenproxy::{Balancer, Recalled};
-use linenproxy::{ListUpdate, Listing, Status};
+use load_balancer::{Balancer, Recalled};
+use load_balancer::{ListUpdate, Listing, Status};
 use std::collections::HashSet;
 use std::rc::Rc;
 
--- a/src/bin/tinflow/main.rs
+++ b/src/bin/sidecar/main.rs
@@ -1,4 +1,4 @@
-//! tinflow: a sidecar load balancer on real sockets. One thread; every task shares it.
+//! sidecar: a sidecar load balancer on real sockets. One thread; every task shares it.
 #![forbid(unsafe_code)]
 
 mod alarms;
@@ -38,6 +38,7 @@
 mod pool;
 #[cfg_attr(not(feature = "product"), path = "plain.rs")]
 mod product;
+mod product_file;
 mod report;
 mod serving;
 mod session;
@@ -81,7 +82,7 @@
     };
     let ended = start(&mut product);
     if let Err((what, _)) = &ended {
-        say!(error, "tinflow", "{what}");
+        say!(error, "sidecar", "{what}");
     }
     product.end();
     ended.map_or_else(|(_, code)| code, |()| ExitCode::SUCCESS)
@@ -155,7 +156,7 @@
             _ = &mut running => return Err(failed("the engine has failed".to_owned())),
         }
     }
-    say!(info, "tinflow", "told to stop");
+    say!(info, "sidecar", "told to stop");
     if let Some(fleet) = &fleet {
         fleet.leave();
     }
@@ -208,7 +209,7 @@
             };
             say!(
                 info,
-                "tinflow",
+                "sidecar",
                 "configuration reloaded: discovery at {}{rest}",
                 config.discovery
             );
@@ -217,7 +218,7 @@
         }
         Err(what) => say!(
             warn,
-            "tinflow",
+            "sidecar",
             "reload failed, the old configuration stays: {what}"
         ),
     }
--- a/src/bin/tinflow/messages.rs
+++ b/src/bin/sidecar/messages.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::{Method, Uri};
-use linenproxy::{AttemptNo, Load, Micros, NewRequest, Outcome, RequestId};
+use load_balancer::{AttemptNo, Load, Micros, NewRequest, Outcome, RequestId};
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::{OwnedSemaphorePermit, mpsc, oneshot};
@@ -41,14 +41,14 @@
     Recollect(oneshot::Sender<(usize, Vec<Named>)>),
     /// The fleet's words have changed.
     #[cfg(feature = "product")]
-    Words(Vec<linenproxy::Word>),
+    Words(Vec<load_balancer::Word>),
     /// A datagram from a peer.
     Peer(u32, Vec<u8>, OwnedSemaphorePermit),
 }
 
 /// What is known of an endpoint, by its name; its number is only the engine's.
 #[cfg(feature = "product")]
-pub type Named = (String, linenproxy::Recalled);
+pub type Named = (String, load_balancer::Recalled);
 
 /// The one final answer to a request.
 pub enum Answer {
@@ -99,7 +99,7 @@
 #[cfg(feature = "product")]
 pub struct Survey {
     /// What the module tells.
-    pub census: linenproxy::Census,
+    pub census: load_balancer::Census,
     /// Requests without their final answer.
     pub open: usize,
     /// Attempts that are out.
--- a/src/bin/tinflow/observer.rs
+++ b/src/bin/sidecar/observer.rs
@@ -2,9 +2,9 @@
 //! seen from outside.
 
 use crate::messages::{Answer, Outgoing, Survey};
-use linenproxy::{AttemptNo, Micros, Outcome};
-use linenproxy_common::cli;
-use linenproxy_common::metering::Figures;
+use load_balancer::{AttemptNo, Micros, Outcome};
+use load_balancer_common::cli;
+use load_balancer_common::metering::Figures;
 use metrics::{Counter, Gauge, Histogram};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -87,7 +87,7 @@
             ("commit", cli::COMMIT.unwrap_or("unknown")),
         ];
         f.gauge(
-            "tinflow_build_info",
+            "sidecar_build_info",
             "1, with the build in its labels.",
             &version,
         )
@@ -96,13 +96,13 @@
             ended: ENDS.map(|outcome| {
                 let labels = [("class", class.as_str()), ("outcome", outcome)];
                 f.counter(
-                    "tinflow_requests_total",
+                    "sidecar_requests_total",
                     "Requests by class and how they ended.",
                     &labels,
                 )
             }),
             seconds: f.seconds(
-                "tinflow_request_duration_seconds",
+                "sidecar_request_duration_seconds",
                 "Time from a request's arrival to its answer, where it was served.",
                 &[("class", class)],
             ),
@@ -111,12 +111,12 @@
             let labels = [("outcome", outcome)];
             (
                 f.counter(
-                    "tinflow_attempts_total",
+                    "sidecar_attempts_total",
                     "Attempts at endpoints by how they ended.",
                     &labels,
                 ),
                 f.seconds(
-                    "tinflow_attempt_duration_seconds",
+                    "sidecar_attempt_duration_seconds",
                     "Time that attempts took.",
                     &labels,
                 ),
@@ -124,14 +124,14 @@
         };
         let given_up = |reason| {
             f.counter(
-                "tinflow_given_up_total",
+                "sidecar_given_up_total",
                 "Requests given up, by reason.",
                 &[("reason", reason)],
             )
         };
         let endpoints = |state| {
             f.gauge(
-                "tinflow_endpoints",
+                "sidecar_endpoints",
                 "Endpoints on the list, by state.",
                 &[("state", state)],
             )
@@ -140,36 +140,36 @@
             classes: classes.iter().map(of_class).collect(),
             attempts: OUTCOMES.map(of_outcome),
             retries: f.counter(
-                "tinflow_retries_total",
+                "sidecar_retries_total",
                 "Attempts after a request's first.",
                 &[],
             ),
             given_up: REASONS.map(given_up),
             circuits_open: f.gauge(
-                "tinflow_circuits_open",
+                "sidecar_circuits_open",
                 "Endpoints whose circuit is open.",
                 &[],
             ),
             queued: f.gauge(
-                "tinflow_queued_requests",
+                "sidecar_queued_requests",
                 "Requests that wait for an endpoint with room.",
                 &[],
             ),
             open: f.gauge(
-                "tinflow_open_requests",
+                "sidecar_open_requests",
                 "Requests without their final answer.",
                 &[],
             ),
-            attempts_open: f.gauge("tinflow_open_attempts", "Attempts that are out.", &[]),
+            attempts_open: f.gauge("sidecar_open_attempts", "Attempts that are out.", &[]),
             endpoints: ["ready", "other"].map(endpoints),
             list_age: f.gauge(
-                "tinflow_list_age_seconds",
+                "sidecar_list_age_seconds",
                 "Time since discovery last answered.",
                 &[],
             ),
             list_at: Cell::new(Instant::now()),
             lines_dropped: f.counter(
-                "tinflow_log_lines_dropped_total",
+                "sidecar_log_lines_dropped_total",
                 "Lines that standard error did not take.",
                 &[],
             ),
@@ -179,12 +179,12 @@
 
     /// A request was taken.
     pub fn taken(&self, class: usize, outgoing: &Outgoing) {
-        tracing::debug!(target: "tinflow::request", id = outgoing.id(), class, "taken");
+        tracing::debug!(target: "sidecar::request", id = outgoing.id(), class, "taken");
     }
 
     /// An attempt of it goes out.
     pub fn sent(&self, outgoing: &Outgoing, attempt: AttemptNo, endpoint: &str) {
-        tracing::debug!(target: "tinflow::request", id = outgoing.id(), attempt, endpoint, "sent");
+        tracing::debug!(target: "sidecar::request", id = outgoing.id(), attempt, endpoint, "sent");
         if let Some(seen) = self.0.as_deref().filter(|_| attempt > 0) {
             seen.retries.increment(1);
         }
@@ -195,7 +195,7 @@
         let (number, word) = word(outcome);
         if let Some(outgoing) = outgoing {
             let id = outgoing.id();
-            tracing::debug!(target: "tinflow::request", id, outcome = word, took_us = took, "attempt ended");
+            tracing::debug!(target: "sidecar::request", id, outcome = word, took_us = took, "attempt ended");
         }
         if let Some(seen) = &self.0 {
             seen.attempts[number].0.increment(1);
@@ -213,7 +213,7 @@
     ) {
         let end = end(answer);
         let id = outgoing.id();
-        tracing::debug!(target: "tinflow::request", id, outcome = ENDS[end], took_us = took, "answered");
+        tracing::debug!(target: "sidecar::request", id, outcome = ENDS[end], took_us = took, "answered");
         if let Some(of) = self.0.as_ref().and_then(|seen| seen.classes.get(class)) {
             of.ended[end].increment(1);
             if end == 0 {
@@ -230,13 +230,13 @@
     }
 
     /// Takes in how this member of a fleet stands.
-    pub fn fleet(&self, census: &linenproxy_fleet::core::Census) {
+    pub fn fleet(&self, census: &load_balancer_gossip::core::Census) {
         let Some(seen) = &self.0 else { return };
         let f = &seen.figures;
-        f.gauge("tinflow_fleet_members", "Other members that run.", &[])
+        f.gauge("sidecar_fleet_members", "Other members that run.", &[])
             .set(census.members.len() as f64);
         f.gauge(
-            "tinflow_fleet_resting",
+            "sidecar_fleet_resting",
             "Endpoints that rest by others' word.",
             &[],
         )
@@ -244,37 +244,37 @@
         let counts = &census.counts;
         for (name, what, value) in [
             (
-                "tinflow_fleet_datagrams_sent_total",
+                "sidecar_fleet_datagrams_sent_total",
                 "Datagrams sent.",
                 counts.sent,
             ),
             (
-                "tinflow_fleet_sent_bytes_total",
+                "sidecar_fleet_sent_bytes_total",
                 "Bytes of datagrams sent.",
                 counts.sent_bytes,
             ),
             (
-                "tinflow_fleet_datagrams_received_total",
+                "sidecar_fleet_datagrams_received_total",
                 "Datagrams that came.",
                 counts.received,
             ),
             (
-                "tinflow_fleet_evidence_said_total",
+                "sidecar_fleet_evidence_said_total",
                 "Evidence given by this member.",
                 counts.said,
             ),
             (
-                "tinflow_fleet_evidence_heard_total",
+                "sidecar_fleet_evidence_heard_total",
                 "Evidence of others that was new.",
                 counts.heard,
             ),
             (
-                "tinflow_fleet_trials_total",
+                "sidecar_fleet_trials_total",
                 "Trials that fell to this member.",
                 counts.trials,
             ),
             (
-                "tinflow_fleet_rests_total",
+                "sidecar_fleet_rests_total",
                 "Endpoints sent to rest.",
                 counts.rests,
             ),
@@ -283,7 +283,7 @@
         }
         for (why, count) in &census.dropped {
             f.counter(
-                "tinflow_fleet_dropped_total",
+                "sidecar_fleet_dropped_total",
                 "What was dropped, by reason.",
                 &[("reason", why)],
             )
--- a/src/bin/tinflow/open.rs
+++ b/src/bin/sidecar/open.rs
@@ -3,7 +3,7 @@
 use crate::clock::Clock;
 use crate::messages::{Answer, Ended, Outgoing};
 use crate::product::{Bound, Fleet, Observer};
-use linenproxy::{
+use load_balancer::{
     AttemptEnd, AttemptNo, ClassId, Event, Load, Micros, NewRequest, Outcome, RequestId,
 };
 use std::collections::HashMap;
--- a/src/bin/tinflow/pages.rs
+++ b/src/bin/sidecar/pages.rs
@@ -6,8 +6,8 @@
 use crate::observer::Observer;
 use crate::state::State;
 use hyper::StatusCode;
-use linenproxy_common::logging::Log;
-use linenproxy_common::pages::{Ask, Page};
+use load_balancer_common::logging::Log;
+use load_balancer_common::pages::{Ask, Page};
 use std::rc::Rc;
 
 /// What the pages are made from.
--- a/src/bin/tinflow/plain.rs
+++ b/src/bin/sidecar/plain.rs
@@ -5,7 +5,8 @@
 use crate::config::Config;
 use crate::hosts::HostList;
 use crate::messages::{Answer, Inputs, Outgoing};
-use linenproxy::{AttemptNo, EndpointId, Listing, Micros, Outcome, Sharing};
+use crate::product_file::{CONFIG_VARIABLE, EARLIER_CONFIG_VARIABLE};
+use load_balancer::{AttemptNo, EndpointId, Listing, Micros, Outcome, Sharing};
 use std::process::ExitCode;
 
 /// No product parts.
@@ -14,7 +15,9 @@
 impl Product {
     /// Goes on, unless something is asked for that is not there.
     pub fn begin() -> Result<Self, ExitCode> {
-        let configured = std::env::var_os("LINENPROXY_CONFIG").is_some_and(|file| !file.is_empty());
+        let configured = [CONFIG_VARIABLE, EARLIER_CONFIG_VARIABLE]
+            .iter()
+            .any(|variable| std::env::var_os(variable).is_some_and(|file| !file.is_empty()));
         if configured || std::env::args_os().len() > 1 {
             crate::report::line(format_args!(
                 "this build takes neither arguments nor a product configuration: build it with --features product"
--- a/src/bin/tinflow/pool.rs
+++ b/src/bin/sidecar/pool.rs
@@ -2,7 +2,7 @@
 
 use crate::connection::Connection;
 use crate::descriptors::lacked;
-use linenproxy::Micros;
+use load_balancer::Micros;
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
 use std::net::SocketAddr;
--- a/src/bin/tinflow/product.rs
+++ b/src/bin/sidecar/product.rs
@@ -8,32 +8,36 @@
 use crate::messages::Inputs;
 pub use crate::observer::Observer;
 use crate::pages::Pages;
+use crate::product_file::{CONFIG_VARIABLE, EARLIER_CONFIG_VARIABLE};
 use crate::report::say;
 pub use crate::state::State;
 use clap::Parser;
-use linenproxy_common::cli::{self, Exit};
-use linenproxy_common::config::{self, Configuration, Contradiction};
-use linenproxy_common::logging::{self, Log, LogSection};
-use linenproxy_common::metering::{Figures, MetricsSection};
-use linenproxy_common::pages::{self, Bounds};
-use linenproxy_fleet::section::FleetSection;
-use linenproxy_recovery::StateSection;
+use load_balancer_common::cli::{self, Exit};
+use load_balancer_common::config::{self, Configuration, Contradiction, Problem};
+use load_balancer_common::logging::{self, Log, LogSection};
+use load_balancer_common::metering::{Figures, MetricsSection};
+use load_balancer_common::pages::{self, Bounds};
+use load_balancer_gossip::section::FleetSection;
+use load_balancer_snapshot::StateSection;
 use serde::{Deserialize, Serialize};
 use std::io::Write;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::rc::Rc;
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
+/// The program's name before it was called `sidecar`, as log targets in older product configurations have it.
+const EARLIER_PROGRAM: &str = "tinflow";
+
 /// A sidecar load balancer. The platform's LB_CONFIG, LB_LISTEN and LB_DISCOVERY say where it stands and what it
 /// balances; without a product configuration it does nothing else. SIGHUP makes it read both again, SIGTERM stops
 /// it once what it has taken is answered.
 #[derive(Parser)]
-#[command(name = "tinflow")]
+#[command(name = "sidecar")]
 struct Call {
     /// The product configuration: a TOML file, see docs/configuration.md.
-    #[arg(long, value_name = "FILE", env = "LINENPROXY_CONFIG")]
+    #[arg(long, value_name = "FILE", env = CONFIG_VARIABLE)]
     config: Option<PathBuf>,
     /// Read the product configuration and, where LB_CONFIG is set, the platform's; print what would hold, defaults
     /// included, and exit.
@@ -61,6 +65,15 @@
 }
 
 impl Sections {
+    /// Reads a product configuration, in which log targets may have the program's earlier name.
+    fn load(file: &Path) -> Result<Self, Problem> {
+        let mut sections: Self = config::load(file)?;
+        sections
+            .log
+            .rename_targets(EARLIER_PROGRAM, env!("CARGO_BIN_NAME"));
+        Ok(sections)
+    }
+
     /// Takes over from another configuration what may change while the sidecar runs.
     fn follow(&mut self, new: Self) {
         (self.log.level, self.log.targets) = (new.log.level, new.log.targets);
@@ -85,13 +98,16 @@
     /// on, the code to end with comes back; what there was to say has been said.
     pub fn begin() -> Result<Self, ExitCode> {
         let call: Call = cli::parse()?;
-        let file = call.config.filter(|file| !file.as_os_str().is_empty());
+        let file = call
+            .config
+            .or_else(|| std::env::var_os(EARLIER_CONFIG_VARIABLE).map(PathBuf::from))
+            .filter(|file| !file.as_os_str().is_empty());
         let plain = |what: &dyn std::fmt::Display, exit: Exit| {
-            let _ = writeln!(std::io::stderr(), "tinflow: {what}");
+            let _ = writeln!(std::io::stderr(), "sidecar: {what}");
             ExitCode::from(exit)
         };
         let holds: Sections = match &file {
-            Some(file) => config::load(file).map_err(|problem| plain(&problem, Exit::Config))?,
+            Some(file) => Sections::load(file).map_err(|problem| plain(&problem, Exit::Config))?,
             None => Sections::default(),
         };
         if call.check {
@@ -100,7 +116,7 @@
                 Err(what) => plain(&what, Exit::Config),
             });
         }
-        let log = Rc::new(logging::start(&holds.log, "tinflow"));
+        let log = Rc::new(logging::start(&holds.log, "sidecar"));
         Ok(Self {
             file,
             bounds: Bounds::of(&holds.metrics),
@@ -190,7 +206,7 @@
             })?;
         // Where the system was to pick the port, nobody could know it otherwise.
         if let Some(at) = listener.local_addr().ok().filter(|_| at.port() == 0) {
-            say!(info, "tinflow", "metrics are read at {at}");
+            say!(info, "sidecar", "metrics are read at {at}");
         }
         spawn_local(Rc::clone(&figures).upkeep());
         let pages = Pages {
@@ -209,12 +225,12 @@
     /// SIGHUP came: takes in what may change, all of it or nothing, and names what waits for a restart.
     pub fn reload(&mut self) {
         let Some(file) = &self.file else { return };
-        let new: Sections = match config::load(file) {
+        let new = match Sections::load(file) {
             Ok(new) => new,
             Err(problem) => {
                 say!(
                     warn,
-                    "tinflow",
+                    "sidecar",
                     "reload failed, the old product configuration stays: {problem}"
                 );
                 return;
@@ -240,7 +256,7 @@
         let taken = list(config::changed(&before, &self.holds));
         say!(
             info,
-            "tinflow",
+            "sidecar",
             "product configuration reloaded: {taken} changed{rest}"
         );
     }
--- a/src/bin/tinflow/report.rs
+++ b/src/bin/sidecar/report.rs
@@ -5,7 +5,7 @@
 #[cfg(not(feature = "product"))]
 pub fn line(what: std::fmt::Arguments<'_>) {
     use std::io::Write;
-    let line = format!("tinflow: {what}").replace(char::is_control, " ") + "\n";
+    let line = format!("sidecar: {what}").replace(char::is_control, " ") + "\n";
     let _ = std::io::stderr().write_all(line.as_bytes());
 }
 
--- a/src/bin/tinflow/serving.rs
+++ b/src/bin/sidecar/serving.rs
@@ -11,7 +11,7 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderValue};
 use hyper::{Request, Response, StatusCode};
-use linenproxy::NewRequest;
+use load_balancer::NewRequest;
 use std::cell::Cell;
 use std::error::Error;
 use std::fmt;
--- a/src/bin/tinflow/state.rs
+++ b/src/bin/sidecar/state.rs
@@ -7,9 +7,9 @@
 use crate::kept::{Lists, recalled};
 use crate::messages::{Input, Inputs, Named};
 use crate::report::say;
-use linenproxy_common::cli::Exit;
-use linenproxy_common::metering::Figures;
-use linenproxy_recovery::{
+use load_balancer_common::cli::Exit;
+use load_balancer_common::metering::Figures;
+use load_balancer_snapshot::{
     Begun, Believed, Changes, Directory, Found, Life, Micros, Process, Processes, StateSection,
     Writer, believe,
 };
@@ -179,7 +179,7 @@
     /// Says what the writer has to say.
     fn say(&self) {
         for line in self.0.writer.lines() {
-            say!(warn, "tinflow::state", "{line}");
+            say!(warn, "sidecar::state", "{line}");
         }
     }
 
@@ -188,34 +188,34 @@
         let counts = self.0.writer.counts();
         for (name, what, total) in [
             (
-                "tinflow_state_commits_total",
+                "sidecar_state_commits_total",
                 "Commits of what is kept, each with a sync.",
                 counts.commits,
             ),
             (
-                "tinflow_state_bytes_total",
+                "sidecar_state_bytes_total",
                 "Bytes of payload in them.",
                 counts.bytes,
             ),
             (
-                "tinflow_state_coalesced_total",
+                "sidecar_state_coalesced_total",
                 "Changes replaced by later ones unwritten.",
                 counts.coalesced,
             ),
             (
-                "tinflow_state_failures_total",
+                "sidecar_state_failures_total",
                 "Times that the disk did not do what was asked.",
                 counts.failures,
             ),
             (
-                "tinflow_state_set_aside_total",
+                "sidecar_state_set_aside_total",
                 "Files that were not believed.",
                 counts.asides,
             ),
         ] {
             figures.counter(name, what, &[]).absolute(total);
         }
-        let failing = figures.gauge("tinflow_state_failing", "1 while nothing can be kept.", &[]);
+        let failing = figures.gauge("sidecar_state_failing", "1 while nothing can be kept.", &[]);
         failing.set(f64::from(u8::from(counts.failing)));
     }
 }
@@ -240,7 +240,7 @@
         .collect();
     say!(
         info,
-        "tinflow::state",
+        "sidecar::state",
         "{end}: {endpoints} endpoints, pace of {}, {open} open circuits{rest}; incarnation {incarnation}",
         believed.processes.len()
     );
@@ -248,7 +248,7 @@
 }
 
 fn process((name, k): Named) -> Process {
-    let linenproxy::Recalled {
+    let load_balancer::Recalled {
         started,
         seen,
         open,
--- a/src/bin/tinflow/upstream.rs
+++ b/src/bin/sidecar/upstream.rs
@@ -7,7 +7,7 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Request, StatusCode, Uri};
-use linenproxy::{AttemptNo, Load, Micros, Outcome, RequestId};
+use load_balancer::{AttemptNo, Load, Micros, Outcome, RequestId};
 use std::cell::Cell;
 use std::pin::pin;
 use std::rc::Rc;
--- a/src/bin/tinflow/watching/tests.rs
+++ b/src/bin/sidecar/watching/tests.rs
@@ -1,7 +1,7 @@
 //! The times of calls for the list against those after which changes count as told.
 
 use super::*;
-use linenproxy::{Action, Balancer, Event, ListUpdate, Micros, settings};
+use load_balancer::{Action, Balancer, Event, ListUpdate, Micros, settings};
 use std::collections::BTreeSet;
 
 /// After a reload what discovery has to tell counts as told in this time.
--- a/src/bin/linenproxy-wirehost.rs
+++ b/src/bin/simulator-adapter.rs
@@ -6,21 +6,21 @@
 /// The balancer behind the simulator's wire: events on standard input, actions on standard output, until it ends.
 #[cfg(feature = "product")]
 #[derive(clap::Parser)]
-#[command(name = "linenproxy-wirehost")]
+#[command(name = "simulator-adapter")]
 struct Call {}
 
 fn main() -> ExitCode {
     #[cfg(feature = "product")]
-    if let Err(exit) = linenproxy_common::cli::parse::<Call>() {
+    if let Err(exit) = load_balancer_common::cli::parse::<Call>() {
         return exit.into();
     }
-    match linenproxy::wire::serve(
+    match load_balancer::simulator_wire::serve(
         stdin().lock(),
         BufWriter::with_capacity(1 << 16, stdout().lock()),
     ) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("linenproxy-wirehost: {error}");
+            eprintln!("simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,9 +8,9 @@
 mod memory;
 #[cfg(feature = "settings")]
 pub mod settings;
+#[cfg(feature = "simulator")]
+pub mod simulator_wire;
 mod state;
-#[cfg(feature = "wirehost")]
-pub mod wire;
 
 pub use api::*;
 pub use state::Balancer;
--- a/tests/bindings.rs
+++ b/tests/bindings.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use linenproxy::*;
+use load_balancer::*;
 
 const SECOND: Micros = 1000 * MS;
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A sidecar in miniature: it keeps the clock, fires timers and remembers what is out.
 #![allow(dead_code)]
 
-use linenproxy::*;
+use load_balancer::*;
 use std::collections::BTreeMap;
 
 pub const SAFE: ClassId = 0;
--- a/tests/failures/circuits.rs
+++ b/tests/failures/circuits.rs
@@ -1,7 +1,7 @@
 //! When many errors open circuits, and how they are tried.
 
 use crate::common::*;
-use linenproxy::*;
+use load_balancer::*;
 
 #[test]
 fn one_heavy_request_does_not_open_a_circuit() {
--- a/tests/failures/cold.rs
+++ b/tests/failures/cold.rs
@@ -2,7 +2,7 @@
 
 use crate::common::*;
 use crate::delta;
-use linenproxy::*;
+use load_balancer::*;
 
 #[test]
 fn a_cold_endpoint_gets_a_small_part_that_grows() {
--- a/tests/failures/cold_fleet.rs
+++ b/tests/failures/cold_fleet.rs
@@ -2,7 +2,7 @@
 //! beyond which such a server falls: in any window, what the settings allow it, and what is put down to chance.
 
 use crate::common::*;
-use linenproxy::*;
+use load_balancer::*;
 use std::collections::BTreeMap;
 
 /// A deployment as its settings have it, and how much work a warm server does.
--- a/tests/failures/crowd.rs
+++ b/tests/failures/crowd.rs
@@ -1,7 +1,7 @@
 //! Caps, waiting and shedding in a crowd.
 
 use crate::common::*;
-use linenproxy::*;
+use load_balancer::*;
 
 #[test]
 fn tenants_far_above_their_share_wait_behind_the_others() {
--- a/tests/failures/ends.rs
+++ b/tests/failures/ends.rs
@@ -1,7 +1,7 @@
 //! How requests and their attempts end, and events that fit nothing.
 
 use crate::common::*;
-use linenproxy::*;
+use load_balancer::*;
 
 #[test]
 fn every_request_is_answered_before_its_deadline() {
--- a/tests/failures/lines.rs
+++ b/tests/failures/lines.rs
@@ -1,7 +1,7 @@
 //! The lines for the people on call.
 
 use crate::common::*;
-use linenproxy::*;
+use load_balancer::*;
 
 #[test]
 fn the_log_says_what_the_on_call_page_quotes() {
--- a/tests/failures/lists.rs
+++ b/tests/failures/lists.rs
@@ -2,7 +2,7 @@
 
 use crate::common::*;
 use crate::delta;
-use linenproxy::*;
+use load_balancer::*;
 
 #[test]
 fn draining_and_gone_endpoints_get_nothing_at_once() {
--- a/tests/failures/main.rs
+++ b/tests/failures/main.rs
@@ -14,7 +14,7 @@
 mod shedding;
 
 use common::*;
-use linenproxy::*;
+use load_balancer::*;
 
 fn delta(rig: &mut Rig, entry: Listing) -> Vec<Action> {
     rig.event(Event::Endpoints(ListUpdate::Delta(vec![entry])))
--- a/tests/failures/pace.rs
+++ b/tests/failures/pace.rs
@@ -1,7 +1,7 @@
 //! What slow endpoints, groups and kinds lose of their turns.
 
 use crate::common::*;
-use linenproxy::*;
+use load_balancer::*;
 
 // A stalled answer is one error in the breaker's eyes. It says nothing of the pace of the answers that come.
 #[test]
--- a/tests/failures/shedding.rs
+++ b/tests/failures/shedding.rs
@@ -1,7 +1,7 @@
 //! What is shed once answers come late or slowly.
 
 use crate::common::*;
-use linenproxy::*;
+use load_balancer::*;
 
 /// Sends of so many requests, each answered after `time`.
 fn taken(rig: &mut Rig, requests: usize, time: Micros) -> usize {
--- a/tests/gossip/affinity.rs
+++ b/tests/gossip/affinity.rs
@@ -2,7 +2,7 @@
 
 use crate::common::*;
 use crate::{SECOND, sharing};
-use linenproxy::*;
+use load_balancer::*;
 
 /// A request about a key.
 fn about(rig: &mut Rig, class: ClassId, key: Option<u64>) -> (RequestId, Vec<Action>) {
--- a/tests/gossip/ejection.rs
+++ b/tests/gossip/ejection.rs
@@ -2,7 +2,7 @@
 
 use crate::common::*;
 use crate::{SECOND, end_at, sharing, word};
-use linenproxy::*;
+use load_balancer::*;
 
 #[test]
 fn an_endpoint_that_rests_gets_nothing_until_its_word_is_past_its_bound_or_taken_back() {
--- a/tests/gossip/health_reports.rs
+++ b/tests/gossip/health_reports.rs
@@ -2,7 +2,7 @@
 
 use crate::common::*;
 use crate::{end_at, sharing};
-use linenproxy::*;
+use load_balancer::*;
 
 #[test]
 fn how_attempts_end_is_told_only_where_that_is_wanted_and_a_full_endpoint_is_not_sick() {
--- a/tests/gossip/main.rs
+++ b/tests/gossip/main.rs
@@ -9,7 +9,7 @@
 mod staleness;
 
 use common::*;
-use linenproxy::*;
+use load_balancer::*;
 
 const SECOND: Micros = 1000 * MS;
 
--- a/tests/gossip/staleness.rs
+++ b/tests/gossip/staleness.rs
@@ -2,7 +2,7 @@
 
 use crate::common::*;
 use crate::{SECOND, sharing};
-use linenproxy::*;
+use load_balancer::*;
 
 /// A history drawn from a seed; `more` may say things in between. Gives all that was asked for.
 fn history(seed: u64, share: Sharing, more: impl Fn(&mut Rig, &mut fastrand::Rng)) -> Vec<Action> {
--- a/tests/ordinary/guards.rs
+++ b/tests/ordinary/guards.rs
@@ -1,7 +1,7 @@
 //! Breaker and bulwark.
 
 use crate::common::*;
-use linenproxy::*;
+use load_balancer::*;
 
 #[test]
 fn a_circuit_opens_tries_one_and_closes() {
--- a/tests/ordinary/retries.rs
+++ b/tests/ordinary/retries.rs
@@ -1,7 +1,7 @@
 //! Retries, their filter and their waits.
 
 use crate::common::*;
-use linenproxy::*;
+use load_balancer::*;
 
 #[test]
 fn waits_grow_between_base_and_most_delay_and_are_jittered() {
--- a/tests/ordinary/settings.rs
+++ b/tests/ordinary/settings.rs
@@ -1,7 +1,7 @@
 //! Settings that can't be used.
 
 use crate::common::*;
-use linenproxy::*;
+use load_balancer::*;
 
 #[test]
 fn unusable_settings_are_an_error() {
--- a/tests/ordinary/turns.rs
+++ b/tests/ordinary/turns.rs
@@ -1,7 +1,7 @@
 //! Turns over the ready endpoints.
 
 use crate::common::*;
-use linenproxy::*;
+use load_balancer::*;
 
 #[test]
 fn turns_go_round_all_endpoints() {
--- a/tests/product/configuration.rs
+++ b/tests/product/configuration.rs
@@ -9,14 +9,14 @@
     let help = run(&["--help"], &[]);
     let text = String::from_utf8(help.stdout).expect("text");
     assert_eq!(help.status.code(), Some(0));
-    for word in ["--config", "--check", "LINENPROXY_CONFIG", "Exit codes:"] {
+    for word in ["--config", "--check", "LOAD_BALANCER_CONFIG", "Exit codes:"] {
         assert!(text.contains(word), "{word} is not in\n{text}");
     }
     let version = run(&["--version"], &[]);
     assert!(
         String::from_utf8(version.stdout)
             .expect("text")
-            .starts_with("tinflow 0.")
+            .starts_with("sidecar 0.")
     );
     assert_eq!(run(&["--confg", "a"], &[]).status.code(), Some(64));
 }
@@ -43,12 +43,13 @@
         let path = file.0.to_str().expect("a path of text");
         for output in [
             run(&["--config", path], &[]),
+            run(&["--check"], &[("LOAD_BALANCER_CONFIG", path)]),
             run(&["--check"], &[("LINENPROXY_CONFIG", path)]),
         ] {
             let said = String::from_utf8(output.stderr).expect("text");
             assert_eq!(output.status.code(), Some(78), "{said}");
             assert!(
-                said.starts_with(&format!("tinflow: {path}{place}")),
+                said.starts_with(&format!("sidecar: {path}{place}")),
                 "{said}"
             );
             assert_eq!(said.lines().count(), 1, "{said}");
@@ -137,7 +138,7 @@
         "reloaded: log.level, metrics.readers changed; metrics.address waits for a restart\n";
     await_that("what waits is named", || said.count(waits) == 1);
     assert!(
-        page(at, "/metrics").contains("tinflow_requests_total"),
+        page(at, "/metrics").contains("sidecar_requests_total"),
         "the old address stays"
     );
 }
--- a/tests/product/fleet.rs
+++ b/tests/product/fleet.rs
@@ -47,7 +47,7 @@
             page(at, "/fleet").contains(&format!("\"name\": \"{other}\",\n      \"zone\""))
         });
         await_that("it is counted", || {
-            page(at, "/metrics").contains("tinflow_fleet_members 1")
+            page(at, "/metrics").contains("sidecar_fleet_members 1")
         });
     }
     assert_eq!((ask(&first), ask(&second)), (200, 200));
@@ -58,7 +58,7 @@
     assert_eq!(datagram_sockets(first.process.id()), 1);
     second.terminate();
     await_that("it has left", || {
-        page(pages[0], "/metrics").contains("tinflow_fleet_members 0")
+        page(pages[0], "/metrics").contains("sidecar_fleet_members 0")
     });
     assert_eq!(ask(&first), 200);
 }
@@ -123,9 +123,9 @@
         (
             "a",
             69,
-            format!("tinflow: cannot listen on fleet.listen {at}: "),
+            format!("sidecar: cannot listen on fleet.listen {at}: "),
         ),
-        ("", 78, "tinflow: fleet.enabled needs a name".to_owned()),
+        ("", 78, "sidecar: fleet.enabled needs a name".to_owned()),
     ] {
         let output = run(
             &["--config", &paths[0]],
--- a/tests/product/harness.rs
+++ b/tests/product/harness.rs
@@ -99,7 +99,7 @@
 }
 
 pub fn run(args: &[&str], variables: &[(&str, &str)]) -> Output {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_tinflow"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_sidecar"));
     command
         .args(args)
         .env_remove("LB_CONFIG")
--- a/tests/product/logs.rs
+++ b/tests/product/logs.rs
@@ -12,15 +12,27 @@
     let (sidecar, said) = start(&discovery, &endpoint, &file);
     assert_eq!(ask(&sidecar), 200);
     sidecar.terminate();
-    await_that("it says so", || said.text() == "tinflow: told to stop\n");
+    await_that("it says so", || said.text() == "sidecar: told to stop\n");
 }
 
 #[test]
 fn lines_are_json_where_that_is_configured() {
+    request_lines_in_json("sidecar::request");
+}
+
+// Product configurations that were written before the program got its name of today.
+#[test]
+fn a_target_under_the_programs_earlier_name_is_accepted() {
+    request_lines_in_json("tinflow::request");
+}
+
+/// Configures JSON lines and the debug level of `target`, and checks the lines of one request.
+fn request_lines_in_json(target: &str) {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| served());
-    let file =
-        File::new("[log]\nformat = \"json\"\ntargets = { \"tinflow::request\" = \"debug\" }\n");
+    let file = File::new(&format!(
+        "[log]\nformat = \"json\"\ntargets = {{ \"{target}\" = \"debug\" }}\n"
+    ));
     let (sidecar, said) = start(&discovery, &endpoint, &file);
     assert_eq!(ask(&sidecar), 200);
     sidecar.terminate();
@@ -32,7 +44,7 @@
         .collect();
     let of_request: Vec<_> = lines
         .iter()
-        .filter(|l| l["target"] == "tinflow::request")
+        .filter(|l| l["target"] == "sidecar::request")
         .collect();
     let words: Vec<_> = of_request
         .iter()
@@ -75,11 +87,11 @@
         rest.contains("lines dropped, standard error did not take them\n"),
         "{rest}"
     );
-    assert!(rest.ends_with("tinflow: told to stop\n"), "{rest}");
+    assert!(rest.ends_with("sidecar: told to stop\n"), "{rest}");
     assert!(
         rest.lines()
             .skip(1)
-            .all(|line| line.starts_with("tinflow: ")),
+            .all(|line| line.starts_with("sidecar: ")),
         "a line is not whole: {rest}"
     );
 }
--- a/tests/product/metrics.rs
+++ b/tests/product/metrics.rs
@@ -36,15 +36,15 @@
     });
     let text = page(at, "/metrics");
     for line in [
-        "tinflow_requests_total{class=\"look\",outcome=\"served\"} 20",
-        "tinflow_requests_total{class=\"book\",outcome=\"failed\"} 1",
-        "tinflow_attempts_total{outcome=\"served\"} 20",
-        "tinflow_attempts_total{outcome=\"error\"} 1",
-        "tinflow_request_duration_seconds_count{class=\"look\"} 20",
-        "tinflow_given_up_total{reason=\"failing\"} 1",
-        "tinflow_endpoints{state=\"ready\"} 1",
-        "tinflow_open_requests 0",
-        "tinflow_circuits_open 0",
+        "sidecar_requests_total{class=\"look\",outcome=\"served\"} 20",
+        "sidecar_requests_total{class=\"book\",outcome=\"failed\"} 1",
+        "sidecar_attempts_total{outcome=\"served\"} 20",
+        "sidecar_attempts_total{outcome=\"error\"} 1",
+        "sidecar_request_duration_seconds_count{class=\"look\"} 20",
+        "sidecar_given_up_total{reason=\"failing\"} 1",
+        "sidecar_endpoints{state=\"ready\"} 1",
+        "sidecar_open_requests 0",
+        "sidecar_circuits_open 0",
     ] {
         assert!(text.lines().any(|l| l == line), "{line} is not in\n{text}");
     }
@@ -66,7 +66,7 @@
     assert_eq!(ask(&sidecar), 200);
     drop(stuck);
     await_that("there is room again", || {
-        page(at, "/metrics").contains("tinflow_requests_total")
+        page(at, "/metrics").contains("sidecar_requests_total")
     });
 }
 
@@ -83,7 +83,7 @@
     let said = String::from_utf8(output.stderr).expect("text");
     assert_eq!(output.status.code(), Some(69), "{said}");
     assert!(
-        said.starts_with(&format!("tinflow: cannot listen on metrics.address {at}: ")),
+        said.starts_with(&format!("sidecar: cannot listen on metrics.address {at}: ")),
         "{said}"
     );
     assert_eq!(said.lines().count(), 1, "{said}");
--- a/tests/product/state.rs
+++ b/tests/product/state.rs
@@ -68,11 +68,11 @@
     discovery.await_watch(7);
     await_that("the circuit opens", || {
         ask(&sidecar);
-        figure(at, "tinflow_circuits_open ") == 1.0
+        figure(at, "sidecar_circuits_open ") == 1.0
     });
-    let commits = figure(at, "tinflow_state_commits_total ");
+    let commits = figure(at, "sidecar_state_commits_total ");
     await_that("that is kept", || {
-        figure(at, "tinflow_state_commits_total ") > commits
+        figure(at, "sidecar_state_commits_total ") > commits
     });
     drop(sidecar);
     // Discovery is gone, and the platform only knows the one of old.
@@ -81,7 +81,7 @@
     let (sidecar, said) = start_named("n1", &discovery, &old, &file);
     let line = "the last life ended without a word: 2 endpoints, pace of 2, 1 open circuits";
     await_that("it says what it found", || said.count(line) == 1);
-    assert_eq!(figure(at, "tinflow_circuits_open "), 1.0);
+    assert_eq!(figure(at, "sidecar_circuits_open "), 1.0);
     for _ in 0..30 {
         assert_eq!(ask(&sidecar), 200);
     }
@@ -125,7 +125,7 @@
     }
     assert_eq!(
         (
-            figure(at, "tinflow_state_failing "),
+            figure(at, "sidecar_state_failing "),
             said.count("nothing is kept for now")
         ),
         (1.0, 1)
@@ -142,7 +142,7 @@
     let file = File::new(&metrics(at, ""));
     let (sidecar, said) = start_named("n1", &discovery, &endpoint, &file);
     assert_eq!((ask(&sidecar), threads(sidecar.process.id())), (200, 1));
-    assert!(!page(at, "/metrics").contains("tinflow_state") && said.count("state") == 0);
+    assert!(!page(at, "/metrics").contains("sidecar_state") && said.count("state") == 0);
 }
 
 /// Lives that end in SIGKILL under load, at a different moment each, and one that is told to stop. `KILLS` in the
--- a/tests/rules/judge.rs
+++ b/tests/rules/judge.rs
@@ -1,7 +1,7 @@
 //! What the rules allow, kept apart from the module under test.
 
 use crate::common::*;
-use linenproxy::*;
+use load_balancer::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 pub struct Sent {
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -6,7 +6,7 @@
 
 use common::*;
 use judge::*;
-use linenproxy::*;
+use load_balancer::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 fn random_settings(rng: &mut fastrand::Rng) -> Settings {
--- a/tests/sidecar/bad_settings.rs
+++ b/tests/sidecar/bad_settings.rs
@@ -267,7 +267,7 @@
         await_that("the reload is answered", || lines().len() > n);
         let last = lines().swap_remove(n);
         assert!(
-            last.starts_with("tinflow: reload failed, the old configuration stays: "),
+            last.starts_with("sidecar: reload failed, the old configuration stays: "),
             "{last}: {text}"
         );
     }
--- a/tests/sidecar/bad_settings/starts.rs
+++ b/tests/sidecar/bad_settings/starts.rs
@@ -18,7 +18,7 @@
 pub fn start(text: &str, listen: SocketAddr) -> Start {
     let path = config_file(text);
     let said = config_file("");
-    let mut command = Command::new(env!("CARGO_BIN_EXE_tinflow"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_sidecar"));
     command
         .env("LB_CONFIG", &path)
         .env_remove("LB_LISTEN")
@@ -40,7 +40,7 @@
             let said = std::fs::read_to_string(&said).expect("text");
             assert_eq!(status.code(), Some(1), "{text}: {said}");
             assert!(
-                said.starts_with("tinflow: ") && said.lines().count() == 1,
+                said.starts_with("sidecar: ") && said.lines().count() == 1,
                 "{text}: {said}"
             );
             break Start::Refused(said);
--- a/tests/sidecar/connections.rs
+++ b/tests/sidecar/connections.rs
@@ -124,7 +124,7 @@
     sidecar.signal("-STOP");
     let state = format!("/proc/{}/stat", sidecar.process.id());
     await_that("it has stopped", || {
-        std::fs::read_to_string(&state).is_ok_and(|line| line.contains("(tinflow) T "))
+        std::fs::read_to_string(&state).is_ok_and(|line| line.contains("(sidecar) T "))
     });
     ask(&mut client);
     // Longer than a connection may be idle.
--- a/tests/sidecar/starting.rs
+++ b/tests/sidecar/starting.rs
@@ -22,7 +22,7 @@
         .into_iter()
         .chain([None, Some("/nonexistent/config.json".into())])
     {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_tinflow"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_sidecar"));
         match &path {
             Some(path) => command.env("LB_CONFIG", path),
             None => command.env_remove("LB_CONFIG"),
@@ -31,7 +31,7 @@
         let said = String::from_utf8(output.stderr).expect("text");
         assert_eq!(output.status.code(), Some(1), "{said}");
         assert!(
-            said.starts_with("tinflow: ") && said.lines().count() == 1,
+            said.starts_with("sidecar: ") && said.lines().count() == 1,
             "{said}"
         );
     }
--- a/tests/wire/hostile.rs
+++ b/tests/simulator_wire/hostile.rs
@@ -1,7 +1,7 @@
 //! Input that cannot be read.
 
 use crate::play::*;
-use linenproxy::wire::serve;
+use load_balancer::simulator_wire::serve;
 
 #[test]
 fn what_cannot_be_read_is_named_with_its_line() {
--- a/tests/wire/play.rs
+++ b/tests/simulator_wire/play.rs
@@ -1,6 +1,6 @@
 //! Lines that the simulator would write.
 
-use linenproxy::wire::serve;
+use load_balancer::simulator_wire::serve;
 
 const CONF: &str = r#"{"Balancers": 2, "Clients": {"MarksRetry": true}, "Discovery": "pushed", "Index": 0,
 "Lanes": [{"AimUs": 1000000, "DeadlineUs": 4000000, "Effect": "pure", "Name": "look", "Worth": 5.0},
--- a/tests/stubs/sidecar.rs
+++ b/tests/stubs/sidecar.rs
@@ -102,7 +102,7 @@
             .args([
                 "-c",
                 &format!("ulimit -n {granted}; exec \"$0\" \"$@\""),
-                env!("CARGO_BIN_EXE_tinflow"),
+                env!("CARGO_BIN_EXE_sidecar"),
             ])
             .env("LB_CONFIG", &config)
             .env("LB_LISTEN", address.to_string())
@@ -205,7 +205,7 @@
         self.signal("-STOP");
         let state = format!("/proc/{}/stat", self.process.id());
         await_that("it has stopped", || {
-            std::fs::read_to_string(&state).is_ok_and(|line| line.contains("(tinflow) T "))
+            std::fs::read_to_string(&state).is_ok_and(|line| line.contains("(sidecar) T "))
         });
     }
 
