--- a/benches/overhead.rs
+++ b/benches/overhead.rs
@@ -46,16 +46,16 @@
     for id in 1..=REQUESTS {
         let now = id as Micros * SPACING;
         out.clear();
-        let due = now + 3_000_000;
+        let deadline = now + 3_000_000;
         let request = NewRequest {
             id,
             class: 0,
             tenant: None,
             key: None,
-            bound: Vec::new(),
-            due,
+            affinity_endpoints: Vec::new(),
+            deadline,
             work: None,
-            repeat: false,
+            is_retry: false,
         };
         balancer.handle(now, Event::Request(request), &mut out);
         let sent = out.iter().find_map(|a| match a {
--- a/crates/emulator/src/pairs/wire.rs
+++ b/crates/emulator/src/pairs/wire.rs
@@ -88,7 +88,12 @@
                     "demand I={i} Ticket={} Profile={}",
                     r.id, CLASSES[r.class].name
                 );
-                let _ = write!(text, " DueUs={} Flags={}", r.due, 2 * u8::from(r.repeat));
+                let _ = write!(
+                    text,
+                    " DueUs={} Flags={}",
+                    r.deadline,
+                    2 * u8::from(r.is_retry)
+                );
                 if let Some(key) = r.key {
                     let _ = write!(text, " PartitionKey={key}");
                 }
@@ -135,8 +140,11 @@
                     server(endpoint)
                 )
             }
-            Action::Refuse { request, hold_off } => {
-                format!("not_now I={i} Ticket={request} HoldOffUs={hold_off}\n")
+            Action::Reject {
+                request,
+                retry_after,
+            } => {
+                format!("not_now I={i} Ticket={request} HoldOffUs={retry_after}\n")
             }
             Action::Fail(request) => format!("error I={i} Ticket={request}\n"),
             Action::Cancel { request, attempt } => {
--- a/crates/emulator/src/sim/clients.rs
+++ b/crates/emulator/src/sim/clients.rs
@@ -38,10 +38,10 @@
             class: a.class,
             tenant: None,
             key: Some(a.key),
-            bound: Vec::new(),
-            due: EPOCH + until as Micros,
+            affinity_endpoints: Vec::new(),
+            deadline: EPOCH + until as Micros,
             work: None,
-            repeat: attempt > 0,
+            is_retry: attempt > 0,
         };
         self.tell_or_wait(instance, Event::Request(new));
     }
@@ -63,7 +63,7 @@
         }
     }
 
-    pub(super) fn answer(&mut self, request: RequestId, status: u16, hold_off: Micros) {
+    pub(super) fn answer(&mut self, request: RequestId, status: u16, retry_after: Micros) {
         if let Some(open) = self.open.remove(&request) {
             self.note(Seen::Answered {
                 request,
@@ -71,18 +71,18 @@
                 genuine: true,
             });
             if status != 200 {
-                self.client_again(&open, status == 503, hold_off.max(0) as Us);
+                self.client_again(&open, status == 503, retry_after.max(0) as Us);
             }
         }
     }
 
-    pub(super) fn client_again(&mut self, open: &Open, harmless: bool, hold_off: Us) {
+    pub(super) fn client_again(&mut self, open: &Open, harmless: bool, retry_after: Us) {
         if harmless || CLASSES[self.plan.arrivals[open.arrival].class].repeat != Repeat::Never {
-            self.again(open.arrival, open.attempt, hold_off);
+            self.again(open.arrival, open.attempt, retry_after);
         }
     }
 
-    pub(super) fn again(&mut self, arrival: usize, attempt: u32, hold_off: Us) {
+    pub(super) fn again(&mut self, arrival: usize, attempt: u32, retry_after: Us) {
         let a = &self.plan.arrivals[arrival];
         let Some(wait) = a
             .waits
@@ -91,7 +91,7 @@
         else {
             return;
         };
-        let at = self.now + hold_off.max(*wait);
+        let at = self.now + retry_after.max(*wait);
         if at < a.at + CLASSES[a.class].deadline {
             self.at(at, What::Ask(arrival, attempt + 1));
         }
--- a/crates/emulator/src/sim/network.rs
+++ b/crates/emulator/src/sim/network.rs
@@ -6,7 +6,7 @@
 use crate::Us;
 use crate::datagrams::HELD_UP;
 use crate::experiment::Way;
-use load_balancer::{Event, Micros, Rest, Word};
+use load_balancer::{EjectionStatus, EjectionUpdate, Event, Micros};
 use load_balancer_gossip::core::Core;
 use load_balancer_gossip::verdict;
 use std::net::SocketAddr;
@@ -44,7 +44,7 @@
     pub(super) fn member(&mut self, instance: usize, what: impl FnOnce(&mut Core, Micros)) {
         let words = self.with_member(instance, what);
         if !words.is_empty() {
-            self.tell(instance, Event::Words(words));
+            self.tell(instance, Event::Ejections(words));
         }
     }
 
@@ -52,7 +52,7 @@
         &mut self,
         instance: usize,
         what: impl FnOnce(&mut Core, Micros),
-    ) -> Vec<Word> {
+    ) -> Vec<EjectionUpdate> {
         let sidecar = self.instances[instance].sidecar;
         let offset = Micros::from(self.plan.sidecars[sidecar].clock_offset_ms) * 1000;
         let now = EPOCH + self.now as Micros + offset;
@@ -64,17 +64,17 @@
         for (to, bytes) in effects.datagrams {
             self.post(sidecar, to, bytes);
         }
-        let word = |word: load_balancer_gossip::core::Word| Word {
+        let update = |word: load_balancer_gossip::core::Word| EjectionUpdate {
             endpoint: word.endpoint,
-            rest: match word.rest {
-                verdict::Rest::No => Rest::No,
-                verdict::Rest::Yes => Rest::Yes,
-                verdict::Rest::Trial => Rest::Trial,
-                verdict::Rest::Over => Rest::Over,
+            status: match word.rest {
+                verdict::Rest::No => EjectionStatus::NotEjected,
+                verdict::Rest::Yes => EjectionStatus::Ejected,
+                verdict::Rest::Trial => EjectionStatus::TrialDue,
+                verdict::Rest::Over => EjectionStatus::Recovered,
             },
-            until: word.until - offset,
+            expires: word.until - offset,
         };
-        effects.words.into_iter().map(word).collect()
+        effects.words.into_iter().map(update).collect()
     }
 
     pub(super) fn post(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
--- a/crates/emulator/src/sim/sidecars.rs
+++ b/crates/emulator/src/sim/sidecars.rs
@@ -12,7 +12,7 @@
 use load_balancer::settings::decode;
 use load_balancer::{
     Action, AttemptEnd, AttemptNo, Balancer, Event, ListUpdate, Listing, Load, Micros, Outcome,
-    RequestId, Sharing, Status,
+    RequestId, SharedKnowledge, Status,
 };
 use load_balancer_gossip::core::{Core, Listed, TICK};
 use load_balancer_gossip::evidence::Sign;
@@ -36,14 +36,14 @@
             .get(sidecar)
             .filter(|section| section.enabled)
             .map(|section| {
-                let ahead = if section.affinity.enabled {
+                let affinity_slack = if section.affinity.enabled {
                     section.affinity.ahead
                 } else {
                     0.0
                 };
-                balancer.share(Sharing {
-                    words: section.verdicts.enabled,
-                    ahead,
+                balancer.share(SharedKnowledge {
+                    peer_health: section.verdicts.enabled,
+                    affinity_slack,
                 });
                 let spec = &self.plan.sidecars[sidecar];
                 let now = EPOCH + self.now as Micros + Micros::from(spec.clock_offset_ms) * 1000;
@@ -182,7 +182,10 @@
                         timeout,
                         ..
                     } => self.send(instance, request, endpoint, timeout),
-                    Action::Refuse { request, hold_off } => self.answer(request, 503, hold_off),
+                    Action::Reject {
+                        request,
+                        retry_after,
+                    } => self.answer(request, 503, retry_after),
                     Action::Fail(request) => self.answer(request, 502, 0),
                     Action::Cancel { request, attempt } => {
                         if let Some(out) = self.instances[instance].out.remove(&(request, attempt))
@@ -199,18 +202,18 @@
                     Action::CloseIdle(endpoint) => {
                         drop(self.instances[instance].idle.remove(&endpoint))
                     }
-                    Action::Witness { endpoint, served } => {
+                    Action::ReportHealth { endpoint, served } => {
                         let sign = if served { Sign::Well } else { Sign::Sick };
                         let words = self
                             .with_member(instance, |core, now| core.witness(now, endpoint, sign));
                         if !words.is_empty() {
-                            events.push_back(Event::Words(words));
+                            events.push_back(Event::Ejections(words));
                         }
                     }
                     Action::Probe(_)
                     | Action::Subscribe(_)
                     | Action::FetchList
-                    | Action::Tell { .. }
+                    | Action::SendToPeer { .. }
                     | Action::Log(_) => {}
                 }
             }
--- a/src/api.rs
+++ b/src/api.rs
@@ -1,27 +1,32 @@
-//! The interface of the decision module: what it is told ([`Settings`], [`Event`]) and what it asks for
-//! ([`Action`]). Times are whole microseconds on one clock that only advances; ids are small numbers that
-//! the embedding sidecar gives out and that carry no meaning of their own. Changes with what is told and asked for.
+//! The interface of the decision module: what it is told ([`Settings`], [`Event`]) and what it asks
+//! for ([`Action`]).
+//!
+//! Times are whole microseconds on one clock that only advances; ids are small numbers that the
+//! embedding program gives out and that carry no meaning of their own.
 
 mod ids;
 mod list;
+mod peer_health;
 mod request;
+mod restored;
 mod settings;
-mod words;
 
 pub use ids::*;
 pub use list::*;
+pub use peer_health::*;
 pub use request::*;
+pub use restored::*;
 pub use settings::*;
-pub use words::*;
 
 /// What an instance is told.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Words of other instances that have changed.
-    Words(Vec<Word>),
-    /// What an earlier life of this instance knew of endpoints, once after the first list and before any request.
-    Recalled(Vec<Recalled>),
-    /// News of the endpoint list.
+    /// What other members' health observations come to, where that has changed.
+    Ejections(Vec<EjectionUpdate>),
+    /// What this instance knew of endpoints before a restart, once after the first list and before
+    /// any request.
+    Restored(Vec<RestoredEndpoint>),
+    /// The endpoint list, or a change of it.
     Endpoints(ListUpdate),
     /// A client's request; it is owed exactly one final answer.
     Request(NewRequest),
@@ -58,17 +63,17 @@
     Timer(u64),
 }
 
-/// What an instance tells of itself to whoever measures it.
+/// The figures of an instance, for whoever measures it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Census {
+pub struct BalancerSummary {
     /// Endpoints on the list.
     pub listed: usize,
     /// Those of them that take requests.
     pub ready: usize,
     /// Those of them whose circuit is open.
     pub circuits_open: usize,
-    /// Those of them that rest by others' word.
-    pub resting: usize,
+    /// Those of them that are ejected by other members' observations.
+    pub ejected: usize,
     /// Requests that wait for an endpoint with room.
     pub queued: usize,
     /// Requests given up since the start: shed, waiting, failing.
@@ -87,14 +92,14 @@
         /// Its time-out.
         timeout: Micros,
         /// The instant by which its last byte must be out: later, a repeat might run a second time.
-        write_by: Micros,
+        write_by: Timestamp,
     },
     /// Final answer: not done, and trying again is harmless.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// How long the client should stay away; 0 says nothing.
-        hold_off: Micros,
+        retry_after: Micros,
     },
     /// Final answer: failed, with no promise about effects.
     Fail(RequestId),
@@ -121,19 +126,19 @@
     /// Close idle connections to an endpoint.
     CloseIdle(EndpointId),
     /// Send a message of at most 256 bytes to a peer, or to all.
-    Tell {
+    SendToPeer {
         /// The peer's index; `None` is everyone.
         to: Option<u32>,
         /// The content.
         bytes: Vec<u8>,
     },
-    /// Tell others that an attempt at an endpoint was served, or was not.
-    Witness {
+    /// Report to other members that an attempt at an endpoint was served, or was not.
+    ReportHealth {
         /// The endpoint.
         endpoint: EndpointId,
         /// It was served.
         served: bool,
     },
-    /// One line for the people on call.
+    /// One log line for on-call engineers.
     Log(String),
 }
--- a/src/api/list.rs
+++ b/src/api/list.rs
@@ -1,4 +1,4 @@
-//! The list of endpoints as it is told. Changes with what discovery says of an endpoint.
+//! The endpoint list as discovery gives it.
 
 use super::ids::*;
 
@@ -22,14 +22,15 @@
     pub zone: Option<ZoneId>,
     /// Its cell: the endpoints that share which keys they have seen.
     pub cell: u64,
-    /// Its kind of machine: what is learnt of the pace of one holds for the others until more is known.
+    /// Its kind of machine: what is learnt of the pace of one holds for the others until more is
+    /// known.
     pub kind: Option<KindId>,
     /// Its state.
     pub status: Status,
     /// Its size; see [`WeightSource`](crate::WeightSource).
     pub size: f64,
     /// When it last started; `None` is long ago.
-    pub started: Option<Micros>,
+    pub started: Option<Timestamp>,
     /// A number for its name, the same at every instance; only affinity of keys asks for it.
     pub alias: u64,
 }
--- a/src/api/request.rs
+++ b/src/api/request.rs
@@ -1,4 +1,4 @@
-//! A request, and how an attempt at it ends. Changes with what a caller knows of either.
+//! A new request, and how an attempt ends.
 
 use super::ids::*;
 
@@ -13,14 +13,14 @@
     pub tenant: Option<TenantId>,
     /// Its subject, if any.
     pub key: Option<u64>,
-    /// Where its key is warm by all members' word, the best first.
-    pub bound: Vec<EndpointId>,
-    /// When the client gives up this try.
-    pub due: Micros,
+    /// Where its key is cached by the affinity entries of all members, the best first.
+    pub affinity_endpoints: Vec<EndpointId>,
+    /// When the client gives up waiting.
+    pub deadline: Timestamp,
     /// Expected work on a standard core, where known.
     pub work: Option<Micros>,
-    /// The client has tried before.
-    pub repeat: bool,
+    /// The client has sent it before.
+    pub is_retry: bool,
 }
 
 /// How an attempt or probe ended.
@@ -30,7 +30,7 @@
     Ok,
     /// The endpoint answered with an error; it may have run.
     Error,
-    /// Turned away unseen; it never ran.
+    /// Rejected before it began; it never ran.
     Rejected,
     /// No answer in time; it may have run.
     TimedOut,
@@ -40,8 +40,8 @@
     Reset,
     /// Cancelled; it may have run.
     Cancelled,
-    /// Never sent: the request had ended, its time was over, its attempts were spent, or the endpoint was no longer
-    /// the one that it was meant for.
+    /// Never sent: the request had ended, its time was over, its attempts were spent, or the
+    /// endpoint was no longer the one that it was meant for.
     NotSent,
 }
 
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -1,4 +1,4 @@
-//! What an instance is told at its start. Changes with what a site may settle.
+//! What an instance is told at its start.
 
 use super::ids::*;
 
@@ -32,26 +32,35 @@
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// An answer within this time earns the full worth.
-    pub aim: Micros,
-    /// The aim grows by this multiple of the request's own work.
-    pub aim_stretch: f64,
-    /// How long a client waits over all its tries.
+    /// Latency objective: an answer within this time earns the full priority weight.
+    pub latency_objective: Micros,
+    /// The objective grows by this multiple of the request's own work.
+    pub objective_per_work: f64,
+    /// How long a client waits over all its attempts.
     pub deadline: Micros,
-    /// Share of the worth that an answer after the aim still earns.
-    pub late_share: f64,
-    /// Worth of one request.
-    pub worth: f64,
+    /// Part of the priority weight that an answer after the objective still earns.
+    pub late_value: f64,
+    /// Priority weight of one request.
+    pub priority_weight: f64,
     /// What a repeat would do.
     pub effect: Effect,
     /// Answers arrive as a stream.
     pub streaming: bool,
 }
 
-/// A tenant and its share of the service.
+impl Class {
+    /// The latency objective of a request with that much work, in microseconds: within the
+    /// deadline, unless the class's own objective is beyond it.
+    pub(crate) fn objective_for(&self, work: f64) -> f64 {
+        let stretched = self.latency_objective as f64 + self.objective_per_work * work;
+        stretched.min(self.deadline.max(self.latency_objective) as f64)
+    }
+}
+
+/// A tenant and its quota of the service.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second within its share, over all sidecars.
+    /// Requests a second within its quota, over all sidecars.
     pub quota_per_s: f64,
     /// Its part of the service.
     pub share: f64,
@@ -62,7 +71,8 @@
 pub enum Discovery {
     /// Changes arrive unasked.
     Pushed,
-    /// Only after [`Action::Subscribe`](crate::Action::Subscribe) or [`Action::FetchList`](crate::Action::FetchList).
+    /// Only after [`Action::Subscribe`](crate::Action::Subscribe) or
+    /// [`Action::FetchList`](crate::Action::FetchList).
     OnRequest,
 }
 
@@ -114,16 +124,16 @@
 pub struct Rules {
     /// How long after the deadline a final answer still counts.
     pub answer_slack: Micros,
-    /// An unsubscribed instance must ask discovery this often.
-    pub ask_within: Micros,
-    /// Least share of its capacity that a fresh endpoint has.
-    pub cold_share: f64,
+    /// An unsubscribed instance must poll discovery this often.
+    pub poll_interval: Micros,
+    /// Least part of its capacity that an endpoint has at its start.
+    pub cold_capacity: f64,
     /// It is warm no later than this after its start.
-    pub warm_within: Micros,
-    /// A cold endpoint sent more than this multiple of its present capacity ...
+    pub warmup_time: Micros,
+    /// A warming endpoint that is sent more than this multiple of its present capacity ...
     pub overload_factor: f64,
     /// ... for this long falls over.
-    pub tip_after: Micros,
+    pub overload_window: Micros,
 }
 
 /// Prices, in points of the result.
@@ -133,7 +143,7 @@
     pub cross_zone: f64,
     /// For work that served no answer.
     pub waste: f64,
-    /// For worth unserved once its aim has passed.
+    /// For priority weight unserved once its objective has passed.
     pub late_fail: f64,
     /// For probes.
     pub probe: f64,
@@ -181,20 +191,21 @@
     pub prices: Prices,
     /// Goal weights.
     pub goal: Goal,
-    /// Worth of traffic beyond a tenant's share, as a fraction.
-    pub over_share_worth: f64,
-    /// Worth is counted by work, not by request.
-    pub worth_by_work: bool,
-    /// Clients mark their repeats.
-    pub marks_repeat: bool,
+    /// Priority weight of traffic beyond a tenant's quota, as a fraction.
+    pub over_quota_weight: f64,
+    /// Priority weight is counted by work, not by request.
+    pub weight_by_work: bool,
+    /// Clients mark their retries.
+    pub marks_retries: bool,
     /// Least time between two calls with events.
-    pub tick: Micros,
+    pub clock_granularity: Micros,
 }
 
 impl Settings {
-    /// The longest aim of any class.
-    pub fn longest_aim(&self) -> Micros {
-        self.classes.iter().map(|c| c.aim).max().unwrap_or(1)
+    /// The longest latency objective of any class.
+    pub fn longest_objective(&self) -> Micros {
+        let objectives = self.classes.iter().map(|class| class.latency_objective);
+        objectives.max().unwrap_or(1)
     }
 
     /// Whether requests can be decided under these settings.
@@ -207,7 +218,7 @@
         for (fine, what) in [
             (!self.classes.is_empty(), "classes: no request classes"),
             (
-                all(&|c| c.aim > 0 && time(c.aim)),
+                all(&|c| c.latency_objective > 0 && time(c.latency_objective)),
                 "classes: aim must be above 0 and under 2^50 us",
             ),
             (
@@ -219,31 +230,37 @@
                 "classes: ttl must lie in 0 to 2^50 us",
             ),
             (
-                all(&|c| figure(c.aim_stretch)),
+                all(&|c| figure(c.objective_per_work)),
                 "classes: aim_stretch must be finite and not negative",
             ),
             (
                 self.limits.max_attempts > 0,
                 "limits: max_attempts must be above 0",
             ),
-            (share(r.cold_share), "rules: cold_share must lie in 0 to 1"),
+            (
+                share(r.cold_capacity),
+                "rules: cold_share must lie in 0 to 1",
+            ),
             (
                 figure(r.overload_factor),
                 "rules: overload_factor must be finite and not negative",
             ),
             (
-                time(r.warm_within),
+                time(r.warmup_time),
                 "rules: warm_within must lie in 0 to 2^50 us",
             ),
             (
-                time(r.tip_after),
+                time(r.overload_window),
                 "rules: tip_after must lie in 0 to 2^50 us",
             ),
             (
-                time(r.ask_within),
+                time(r.poll_interval),
                 "rules: ask_within must lie in 0 to 2^50 us",
             ),
-            (time(self.tick), "tick must lie in 0 to 2^50 us"),
+            (
+                time(self.clock_granularity),
+                "tick must lie in 0 to 2^50 us",
+            ),
         ] {
             if !fine {
                 return Err(SettingsError(what));
--- /dev/null
+++ b/src/balancer.rs
@@ -0,0 +1,163 @@
+//! The decisions of one sidecar: events in, actions out. The interface is `api.rs`.
+//!
+//! [`Balancer`] composes the policies in the order of a request's way: admission, selection of an
+//! endpoint, sending, the outcome, then a retry or the final answer. Each policy is a type with its
+//! own state in a file beside this one.
+
+mod admission;
+mod attempt_timeout;
+mod backoff;
+mod bulkhead;
+mod circuit_breaker;
+mod completion;
+mod decayed_sum;
+mod dispatch;
+mod endpoint;
+mod endpoint_list;
+mod event_log;
+mod goodput;
+mod key_affinity;
+mod latency;
+mod latency_group;
+mod load_estimate;
+mod load_shedder;
+mod outcome;
+mod peer_health;
+mod request;
+mod retry_budget;
+mod retry_policy;
+mod round_robin;
+mod selection;
+mod send_rules;
+mod slow_start;
+mod subset;
+mod summary;
+mod tenant_quotas;
+mod time;
+mod timers;
+mod token_bucket;
+mod trial_budget;
+mod wait_queue;
+mod warm_restart;
+mod work_estimate;
+
+use crate::api::*;
+use bulkhead::InitialLimit;
+use endpoint::Endpoint;
+use endpoint_list::ListFollower;
+use event_log::EventLog;
+use goodput::Goodput;
+use key_affinity::KeyAffinity;
+use latency::LatencyEstimator;
+use load_estimate::LoadEstimate;
+use peer_health::PeerHealth;
+use request::Request;
+use retry_budget::RetryBudget;
+use round_robin::WeightedRoundRobin;
+use slow_start::SlowStart;
+use std::collections::BTreeMap;
+use subset::EndpointSubset;
+use tenant_quotas::TenantQuotas;
+use time::{END_OF_TIME, LONGEST_TIME};
+use timers::Timers;
+use trial_budget::TrialBudget;
+use wait_queue::WaitQueue;
+use work_estimate::WorkEstimate;
+
+/// Time constant of what is learnt, in longest latency objectives: a site with short objectives has
+/// short faults too.
+const MEMORY_IN_LONGEST_OBJECTIVES: Micros = 4;
+
+/// The decisions of one sidecar. Feed it events in order; it answers with actions.
+pub struct Balancer {
+    settings: Settings,
+    rng: fastrand::Rng,
+    /// Time constant of what is learnt: after it a third is left, unless more is observed.
+    memory: Micros,
+    endpoints: Vec<Endpoint>,
+    requests: BTreeMap<RequestId, Request>,
+    timers: Timers,
+    log: EventLog,
+
+    list: ListFollower,
+    quotas: TenantQuotas,
+    subset: EndpointSubset,
+    rotation: WeightedRoundRobin,
+    affinity: KeyAffinity,
+    peer_health: PeerHealth,
+    initial_limit: InitialLimit,
+    queue: WaitQueue,
+    slow_start: SlowStart,
+    retry_budget: RetryBudget,
+    trial_budget: TrialBudget,
+
+    work: WorkEstimate,
+    latency: LatencyEstimator,
+    load: LoadEstimate,
+    goodput: Goodput,
+}
+
+impl Balancer {
+    /// A fresh instance.
+    ///
+    /// # Errors
+    /// No request could be decided under these settings.
+    pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
+        settings.check()?;
+        let objective = settings.longest_objective();
+        let memory = MEMORY_IN_LONGEST_OBJECTIVES * objective.min(LONGEST_TIME);
+        Ok(Self {
+            rng: fastrand::Rng::with_seed(seed),
+            memory,
+            endpoints: Vec::new(),
+            requests: BTreeMap::new(),
+            timers: Timers::default(),
+            log: EventLog::default(),
+            list: ListFollower::default(),
+            quotas: TenantQuotas::new(&settings.tenants, objective),
+            subset: EndpointSubset::new(memory),
+            rotation: WeightedRoundRobin::default(),
+            affinity: KeyAffinity::default(),
+            peer_health: PeerHealth::default(),
+            initial_limit: InitialLimit::new(settings.instances),
+            queue: WaitQueue::default(),
+            slow_start: SlowStart::new(&settings.rules, settings.instances),
+            retry_budget: RetryBudget::full(),
+            trial_budget: TrialBudget::full(),
+            work: WorkEstimate::new(&settings.classes),
+            latency: LatencyEstimator::new(memory),
+            load: LoadEstimate::new(objective),
+            goodput: Goodput::new(memory),
+            settings,
+        })
+    }
+
+    /// Sets what this instance shares with others from now on; nothing until it is called.
+    pub fn share(&mut self, shared: SharedKnowledge) {
+        self.peer_health = PeerHealth::new(shared.peer_health);
+        self.affinity.set_slack(shared.affinity_slack);
+    }
+
+    /// Takes one event that happens at `now`, and appends the actions that follow from it to `out`.
+    pub fn handle(&mut self, now: Timestamp, event: Event, out: &mut Vec<Action>) {
+        let now = now.clamp(-END_OF_TIME, END_OF_TIME);
+        self.subscribe_once(out);
+        self.expire_peer_health(now, out);
+        self.refresh_estimates(now);
+        match event {
+            Event::Ejections(updates) => self.apply_ejections(now, updates, out),
+            Event::Restored(known) => self.restore(now, known),
+            Event::Endpoints(update) => self.follow_list(now, update),
+            Event::Request(new) => self.admit(now, new, out),
+            Event::StreamStarted { request, attempt } => {
+                self.stream_started(request, attempt, out);
+            }
+            Event::AttemptEnded(end) => self.attempt_ended(now, end, out),
+            Event::Abandoned(id) => self.abandon(now, id, out),
+            Event::Timer(token) => self.run_due_timers(now, token, out),
+            Event::ProbeEnded { .. } | Event::PeerMessage { .. } => {}
+        }
+        self.dispatch_queued(now, out);
+        self.timers.arm(now, out);
+    }
+}
--- a/src/bin/sidecar/engine.rs
+++ b/src/bin/sidecar/engine.rs
@@ -202,17 +202,17 @@
                 let (open, attempts) = self.open.count();
                 // Whoever asked may have left.
                 let _ = reply.send(Survey {
-                    census: self.balancer.census(),
+                    summary: self.balancer.summary(),
                     open,
                     attempts,
                 });
             }
             #[cfg(feature = "product")]
-            Input::Recalled(known) => self.deliver(Event::Recalled(self.listed.numbered(known))),
+            Input::Recalled(known) => self.deliver(Event::Restored(self.listed.numbered(known))),
             #[cfg(feature = "product")]
             Input::Recollect(reply) => drop(reply.send(self.listed.named(&self.balancer))),
             #[cfg(feature = "product")]
-            Input::Words(words) => self.deliver(Event::Words(words)),
+            Input::Ejections(updates) => self.deliver(Event::Ejections(updates)),
             Input::Peer(from, bytes, _permit) => self.deliver(Event::PeerMessage { from, bytes }),
         }
     }
--- a/src/bin/sidecar/engine/actions.rs
+++ b/src/bin/sidecar/engine/actions.rs
@@ -27,9 +27,10 @@
                 let [write_by, until] = [write_by.min(until), until].map(|t| self.clock.instant(t));
                 self.send(request, endpoint, Times { write_by, until });
             }
-            Action::Refuse { request, hold_off } => {
-                self.open.answer(request, Answer::Refused(hold_off))
-            }
+            Action::Reject {
+                request,
+                retry_after,
+            } => self.open.answer(request, Answer::Refused(retry_after)),
             Action::Fail(request) => self.open.answer(request, Answer::Failed),
             Action::Cancel { request, attempt } => {
                 self.events.extend(self.open.cancel((request, attempt)));
@@ -44,12 +45,12 @@
             Action::Subscribe(false) => drop(self.asks.send(Ask::StopWatch)),
             Action::FetchList => drop(self.asks.send(Ask::Fetch)),
             Action::CloseIdle(endpoint) => self.pool.endpoint(endpoint).close_idle(),
-            Action::Tell { to, bytes } => {
+            Action::SendToPeer { to, bytes } => {
                 if let Some(peers) = &self.peers {
                     peers.tell(to, &bytes);
                 }
             }
-            Action::Witness { endpoint, served } => {
+            Action::ReportHealth { endpoint, served } => {
                 if let Some(fleet) = &self.fleet {
                     fleet.witness(endpoint, served);
                 }
--- a/src/bin/sidecar/fleet.rs
+++ b/src/bin/sidecar/fleet.rs
@@ -5,7 +5,7 @@
 use crate::clock::Clock;
 use crate::messages::{Input, Inputs};
 use crate::report::say;
-use load_balancer::{EndpointId, Listing, Micros, Rest, Sharing, Status, Word};
+use load_balancer::{EjectionStatus, EjectionUpdate, EndpointId, Listing, SharedKnowledge, Status};
 use load_balancer_common::cli;
 use load_balancer_gossip::census::Servers;
 use load_balancer_gossip::core::{Census, Listed};
@@ -24,7 +24,7 @@
 pub struct Fleet {
     member: udp::Fleet,
     list: Rc<RefCell<BTreeMap<EndpointId, (Listed, String)>>>,
-    sharing: Sharing,
+    sharing: SharedKnowledge,
     bindings: Option<Host>,
 }
 
@@ -40,7 +40,7 @@
     ) -> io::Result<Self> {
         let inputs = inputs.clone();
         let told = Rc::new(move |words: Vec<load_balancer_gossip::core::Word>| {
-            inputs.send(Input::Words(words.into_iter().map(word).collect()));
+            inputs.send(Input::Ejections(words.into_iter().map(ejection).collect()));
         });
         let member = udp::Fleet::bind(
             section,
@@ -53,14 +53,14 @@
         member.set_version(cli::VERSION);
         member.on_notes(Rc::new(|note| note_down(&note)));
         spawn_local(member.clone().run());
-        let ahead = if section.affinity.enabled {
+        let affinity_slack = if section.affinity.enabled {
             section.affinity.ahead
         } else {
             0.0
         };
-        let sharing = Sharing {
-            words: section.verdicts.enabled,
-            ahead,
+        let sharing = SharedKnowledge {
+            peer_health: section.verdicts.enabled,
+            affinity_slack,
         };
         let bindings = section
             .bindings
@@ -92,7 +92,7 @@
     }
 
     /// What the module is to share.
-    pub fn sharing(&self) -> Sharing {
+    pub fn sharing(&self) -> SharedKnowledge {
         self.sharing
     }
 
@@ -172,18 +172,17 @@
     }
 }
 
-fn word(word: load_balancer_gossip::core::Word) -> Word {
-    let rest = match word.rest {
-        verdict::Rest::No => Rest::No,
-        verdict::Rest::Yes => Rest::Yes,
-        verdict::Rest::Trial => Rest::Trial,
-        verdict::Rest::Over => Rest::Over,
-    };
-    let until: Micros = word.until;
-    Word {
+/// What members' observations come to, as the decision module takes it.
+fn ejection(word: load_balancer_gossip::core::Word) -> EjectionUpdate {
+    EjectionUpdate {
         endpoint: word.endpoint,
-        rest,
-        until,
+        status: match word.rest {
+            verdict::Rest::No => EjectionStatus::NotEjected,
+            verdict::Rest::Yes => EjectionStatus::Ejected,
+            verdict::Rest::Trial => EjectionStatus::TrialDue,
+            verdict::Rest::Over => EjectionStatus::Recovered,
+        },
+        expires: word.until,
     }
 }
 
--- a/src/bin/sidecar/kept.rs
+++ b/src/bin/sidecar/kept.rs
@@ -3,7 +3,7 @@
 use crate::config::Config;
 use crate::hosts::{Host, HostList, HostStatus};
 use crate::messages::Named;
-use load_balancer::Recalled;
+use load_balancer::RestoredEndpoint;
 use load_balancer_snapshot::{Entry, List, Micros, Process};
 use std::collections::BTreeMap;
 
@@ -105,26 +105,28 @@
 }
 
 /// What was known of a process, as the engine is told; it knows the endpoint by its name.
-pub fn recalled(process: Process) -> Named {
-    let Process {
-        name,
-        started,
-        seen,
-        open,
-        openings,
-        slow,
-        cap,
-    } = process;
-    (
+pub fn restored(process: Process) -> Named {
+    let endpoint = RestoredEndpoint {
+        endpoint: 0,
+        started: process.started,
+        last_heard: process.seen,
+        circuit_open: process.open,
+        openings: process.openings,
+        latency_per_work: process.slow,
+        concurrency_limit: process.cap,
+    };
+    (process.name, endpoint)
+}
+
+/// What the engine knows of a process, in the form in which it is stored.
+pub fn stored((name, known): Named) -> Process {
+    Process {
         name,
-        Recalled {
-            endpoint: 0,
-            started,
-            seen,
-            open,
-            openings,
-            slow,
-            cap,
-        },
-    )
+        started: known.started,
+        seen: known.last_heard,
+        open: known.circuit_open,
+        openings: known.openings,
+        slow: known.latency_per_work,
+        cap: known.concurrency_limit,
+    }
 }
--- a/src/bin/sidecar/listed.rs
+++ b/src/bin/sidecar/listed.rs
@@ -8,7 +8,7 @@
 use crate::product::{Fleet, State};
 use load_balancer::settings::Names;
 #[cfg(feature = "product")]
-use load_balancer::{Balancer, Recalled};
+use load_balancer::{Balancer, RestoredEndpoint};
 use load_balancer::{ListUpdate, Listing, Status};
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -38,9 +38,9 @@
 
     /// What was known of endpoints, by their numbers; those without one are left out.
     #[cfg(feature = "product")]
-    pub fn numbered(&self, known: Vec<Named>) -> Vec<Recalled> {
+    pub fn numbered(&self, known: Vec<Named>) -> Vec<RestoredEndpoint> {
         let of = |(name, k): Named| {
-            Some(Recalled {
+            Some(RestoredEndpoint {
                 endpoint: self.endpoints.find(&name)?,
                 ..k
             })
@@ -51,10 +51,10 @@
     /// How many are listed, and what the module knows of them, by their names.
     #[cfg(feature = "product")]
     pub fn named(&self, balancer: &Balancer) -> (usize, Vec<Named>) {
-        let named = |k: Recalled| (self.name(k.endpoint).to_owned(), k);
+        let named = |k: RestoredEndpoint| (self.name(k.endpoint).to_owned(), k);
         (
-            balancer.census().listed,
-            balancer.memory().into_iter().map(named).collect(),
+            balancer.summary().listed,
+            balancer.export().into_iter().map(named).collect(),
         )
     }
 
--- a/src/bin/sidecar/messages.rs
+++ b/src/bin/sidecar/messages.rs
@@ -41,14 +41,14 @@
     Recollect(oneshot::Sender<(usize, Vec<Named>)>),
     /// The fleet's words have changed.
     #[cfg(feature = "product")]
-    Words(Vec<load_balancer::Word>),
+    Ejections(Vec<load_balancer::EjectionUpdate>),
     /// A datagram from a peer.
     Peer(u32, Vec<u8>, OwnedSemaphorePermit),
 }
 
 /// What is known of an endpoint, by its name; its number is only the engine's.
 #[cfg(feature = "product")]
-pub type Named = (String, load_balancer::Recalled);
+pub type Named = (String, load_balancer::RestoredEndpoint);
 
 /// The one final answer to a request.
 pub enum Answer {
@@ -99,7 +99,7 @@
 #[cfg(feature = "product")]
 pub struct Survey {
     /// What the module tells.
-    pub census: load_balancer::Census,
+    pub summary: load_balancer::BalancerSummary,
     /// Requests without their final answer.
     pub open: usize,
     /// Attempts that are out.
--- a/src/bin/sidecar/observer.rs
+++ b/src/bin/sidecar/observer.rs
@@ -294,19 +294,19 @@
     /// Takes in what the engine found when it was asked, and writes all figures.
     pub fn page(&self, survey: &Survey, lines_dropped: u64) -> Option<String> {
         let seen = self.0.as_deref()?;
-        let census = &survey.census;
-        for (counter, total) in seen.given_up.iter().zip(census.given_up) {
+        let summary = &survey.summary;
+        for (counter, total) in seen.given_up.iter().zip(summary.given_up) {
             counter.absolute(total);
         }
         for (gauge, value) in [
-            (&seen.circuits_open, census.circuits_open),
-            (&seen.queued, census.queued),
+            (&seen.circuits_open, summary.circuits_open),
+            (&seen.queued, summary.queued),
             (&seen.open, survey.open),
             (&seen.attempts_open, survey.attempts),
-            (&seen.endpoints[0], census.ready),
+            (&seen.endpoints[0], summary.ready),
             (
                 &seen.endpoints[1],
-                census.listed - census.ready.min(census.listed),
+                summary.listed - summary.ready.min(summary.listed),
             ),
         ] {
             gauge.set(value as f64);
--- a/src/bin/sidecar/open.rs
+++ b/src/bin/sidecar/open.rs
@@ -69,7 +69,7 @@
             .fleet
             .as_ref()
             .and_then(|fleet| fleet.bound(request.key));
-        request.bound = bound
+        request.affinity_endpoints = bound
             .as_ref()
             .map(|bound| bound.endpoints.clone())
             .unwrap_or_default();
--- a/src/bin/sidecar/plain.rs
+++ b/src/bin/sidecar/plain.rs
@@ -6,7 +6,7 @@
 use crate::hosts::HostList;
 use crate::messages::{Answer, Inputs, Outgoing};
 use crate::product_file::{CONFIG_VARIABLE, EARLIER_CONFIG_VARIABLE};
-use load_balancer::{AttemptNo, EndpointId, Listing, Micros, Outcome, Sharing};
+use load_balancer::{AttemptNo, EndpointId, Listing, Micros, Outcome, SharedKnowledge};
 use std::process::ExitCode;
 
 /// No product parts.
@@ -72,7 +72,7 @@
 
 impl Fleet {
     /// See `fleet.rs`.
-    pub fn sharing(&self) -> Sharing {
+    pub fn sharing(&self) -> SharedKnowledge {
         match *self {}
     }
     /// See `fleet.rs`.
--- a/src/bin/sidecar/serving.rs
+++ b/src/bin/sidecar/serving.rs
@@ -132,10 +132,10 @@
         class: facts.class,
         tenant: facts.tenant,
         key: facts.key,
-        bound: Vec::new(),
-        due,
+        affinity_endpoints: Vec::new(),
+        deadline: due,
         work: facts.work,
-        repeat: facts.repeat,
+        is_retry: facts.repeat,
     };
     if client.has_left() {
         return Err(Unanswered::Left);
--- a/src/bin/sidecar/state.rs
+++ b/src/bin/sidecar/state.rs
@@ -4,7 +4,7 @@
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::hosts::HostList;
-use crate::kept::{Lists, recalled};
+use crate::kept::{Lists, restored, stored};
 use crate::messages::{Input, Inputs, Named};
 use crate::report::say;
 use load_balancer_common::cli::Exit;
@@ -111,7 +111,7 @@
     pub fn host(&self, inputs: &Inputs, configuration: String) {
         let known = self.0.known.take();
         if !known.is_empty() {
-            inputs.send(Input::Recalled(known.into_iter().map(recalled).collect()));
+            inputs.send(Input::Recalled(known.into_iter().map(restored).collect()));
         }
         let first = Changes {
             configuration: Some(configuration),
@@ -153,7 +153,7 @@
         let (now, inner) = (self.0.clock.now(), &self.0);
         let mut open: Vec<String> = known
             .iter()
-            .filter(|(_, k)| k.open)
+            .filter(|(_, known)| known.circuit_open)
             .map(|(name, _)| name.clone())
             .collect();
         open.sort_unstable();
@@ -162,7 +162,7 @@
         let processes = (last || due || *inner.open.borrow() != open).then(|| {
             inner.kept.set(now);
             inner.open.replace(open);
-            let all = known.into_iter().map(process).collect();
+            let all = known.into_iter().map(stored).collect();
             Processes {
                 seen: now,
                 listed: u32::try_from(listed).unwrap_or(u32::MAX),
@@ -246,24 +246,3 @@
     );
     believed
 }
-
-fn process((name, k): Named) -> Process {
-    let load_balancer::Recalled {
-        started,
-        seen,
-        open,
-        openings,
-        slow,
-        cap,
-        ..
-    } = k;
-    Process {
-        name,
-        started,
-        seen,
-        open,
-        openings,
-        slow,
-        cap,
-    }
-}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,14 +3,11 @@
 #![warn(missing_docs)]
 
 pub mod api;
-mod choice;
-mod log;
-mod memory;
+mod balancer;
 #[cfg(feature = "settings")]
 pub mod settings;
 #[cfg(feature = "simulator")]
 pub mod simulator_wire;
-mod state;
 
 pub use api::*;
-pub use state::Balancer;
+pub use balancer::Balancer;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -101,11 +101,11 @@
             },
             rules: Rules {
                 answer_slack: self.rules.answer_slack_us,
-                ask_within: self.rules.ask_within_us,
-                cold_share: self.rules.cold_share,
-                warm_within: self.rules.warm_within_us,
+                poll_interval: self.rules.ask_within_us,
+                cold_capacity: self.rules.cold_share,
+                warmup_time: self.rules.warm_within_us,
                 overload_factor: self.rules.overload_factor,
-                tip_after: self.rules.tip_after_us,
+                overload_window: self.rules.tip_after_us,
             },
             prices: Prices {
                 cross_zone: self.prices.cross_zone,
@@ -120,10 +120,10 @@
                 worst_tenant: self.goal.worst_tenant,
                 worst_window: self.goal.worst_window,
             },
-            over_share_worth: self.over_share_worth,
-            worth_by_work: self.counted_by == "work",
-            marks_repeat: self.clients.marks_retry,
-            tick: self.tick_us,
+            over_quota_weight: self.over_share_worth,
+            weight_by_work: self.counted_by == "work",
+            marks_retries: self.clients.marks_retry,
+            clock_granularity: self.tick_us,
         })
     }
 }
@@ -140,11 +140,11 @@
             other => return Err(format!("unknown Effect {other:?}")),
         };
         Ok(Class {
-            aim: self.aim_us,
-            aim_stretch: self.aim_stretch,
+            latency_objective: self.aim_us,
+            objective_per_work: self.aim_stretch,
             deadline: self.deadline_us,
-            late_share: self.late_share,
-            worth: self.worth,
+            late_value: self.late_share,
+            priority_weight: self.worth,
             effect,
             streaming: self.streaming,
         })
--- a/src/simulator_wire/instance.rs
+++ b/src/simulator_wire/instance.rs
@@ -3,8 +3,8 @@
 
 use super::line::Line;
 use crate::api::*;
+use crate::balancer::Balancer;
 use crate::settings::{self, Decoded, Names};
-use crate::state::Balancer;
 use base64::{Engine, engine::general_purpose::STANDARD};
 use std::collections::HashMap;
 use std::fmt::Write as _;
@@ -111,10 +111,10 @@
                         .iter()
                         .position(|t| Some(t.as_str()) == project),
                     key: line.may("PartitionKey")?,
-                    bound: Vec::new(),
-                    due: line.get("DueUs")?,
+                    affinity_endpoints: Vec::new(),
+                    deadline: line.get("DueUs")?,
                     work: line.may("WorkHintUs")?.filter(|_| flags & 1 != 0),
-                    repeat: flags & 2 != 0,
+                    is_retry: flags & 2 != 0,
                 })
             }
             "under_way" => Event::StreamStarted {
@@ -199,8 +199,14 @@
                     "hand_off I={i} Ticket={request} Endpoint={endpoint} TimeoutUs={timeout}"
                 )
             }
-            Action::Refuse { request, hold_off } => {
-                writeln!(out, "not_now I={i} Ticket={request} HoldOffUs={hold_off}")
+            Action::Reject {
+                request,
+                retry_after,
+            } => {
+                writeln!(
+                    out,
+                    "not_now I={i} Ticket={request} HoldOffUs={retry_after}"
+                )
             }
             Action::Fail(request) => writeln!(out, "error I={i} Ticket={request}"),
             Action::Cancel { request, attempt } => {
@@ -217,7 +223,7 @@
             Action::CloseIdle(endpoint) => {
                 writeln!(out, "free_links I={i} Endpoint={}", name(endpoint))
             }
-            Action::Tell { to, bytes } => {
+            Action::SendToPeer { to, bytes } => {
                 let to = to.map_or(-1, i64::from);
                 let bytes = if bytes.is_empty() {
                     "-".to_owned()
@@ -227,7 +233,7 @@
                 writeln!(out, "post I={i} Dst={to} Bytes={bytes}")
             }
             // Nothing is shared here.
-            Action::Witness { .. } => Ok(()),
+            Action::ReportHealth { .. } => Ok(()),
             Action::Log(text) => writeln!(
                 out,
                 "say_log I={i} Text={}",
--- a/tests/bindings.rs
+++ b/tests/affinity_entries.rs
@@ -1,4 +1,4 @@
-//! What a binding does to decisions, and what it must not do.
+//! What an affinity entry does to decisions, and what it must not do.
 
 mod common;
 use common::*;
@@ -20,20 +20,23 @@
         .collect()
 }
 
-/// A request about a key that is bound at an endpoint.
-fn bound_at(rig: &mut Rig, key: u64, bound: &[EndpointId]) -> Vec<EndpointId> {
-    let (id, due) = (rig.next, rig.now + 3 * SECOND);
+/// Where a request goes whose key has affinity entries at these endpoints.
+fn picked_with_entry(
+    rig: &mut Rig,
+    key: u64,
+    affinity_endpoints: &[EndpointId],
+) -> Vec<EndpointId> {
+    let (id, deadline) = (rig.next, rig.now + 3 * SECOND);
     rig.next += 1;
-    let (key, bound) = (Some(key), bound.to_vec());
     let new = NewRequest {
         id,
         class: SAFE,
         tenant: None,
-        key,
-        bound,
-        due,
+        key: Some(key),
+        affinity_endpoints: affinity_endpoints.to_vec(),
+        deadline,
         work: None,
-        repeat: false,
+        is_retry: false,
     };
     let actions = rig.event(Event::Request(new));
     let at = sent(&actions);
@@ -45,51 +48,51 @@
 #[test]
 fn a_binding_is_a_preference_within_the_turns_and_overrides_nothing() {
     let mut rig = Rig::new(settings(), 4, 1);
-    rig.balancer.share(Sharing {
-        words: true,
-        ahead: 2.0,
+    rig.balancer.share(SharedKnowledge {
+        peer_health: true,
+        affinity_slack: 2.0,
     });
     // Where it is bound, whatever the order of the key's list; but only as far as the turns allow.
     for endpoint in 0..4 {
-        assert_eq!(bound_at(&mut rig, 7, &[endpoint]), [endpoint]);
+        assert_eq!(picked_with_entry(&mut rig, 7, &[endpoint]), [endpoint]);
     }
     let there = (0..40)
-        .filter(|_| bound_at(&mut rig, 7, &[3]) == [3])
+        .filter(|_| picked_with_entry(&mut rig, 7, &[3]) == [3])
         .count();
     assert!((10..30).contains(&there), "{there} of 40");
     // The best place first, then the next.
     let mut two = Rig::new(settings(), 4, 1);
-    two.balancer.share(Sharing {
-        words: true,
-        ahead: 2.0,
+    two.balancer.share(SharedKnowledge {
+        peer_health: true,
+        affinity_slack: 2.0,
     });
     let at: Vec<_> = (0..12)
-        .flat_map(|_| bound_at(&mut two, 7, &[3, 1]))
+        .flat_map(|_| picked_with_entry(&mut two, 7, &[3, 1]))
         .collect();
     assert!(
         at[0] == 3 && at.iter().filter(|e| [1, 3].contains(*e)).count() > 6,
         "{at:?}"
     );
-    // Not where it rests, drains, or was never listed; nor without affinity.
-    let rests = Word {
+    // Not where it statuses, drains, or was never listed; nor without affinity.
+    let statuses = EjectionUpdate {
         endpoint: 3,
-        rest: Rest::Yes,
-        until: rig.now + 60 * SECOND,
+        status: EjectionStatus::Ejected,
+        expires: rig.now + 60 * SECOND,
     };
-    rig.event(Event::Words(vec![rests]));
+    rig.event(Event::Ejections(vec![statuses]));
     rig.event(Event::Endpoints(ListUpdate::Delta(vec![Listing {
         status: Status::Draining,
         ..listing(2)
     }])));
     for endpoint in [2, 3, 77] {
-        let at = bound_at(&mut rig, 7, &[endpoint]);
+        let at = picked_with_entry(&mut rig, 7, &[endpoint]);
         assert!(at.len() == 1 && at[0] < 2, "{at:?}");
     }
     let mut plain = Rig::new(settings(), 4, 1);
     let mut other = Rig::new(settings(), 4, 1);
     let at = |rig: &mut Rig, endpoint| {
         (0..20)
-            .flat_map(|_| bound_at(rig, 7, &[endpoint]))
+            .flat_map(|_| picked_with_entry(rig, 7, &[endpoint]))
             .collect::<Vec<_>>()
     };
     assert_eq!(at(&mut plain, 0), at(&mut other, 3));
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -12,11 +12,11 @@
 
 pub fn settings() -> Settings {
     let class = |effect| Class {
-        aim: 1000 * MS,
-        aim_stretch: 0.0,
+        latency_objective: 1000 * MS,
+        objective_per_work: 0.0,
         deadline: 4000 * MS,
-        late_share: 0.0,
-        worth: 1.0,
+        late_value: 0.0,
+        priority_weight: 1.0,
         effect,
         streaming: false,
     };
@@ -45,18 +45,18 @@
         },
         rules: Rules {
             answer_slack: 20 * MS,
-            ask_within: 10_000 * MS,
-            cold_share: 0.3,
-            warm_within: 9000 * MS,
+            poll_interval: 10_000 * MS,
+            cold_capacity: 0.3,
+            warmup_time: 9000 * MS,
             overload_factor: 3.0,
-            tip_after: 1500 * MS,
+            overload_window: 1500 * MS,
         },
         prices: Prices::default(),
         goal: Goal::default(),
-        over_share_worth: 0.1,
-        worth_by_work: false,
-        marks_repeat: false,
-        tick: 5 * MS,
+        over_quota_weight: 0.1,
+        weight_by_work: false,
+        marks_retries: false,
+        clock_granularity: 5 * MS,
     }
 }
 
@@ -184,16 +184,16 @@
     ) -> (RequestId, Vec<Action>) {
         let id = self.next;
         self.next += 1;
-        let due = self.now + left;
+        let deadline = self.now + left;
         let new = NewRequest {
             id,
             class,
             tenant,
             key: Some(7),
-            bound: Vec::new(),
-            due,
+            affinity_endpoints: Vec::new(),
+            deadline,
             work,
-            repeat: false,
+            is_retry: false,
         };
         (id, self.event(Event::Request(new)))
     }
@@ -249,7 +249,7 @@
 pub fn refused(actions: &[Action], id: RequestId) -> bool {
     actions
         .iter()
-        .any(|a| matches!(a, Action::Refuse { request, .. } if *request == id))
+        .any(|a| matches!(a, Action::Reject { request, .. } if *request == id))
 }
 
 pub fn failed(actions: &[Action], id: RequestId) -> bool {
--- a/tests/failures/circuits.rs
+++ b/tests/failures/circuits.rs
@@ -128,7 +128,9 @@
 fn how_long_ago_an_outcome_was_is_counted_in_aims() {
     for (aim, opens) in [(1000 * MS, false), (250 * MS, true)] {
         let mut set = settings();
-        set.classes.iter_mut().for_each(|c| c.aim = aim);
+        set.classes
+            .iter_mut()
+            .for_each(|c| c.latency_objective = aim);
         let mut rig = Rig::new(set, 1, 1);
         used(&mut rig, 5);
         rig.wait(1500 * MS);
--- a/tests/failures/cold.rs
+++ b/tests/failures/cold.rs
@@ -82,7 +82,7 @@
     let mut set = settings();
     set.classes
         .iter_mut()
-        .for_each(|c| (c.aim, c.deadline) = (300 * MS, 1340 * MS));
+        .for_each(|c| (c.latency_objective, c.deadline) = (300 * MS, 1340 * MS));
     let mut sends = [0, 0];
     for seed in 0..10 {
         let mut rig = Rig::new(
@@ -277,7 +277,7 @@
         instances: 100,
         ..settings()
     };
-    let warm = set.rules.warm_within;
+    let warm = set.rules.warmup_time;
     let mut rig = Rig::new(set, 40, 3);
     let lost = |endpoint: EndpointId| endpoint < 20;
     let ask = |rig: &mut Rig, requests: usize, down: bool| {
--- a/tests/failures/cold_fleet.rs
+++ b/tests/failures/cold_fleet.rs
@@ -11,10 +11,10 @@
     name: &'static str,
     /// The figures of the rules for cold servers.
     overload_factor: f64,
-    tip_after: Micros,
-    cold_share: f64,
-    warm_within: Micros,
-    aim: Micros,
+    overload_window: Micros,
+    cold_capacity: f64,
+    warmup_time: Micros,
+    latency_objective: Micros,
     deadline: Micros,
     effect: Effect,
     /// Work of a request on a standard core, and requests a second that a warm server can do.
@@ -25,10 +25,10 @@
 const JADRAN: Site = Site {
     name: "jadran-ledger",
     overload_factor: 2.5,
-    tip_after: 1000 * MS,
-    cold_share: 0.31,
-    warm_within: 7400 * MS,
-    aim: 1000 * MS,
+    overload_window: 1000 * MS,
+    cold_capacity: 0.31,
+    warmup_time: 7400 * MS,
+    latency_objective: 1000 * MS,
     deadline: 3000 * MS,
     effect: Effect::Safe,
     work: 90 * MS,
@@ -38,10 +38,10 @@
 const ROTA: Site = Site {
     name: "rota-ireland",
     overload_factor: 3.0,
-    tip_after: 2000 * MS,
-    cold_share: 0.12,
-    warm_within: 24_000 * MS,
-    aim: 600 * MS,
+    overload_window: 2000 * MS,
+    cold_capacity: 0.12,
+    warmup_time: 24_000 * MS,
+    latency_objective: 600 * MS,
     deadline: 1200 * MS,
     effect: Effect::Unsafe,
     work: 70 * MS,
@@ -87,7 +87,7 @@
             ..settings()
         };
         let class = Class {
-            aim: self.aim,
+            latency_objective: self.latency_objective,
             deadline: self.deadline,
             effect: self.effect,
             ..set.classes[0].clone()
@@ -95,22 +95,22 @@
         set.classes = vec![class];
         set.limits.may_duplicate = false;
         set.rules.overload_factor = self.overload_factor;
-        set.rules.tip_after = self.tip_after;
-        set.rules.cold_share = self.cold_share;
-        set.rules.warm_within = self.warm_within;
+        set.rules.overload_window = self.overload_window;
+        set.rules.cold_capacity = self.cold_capacity;
+        set.rules.warmup_time = self.warmup_time;
         set
     }
 
     /// Part of its capacity that a server has so long after its start.
     fn warmth(self, age: Micros) -> f64 {
-        let age = age as f64 / self.warm_within as f64;
-        (self.cold_share + (1.0 - self.cold_share) * age).min(1.0)
+        let age = age as f64 / self.warmup_time as f64;
+        (self.cold_capacity + (1.0 - self.cold_capacity) * age).min(1.0)
     }
 
     /// Requests in a window that begins so long after the start from which on the server falls.
     fn bound(self, age: Micros) -> f64 {
         let allowed =
-            self.overload_factor * self.capacity * self.warmth(age) * self.tip_after as f64
+            self.overload_factor * self.capacity * self.warmth(age) * self.overload_window as f64
                 / 1_000_000.0;
         allowed + 2.0 * allowed.sqrt() + 2.0
     }
@@ -127,7 +127,10 @@
         let mut rig = Rig::new(self.settings(sidecars, index), servers, seed);
         let mut rng = fastrand::Rng::with_seed(seed);
         let rate = LOAD * self.capacity * servers as f64 / f64::from(sidecars) / 1_000_000.0;
-        let (restart, end) = (START + BEFORE, START + BEFORE + WINDOWS * self.tip_after);
+        let (restart, end) = (
+            START + BEFORE,
+            START + BEFORE + WINDOWS * self.overload_window,
+        );
         let (mut arrival, mut restarted, mut to_cold) = (START, false, Vec::new());
         // When each attempt that is out will be answered.
         let mut answers: BTreeMap<(RequestId, AttemptNo), Micros> = BTreeMap::new();
@@ -152,7 +155,7 @@
                 }
             } else if arrival <= next {
                 rig.request_for(0, self.deadline, None, Some(self.work));
-                let now = traffic.at(rig.now - restart, self.tip_after);
+                let now = traffic.at(rig.now - restart, self.overload_window);
                 arrival += (-(1.0 - rng.f64()).ln() / (rate * now)) as Micros + 1;
             }
             // What went out just now.
@@ -185,7 +188,7 @@
             for (first, at) in times.iter().enumerate() {
                 let got = times[first..]
                     .iter()
-                    .take_while(|t| **t < at + self.tip_after)
+                    .take_while(|t| **t < at + self.overload_window)
                     .count();
                 let part = got as f64 / self.bound(*at);
                 if part > worst.0 {
--- a/tests/failures/crowd.rs
+++ b/tests/failures/crowd.rs
@@ -64,16 +64,16 @@
     let mut rig = Rig::new(settings(), 1, 1);
     let first = rig.request(SAFE).0;
     rig.request(SAFE);
-    let due = rig.now + 3000 * MS;
+    let deadline = rig.now + 3000 * MS;
     let repeat = NewRequest {
         id: 0,
         class: SAFE,
         tenant: None,
         key: None,
-        bound: Vec::new(),
-        due,
+        affinity_endpoints: Vec::new(),
+        deadline,
         work: None,
-        repeat: true,
+        is_retry: true,
     };
     rig.event(Event::Request(repeat));
     let fresh = rig.request(SAFE).0;
@@ -96,7 +96,7 @@
 #[test]
 fn short_aims_do_not_starve_behind_long_ones_in_the_queue() {
     let mut set = settings();
-    set.classes[KEYED].aim = 300 * MS;
+    set.classes[KEYED].latency_objective = 300 * MS;
     let mut rig = Rig::new(set, 1, 1);
     let first: Vec<_> = (0..8).map(|_| rig.request(SAFE).0).collect();
     let urgent = rig.request(KEYED).0;
--- a/tests/failures/ends.rs
+++ b/tests/failures/ends.rs
@@ -45,7 +45,7 @@
     assert!(
         !rig.wait(5000 * MS)
             .iter()
-            .any(|a| matches!(a, Action::Refuse { .. } | Action::Fail(_)))
+            .any(|a| matches!(a, Action::Reject { .. } | Action::Fail(_)))
     );
     let end = AttemptEnd {
         request: id,
@@ -59,7 +59,7 @@
     assert!(
         !rig.event(Event::AttemptEnded(end))
             .iter()
-            .any(|a| matches!(a, Action::Refuse { .. } | Action::Fail(_)))
+            .any(|a| matches!(a, Action::Reject { .. } | Action::Fail(_)))
     );
 }
 
@@ -90,7 +90,7 @@
     assert!(
         !quiet
             .iter()
-            .any(|a| matches!(a, Action::Log(_) | Action::Fail(_) | Action::Refuse { .. })),
+            .any(|a| matches!(a, Action::Log(_) | Action::Fail(_) | Action::Reject { .. })),
         "{quiet:?}"
     );
     assert!(
--- a/tests/failures/lines.rs
+++ b/tests/failures/lines.rs
@@ -57,7 +57,7 @@
                     },
                 ));
             }
-            if rig.balancer.census().circuits_open == open {
+            if rig.balancer.summary().circuits_open == open {
                 break;
             }
             rig.wait(pause);
--- a/tests/failures/lists.rs
+++ b/tests/failures/lists.rs
@@ -77,7 +77,7 @@
             .all(|a| *a != Action::Subscribe(true))
         {
             assert!(
-                rig.now - failed < rig.set.rules.ask_within,
+                rig.now - failed < rig.set.rules.poll_interval,
                 "asks inside the interval"
             );
         }
--- a/tests/gossip/affinity.rs
+++ b/tests/gossip/affinity.rs
@@ -6,17 +6,17 @@
 
 /// A request about a key.
 fn about(rig: &mut Rig, class: ClassId, key: Option<u64>) -> (RequestId, Vec<Action>) {
-    let (id, due) = (rig.next, rig.now + 3 * SECOND);
+    let (id, deadline) = (rig.next, rig.now + 3 * SECOND);
     rig.next += 1;
     let new = NewRequest {
         id,
         class,
         tenant: None,
         key,
-        bound: Vec::new(),
-        due,
+        affinity_endpoints: Vec::new(),
+        deadline,
         work: None,
-        repeat: false,
+        is_retry: false,
     };
     (id, rig.event(Event::Request(new)))
 }
--- a/tests/gossip/ejection.rs
+++ b/tests/gossip/ejection.rs
@@ -1,7 +1,7 @@
 //! Endpoints that others' word takes out of the rotation, and those that are to be tried again.
 
 use crate::common::*;
-use crate::{SECOND, end_at, sharing, word};
+use crate::{SECOND, ejection, end_at, sharing};
 use load_balancer::*;
 
 #[test]
@@ -9,15 +9,15 @@
     let mut rig = Rig::new(settings(), 4, 1);
     rig.balancer.share(sharing(true, 0.0));
     let until = rig.now + 60 * SECOND;
-    rig.event(word(1, Rest::Yes, until));
-    rig.event(word(2, Rest::Yes, rig.now + 100 * MS));
-    assert_eq!(rig.balancer.census().resting, 2);
+    rig.event(ejection(1, EjectionStatus::Ejected, until));
+    rig.event(ejection(2, EjectionStatus::Ejected, rig.now + 100 * MS));
+    assert_eq!(rig.balancer.summary().ejected, 2);
     let first = used(&mut rig, 4);
     assert!(!first.contains(&1) && !first.contains(&2), "{first:?}");
     rig.wait(100 * MS);
     let later = used(&mut rig, 12);
     assert!(!later.contains(&1) && later.contains(&2), "{later:?}");
-    rig.event(word(1, Rest::No, rig.now));
+    rig.event(ejection(1, EjectionStatus::NotEjected, rig.now));
     assert!(used(&mut rig, 12).contains(&1));
 }
 
@@ -30,13 +30,17 @@
         ..listing(1)
     };
     rig.event(Event::Endpoints(ListUpdate::Delta(vec![draining])));
-    for rest in [Rest::Trial, Rest::Over, Rest::No] {
-        rig.event(word(1, rest, rig.now + 60 * SECOND));
-        rig.event(word(77, rest, rig.now + 60 * SECOND));
+    for status in [
+        EjectionStatus::TrialDue,
+        EjectionStatus::Recovered,
+        EjectionStatus::NotEjected,
+    ] {
+        rig.event(ejection(1, status, rig.now + 60 * SECOND));
+        rig.event(ejection(77, status, rig.now + 60 * SECOND));
         let used = used(&mut rig, 6);
         assert!(
             !used.contains(&1) && !used.contains(&77),
-            "{rest:?}: {used:?}"
+            "{status:?}: {used:?}"
         );
     }
     assert!(!rig.balancer.knows(77));
@@ -49,7 +53,11 @@
         let mut rig = Rig::new(settings(), 40, 7);
         rig.balancer.share(sharing(true, 0.0));
         used(&mut rig, 3);
-        rig.event(word(endpoint, Rest::Trial, rig.now + 60 * SECOND));
+        rig.event(ejection(
+            endpoint,
+            EjectionStatus::TrialDue,
+            rig.now + 60 * SECOND,
+        ));
         assert_eq!(sent(&rig.request(SAFE).1), [endpoint]);
         // One at a time.
         assert!(!sent(&rig.request(SAFE).1).contains(&endpoint));
@@ -70,9 +78,9 @@
             end_at(&mut rig, endpoint, outcome);
         }
     }
-    assert_eq!(rig.balancer.census().circuits_open, 1);
-    rig.event(word(1, Rest::Over, rig.now + SECOND));
-    assert_eq!(rig.balancer.census().circuits_open, 0);
+    assert_eq!(rig.balancer.summary().circuits_open, 1);
+    rig.event(ejection(1, EjectionStatus::Recovered, rig.now + SECOND));
+    assert_eq!(rig.balancer.summary().circuits_open, 0);
 }
 
 #[test]
@@ -84,13 +92,21 @@
         let (id, actions) = rig.request(class);
         let endpoint = sent(&actions)[0];
         // Just sent: as likely as not it is only on its way.
-        let soon = rig.event(word(endpoint, Rest::Yes, rig.now + 60 * SECOND));
+        let soon = rig.event(ejection(
+            endpoint,
+            EjectionStatus::Ejected,
+            rig.now + 60 * SECOND,
+        ));
         assert!(
             !soon.iter().any(|a| matches!(a, Action::Cancel { .. })),
             "{soon:?}"
         );
         rig.now += 400 * MS;
-        let late = rig.event(word(endpoint, Rest::Yes, rig.now + 60 * SECOND));
+        let late = rig.event(ejection(
+            endpoint,
+            EjectionStatus::Ejected,
+            rig.now + 60 * SECOND,
+        ));
         let cancels = late.contains(&Action::Cancel {
             request: id,
             attempt: 0,
--- a/tests/gossip/health_reports.rs
+++ b/tests/gossip/health_reports.rs
@@ -12,7 +12,7 @@
         rig.request(SAFE);
         let actions = end_at(&mut rig, 0, outcome);
         actions.iter().find_map(|a| match a {
-            Action::Witness { served, .. } => Some(*served),
+            Action::ReportHealth { served, .. } => Some(*served),
             _ => None,
         })
     };
@@ -25,7 +25,7 @@
 #[test]
 fn an_attempt_far_later_than_usual_is_told_of_once_and_not_where_something_was_answered_since() {
     let told = |actions: &[Action]| {
-        let of = |a: &&Action| matches!(a, Action::Witness { served: false, .. });
+        let of = |a: &&Action| matches!(a, Action::ReportHealth { served: false, .. });
         actions.iter().filter(of).count()
     };
     let mut rig = Rig::new(settings(), 1, 1);
@@ -35,7 +35,7 @@
     assert_eq!(told(&rig.wait(300 * MS)), 0);
     rig.now += 500 * MS;
     let looks: usize = (0..3)
-        .map(|_| told(&rig.event(Event::Words(Vec::new()))))
+        .map(|_| told(&rig.event(Event::Ejections(Vec::new()))))
         .sum();
     assert_eq!(looks, 1);
     rig.end(first, 0, Outcome::Ok);
@@ -46,6 +46,6 @@
     rig.now += 20 * MS;
     rig.end(quick, 0, Outcome::Ok);
     rig.now += 800 * MS;
-    assert_eq!(told(&rig.event(Event::Words(Vec::new()))), 0);
+    assert_eq!(told(&rig.event(Event::Ejections(Vec::new()))), 0);
     rig.end(slow, 0, Outcome::Ok);
 }
--- a/tests/gossip/main.rs
+++ b/tests/gossip/main.rs
@@ -27,14 +27,17 @@
         .collect()
 }
 
-fn word(endpoint: EndpointId, rest: Rest, until: Micros) -> Event {
-    Event::Words(vec![Word {
+fn ejection(endpoint: EndpointId, status: EjectionStatus, until: Micros) -> Event {
+    Event::Ejections(vec![EjectionUpdate {
         endpoint,
-        rest,
-        until,
+        status,
+        expires: until,
     }])
 }
 
-fn sharing(words: bool, ahead: f64) -> Sharing {
-    Sharing { words, ahead }
+fn sharing(peer_health: bool, affinity_slack: f64) -> SharedKnowledge {
+    SharedKnowledge {
+        peer_health,
+        affinity_slack,
+    }
 }
--- a/tests/gossip/staleness.rs
+++ b/tests/gossip/staleness.rs
@@ -5,7 +5,11 @@
 use load_balancer::*;
 
 /// A history drawn from a seed; `more` may say things in between. Gives all that was asked for.
-fn history(seed: u64, share: Sharing, more: impl Fn(&mut Rig, &mut fastrand::Rng)) -> Vec<Action> {
+fn history(
+    seed: u64,
+    share: SharedKnowledge,
+    more: impl Fn(&mut Rig, &mut fastrand::Rng),
+) -> Vec<Action> {
     let (mut rig, mut rng) = (
         Rig::new(settings(), 12, seed),
         fastrand::Rng::with_seed(seed),
@@ -31,7 +35,7 @@
             all.extend(rig.end(id, attempt, outcome));
         }
     }
-    all.retain(|a| !matches!(a, Action::Witness { .. }));
+    all.retain(|a| !matches!(a, Action::ReportHealth { .. }));
     all
 }
 
@@ -39,8 +43,8 @@
 #[test]
 fn words_past_their_bound_change_no_decision_at_all() {
     for seed in 0..60 {
-        let lone = history(seed, Sharing::default(), |rig, _| {
-            drop(rig.event(Event::Words(Vec::new())))
+        let lone = history(seed, SharedKnowledge::default(), |rig, _| {
+            drop(rig.event(Event::Ejections(Vec::new())))
         });
         let same = |one: &[Action], other: &[Action], what: &str| {
             let differs = one.iter().zip(other).position(|(a, b)| a != b);
@@ -51,27 +55,33 @@
             );
         };
         let late = history(seed, sharing(true, 0.0), |rig, rng| {
-            let rests = [Rest::Yes, Rest::Trial, Rest::Over];
+            let statuses = [
+                EjectionStatus::Ejected,
+                EjectionStatus::TrialDue,
+                EjectionStatus::Recovered,
+            ];
             let mut words = Vec::new();
             for _ in 0..rng.usize(0..4) {
                 let (endpoint, until) = (rng.usize(0..12), rig.now - rng.i64(0..5 * SECOND));
-                words.push(Word {
+                words.push(EjectionUpdate {
                     endpoint,
-                    rest: rests[rng.usize(0..3)],
-                    until,
+                    status: statuses[rng.usize(0..3)],
+                    expires: until,
                 });
             }
-            rig.event(Event::Words(words));
+            rig.event(Event::Ejections(words));
         });
         same(&late, &lone, "past the bound");
         let taken_back = history(seed, sharing(true, 0.0), |rig, rng| {
             let (endpoint, until) = (rng.usize(0..12), rig.now + SECOND);
-            let both = [Rest::Yes, Rest::No].map(|rest| Word {
-                endpoint,
-                rest,
-                until,
+            let both = [EjectionStatus::Ejected, EjectionStatus::NotEjected].map(|status| {
+                EjectionUpdate {
+                    endpoint,
+                    status,
+                    expires: until,
+                }
             });
-            rig.event(Event::Words(both.to_vec()));
+            rig.event(Event::Ejections(both.to_vec()));
         });
         same(&taken_back, &lone, "taken back");
     }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -5,11 +5,11 @@
 use std::path::{Path, PathBuf};
 
 /// Folders of the decision module; the module file beside a folder belongs to it.
-const FOLDERS: [&str; 2] = ["src/choice", "src/state"];
+const FOLDERS: [&str; 1] = ["src/balancer"];
 /// Lines of one file.
 const MAX_LINES: usize = 250;
 /// Characters of a line.
-const MAX_WIDTH: usize = 110;
+const MAX_WIDTH: usize = 100;
 /// What a file that neither does I/O nor reads a clock has no use for.
 const FORBIDDEN: [&str; 17] = [
     "std::env",
--- a/tests/ordinary/guards.rs
+++ b/tests/ordinary/guards.rs
@@ -176,7 +176,10 @@
         let (id, mut actions) = rig.request(SAFE);
         actions.extend(rig.wait(1000 * MS));
         let named = actions.iter().find_map(|a| match a {
-            Action::Refuse { request, hold_off } if *request == id => Some(*hold_off),
+            Action::Reject {
+                request,
+                retry_after,
+            } if *request == id => Some(*retry_after),
             _ => None,
         });
         assert!(
--- a/tests/ordinary/retries.rs
+++ b/tests/ordinary/retries.rs
@@ -104,7 +104,7 @@
 #[test]
 fn keyed_retries_end_with_the_dedup_time() {
     let mut set = settings();
-    set.classes[KEYED].late_share = 0.5;
+    set.classes[KEYED].late_value = 0.5;
     let mut rig = Rig::new(set, 1, 5);
     let (id, _) = rig.request(KEYED);
     rig.wait(1190 * MS);
--- a/tests/ordinary/settings.rs
+++ b/tests/ordinary/settings.rs
@@ -11,9 +11,9 @@
         Balancer::new(set, 1).is_err()
     };
     assert!(spoil(|s| s.classes.clear()));
-    assert!(spoil(|s| s.classes[0].aim = 0));
-    assert!(spoil(|s| s.rules.cold_share = f64::NAN));
-    assert!(spoil(|s| s.rules.warm_within = -1));
+    assert!(spoil(|s| s.classes[0].latency_objective = 0));
+    assert!(spoil(|s| s.rules.cold_capacity = f64::NAN));
+    assert!(spoil(|s| s.rules.warmup_time = -1));
     assert!(spoil(|s| s.limits.max_attempts = 0));
     assert!(!spoil(|_| ()));
 }
@@ -23,13 +23,16 @@
     type Spoil = fn(&mut Settings);
     let spoilt: [(Spoil, &str); 8] = [
         (|s| s.classes.clear(), "classes"),
-        (|s| s.classes[1].aim = 0, "aim"),
+        (|s| s.classes[1].latency_objective = 0, "aim"),
         (|s| s.classes[0].deadline = -1, "deadline"),
-        (|s| s.classes[2].aim_stretch = f64::NAN, "aim_stretch"),
+        (
+            |s| s.classes[2].objective_per_work = f64::NAN,
+            "aim_stretch",
+        ),
         (|s| s.limits.max_attempts = 0, "max_attempts"),
-        (|s| s.rules.cold_share = f64::INFINITY, "cold_share"),
-        (|s| s.rules.tip_after = Micros::MAX, "tip_after"),
-        (|s| s.tick = -5, "tick"),
+        (|s| s.rules.cold_capacity = f64::INFINITY, "cold_share"),
+        (|s| s.rules.overload_window = Micros::MAX, "tip_after"),
+        (|s| s.clock_granularity = -5, "tick"),
     ];
     for (spoil, word) in spoilt {
         let mut set = settings();
--- a/tests/ordinary/turns.rs
+++ b/tests/ordinary/turns.rs
@@ -52,7 +52,7 @@
     let mut set = settings();
     set.classes
         .iter_mut()
-        .for_each(|c| (c.aim, c.deadline) = (300 * MS, 1340 * MS));
+        .for_each(|c| (c.latency_objective, c.deadline) = (300 * MS, 1340 * MS));
     let mut rig = Rig::new(
         Settings {
             instances: 297,
@@ -84,7 +84,7 @@
 fn repeats_and_a_short_burst_do_not_lead_on_to_further_endpoints() {
     let mut rig = Rig::new(
         Settings {
-            marks_repeat: true,
+            marks_retries: true,
             ..settings()
         },
         64,
@@ -94,17 +94,17 @@
         let mut used = std::collections::BTreeSet::new();
         for _ in 0..rounds {
             for n in 0..=repeats {
-                let (id, due) = (rig.next, rig.now + 3000 * MS);
+                let (id, deadline) = (rig.next, rig.now + 3000 * MS);
                 rig.next += 1;
                 let new = NewRequest {
                     id,
                     class: SAFE,
                     tenant: None,
                     key: None,
-                    bound: Vec::new(),
-                    due,
+                    affinity_endpoints: Vec::new(),
+                    deadline,
                     work: None,
-                    repeat: n > 0,
+                    is_retry: n > 0,
                 };
                 used.extend(sent(&rig.event(Event::Request(new))));
                 rig.serve(20 * MS);
--- a/tests/rules/judge.rs
+++ b/tests/rules/judge.rs
@@ -13,7 +13,7 @@
 
 pub struct Open {
     pub class: ClassId,
-    pub due: Micros,
+    pub deadline: Micros,
     pub attempts: Vec<Sent>,
     /// The attempt whose answer has begun.
     pub streaming: Option<AttemptNo>,
@@ -50,7 +50,7 @@
                         .expect("a send for an open request");
                     let to = &self.status[endpoint];
                     assert_eq!(to.status, Status::Ready, "drains are kept");
-                    assert!(timeout > 0 && now < open.due && open.streaming.is_none());
+                    assert!(timeout > 0 && now < open.deadline && open.streaming.is_none());
                     assert!(now < write_by && write_by <= now + timeout);
                     assert!((open.attempts.len() as u32) < self.set.limits.max_attempts);
                     let live = open.attempts.iter().filter(|a| a.outcome.is_none()).count();
@@ -83,7 +83,7 @@
                         outcome: None,
                     });
                 }
-                Action::Refuse { request, .. } => {
+                Action::Reject { request, .. } => {
                     let open = self
                         .open
                         .remove(&request)
@@ -107,13 +107,13 @@
                 }
                 Action::Cancel { .. } => assert!(self.set.limits.may_cancel),
                 Action::Probe(_) => assert!(self.set.limits.probes),
-                Action::Tell { .. } => assert!(self.set.limits.peers),
+                Action::SendToPeer { .. } => assert!(self.set.limits.peers),
                 Action::SetTimer { after, .. } => assert!((0..=71 * 60_000 * MS).contains(&after)),
                 _ => {}
             }
         }
         for (id, open) in &self.open {
-            let end = open.due + self.set.rules.answer_slack;
+            let end = open.deadline + self.set.rules.answer_slack;
             assert!(
                 open.streaming.is_some() || now <= end,
                 "request {id} is unanswered after its deadline"
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -19,10 +19,10 @@
     set.classes[SAFE].streaming = rng.bool();
     set.classes
         .iter_mut()
-        .for_each(|c| c.aim = rng.i64(100..1500) * MS);
+        .for_each(|c| c.latency_objective = rng.i64(100..1500) * MS);
     set.classes
         .iter_mut()
-        .for_each(|c| c.late_share = if rng.bool() { 0.3 } else { 0.0 });
+        .for_each(|c| c.late_value = if rng.bool() { 0.3 } else { 0.0 });
     set.limits.may_duplicate = rng.bool();
     set.limits.may_cancel = rng.bool();
     set.limits.max_attempts = rng.u32(1..6);
@@ -76,12 +76,12 @@
                 let tenant = (!set.tenants.is_empty()).then(|| rng.usize(0..set.tenants.len()));
                 let work = rng.bool().then(|| rng.i64(0..400) * MS);
                 let id = rig.next;
-                let due = rig.now + left.max(0);
+                let deadline = rig.now + left.max(0);
                 judge.open.insert(
                     id,
                     Open {
                         class,
-                        due,
+                        deadline,
                         attempts: Vec::new(),
                         streaming: None,
                     },
--- a/tests/recall.rs
+++ b/tests/warm_restart.rs
@@ -6,16 +6,15 @@
 
 const SECOND: Micros = 1000 * MS;
 
-fn known(endpoint: EndpointId, open: bool) -> Recalled {
-    let (slow, cap, openings) = (1.0, 2.0, 2 * u32::from(open));
-    Recalled {
+fn known(endpoint: EndpointId, open: bool) -> RestoredEndpoint {
+    RestoredEndpoint {
         endpoint,
         started: None,
-        seen: START - 2 * SECOND,
-        open,
-        openings,
-        slow,
-        cap,
+        last_heard: START - 2 * SECOND,
+        circuit_open: open,
+        openings: 2 * u32::from(open),
+        latency_per_work: 1.0,
+        concurrency_limit: 2.0,
     }
 }
 
@@ -38,16 +37,16 @@
     let mut fresh = Rig::new(settings(), 4, 1);
     let without = sent_to_one(&mut fresh, 60, Outcome::Error);
     let mut rig = Rig::new(settings(), 4, 1);
-    rig.event(Event::Recalled(vec![known(1, true)]));
-    assert_eq!(rig.balancer.census().circuits_open, 1);
+    rig.event(Event::Restored(vec![known(1, true)]));
+    assert_eq!(rig.balancer.summary().circuits_open, 1);
     let with = sent_to_one(&mut rig, 60, Outcome::Error);
     assert!(with == 1 && with * 3 <= without, "{with} against {without}");
-    assert_eq!(rig.balancer.census().circuits_open, 1);
+    assert_eq!(rig.balancer.summary().circuits_open, 1);
     // The same knowledge of one that is well again costs it nothing but the wait for a first answer.
     let mut rig = Rig::new(settings(), 4, 1);
-    rig.event(Event::Recalled(vec![known(1, true)]));
+    rig.event(Event::Restored(vec![known(1, true)]));
     assert!(sent_to_one(&mut rig, 60, Outcome::Ok) > 8);
-    assert_eq!(rig.balancer.census().circuits_open, 0);
+    assert_eq!(rig.balancer.summary().circuits_open, 0);
 }
 
 #[test]
@@ -67,24 +66,24 @@
                 })
                 .collect(),
         )));
-        rig.event(Event::Recalled(vec![Recalled {
+        rig.event(Event::Restored(vec![RestoredEndpoint {
             started: kept,
             ..known(1, true)
         }]));
         assert_eq!(
-            rig.balancer.census().circuits_open,
+            rig.balancer.summary().circuits_open,
             0,
             "{listed:?} {kept:?}"
         );
     }
     // One that the list says was started only later is unknown from then on.
     let mut rig = Rig::new(settings(), 4, 1);
-    rig.event(Event::Recalled(vec![known(1, true)]));
+    rig.event(Event::Restored(vec![known(1, true)]));
     rig.event(Event::Endpoints(ListUpdate::Delta(vec![Listing {
         started,
         ..listing(1)
     }])));
-    assert_eq!(rig.balancer.census().circuits_open, 0);
+    assert_eq!(rig.balancer.summary().circuits_open, 0);
 }
 
 #[test]
@@ -95,15 +94,15 @@
         ..listing(1)
     };
     rig.event(Event::Endpoints(ListUpdate::Delta(vec![draining])));
-    let future = Recalled {
-        seen: START + SECOND,
+    let future = RestoredEndpoint {
+        last_heard: START + SECOND,
         ..known(2, true)
     };
-    let senseless = [f64::NAN, 0.0, f64::INFINITY].map(|slow| Recalled {
-        slow,
+    let senseless = [f64::NAN, 0.0, f64::INFINITY].map(|slow| RestoredEndpoint {
+        latency_per_work: slow,
         ..known(0, true)
     });
-    rig.event(Event::Recalled(
+    rig.event(Event::Restored(
         [
             vec![known(77, false), known(1, false), future],
             senseless.to_vec(),
@@ -116,21 +115,21 @@
         "{used:?}"
     );
     assert!(!rig.balancer.knows(77));
-    assert_eq!(rig.balancer.census().circuits_open, 0);
+    assert_eq!(rig.balancer.summary().circuits_open, 0);
 }
 
 #[test]
 fn own_answers_stand_above_it_and_what_is_handed_on_grows_no_younger() {
     let mut rig = Rig::new(settings(), 4, 1);
-    rig.event(Event::Recalled(vec![known(1, true), known(2, false)]));
-    let told = rig.balancer.memory();
+    rig.event(Event::Restored(vec![known(1, true), known(2, false)]));
+    let told = rig.balancer.export();
     assert_eq!(told, [known(1, true), known(2, false)]);
     let mut later = Rig::new(settings(), 4, 1);
     used(&mut later, 12);
-    let before = later.balancer.memory();
-    later.event(Event::Recalled((0..4).map(|e| known(e, true)).collect()));
+    let before = later.balancer.export();
+    later.event(Event::Restored((0..4).map(|e| known(e, true)).collect()));
     assert_eq!(
-        later.balancer.memory(),
+        later.balancer.export(),
         before,
         "each was sent something since"
     );
@@ -141,11 +140,11 @@
 #[test]
 fn pace_from_before_gives_way_to_own_answers() {
     let mut rig = Rig::new(settings(), 4, 1);
-    let slow = |e| Recalled {
-        slow: if e == 1 { 4.0 } else { 1.0 },
+    let slow = |e| RestoredEndpoint {
+        latency_per_work: if e == 1 { 4.0 } else { 1.0 },
         ..known(e, false)
     };
-    rig.event(Event::Recalled((0..4).map(slow).collect()));
+    rig.event(Event::Restored((0..4).map(slow).collect()));
     let first = sent_to_one(&mut rig, 40, Outcome::Ok);
     sent_to_one(&mut rig, 2000, Outcome::Ok);
     let last = sent_to_one(&mut rig, 40, Outcome::Ok);
