--- a/crates/affinity/src/contact.rs
+++ b/crates/affinity/src/contact.rs
@@ -1,5 +1,5 @@
-//! Whom this member has heard, itself or through others, and so since when it is in contact. Changes with what counts as
-//! contact.
+//! Tracks whom this member has heard, directly or through others, and since when it is in contact
+//! with a quorum.
 //!
 //! Some members stand for all: the *beacons*, drawn by their names, the same at every member that knows the same ones. Each
 //! pulse tells how long ago its sender heard of each of them, by itself or by pulses of others; as every pulse says all that
--- a/crates/affinity/src/exchange.rs
+++ b/crates/affinity/src/exchange.rs
@@ -1,4 +1,4 @@
-//! What members send each other and make of it. Changes with what is exchanged, and when.
+//! The exchange of affinity messages between members.
 
 use crate::member::Bindings;
 use crate::piece::{LONGEST, Piece, Refused};
--- a/crates/affinity/src/guards.rs
+++ b/crates/affinity/src/guards.rs
@@ -1,5 +1,5 @@
-//! The rules that keep the properties, each by itself: tests take one out and see the property fail. Changes with the
-//! rules that a test takes out.
+//! Safety rules that tests switch off one at a time, to see the property that each of them keeps
+//! fail.
 
 /// Which rules hold. Outside of tests all do.
 #[derive(Clone, Copy, Debug)]
--- a/crates/affinity/src/hearing.rs
+++ b/crates/affinity/src/hearing.rs
@@ -1,4 +1,4 @@
-//! Whether this member may still hear the others. Changes with when it must fall silent.
+//! Decides whether this member may still be hearing the others, and so may use its entries.
 //!
 //! The host says when this member is in contact: by its standing in the fleet, and never on what came late. From then on
 //! its bindings hold for the silence, on its own monotonic clock, which runs on while the process is stopped.
--- a/crates/affinity/src/histories.rs
+++ b/crates/affinity/src/histories.rs
@@ -1,5 +1,5 @@
-//! Random histories of a few members, with loss, repeats, reordering, cuts, crashes, stops and skewed clocks. Changes with
-//! what can happen to members.
+//! Random histories of a few members with loss, duplication, reordering, partitions, crashes, stops
+//! and skewed clocks.
 
 mod checks;
 mod events;
--- a/crates/affinity/src/histories/checks.rs
+++ b/crates/affinity/src/histories/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold in every history. Changes with the properties.
+//! The invariants that must hold in every history.
 
 use super::{KEYS, World, process};
 use crate::Micros;
--- a/crates/affinity/src/histories/events.rs
+++ b/crates/affinity/src/histories/events.rs
@@ -1,4 +1,4 @@
-//! What befalls members. Changes with the faults that histories have.
+//! The events and faults of a history.
 
 use super::{PROCESSES, World, process};
 use crate::Micros;
--- a/crates/affinity/src/histories/runs.rs
+++ b/crates/affinity/src/histories/runs.rs
@@ -1,4 +1,4 @@
-//! Histories played: few in CI, many once, and each guard taken out. Changes with how many are played.
+//! Runs of histories: a few in CI, many by hand, and one with each safety rule switched off.
 
 use super::{Found, KEYS, play};
 use crate::guards::Guards;
--- a/crates/affinity/src/lib.rs
+++ b/crates/affinity/src/lib.rs
@@ -1,4 +1,5 @@
-//! Which key is warm at which endpoint process, the same at every member, and how that ages out.
+//! Key affinity: which key is cached at which endpoint process, alike at every member, and how that
+//! expires.
 //!
 //! A *binding* is the note that a key is warm at one process of an endpoint. Members tell each other of uses in words that
 //! form a join semilattice: whatever is lost, repeated or reordered, the same words make the same table. What is gone
@@ -17,8 +18,6 @@
 //! - [`exchange`]: what members send each other and make of it.
 //! - [`report`]: what a member gives out.
 //! - [`member`]: all of it as one state machine without I/O and clock.
-//!
-//! Changes with which parts the crate has.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/affinity/src/member.rs
+++ b/crates/affinity/src/member.rs
@@ -1,4 +1,4 @@
-//! A member's bindings as one state machine without I/O and clock. Changes with what the host tells it and asks of it.
+//! A member's affinity table as one state machine without I/O and clock.
 
 use crate::Micros;
 use crate::contact::Contact;
--- a/crates/affinity/src/phase.rs
+++ b/crates/affinity/src/phase.rs
@@ -1,4 +1,4 @@
-//! Processes that leave or have come back, and who is clear of them. Changes with how a process is cleared.
+//! Endpoint processes that drain or have come back, and who is drained of affinity to them.
 //!
 //! Each process has an epoch, 0 at first. `leaving` ends its epoch for good; where its leave is called off, the next one
 //! opens. Bindings belong to the epoch in which they were made and end with it.
--- a/crates/affinity/src/piece.rs
+++ b/crates/affinity/src/piece.rs
@@ -1,4 +1,4 @@
-//! What goes from member to member: its form. Changes with the form alone.
+//! The encoding of affinity messages.
 //!
 //! A byte for the version of the form, then a [`Piece`] by postcard.
 
--- a/crates/affinity/src/piece/tests.rs
+++ b/crates/affinity/src/piece/tests.rs
@@ -1,4 +1,4 @@
-//! Pieces as they are written and read. Changes with their form.
+//! Tests of the encoding of affinity messages.
 
 use super::*;
 use proptest::prelude::*;
--- a/crates/affinity/src/report.rs
+++ b/crates/affinity/src/report.rs
@@ -1,4 +1,5 @@
-//! What a member gives out: what is to be sent, how far a process is clear, its figures. Changes with what the host reads.
+//! What a member reports: messages to send, how far a process is drained of affinity, and its
+//! figures.
 
 use serde::Serialize;
 
--- a/crates/affinity/src/rumour.rs
+++ b/crates/affinity/src/rumour.rs
@@ -1,4 +1,4 @@
-//! Words that are passed on until others have them. Changes with how often and in which order.
+//! Updates that are disseminated until enough members have them.
 //!
 //! What is told here, or was new here, goes along with pulses to members drawn anew each time (Demers et al., PODC 1987,
 //! p. 1, "rumor mongering" by counter): what went least often first, each time as the table has it by then.
--- a/crates/affinity/src/section.rs
+++ b/crates/affinity/src/section.rs
@@ -1,5 +1,4 @@
-//! The `[fleet.bindings]` section of a product configuration. Changes with what can be configured; docs/affinity.md is its
-//! reference.
+//! The `[fleet.bindings]` section of a product configuration; docs/affinity.md is its reference.
 
 use crate::Micros;
 use crate::telling::Rates;
--- a/crates/affinity/src/table.rs
+++ b/crates/affinity/src/table.rs
@@ -1,4 +1,4 @@
-//! Words on all keys, bounded. Changes with how entries are kept, aged out and dropped.
+//! The bounded table of affinity entries, with expiry and eviction.
 
 use crate::guards::Guards;
 use crate::mix;
--- a/crates/affinity/src/telling.rs
+++ b/crates/affinity/src/telling.rs
@@ -1,4 +1,4 @@
-//! What is told, and when. Changes with how many words that takes.
+//! Decides which uses of a key are published, and when.
 //!
 //! A use of what is bound is told only where the others would else age it out, by one of those that know of such a use. As
 //! nobody knows who else does, each waits a drawn time, exponentially so that few come first whatever their number (as for
--- a/crates/affinity/src/time.rs
+++ b/crates/affinity/src/time.rs
@@ -1,4 +1,4 @@
-//! Slots of wall-clock time. Changes with how members count time alike.
+//! Slots of wall-clock time, which all members count alike.
 
 use crate::Micros;
 
--- a/crates/affinity/src/word.rs
+++ b/crates/affinity/src/word.rs
@@ -1,4 +1,4 @@
-//! Processes, words on uses, and their merge for one key. Changes with what a word says.
+//! Endpoint processes, updates on the uses of a key, and the merge of updates for one key.
 
 use crate::mix;
 use crate::time::{Slot, Times};
--- a/crates/common/src/cli.rs
+++ b/crates/common/src/cli.rs
@@ -1,4 +1,4 @@
-//! Conventions of the command line that all programs keep. Changes with those conventions.
+//! Command line conventions that all programs share.
 
 use std::process::ExitCode;
 
--- a/crates/common/src/config.rs
+++ b/crates/common/src/config.rs
@@ -1,5 +1,4 @@
-//! Product configuration: a TOML file with a section for each subsystem. Changes with how files are read, checked
-//! and compared; what the sections hold is their owners' business.
+//! Reads, checks and compares product configurations: TOML files with a section for each subsystem.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
--- a/crates/common/src/logging.rs
+++ b/crates/common/src/logging.rs
@@ -1,5 +1,4 @@
-//! Logs: the `[log]` section, text for people and JSON for machines. Changes with how lines look and which are
-//! written.
+//! Logging by the `[log]` section: text for people, JSON for machines.
 
 use crate::config::Contradiction;
 use crate::stderr::{Lines, Shared, Stderr};
--- a/crates/common/src/metering.rs
+++ b/crates/common/src/metering.rs
@@ -1,5 +1,4 @@
-//! Metrics in Prometheus text form: the `[metrics]` section and what is counted. Changes with how figures are kept; which
-//! figures there are is their owners' business, and [`crate::pages`] hands them out.
+//! Metrics in Prometheus text form, by the `[metrics]` section. [`crate::pages`] serves them.
 
 use crate::config::Contradiction;
 use crate::process;
--- a/crates/common/src/pages.rs
+++ b/crates/common/src/pages.rs
@@ -1,5 +1,4 @@
-//! Pages that are read at the address of the metrics, and what may be posted there. Changes with how readers are answered;
-//! which pages there are is their owners' business.
+//! Serves the pages at the metrics' address, and takes what may be posted there.
 
 use crate::metering::MetricsSection;
 use bytes::Bytes;
--- a/crates/common/src/process.rs
+++ b/crates/common/src/process.rs
@@ -1,4 +1,4 @@
-//! What the system says of this process. Changes with what is asked of the system.
+//! Reads what the operating system reports of this process.
 
 use std::fs;
 
--- a/crates/common/src/stderr.rs
+++ b/crates/common/src/stderr.rs
@@ -1,5 +1,4 @@
-//! Standard error as a place for lines that never makes their writer wait. Changes with what happens to lines that
-//! it does not take.
+//! A buffered standard error that never blocks its writer.
 
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use std::collections::VecDeque;
--- a/crates/common/src/units.rs
+++ b/crates/common/src/units.rs
@@ -1,4 +1,4 @@
-//! Times and sizes as configurations write them, always with a unit. Changes with the units that are taken.
+//! Times and sizes as configurations write them, always with a unit.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 use std::fmt;
--- a/crates/coordinator/src/acts.rs
+++ b/crates/coordinator/src/acts.rs
@@ -1,5 +1,4 @@
-//! Drains, takes, returns and calls back servers, and asks whether they are clear. Changes with the platform's
-//! interface.
+//! Carries out actions on servers through the platform's interface: drain, take, return, cancel.
 
 use crate::calls::Calls;
 use crate::clock::Clock;
--- a/crates/coordinator/src/agreement/admission.rs
+++ b/crates/coordinator/src/agreement/admission.rs
@@ -1,4 +1,4 @@
-//! Who has a voice: how a steward with a new or an emptied disk comes in. Changes with the rules of membership.
+//! Membership of the replicated log: how a replica with a new or an emptied disk joins.
 //!
 //! A voice belongs to a disk, not to a name: an emptied disk gets a new number, so what its old number promised is
 //! never taken for kept. It listens first; once it has what the leader has, one agreed step gives it the voice of
--- a/crates/coordinator/src/agreement/contract.rs
+++ b/crates/coordinator/src/agreement/contract.rs
@@ -1,4 +1,4 @@
-//! What a node and its host owe each other. Changes with the questions and answers between them.
+//! The inputs and outputs of a log node.
 
 use load_balancer_record_store::Trouble;
 use raft::eraftpb::Message;
--- a/crates/coordinator/src/agreement/drive.rs
+++ b/crates/coordinator/src/agreement/drive.rs
@@ -1,4 +1,4 @@
-//! What a node's steps come to: kept, applied, answered, sent. Changes with the order of these.
+//! Carries out the ready state of the consensus engine: persist, apply, answer, send.
 
 use super::contract::{Effects, Halt, Replicated};
 use super::entry::{self, Newcomer, Stamped};
--- a/crates/coordinator/src/agreement/entry.rs
+++ b/crates/coordinator/src/agreement/entry.rs
@@ -1,4 +1,4 @@
-//! The forms of what is agreed on and of what is kept of it. Changes with those forms, and then with their version.
+//! The encodings of log entries and of what is stored of the log.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/crates/coordinator/src/agreement/mod.rs
+++ b/crates/coordinator/src/agreement/mod.rs
@@ -1,4 +1,4 @@
-//! Agreement on the order of entries, without I/O and clock. Changes with which parts of it its hosts may name.
+//! The replicated log: consensus on one order of entries, without I/O and clock.
 //!
 //! The engine is the `raft` crate. This module adds what it leaves to its user: a log on a checked store, the
 //! replicated machine, time, the admission of stewards that lost their disk, and the sieve for what others send.
--- a/crates/coordinator/src/agreement/node.rs
+++ b/crates/coordinator/src/agreement/node.rs
@@ -1,4 +1,4 @@
-//! One steward's part in the agreement: what it is told and asked. Changes with what the host may ask of it.
+//! One replica of the log.
 
 use super::contract::{Halt, Options, Refused, Replicated, Standing};
 use super::entry::{self, Kept, Stamped};
--- a/crates/coordinator/src/agreement/shelf.rs
+++ b/crates/coordinator/src/agreement/shelf.rs
@@ -1,4 +1,4 @@
-//! The engine's log, votes and snapshot on a checked store. Changes with what lies on disk.
+//! The log, votes and snapshot of the consensus engine on a checked record store.
 //!
 //! All of it is in memory too: it is read, and checked, once. Every write is one commit, synced before it returns.
 
--- a/crates/coordinator/src/agreement/sieve.rs
+++ b/crates/coordinator/src/agreement/sieve.rs
@@ -1,5 +1,5 @@
-//! What of others' messages is let in to the engine, which ends the process at some that make no sense. Changes
-//! with what the engine takes.
+//! Validates messages of other replicas before the consensus engine sees them, as it panics at some
+//! that make no sense.
 
 use protobuf::Message as _;
 use raft::eraftpb::{Entry, Message, MessageType};
--- a/crates/coordinator/src/bindings.rs
+++ b/crates/coordinator/src/bindings.rs
@@ -1,4 +1,4 @@
-//! Asks sidecars whether they still pick a server by a binding. Changes with how sidecars are told that a server leaves.
+//! Asks sidecars whether they are drained of affinity to a server.
 
 use crate::fetch::fetch;
 use crate::looks::Looks;
--- a/crates/coordinator/src/calls.rs
+++ b/crates/coordinator/src/calls.rs
@@ -1,4 +1,4 @@
-//! Callers who wait for an answer of the agreement. Changes with how long they wait.
+//! Callers that wait for their proposal to be agreed.
 
 use crate::keeper::Told;
 use load_balancer_coordinator::core::{Input, Reply};
--- a/crates/coordinator/src/clock.rs
+++ b/crates/coordinator/src/clock.rs
@@ -1,4 +1,4 @@
-//! The host's clocks. Changes with where time is read.
+//! The wall clock and the monotonic clock of the process.
 
 use load_balancer_coordinator::core::Now;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
--- a/crates/coordinator/src/commands.rs
+++ b/crates/coordinator/src/commands.rs
@@ -1,4 +1,4 @@
-//! Commands for people, against a running steward. Changes with what people ask and how they are answered.
+//! The subcommands for people, which query a running coordinator.
 
 use crate::fetch::fetch;
 use clap::{Args, Subcommand};
--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -1,4 +1,4 @@
-//! The steward's configuration. Changes with what can be configured.
+//! The coordinator's configuration file.
 
 use load_balancer_common::config::{Configuration, Contradiction};
 use load_balancer_common::logging::LogSection;
--- a/crates/coordinator/src/core/contract.rs
+++ b/crates/coordinator/src/core/contract.rs
@@ -1,4 +1,4 @@
-//! What a steward and its host owe each other. Changes with the questions and answers between them.
+//! The inputs and outputs of a coordinator's core.
 
 use crate::agreement::{Admission, Message, Standing};
 use load_balancer_maintenance::{
--- a/crates/coordinator/src/core/lead.rs
+++ b/crates/coordinator/src/core/lead.rs
@@ -1,5 +1,4 @@
-//! What a leader has to do: agreement, calendar and time are proposed, servers are acted on. Changes with the duties of
-//! a leader.
+//! The work of the leader: it proposes policy, calendar and time, and orders actions on servers.
 //!
 //! All of it follows from what is agreed, so a successor goes on at the very step. Nothing is done before an entry of
 //! the leader's own term is applied, and no act is begun but on a majority's word, asked for just before, that it leads.
--- a/crates/coordinator/src/core/mod.rs
+++ b/crates/coordinator/src/core/mod.rs
@@ -1,5 +1,5 @@
-//! One steward without I/O and clock: agreement, the windows that it decides on, and what its leader has to do. Changes
-//! with which parts of it its host may name.
+//! The core of a coordinator without I/O and clock: the replicated log, the maintenance windows,
+//! and the work of its leader.
 
 mod contract;
 mod lead;
--- a/crates/coordinator/src/core/replica.rs
+++ b/crates/coordinator/src/core/replica.rs
@@ -1,4 +1,5 @@
-//! The windows as what is replicated. Changes with the form of events and snapshots, and then with its version.
+//! The maintenance state machine as the replicated log applies it, with its event and snapshot
+//! encoding.
 //!
 //! Both are JSON behind a byte with the version: whatever a steward does not know, it stops at.
 
--- a/crates/coordinator/src/core/steward.rs
+++ b/crates/coordinator/src/core/steward.rs
@@ -1,4 +1,4 @@
-//! What a steward does with what it is told. Changes with what may be told.
+//! The coordinator's core: takes inputs, returns outputs.
 
 use super::contract::{Input, Now, Output, Reply, Settings, View};
 use super::lead::{Lead, Own};
--- a/crates/coordinator/src/evidence.rs
+++ b/crates/coordinator/src/evidence.rs
@@ -1,4 +1,4 @@
-//! What sidecars say of servers, weighed. Changes with how many of whom must agree.
+//! Weighs the health observations of sidecars into one status of each server.
 
 use load_balancer_maintenance::{Health, Server, Word};
 use serde::Deserialize;
--- a/crates/coordinator/src/fetch.rs
+++ b/crates/coordinator/src/fetch.rs
@@ -1,4 +1,4 @@
-//! Asks another process over HTTP/1.1, and waits for no longer than told. Changes with how others are asked.
+//! An HTTP/1.1 request to another process with a total time-out.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
--- a/crates/coordinator/src/figures.rs
+++ b/crates/coordinator/src/figures.rs
@@ -1,4 +1,4 @@
-//! The steward's figures. Changes with what on-call counts.
+//! The coordinator's metrics.
 
 use crate::calls::Calls;
 use crate::keeper::Seen;
--- a/crates/coordinator/src/joining.rs
+++ b/crates/coordinator/src/joining.rs
@@ -1,4 +1,4 @@
-//! How a steward without a voice comes by one, and who founds the agreement. Changes with what must be known before.
+//! Decides how a coordinator without a vote joins, and which one founds the replicated log.
 
 use crate::calls::Calls;
 use crate::config::Sections;
--- a/crates/coordinator/src/keeper.rs
+++ b/crates/coordinator/src/keeper.rs
@@ -1,5 +1,4 @@
-//! The thread that keeps the agreement: it alone touches the disk, and may wait for it. Changes with what happens when
-//! the disk fails.
+//! The thread that owns the replicated log and is the only one to touch the disk.
 
 use crate::clock::Clock;
 use crate::config::Sections;
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -1,4 +1,4 @@
-//! The steward: what only one may decide, decided once. Changes with which parts of the crate others may name.
+//! A coordinator: one replica of the log on which maintenance windows are decided.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/coordinator/src/looks.rs
+++ b/crates/coordinator/src/looks.rs
@@ -1,5 +1,5 @@
-//! Looks at the platform's list and at the fleet's evidence, while this steward leads. Changes with whom it asks, and
-//! how often.
+//! Polls the platform's server list and the sidecars' health observations while this coordinator
+//! leads.
 
 use crate::calls::Calls;
 use crate::clock::Clock;
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -1,4 +1,4 @@
-//! coordinator: three or five of them decide what only one may decide. Changes with the program's command line.
+//! The program `coordinator`: its command line.
 #![forbid(unsafe_code)]
 
 mod acts;
--- a/crates/coordinator/src/pages.rs
+++ b/crates/coordinator/src/pages.rs
@@ -1,5 +1,4 @@
-//! The steward's pages: what people, tools and other stewards ask for. Changes with the interface; docs/coordinator.md
-//! describes it.
+//! The coordinator's HTTP interface; docs/coordinator.md describes it.
 
 use crate::calls::Calls;
 use crate::clock::Clock;
--- a/crates/coordinator/src/peers.rs
+++ b/crates/coordinator/src/peers.rs
@@ -1,4 +1,4 @@
-//! Messages between stewards over HTTP/1.1: a queue for each, best effort. Changes with how messages travel.
+//! Sends messages between coordinators over HTTP/1.1: a bounded queue for each, best effort.
 
 use crate::fetch::Line;
 use bytes::Bytes;
--- a/crates/coordinator/src/run.rs
+++ b/crates/coordinator/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs a steward: sockets, time, signals. Changes with what the parts of the process owe each other.
+//! Runs a coordinator: sockets, timers, signals.
 
 use crate::acts::Hands;
 use crate::calls::Calls;
--- a/crates/coordinator/src/serve.rs
+++ b/crates/coordinator/src/serve.rs
@@ -1,4 +1,4 @@
-//! The steward's sockets: who may connect, and for how long. Changes with the bounds on readers.
+//! Accepts the coordinator's connections within its limits.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
--- a/crates/coordinator/tests/agreement/book.rs
+++ b/crates/coordinator/tests/agreement/book.rs
@@ -1,4 +1,4 @@
-//! The machine of these tests, and the one history that all copies of it must share. Changes with what is compared.
+//! The replicated state machine of these tests, and the one history that all replicas must share.
 
 use load_balancer_coordinator::agreement::Replicated;
 use std::cell::RefCell;
--- a/crates/coordinator/tests/agreement/faults.rs
+++ b/crates/coordinator/tests/agreement/faults.rs
@@ -1,4 +1,4 @@
-//! What is done to a world, and what must hold once it is healed. Changes with the faults that are injected.
+//! Faults that are injected into a simulated cluster, and what must hold once it is healed.
 
 use crate::book::Book;
 use crate::world::World;
--- a/crates/coordinator/tests/agreement/main.rs
+++ b/crates/coordinator/tests/agreement/main.rs
@@ -1,4 +1,4 @@
-//! Agreement under every fault that the page of the steward names. Changes with what is promised there.
+//! The replicated log under every fault that docs/coordinator.md names.
 //!
 //! The invariants are checked in the world at every step: one history, one leader a term, no answer lost, repeated or
 //! given for another order, time that never goes back, no confirmed reader that lags.
--- a/crates/coordinator/tests/agreement/sieve.rs
+++ b/crates/coordinator/tests/agreement/sieve.rs
@@ -1,5 +1,5 @@
-//! What others say ends no steward: messages bent in every field are let in or not, and the process lives. Changes
-//! with the sieve. (A member is trusted to say what it holds; this is about bytes that nobody meant.)
+//! Messages corrupted in every field are accepted or refused, and the process survives. (A member
+//! is trusted to say what it holds; this is about bytes that nobody meant.)
 
 use crate::faults::Faults;
 use crate::world::World;
--- a/crates/coordinator/tests/agreement/world.rs
+++ b/crates/coordinator/tests/agreement/world.rs
@@ -1,5 +1,5 @@
-//! A world of stewards in simulated time: network, disks, power, and what must hold at every moment. Changes with
-//! the invariants.
+//! A cluster of replicas in simulated time with network, disks and power, and the invariants
+//! checked at every step.
 
 use crate::book::{Book, History};
 use crate::faults::{Counts, Faults};
--- a/crates/coordinator/tests/core/carry.rs
+++ b/crates/coordinator/tests/core/carry.rs
@@ -1,4 +1,4 @@
-//! What is on its way between stewards, platform and callers. Changes with what may happen to it.
+//! Messages in transit between coordinators, platform and callers.
 
 use crate::world::{PATIENCE, World};
 use load_balancer_coordinator::core::{Input, Output, Reply};
--- a/crates/coordinator/tests/core/main.rs
+++ b/crates/coordinator/tests/core/main.rs
@@ -1,4 +1,4 @@
-//! Whole stewards in simulated time: windows are carried out whatever happens to whom. Changes with what is promised.
+//! Whole coordinators in simulated time: windows are carried out whatever fails.
 //!
 //! The platform checks every act that it accepts: capacity, clear, no drain twice by one token. The world checks who
 //! orders, and that a request has one window. Here stands what happens, and that nothing is forgotten in the end.
--- a/crates/coordinator/tests/core/platform.rs
+++ b/crates/coordinator/tests/core/platform.rs
@@ -1,4 +1,4 @@
-//! A platform with its servers, and what must hold of every act that it accepts. Changes with the promises on servers.
+//! A platform with its servers, and the invariants of every action that it accepts.
 
 use load_balancer_maintenance::{Act, Agreement, Answer, Health, Server, Step, Unclear, Word};
 use std::collections::BTreeMap;
--- a/crates/coordinator/tests/core/world.rs
+++ b/crates/coordinator/tests/core/world.rs
@@ -1,4 +1,4 @@
-//! Stewards in simulated time with their network, disks, clocks and platform. Changes with what happens around them.
+//! Coordinators in simulated time with their network, disks, clocks and platform.
 
 use crate::carry::Parcel;
 use crate::platform::{Place, Platform, TICK_MS};
--- a/crates/coordinator/tests/evidence.rs
+++ b/crates/coordinator/tests/evidence.rs
@@ -1,5 +1,4 @@
-//! What sidecars say of servers, weighed: who counts, how many must agree, how old and warm it is. Changes with how
-//! evidence is weighed.
+//! How health observations are weighed: who counts, how many must agree, how old and warm they are.
 
 use load_balancer_coordinator::evidence::{Heard, Page, Weights, weigh};
 use load_balancer_maintenance::{Health, Server, Word};
--- a/crates/coordinator/tests/process/crew.rs
+++ b/crates/coordinator/tests/process/crew.rs
@@ -1,4 +1,4 @@
-//! Real stewards with a platform that lists one server, and what can be done to them. Changes with how they are started.
+//! Starts real coordinators with a platform that lists one server.
 
 use serde_json::{Value, json};
 use std::fs::{self, File, OpenOptions};
--- a/crates/coordinator/tests/process/main.rs
+++ b/crates/coordinator/tests/process/main.rs
@@ -1,5 +1,4 @@
-//! Stewards as real processes: what they say to wrong calls, how they end, how a disk that was lost comes in anew.
-//! Changes with what the program promises its operators.
+//! Coordinators as real processes: wrong calls, shutdown, and the return of a lost disk.
 
 mod crew;
 
--- a/crates/emulator/pairs/recorder/lines.rs
+++ b/crates/emulator/pairs/recorder/lines.rs
@@ -1,4 +1,4 @@
-//! Text lines in, text lines out: how a part of an earlier revision is talked to. Changes with the form of that talk.
+//! A line protocol on standard input and output, by which a part of an earlier revision is driven.
 
 use std::fmt::Write as _;
 use std::io::{self, BufRead, Write};
--- a/crates/emulator/src/agent.rs
+++ b/crates/emulator/src/agent.rs
@@ -1,5 +1,4 @@
-//! Stand-ins for discovery's agents, one on each sidecar's machine. Changes with how discovery speaks (PROTOCOL,
-//! "Discovery").
+//! Stand-ins for discovery agents, one on each sidecar's machine (PROTOCOL, "Discovery").
 
 use crate::Us;
 use crate::catalogue::Catalogue;
--- a/crates/emulator/src/apps.rs
+++ b/crates/emulator/src/apps.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for applications: each sends its requests to its sidecar when they are due, whatever became of those
-//! before, and tries again by itself. Changes with how clients behave (PROTOCOL, BRIEF).
+//! Stand-ins for client applications: an open-loop load with the clients' own retries (PROTOCOL,
+//! BRIEF).
 
 mod connection;
 
--- a/crates/emulator/src/apps/connection.rs
+++ b/crates/emulator/src/apps/connection.rs
@@ -1,4 +1,4 @@
-//! An application's connections to its sidecar, and one exchange over such a one. Changes with how clients use connections.
+//! A client's connections to its sidecar, and one exchange on one of them.
 
 use crate::Us;
 use crate::record::Try;
--- a/crates/emulator/src/audit.rs
+++ b/crates/emulator/src/audit.rs
@@ -1,5 +1,5 @@
-//! Auditors: each holds one rule of the public pages against the record of a play. They share no code with what they
-//! audit. Changes with those rules.
+//! Auditors: each checks one rule of the public pages against the record of a run, and shares no
+//! code with what it audits.
 
 mod ageing;
 mod answers;
--- a/crates/emulator/src/audit/ageing.rs
+++ b/crates/emulator/src/audit/ageing.rs
@@ -1,5 +1,5 @@
-//! Bindings age out alike everywhere: nothing comes back, nothing goes early, and members that hear each other hold the same.
-//! Read from dumps of all members and from what servers answered. Changes with how bindings age (docs/affinity.md).
+//! Auditor: affinity entries expire alike at all members. It reads the dumps of all members and
+//! what servers answered (docs/affinity.md).
 
 use super::{Finding, Rule};
 use crate::Us;
--- a/crates/emulator/src/audit/answers.rs
+++ b/crates/emulator/src/audit/answers.rs
@@ -1,4 +1,4 @@
-//! Each try has one whole answer. Changes with what excuses a missing one.
+//! Auditor: every attempt of a client has one whole answer.
 
 use super::{Finding, Rule};
 use crate::Us;
--- a/crates/emulator/src/audit/blackouts.rs
+++ b/crates/emulator/src/audit/blackouts.rs
@@ -1,4 +1,4 @@
-//! Nothing is away by grant in a blackout. Changes with what of a window may reach into one.
+//! Auditor: no server is away by admission during a blackout.
 
 use super::{Finding, Rule};
 use crate::Us;
--- a/crates/emulator/src/audit/capacity.rs
+++ b/crates/emulator/src/audit/capacity.rs
@@ -1,5 +1,5 @@
-//! What is away by grant never brings the capacity that is there below the agreement. Changes with what counts as
-//! there, from the servers' own record.
+//! Auditor: admitted windows never bring the capacity in service below the capacity floor, by the
+//! servers' own record.
 
 use super::{Finding, Rule};
 use crate::Us;
--- a/crates/emulator/src/audit/clear.rs
+++ b/crates/emulator/src/audit/clear.rs
@@ -1,6 +1,6 @@
-//! A server is taken only once nothing runs there any more for which a client may wait: what broke off with its
-//! connection has no end in the record. Nobody picks by a binding to a process that is clear. Changes with when a server
-//! counts as clear.
+//! Auditor: a server is taken only once no client can be waiting for it, and nobody picks by an
+//! affinity entry to a drained process. Requests that broke off with their connection have no end
+//! in the record.
 
 use super::{Finding, Rule};
 use crate::Us;
--- a/crates/emulator/src/audit/cold.rs
+++ b/crates/emulator/src/audit/cold.rs
@@ -1,4 +1,4 @@
-//! No cold server is pushed over. Changes with what a cold server can do.
+//! Auditor: no warming server is overloaded.
 
 use super::{Finding, Rule};
 use crate::Us;
--- a/crates/emulator/src/audit/drains.rs
+++ b/crates/emulator/src/audit/drains.rs
@@ -1,4 +1,4 @@
-//! Nothing new to who drains or is gone. Changes with how soon a sidecar must know.
+//! Auditor: no new request goes to a server that is draining or gone.
 
 use super::{Finding, Rule};
 use crate::Us;
--- a/crates/emulator/src/audit/listed.rs
+++ b/crates/emulator/src/audit/listed.rs
@@ -1,4 +1,4 @@
-//! Only servers that the list has named, and only what a client sent. Changes with where a sidecar may send.
+//! Auditor: requests go only to listed servers, and only what a client sent.
 
 use super::{Finding, Rule};
 use crate::directory::State;
--- a/crates/emulator/src/audit/repeats.rs
+++ b/crates/emulator/src/audit/repeats.rs
@@ -1,4 +1,4 @@
-//! What may have run is sent again only as its class allows. Changes with what a repeat may do.
+//! Auditor: what may have run is sent again only as its class allows.
 
 use super::{Finding, Rule};
 use crate::Us;
--- a/crates/emulator/src/audit/tests.rs
+++ b/crates/emulator/src/audit/tests.rs
@@ -1,4 +1,4 @@
-//! Each rule on records of a few lines. Changes with the rules.
+//! Tests of each auditor on records of a few lines.
 
 use super::*;
 use crate::SECOND;
--- a/crates/emulator/src/audit/tokens.rs
+++ b/crates/emulator/src/audit/tokens.rs
@@ -1,4 +1,4 @@
-//! Who acts on servers with a token lower than one seen is refused. Changes with how tokens fence.
+//! Auditor: an action with a fencing token below one already seen is refused.
 
 use super::{Finding, Rule};
 use crate::record::{Act, Entry, Seen};
--- a/crates/emulator/src/bin/fleet-emulator/call.rs
+++ b/crates/emulator/src/bin/fleet-emulator/call.rs
@@ -1,4 +1,4 @@
-//! The words of the lab's command line. Changes with what people can ask for.
+//! The arguments of the emulator's command line.
 
 use crate::pair::Pair;
 use clap::{Args, Parser, Subcommand};
--- a/crates/emulator/src/bin/fleet-emulator/main.rs
+++ b/crates/emulator/src/bin/fleet-emulator/main.rs
@@ -1,4 +1,4 @@
-//! The lab's command line. Changes with what people ask of it.
+//! The program `fleet-emulator`: its command line.
 #![forbid(unsafe_code)]
 
 mod call;
--- a/crates/emulator/src/bin/fleet-emulator/pair.rs
+++ b/crates/emulator/src/bin/fleet-emulator/pair.rs
@@ -1,5 +1,5 @@
-//! The command `pair`: builds pinned revisions and holds today's decisions against theirs. Changes with what is asked of
-//! two versions.
+//! The command `pair`: builds pinned revisions and compares today's decisions and messages with
+//! theirs.
 
 use crate::say;
 use clap::Subcommand;
--- a/crates/emulator/src/bin/fleet-emulator/table.rs
+++ b/crates/emulator/src/bin/fleet-emulator/table.rs
@@ -1,4 +1,4 @@
-//! The table that is printed after an experiment. Changes with what is shown of it.
+//! The table that is printed after an experiment.
 
 use load_balancer_emulator::comparison::Comparison;
 use load_balancer_emulator::outcome::Measure;
--- a/crates/emulator/src/bin/fleet-emulator/up.rs
+++ b/crates/emulator/src/bin/fleet-emulator/up.rs
@@ -1,4 +1,4 @@
-//! A small fleet with load, shown as it goes on. Changes with what a newcomer is shown.
+//! The command `up`: a small fleet with load, shown live.
 
 use crate::call::Up;
 use crate::{REFRESH, kept, program, say};
--- a/crates/emulator/src/catalogue.rs
+++ b/crates/emulator/src/catalogue.rs
@@ -1,5 +1,4 @@
-//! The list of servers while a play goes on: what was drawn ahead, and what the platform adds. Changes with who may
-//! change the list.
+//! The list of servers during a run: what was planned, and what the platform adds.
 
 use crate::Us;
 use crate::directory::{Change, Directory, State};
--- a/crates/emulator/src/comparison.rs
+++ b/crates/emulator/src/comparison.rs
@@ -1,5 +1,5 @@
-//! Plays the variants of an experiment on the same requests and faults, over several seeds, and holds them against
-//! each other and against the experiment's bounds. Changes with how plays are paired and judged.
+//! Runs the variants of an experiment on the same requests and faults over several seeds, and
+//! compares them with each other and with the experiment's bounds.
 
 mod judge;
 
--- a/crates/emulator/src/comparison/judge.rs
+++ b/crates/emulator/src/comparison/judge.rs
@@ -1,4 +1,4 @@
-//! Holds what was played against the bounds. Changes with how plays are judged.
+//! Checks measured results against the bounds of an experiment.
 
 use super::{Comparison, Curves, Difference, Judged, OfVariant, Order, Values};
 use crate::outcome::Measure;
--- a/crates/emulator/src/crew.rs
+++ b/crates/emulator/src/crew.rs
@@ -1,5 +1,4 @@
-//! A crew that carries out windows without asking anybody: what stewards are compared with. Changes with how such a
-//! crew works.
+//! A maintenance crew without coordination, the baseline that coordinators are compared with.
 
 use crate::Us;
 use crate::draw::DRAINS_FOR;
--- a/crates/emulator/src/datagrams.rs
+++ b/crates/emulator/src/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams between processes as the network and its faults have it. Changes with what may happen to a datagram.
+//! Datagrams between processes, subject to the emulated network and its faults.
 
 use crate::experiment::FaultKind;
 use crate::relay::Link;
--- a/crates/emulator/src/directory.rs
+++ b/crates/emulator/src/directory.rs
@@ -1,4 +1,4 @@
-//! The list of servers as discovery comes to know it. Changes with what a list tells.
+//! The list of servers as discovery learns it.
 
 use crate::Us;
 
--- a/crates/emulator/src/door.rs
+++ b/crates/emulator/src/door.rs
@@ -1,4 +1,4 @@
-//! Listeners that stand before a process: up, down or unreachable as it is. Changes with how a door is held shut.
+//! Listeners in front of a server process: up, down or unreachable with it.
 
 use crate::relay::Link;
 use crate::reserved::Reserved;
--- a/crates/emulator/src/draw.rs
+++ b/crates/emulator/src/draw.rs
@@ -1,5 +1,5 @@
-//! Draws everything about a play ahead, from the experiment and a seed: who is there, every request, every fault.
-//! Variants of one play so meet the same. Changes with what is left to chance.
+//! Draws a whole run in advance from an experiment and a seed, so that all variants meet the same
+//! requests and faults.
 
 mod arrivals;
 mod faults;
--- a/crates/emulator/src/draw/arrivals.rs
+++ b/crates/emulator/src/draw/arrivals.rs
@@ -1,4 +1,4 @@
-//! Draws every request of a play. Changes with what clients ask for.
+//! Draws every request of a run.
 
 use super::{between, stream, us};
 use crate::experiment::Experiment;
--- a/crates/emulator/src/draw/faults.rs
+++ b/crates/emulator/src/draw/faults.rs
@@ -1,4 +1,4 @@
-//! Turns an experiment's faults into steps of a play. Changes with what a fault does, and to whom.
+//! Turns the faults of an experiment into steps of a run.
 
 use super::{server, us};
 use crate::directory::{Change, State};
--- a/crates/emulator/src/draw/windows.rs
+++ b/crates/emulator/src/draw/windows.rs
@@ -1,4 +1,4 @@
-//! Draws which servers are to be away, and reckons what was agreed to stay. Changes with what maintenance is wanted.
+//! Draws which servers are to be maintained, and computes the capacity floor.
 
 use super::us;
 use crate::experiment::Experiment;
--- a/crates/emulator/src/dumps.rs
+++ b/crates/emulator/src/dumps.rs
@@ -1,4 +1,4 @@
-//! Reads of every sidecar which keys are bound where, for those that audit it. Changes with the form of that page.
+//! Polls every sidecar for its affinity entries, for the auditors.
 
 use crate::Us;
 use crate::net::Clock;
--- a/crates/emulator/src/experiment.rs
+++ b/crates/emulator/src/experiment.rs
@@ -1,5 +1,5 @@
-//! The form of an experiment's file: topology, load, faults, variants, bounds. Changes with what an experiment may
-//! ask for; docs/emulator.md is its reference.
+//! The form of an experiment's file: topology, load, faults, variants, bounds; docs/emulator.md is
+//! its reference.
 
 mod check;
 mod fault;
--- a/crates/emulator/src/experiment/check.rs
+++ b/crates/emulator/src/experiment/check.rs
@@ -1,4 +1,4 @@
-//! What an experiment's file may not ask for. Changes with the limits of the lab.
+//! Validates an experiment's file against the limits of the emulator.
 
 use super::{Carried, Experiment, FaultKind};
 use load_balancer_common::config::{Configuration, Contradiction};
--- a/crates/emulator/src/experiment/fault.rs
+++ b/crates/emulator/src/experiment/fault.rs
@@ -1,4 +1,4 @@
-//! What can go wrong in an experiment. Changes with the kinds of faults.
+//! The faults that an experiment can inject.
 
 use load_balancer_common::units::Time;
 use serde::{Deserialize, Serialize};
--- a/crates/emulator/src/experiment/maintenance.rs
+++ b/crates/emulator/src/experiment/maintenance.rs
@@ -1,5 +1,5 @@
-//! The part of an experiment's file on maintenance: windows, who carries them out, what was agreed. Changes with what
-//! an experiment may ask of maintenance.
+//! The part of an experiment's file on maintenance: windows, who carries them out, the capacity
+//! floor.
 
 use load_balancer_common::units::Time;
 use serde::{Deserialize, Serialize};
--- a/crates/emulator/src/experiment/mix.rs
+++ b/crates/emulator/src/experiment/mix.rs
@@ -1,5 +1,5 @@
-//! The part of an experiment's file on mixed fleets: which of a variant's sidecars run the program of an earlier revision,
-//! and when they change over. Changes with how two versions may be mixed.
+//! The part of an experiment's file on mixed fleets: which sidecars run an earlier revision, and
+//! when they change over.
 
 use load_balancer_common::config::Contradiction;
 use load_balancer_common::units::Time;
--- a/crates/emulator/src/fleetpages.rs
+++ b/crates/emulator/src/fleetpages.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the pages on which sidecars say what they know of servers, for plays whose sidecars have none: the truth,
-//! as each member would see it a moment later. Changes with the form of that page.
+//! Stand-ins for the sidecars' pages on server health, which report the truth as a member would see
+//! it a moment later.
 
 use crate::listing::started_ms;
 use crate::net::Clock;
--- a/crates/emulator/src/fronts.rs
+++ b/crates/emulator/src/fronts.rs
@@ -1,5 +1,5 @@
-//! The addresses at which members of a fleet reach each other: what is sent to one's front goes through the network and
-//! arrives from the sender's own front. Changes with how datagrams between members are carried.
+//! The addresses at which members reach each other: a datagram sent to one's front crosses the
+//! network and arrives from the sender's own front.
 
 use crate::datagrams::{Datagrams, datagram};
 use crate::net::Net;
--- a/crates/emulator/src/leaving.rs
+++ b/crates/emulator/src/leaving.rs
@@ -1,5 +1,4 @@
-//! Whoever wants a server away asks a sidecar whether it is clear, again and again, as a steward does. Changes with what is
-//! asked.
+//! Asks a sidecar repeatedly whether it is drained of affinity to a server, as a coordinator does.
 
 use crate::net::Clock;
 use crate::page::ask;
--- a/crates/emulator/src/liar.rs
+++ b/crates/emulator/src/liar.rs
@@ -1,4 +1,4 @@
-//! A member of a fleet that is no sidecar and says of every server that it is dead. Changes with how it lies.
+//! A Byzantine member that reports every server as dead.
 
 use load_balancer_gossip::core::Core;
 use load_balancer_gossip::evidence::{Datum, Process, Sign};
--- a/crates/emulator/src/listing.rs
+++ b/crates/emulator/src/listing.rs
@@ -1,4 +1,4 @@
-//! The list in the form in which discovery tells it. Changes with the form of a list (PROTOCOL, "Discovery").
+//! The server list as discovery writes it (PROTOCOL, "Discovery").
 
 use crate::Us;
 use crate::directory::State;
--- a/crates/emulator/src/live.rs
+++ b/crates/emulator/src/live.rs
@@ -1,4 +1,4 @@
-//! What `up` shows: a table of what happens just now. Changes with what a newcomer wants to see.
+//! The live table of the command `up`.
 
 use crate::plan::Plan;
 use crate::record::{Entry, Record, Seen, Try};
--- a/crates/emulator/src/net.rs
+++ b/crates/emulator/src/net.rs
@@ -1,4 +1,4 @@
-//! The state of the network between zones, and the clock of a play. Changes with what a network may do to what passes.
+//! The state of the network between zones, and the clock of a run.
 
 use crate::Us;
 use crate::experiment::{Network, Way};
--- a/crates/emulator/src/observer.rs
+++ b/crates/emulator/src/observer.rs
@@ -1,5 +1,4 @@
-//! Reads of every sidecar where it stands in its fleet, and notes what changes. Changes with what sidecars say of
-//! themselves.
+//! Polls every sidecar for its connectivity state, and records changes.
 
 use crate::net::Clock;
 use crate::page::ask;
--- a/crates/emulator/src/outcome.rs
+++ b/crates/emulator/src/outcome.rs
@@ -1,4 +1,4 @@
-//! The figures by which plays are compared. Changes with what is measured.
+//! The figures by which runs are compared.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/emulator/src/page.rs
+++ b/crates/emulator/src/page.rs
@@ -1,4 +1,4 @@
-//! Asks a process for a page, and waits for no longer than told. Changes with how the lab asks processes.
+//! An HTTP request for a page with a total time-out.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
--- a/crates/emulator/src/pairs/feed.rs
+++ b/crates/emulator/src/pairs/feed.rs
@@ -1,5 +1,5 @@
-//! Tells a history to an adapter of another build, and finds where its answers first differ from today's. Changes with how
-//! answers are compared.
+//! Plays a history to another build's simulator adapter, and finds the first difference to today's
+//! answers.
 
 use super::wire::Written;
 use std::io::{self, Read, Write};
--- a/crates/emulator/src/pairs/histories.rs
+++ b/crates/emulator/src/pairs/histories.rs
@@ -1,5 +1,5 @@
-//! Histories to which two versions of the decision module are put: small fleets in simulated time, each with trouble of
-//! its kind, drawn from the history's number. Changes with the kinds of trouble.
+//! Histories on which two versions of the decision module are compared: small fleets in simulated
+//! time, each with faults of its kind, drawn from the history's number.
 
 use super::wire::Written;
 use crate::draw::draw;
--- a/crates/emulator/src/pairs/lan.rs
+++ b/crates/emulator/src/pairs/lan.rs
@@ -1,5 +1,4 @@
-//! Members of two versions on one simulated network: all that one says is read by the other. Changes with what such a
-//! fleet goes through.
+//! Members of two versions on one simulated network, where each reads what the others send.
 
 use super::member::Session;
 use super::part::Part;
--- a/crates/emulator/src/pairs/part.rs
+++ b/crates/emulator/src/pairs/part.rs
@@ -1,5 +1,4 @@
-//! A part that is talked to in lines of text: of today, or an earlier revision's program. Changes with how such a part is
-//! talked to.
+//! A part that is driven by lines of text: today's, or an earlier revision's program.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::path::Path;
--- a/crates/emulator/src/pairs/pins.rs
+++ b/crates/emulator/src/pairs/pins.rs
@@ -1,5 +1,5 @@
-//! The form of `pairs/pins.toml`: which revisions are held against today's, and which differences are meant. Changes with
-//! what is pinned; docs/versions.md says how the file is moved on.
+//! The form of `pairs/pins.toml`: which revisions are compared with today's, and which differences
+//! are intended; docs/versions.md says how the file is moved on.
 
 use super::histories::Kind;
 use load_balancer_common::config::{self, Configuration, Contradiction, Problem};
--- a/crates/emulator/src/pairs/stewards.rs
+++ b/crates/emulator/src/pairs/stewards.rs
@@ -1,5 +1,5 @@
-//! Stewards of two versions that agree with each other, each over its own file, while they are rolled forward and back:
-//! messages and logs of either are read by the other. Changes with what such stewards go through.
+//! Coordinators of two versions in one cluster, each over its own file, while they are rolled
+//! forward and back.
 
 use super::coordinator::Session;
 use super::lines::{bytes, hex};
--- a/crates/emulator/src/pairs/wire.rs
+++ b/crates/emulator/src/pairs/wire.rs
@@ -1,5 +1,5 @@
-//! What passes between sidecars and their modules, written as the simulator's wire has it (WIRE): so that any version of
-//! the module can be told the same. Changes with that wire alone.
+//! Records the events and actions of a decision module on the simulator's wire (WIRE), so that any
+//! version of it can be given the same.
 
 use crate::sim::Tap;
 use crate::site::{CLASSES, KINDS, ZONES};
--- a/crates/emulator/src/plan.rs
+++ b/crates/emulator/src/plan.rs
@@ -1,4 +1,4 @@
-//! A whole play as it will be: who is there, every request, every fault. Changes with what a play consists of.
+//! A planned run: topology, every request, every fault.
 
 use crate::Us;
 use crate::directory::Directory;
--- a/crates/emulator/src/platform.rs
+++ b/crates/emulator/src/platform.rs
@@ -1,5 +1,5 @@
-//! Stand-in for the platform that rolls servers out: it drains, takes and returns them for whoever asks with a token
-//! that is not lower than one it has seen. Changes with what a platform does to servers.
+//! A stand-in for the platform that rolls servers out: it drains, takes and returns them for
+//! whoever has a fencing token that is not lower than one already seen.
 
 mod http;
 
--- a/crates/emulator/src/platform/http.rs
+++ b/crates/emulator/src/platform/http.rs
@@ -1,4 +1,4 @@
-//! The platform's interface over HTTP/1.1 with JSON; docs/emulator.md describes it. Changes with its form.
+//! The platform's interface over HTTP/1.1 with JSON; docs/emulator.md describes it.
 
 use super::{Answer, Platform};
 use crate::record::Act;
--- a/crates/emulator/src/play.rs
+++ b/crates/emulator/src/play.rs
@@ -1,5 +1,5 @@
-//! One play with real processes: brings up servers, agents, sidecars and applications, lets the faults happen, ends
-//! everything, and hands over the record. Changes with what belongs to a play.
+//! One run with real processes: starts servers, agents, sidecars and clients, injects the faults,
+//! stops everything, and returns the record.
 
 mod build;
 mod mix;
--- a/crates/emulator/src/play/build.rs
+++ b/crates/emulator/src/play/build.rs
@@ -1,4 +1,4 @@
-//! Brings up everything that a play needs. Changes with what stands in for what.
+//! Starts everything that a run needs.
 
 use super::mix::begins_old;
 use super::stage::{Sidecar, Stage};
--- a/crates/emulator/src/play/mix.rs
+++ b/crates/emulator/src/play/mix.rs
@@ -1,4 +1,4 @@
-//! Who runs which version in a mixed fleet, and when that changes. Changes with how two versions are mixed.
+//! Which sidecar of a mixed fleet runs which version, and when that changes.
 
 use crate::Us;
 use crate::experiment::{Mix, Roll, Version};
--- a/crates/emulator/src/play/stage.rs
+++ b/crates/emulator/src/play/stage.rs
@@ -1,4 +1,4 @@
-//! What is there while a play goes on, and what each step does to it. Changes with what a step does.
+//! The running parts of a run, and what each step does to them.
 
 use crate::datagrams::Datagrams;
 use crate::experiment::Version;
--- a/crates/emulator/src/record.rs
+++ b/crates/emulator/src/record.rs
@@ -1,5 +1,4 @@
-//! What is seen on the lab's own sockets, in the order of time: all that auditors and tallies know of a play. Changes
-//! with what can be seen there.
+//! The record of a run: everything seen on the emulator's own sockets, in order of time.
 
 use crate::Us;
 use crate::directory::State;
--- a/crates/emulator/src/relay.rs
+++ b/crates/emulator/src/relay.rs
@@ -1,5 +1,5 @@
-//! Relays between processes: everything passes late, not at all, or breaks, as the network has it. Changes with how
-//! that is done on sockets.
+//! TCP relays between processes that delay, block or break connections as the emulated network
+//! says.
 
 use crate::net::Net;
 use socket2::SockRef;
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of an experiment for people: one HTML file with its plots inside. Changes with what people want to see.
+//! The report of an experiment: one HTML file with its plots.
 
 mod plot;
 
--- a/crates/emulator/src/report/plot.rs
+++ b/crates/emulator/src/report/plot.rs
@@ -1,4 +1,4 @@
-//! Plots as SVG text. Changes with how a plot looks.
+//! Plots as SVG text.
 
 use super::escaped;
 use plotters::prelude::*;
--- a/crates/emulator/src/reserved.rs
+++ b/crates/emulator/src/reserved.rs
@@ -1,4 +1,4 @@
-//! Addresses that are kept for processes which listen on them later. Changes with how the system gives out ports.
+//! Reserves addresses for processes that listen on them later.
 
 use socket2::{Domain, Socket, Type};
 use std::io;
--- a/crates/emulator/src/servers.rs
+++ b/crates/emulator/src/servers.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for servers on real sockets: the rim of [`crate::world`]. Changes with how servers speak (PROTOCOL,
-//! "Sidecars to endpoints").
+//! Stand-ins for servers on real sockets, around the core in [`crate::world`] (PROTOCOL, "Sidecars
+//! to endpoints").
 
 mod answering;
 
--- a/crates/emulator/src/servers/answering.rs
+++ b/crates/emulator/src/servers/answering.rs
@@ -1,4 +1,4 @@
-//! A connection to a server, request by request. Changes with how a server answers.
+//! A connection to a server, request by request.
 
 use super::{Servers, arrival_of, body_of};
 use crate::Us;
--- a/crates/emulator/src/sim.rs
+++ b/crates/emulator/src/sim.rs
@@ -1,6 +1,5 @@
-//! Plays an experiment with the decision module itself in simulated time: no process, no socket, the same bytes out for
-//! the same seed, and sizes that no machine holds. Changes with what the sidecar's rim does between module and
-//! network, in its simplest form.
+//! Runs an experiment with the decision module itself in simulated time: no process, no socket, the
+//! same bytes out for the same seed, at sizes that no machine holds.
 
 mod attempts;
 mod clients;
--- a/crates/emulator/src/sim/attempts.rs
+++ b/crates/emulator/src/sim/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of simulated time, from a sidecar to a server and back. Changes with what an attempt meets on its way.
+//! Attempts in simulated time, from a sidecar to a server and back.
 
 use super::event::{Came, What};
 use super::instance::Out;
--- a/crates/emulator/src/sim/clients.rs
+++ b/crates/emulator/src/sim/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of simulated time: what they ask for, how long they wait, what they ask for again. Changes with what clients do.
+//! Clients in simulated time: their requests, time-outs and retries.
 
 use super::event::What;
 use super::instance::Open;
--- a/crates/emulator/src/sim/event.rs
+++ b/crates/emulator/src/sim/event.rs
@@ -1,4 +1,4 @@
-//! What is yet to happen in simulated time. Changes with the kinds of things that happen.
+//! The events of simulated time.
 
 use crate::record::Try;
 use load_balancer::{AttemptNo, RequestId};
--- a/crates/emulator/src/sim/faults.rs
+++ b/crates/emulator/src/sim/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of simulated time. Changes with what a step of a play does there.
+//! Faults in simulated time.
 
 use super::event::{Came, What};
 use super::{AWAY, Sim};
--- a/crates/emulator/src/sim/instance.rs
+++ b/crates/emulator/src/sim/instance.rs
@@ -1,5 +1,5 @@
-//! One life of a sidecar in simulated time, and what of its configuration has a meaning there. Changes with what such a
-//! sidecar holds.
+//! One incarnation of a sidecar in simulated time, and the part of its configuration that applies
+//! there.
 
 use super::event::What;
 use crate::Us;
--- a/crates/emulator/src/sim/network.rs
+++ b/crates/emulator/src/sim/network.rs
@@ -1,4 +1,4 @@
-//! The network of simulated time, and what members of a fleet send over it. Changes with what may happen to what passes.
+//! The network of simulated time, and the members' datagrams on it.
 
 use super::event::What;
 use super::instance::address;
--- a/crates/emulator/src/sim/sidecars.rs
+++ b/crates/emulator/src/sim/sidecars.rs
@@ -1,5 +1,4 @@
-//! Sidecars of simulated time: their starts, their lists, and what their modules are told and ask for. Changes with what
-//! a sidecar does around its module.
+//! Sidecars in simulated time: starts, lists, and the events and actions of their decision modules.
 
 use super::event::What;
 use super::instance::{Instance, Out};
--- a/crates/emulator/src/sim/tap.rs
+++ b/crates/emulator/src/sim/tap.rs
@@ -1,4 +1,4 @@
-//! What may be heard of a sidecar's module while a play in simulated time goes on. Changes with what passes there.
+//! An observer of the events and actions of a decision module in simulated time.
 
 use load_balancer::{Action, Event, Micros};
 
--- a/crates/emulator/src/site.rs
+++ b/crates/emulator/src/site.rs
@@ -1,4 +1,4 @@
-//! The site's figures, as its public page (BRIEF) and the settings state them. Changes with that page alone.
+//! The site's figures, as its public page (BRIEF) and the settings state them.
 
 use crate::{SECOND, Us};
 use serde_json::{Value, json};
--- a/crates/emulator/src/statistics.rs
+++ b/crates/emulator/src/statistics.rs
@@ -1,4 +1,4 @@
-//! Means, and intervals of paired differences. Changes with how plays are compared.
+//! Means, and confidence intervals of paired differences.
 
 use serde::Serialize;
 
--- a/crates/emulator/src/stewards.rs
+++ b/crates/emulator/src/stewards.rs
@@ -1,5 +1,4 @@
-//! Real stewards, with ways between them, to the sidecars' pages and to the platform. Changes with what stewards are
-//! given.
+//! Real coordinators, with relays between them, to the sidecars' pages and to the platform.
 
 mod asker;
 mod faults;
--- a/crates/emulator/src/stewards/asker.rs
+++ b/crates/emulator/src/stewards/asker.rs
@@ -1,5 +1,4 @@
-//! Asks the stewards for every window of a plan, as an operator's tool does: whoever answers, until one takes it.
-//! Changes with how windows are asked for.
+//! Requests every window of a plan from the coordinators, as an operator's tool does.
 
 use super::{LOOK, Stewards, WITHIN};
 use crate::draw::DRAINS_FOR;
--- a/crates/emulator/src/stewards/faults.rs
+++ b/crates/emulator/src/stewards/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of stewards, at a time or at a step of a window. Changes with what may happen to stewards.
+//! Faults of coordinators, at a time or at a step of a window.
 
 use super::process::Steward;
 use super::{LOOK, Stewards, WITHIN};
--- a/crates/emulator/src/stewards/process.rs
+++ b/crates/emulator/src/stewards/process.rs
@@ -1,4 +1,4 @@
-//! One steward's process over all its lives, and its disk. Changes with what may happen to a process and its files.
+//! One coordinator's process over all its incarnations, and its disk.
 
 use super::data;
 use crate::supervisor::{Bringing, Running};
--- a/crates/emulator/src/supervisor.rs
+++ b/crates/emulator/src/supervisor.rs
@@ -1,5 +1,4 @@
-//! Starts, stops, kills and restarts real sidecars, and keeps their logs. Changes with how a platform handles its
-//! processes (DEPLOY, PROTOCOL).
+//! Starts, stops, kills and restarts real sidecars, and keeps their logs (DEPLOY, PROTOCOL).
 
 mod bringing;
 mod release;
--- a/crates/emulator/src/supervisor/bringing.rs
+++ b/crates/emulator/src/supervisor/bringing.rs
@@ -1,4 +1,4 @@
-//! How a process is brought up so that it ends with the lab. Changes with what may outlive what.
+//! Starts a process so that it ends with the emulator.
 
 use super::READY_WITHIN;
 use rustix::process::{Pid, Signal, getppid, set_parent_process_death_signal};
--- a/crates/emulator/src/supervisor/release.rs
+++ b/crates/emulator/src/supervisor/release.rs
@@ -1,4 +1,4 @@
-//! A sidecar of which two versions are at hand. Changes with how a version is put in the place of another.
+//! A sidecar of which two versions are at hand.
 
 use super::Supervised;
 use crate::experiment::Version;
--- a/crates/emulator/src/supervisor/running.rs
+++ b/crates/emulator/src/supervisor/running.rs
@@ -1,4 +1,4 @@
-//! A process that ends with whoever holds it. Changes with how the end of a process is made sure of.
+//! A child process that is killed when its owner drops it.
 
 use std::io;
 use std::process::ExitStatus;
--- a/crates/emulator/src/supervisor/told.rs
+++ b/crates/emulator/src/supervisor/told.rs
@@ -1,4 +1,4 @@
-//! What a sidecar is told at its start. Changes with what the platform tells.
+//! What the platform tells a sidecar at its start.
 
 use crate::site;
 use serde_json::json;
--- a/crates/emulator/src/tally.rs
+++ b/crates/emulator/src/tally.rs
@@ -1,4 +1,4 @@
-//! Turns the record of one play into figures and curves. Changes with how a figure is counted.
+//! Turns the record of one run into figures and curves.
 
 mod bindings;
 mod maintenance;
--- a/crates/emulator/src/tally/bindings.rs
+++ b/crates/emulator/src/tally/bindings.rs
@@ -1,4 +1,4 @@
-//! Figures of how keys move between servers. Changes with what counts as crowded and as clear.
+//! Figures of how keys move between servers.
 
 use super::share;
 use crate::outcome::Measure;
--- a/crates/emulator/src/tally/maintenance.rs
+++ b/crates/emulator/src/tally/maintenance.rs
@@ -1,4 +1,4 @@
-//! Figures of maintenance. Changes with how windows are measured.
+//! Figures of maintenance windows.
 
 use crate::audit::capacities;
 use crate::outcome::Measure;
--- a/crates/emulator/src/tally/recovery.rs
+++ b/crates/emulator/src/tally/recovery.rs
@@ -1,4 +1,4 @@
-//! Figures of sidecars that were killed and came back. Changes with what counts as back.
+//! Figures of sidecars that were killed and came back.
 
 use crate::outcome::Measure;
 use crate::plan::{Plan, Step};
--- a/crates/emulator/src/tally/standing.rs
+++ b/crates/emulator/src/tally/standing.rs
@@ -1,4 +1,4 @@
-//! Figures of how sidecars judge their own place. Changes with how a standing is held against what is true.
+//! Figures of the sidecars' connectivity state against the truth.
 
 use crate::experiment::Way;
 use crate::outcome::Measure;
--- a/crates/emulator/src/tally/trials.rs
+++ b/crates/emulator/src/tally/trials.rs
@@ -1,4 +1,4 @@
-//! Attempts at servers that are known to be silent. Changes with what counts as a trial.
+//! Counts trial requests: attempts at servers that are known to be silent.
 
 use super::share;
 use crate::plan::{Plan, Step};
--- a/crates/emulator/src/ways.rs
+++ b/crates/emulator/src/ways.rs
@@ -1,5 +1,4 @@
-//! Ways from one process to another through the network: what is dialled here is joined with what listens there. Changes
-//! with how the lab stands between processes.
+//! Joins connections between processes through the emulated network.
 
 use crate::door::{Door, Life};
 use crate::net::Net;
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -1,5 +1,4 @@
-//! What the stand-ins for servers do with their work: a core without sockets and clock, the same for real and for
-//! simulated time. Changes with how a server behaves.
+//! The model of servers and their work, without sockets and clock, for real and for simulated time.
 //!
 //! Running requests share a server's cores, one each; the rest wait in turn. All running requests of a limited group
 //! are slowed down together where their servers would do more than the group may (processor sharing).
--- a/crates/emulator/src/world/tests.rs
+++ b/crates/emulator/src/world/tests.rs
@@ -1,4 +1,4 @@
-//! What servers do with their work, seen from outside. Changes with how a server behaves.
+//! Tests of the server model from outside.
 
 use super::*;
 use crate::SECOND;
--- a/crates/emulator/src/world/work.rs
+++ b/crates/emulator/src/world/work.rs
@@ -1,5 +1,4 @@
-//! How a server's work goes on: what waits, what runs, what is done. Changes with how work is shared, saved and
-//! slowed.
+//! The work of one server: what is queued, what runs, what is done.
 
 use super::{Admission, CROWDED, Done, Group, Job, Running, Server, WARMING, World};
 use crate::Us;
--- a/crates/emulator/tests/platform.rs
+++ b/crates/emulator/tests/platform.rs
@@ -1,5 +1,5 @@
-//! The platform's stand-in over its sockets: what an act does, what a low token does, how servers come back. Changes
-//! with the platform's interface.
+//! The platform's stand-in over its sockets: what an action does, what a low token does, how
+//! servers come back.
 
 use load_balancer_emulator::SECOND;
 use load_balancer_emulator::catalogue::Catalogue;
--- a/crates/gossip/src/carrier.rs
+++ b/crates/gossip/src/carrier.rs
@@ -1,5 +1,5 @@
-//! Small pieces of other crates' data that go from member to member: their form, who has had which, and what waits to be
-//! passed on. Changes with how such pieces are told apart and dropped.
+//! Small message parts of other crates that are disseminated with gossip: their encoding, who has
+//! which, and what waits to be passed on.
 
 use crate::tokens::Tokens;
 use crate::{Micros, SECOND};
--- a/crates/gossip/src/census.rs
+++ b/crates/gossip/src/census.rs
@@ -1,4 +1,4 @@
-//! What `GET /fleet` shows. Changes with what on-call wants to see.
+//! The content of `GET /fleet`.
 
 use crate::effects::Counts;
 use crate::evidence::Sign;
--- a/crates/gossip/src/core.rs
+++ b/crates/gossip/src/core.rs
@@ -1,5 +1,5 @@
-//! A member as one state machine without I/O and clock: datagrams, evidence of its own, the list and the time go in;
-//! datagrams and words for the decision module come out. Changes with how those belong together.
+//! A member as one state machine without I/O and clock: datagrams, its own health observations, the
+//! endpoint list and the time go in; datagrams and ejections come out.
 
 mod answers;
 mod ask;
--- a/crates/gossip/src/core/answers.rs
+++ b/crates/gossip/src/core/answers.rs
@@ -1,5 +1,4 @@
-//! What a member tells of others, and of servers, to those who ask over HTTP. Changes with what the steward and on-call
-//! need to know.
+//! What a member answers about other members and servers over HTTP.
 
 use super::Core;
 use crate::census::{RosterCensus, Server, Servers, State};
--- a/crates/gossip/src/core/ask.rs
+++ b/crates/gossip/src/core/ask.rs
@@ -1,4 +1,4 @@
-//! A member that has just come asks for what the others know, and is answered. Changes with what it needs to know.
+//! Anti-entropy at a join: a new member asks for what the others know, and is answered.
 
 use super::{Core, FANOUT};
 use crate::evidence::{Datum, Sign};
--- a/crates/gossip/src/core/carry.rs
+++ b/crates/gossip/src/core/carry.rs
@@ -1,4 +1,4 @@
-//! Carries pieces of other crates' data. Changes with who may have what carried, and who is told.
+//! Carries message parts of other crates.
 
 use super::news::SENDS;
 use super::{Core, FANOUT};
--- a/crates/gossip/src/core/inbound.rs
+++ b/crates/gossip/src/core/inbound.rs
@@ -1,4 +1,4 @@
-//! Datagrams that come. Changes with which are listened to, and who takes in what is in them.
+//! Received datagrams: which are accepted, and which part of the core takes their content.
 
 use super::{Core, UNDER_WAY};
 use crate::Micros;
--- a/crates/gossip/src/core/judge.rs
+++ b/crates/gossip/src/core/judge.rs
@@ -1,4 +1,4 @@
-//! Verdicts of this member: which endpoints rest, and which it may try. Changes with when they are looked at anew.
+//! This member's ejections: which endpoints are ejected, and which it may try.
 
 use super::{Core, DOUBTED, DOUBTED_LEAST};
 use crate::effects::Word;
--- a/crates/gossip/src/core/membership.rs
+++ b/crates/gossip/src/core/membership.rs
@@ -1,4 +1,4 @@
-//! Who runs: foca's membership, carried out. Changes with how members are found, missed and taken back.
+//! Drives foca's membership protocol.
 
 use super::{Core, FANOUT};
 use crate::effects::Note;
--- a/crates/gossip/src/core/news.rs
+++ b/crates/gossip/src/core/news.rs
@@ -1,4 +1,4 @@
-//! News that spread by rumour. Changes with how they spread.
+//! Dissemination of health observations by rumor mongering.
 //!
 //! What is new to a member it passes on to a few members drawn at random, a fixed number of times (Demers et al.,
 //! "Epidemic algorithms for replicated database maintenance", PODC 1987, section 1.4). So a member sends no more in a
--- a/crates/gossip/src/core/others.rs
+++ b/crates/gossip/src/core/others.rs
@@ -1,4 +1,4 @@
-//! Who is there, by number, for what is carried for others. Changes with who counts as there.
+//! The other members by number, for message parts that are carried.
 
 use super::Core;
 use crate::roster::Left;
--- a/crates/gossip/src/core/report.rs
+++ b/crates/gossip/src/core/report.rs
@@ -1,4 +1,4 @@
-//! What people read of a member. Changes with what on-call wants to see.
+//! The figures of a member for people.
 
 use super::Core;
 use crate::census::{Census, EvidenceCensus, MemberCensus, RestCensus};
--- a/crates/gossip/src/core/standing.rs
+++ b/crates/gossip/src/core/standing.rs
@@ -1,4 +1,4 @@
-//! What this member tells and asks so as to know where it stands. Changes with what that costs on the network.
+//! The messages by which this member finds out its connectivity state.
 //!
 //! Each beat of a second a member tells its view to two others, one of its own zone, with news that go anyway or in a
 //! datagram of its own: so at most two more a second, four while it is not whole, whatever the size of the fleet. A zone that is doubted is asked by
--- a/crates/gossip/src/core/witness.rs
+++ b/crates/gossip/src/core/witness.rs
@@ -1,4 +1,4 @@
-//! What this member saw, and what others say they saw. Changes with what is worth saying and whom one believes.
+//! This member's own health observations, and those it receives.
 
 use super::{Core, DOUBTED, DOUBTED_LEAST};
 use crate::effects::{Listed, Word};
--- a/crates/gossip/src/datum.rs
+++ b/crates/gossip/src/datum.rs
@@ -1,4 +1,4 @@
-//! One piece of evidence, as it is written and told. Changes with what a member may say of an endpoint.
+//! One health observation and its encoding.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
--- a/crates/gossip/src/effects.rs
+++ b/crates/gossip/src/effects.rs
@@ -1,4 +1,4 @@
-//! What goes into a member and comes out of it. Changes with what the decision module and the host are told.
+//! The inputs and outputs of a member.
 
 use crate::Micros;
 use crate::frame::REASONS;
--- a/crates/gossip/src/evidence.rs
+++ b/crates/gossip/src/evidence.rs
@@ -1,5 +1,4 @@
-//! What members saw of endpoints, merged in any order to the same table. Changes with what evidence is, and with which
-//! of it is kept.
+//! The table of health observations, which merges in any order to the same content.
 //!
 //! The table is a join semilattice: for each endpoint process and zone it keeps the newest datum of each origin, and of
 //! those the [`KEPT`] newest. Merging is idempotent, commutative and associative, since a datum that was left out had
--- a/crates/gossip/src/frame.rs
+++ b/crates/gossip/src/frame.rs
@@ -1,4 +1,4 @@
-//! Datagrams between members: their form, and why one is dropped. Changes with the form alone.
+//! The datagram format, and the reasons why a datagram is dropped.
 //!
 //! `LPF`, the version of the form, the least version whose readers understand it, then by postcard a [`Head`], then the
 //! content: foca's bytes as they are, or pieces, each with its kind and length, so that a reader passes over kinds that
--- a/crates/gossip/src/member.rs
+++ b/crates/gossip/src/member.rs
@@ -1,4 +1,4 @@
-//! Who a member is. Changes with what identifies one.
+//! The identity of a member.
 
 use foca::Identity;
 use serde::{Deserialize, Serialize};
--- a/crates/gossip/src/roster.rs
+++ b/crates/gossip/src/roster.rs
@@ -1,4 +1,4 @@
-//! Who is known, and how those left who did. Changes with what is kept of a member.
+//! The membership table: who is known, and how those left who did.
 
 use crate::member::Member;
 use crate::{Micros, SECOND, hash};
--- a/crates/gossip/src/section.rs
+++ b/crates/gossip/src/section.rs
@@ -1,5 +1,4 @@
-//! The `[fleet]` section of a product configuration. Changes with what can be configured; docs/configuration.md is its
-//! reference.
+//! The `[fleet]` section of a product configuration; docs/configuration.md is its reference.
 
 use crate::Micros;
 use ipnet::{IpNet, Ipv4Net};
--- a/crates/gossip/src/standing.rs
+++ b/crates/gossip/src/standing.rs
@@ -1,5 +1,5 @@
-//! What a member concludes of its own place in the fleet, and what each other part may do there. Changes with the table
-//! below alone; docs/gossip.md has the same one, and a test holds both equal.
+//! The connectivity state of a member, and what each other part may do in it. docs/gossip.md has
+//! the same table, and a test holds both equal.
 
 use serde::Serialize;
 
--- a/crates/gossip/src/standing_health.rs
+++ b/crates/gossip/src/standing_health.rs
@@ -1,4 +1,4 @@
-//! Whether this member's own timers keep time. Changes with how much lateness is too much.
+//! Local health: whether this member's own timers keep time.
 //!
 //! A member that is starved of processor time misses answers that came in time and takes others for dead (Dadgar,
 //! Phillips and Currey, "Lifeguard: Local Health Awareness for More Accurate Failure Detection", DSN-W 2018), so it
--- a/crates/gossip/src/standing_heard.rs
+++ b/crates/gossip/src/standing_heard.rs
@@ -1,4 +1,4 @@
-//! When zones were last heard, by whom. Changes with what counts as hearing.
+//! When zones were last heard, by whom.
 //!
 //! Stamps are times of the clock of who heard, passed on as they are: a value grows no younger on its way, which ages that
 //! each hop counts anew would. Merging takes the newest, so order, repeats and loss change how soon, never what.
--- a/crates/gossip/src/standing_views.rs
+++ b/crates/gossip/src/standing_views.rs
@@ -1,4 +1,4 @@
-//! Whether others see the same fleet. Changes with how views are compared.
+//! Compares the membership views of other members with this one's.
 
 use crate::Micros;
 use crate::SECOND;
--- a/crates/gossip/src/standing_watch.rs
+++ b/crates/gossip/src/standing_watch.rs
@@ -1,4 +1,4 @@
-//! Concludes a member's own standing from all that it follows. Changes with which standing goes before which.
+//! Concludes the connectivity state of this member from everything that it tracks.
 
 use crate::standing::{Kind, Standing, Way};
 use crate::standing_health::Health;
--- a/crates/gossip/src/standing_zone.rs
+++ b/crates/gossip/src/standing_zone.rs
@@ -1,4 +1,4 @@
-//! When one zone counts as lost, which way, and as found again. Changes with those bounds.
+//! The state of one other zone: reachable, lost in one direction or both, or found again.
 //!
 //! A zone that nobody here has heard for [`DOUBT`] is asked, by more members at a time the longer it lasts; it is lost at
 //! [`LOST`], which leaves three probe periods of a second with the ticks and the skew of clocks on top. Asking makes the
--- a/crates/gossip/src/tokens.rs
+++ b/crates/gossip/src/tokens.rs
@@ -1,4 +1,4 @@
-//! So many a second, and so many at once: a token bucket. Changes with how a rate is kept.
+//! A token bucket over time.
 
 use crate::{Micros, SECOND};
 
--- a/crates/gossip/src/trial.rs
+++ b/crates/gossip/src/trial.rs
@@ -1,4 +1,4 @@
-//! Trials of endpoints that rest: when one is made, and by which member. Changes with how trials are shared.
+//! Trials of ejected endpoints: when one is due, and which member makes it.
 
 use crate::Micros;
 use crate::evidence::{Process, Sign};
--- a/crates/gossip/src/udp.rs
+++ b/crates/gossip/src/udp.rs
@@ -1,5 +1,4 @@
-//! A member on a socket: datagrams, timers, and a way to talk to it from other tasks of the same thread. Changes with
-//! how it is carried.
+//! A member on a UDP socket, and its handle for other tasks of the same thread.
 
 mod calls;
 mod driver;
--- a/crates/gossip/src/udp/calls.rs
+++ b/crates/gossip/src/udp/calls.rs
@@ -1,4 +1,4 @@
-//! What other tasks of the thread tell a member and ask of it. Changes with what its host knows and wants to know.
+//! What other tasks of the thread tell a member and ask of it.
 
 use super::{Carries, Fleet, Notes};
 use crate::carrier::NotCarried;
--- a/crates/gossip/src/udp/driver.rs
+++ b/crates/gossip/src/udp/driver.rs
@@ -1,4 +1,4 @@
-//! What drives a member: its socket and its timers. Changes with when it wakes up.
+//! Drives a member: its socket and its timers.
 //!
 //! While the member has nothing to say the socket wakes it. While it has, it wakes up ten times a second anyway, and
 //! datagrams wait for that: what they bring leaves no sooner, and one wake-up for each would cost more than all else here
--- a/crates/gossip/src/udp/others.rs
+++ b/crates/gossip/src/udp/others.rs
@@ -1,4 +1,4 @@
-//! Who is there, for whoever hosts more than the fleet's own. Changes with what that one needs to know.
+//! The other members, for whoever hosts message parts of its own.
 
 use super::Fleet;
 use crate::core::Others;
--- a/crates/gossip/src/verdict.rs
+++ b/crates/gossip/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What follows from evidence for one member: which endpoints rest. Changes with how evidence is weighed.
+//! Derives the health status of endpoints for one member: which of them are ejected.
 //!
 //! Others' evidence counts by zone, as a cut shows as the death of everything behind it: an endpoint rests for those in
 //! whose own zone enough members have found it sick. Where several zones have, it is the endpoint and not the way, and
--- a/crates/gossip/tests/lan/mod.rs
+++ b/crates/gossip/tests/lan/mod.rs
@@ -1,5 +1,4 @@
-//! Fleets of members over a simulated network: no socket, no clock, the same for the same seed. Changes with what such a
-//! network can do to datagrams and members.
+//! Fleets of members over a simulated network: no socket, no clock, the same for the same seed.
 #![allow(dead_code, reason = "each file of tests uses its part")]
 
 use load_balancer_gossip::core::{Carried, Core, Listed, Word};
--- a/crates/leases/src/duty.rs
+++ b/crates/leases/src/duty.rs
@@ -1,4 +1,4 @@
-//! Changes with what is kept of one duty.
+//! The state of one singleton task: its holder, lease and fencing token.
 
 use crate::event::Claimant;
 use serde::{Deserialize, Serialize};
--- a/crates/leases/src/event.rs
+++ b/crates/leases/src/event.rs
@@ -1,4 +1,4 @@
-//! Changes with what the duties' machine is told, and with its answers.
+//! The events that the lease state machine takes, and its answers.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/leases/src/gate.rs
+++ b/crates/leases/src/gate.rs
@@ -1,4 +1,4 @@
-//! Changes with what the thing acted on accepts.
+//! The check of fencing tokens at the thing that is acted on.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/crates/leases/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -1,4 +1,4 @@
-//! Changes with how a process claims a duty, and with when it must not act.
+//! A process that claims a singleton task, and when it must stop acting.
 
 use crate::event::{Claimant, Event, Outcome, Refusal};
 use std::collections::VecDeque;
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -1,4 +1,4 @@
-//! Duties that only one process holds at a time. Changes with which parts of the crate others may name.
+//! Leases of singleton tasks, which only one process holds at a time.
 //!
 //! [`Duties`] takes [`Event`]s in an order that others agreed on and knows no time: a lease ends by an event as well,
 //! which the leader brings ([`Watch`]) once its own clock says that the holder was not heard for a whole lease. So the
--- a/crates/leases/src/machine.rs
+++ b/crates/leases/src/machine.rs
@@ -1,4 +1,4 @@
-//! Changes with who gets a duty, and when it ends.
+//! The lease state machine: who gets a singleton task, and when a lease ends.
 
 use crate::duty::{Duty, Held, Waiting};
 use crate::event::{Claimant, Event, LEASE_MS, LONGEST_NAME, Outcome, Refusal};
--- a/crates/leases/src/model.rs
+++ b/crates/leases/src/model.rs
@@ -1,5 +1,5 @@
-//! Changes with what the exhaustive model explores: two who want one duty, leaders that come and go, and a soup of words
-//! each of which may arrive at any time, any number of times, or never.
+//! An exhaustive model: two processes that want one task, leaders that change, and messages that
+//! may arrive at any time, any number of times, or never.
 
 mod explore;
 mod scope;
--- a/crates/leases/src/model/explore.rs
+++ b/crates/leases/src/model/explore.rs
@@ -1,4 +1,4 @@
-//! Changes with how deep the model is explored, and with the faults that must be found in it.
+//! Explores the model to a stated depth, also with rules removed, whose faults must be found.
 
 use super::{Lease, Planted, Scope};
 use stateright::{Checker, HasDiscoveries, Model};
--- a/crates/leases/src/model/scope.rs
+++ b/crates/leases/src/model/scope.rs
@@ -1,4 +1,4 @@
-//! Changes with what the model leaves out, of rules and of troubles.
+//! The scope of the model: which rules and faults an exploration leaves out.
 
 /// Rules that a run may leave out, to see that it would find what they are for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/leases/src/watch.rs
+++ b/crates/leases/src/watch.rs
@@ -1,4 +1,4 @@
-//! Changes with when the leader holds somebody for gone.
+//! The leader's failure detector of lease holders.
 
 use crate::event::Event;
 use crate::machine::Duties;
--- a/crates/leases/tests/histories.rs
+++ b/crates/leases/tests/histories.rs
@@ -1,5 +1,5 @@
-//! Random histories of leases: never two holders, never an act by an old token, and duties come back. Changes with what
-//! is promised of them.
+//! Random histories of leases: never two holders, never an action with an old token, and released
+//! tasks are taken again.
 
 mod world;
 
--- a/crates/leases/tests/world/mod.rs
+++ b/crates/leases/tests/world/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet that wants duties, in simulated time: words that are lost, doubled and late, processes that are stopped and
-//! killed, leaders that change, majorities that are lost, clocks one in a hundred apart. Changes with what may happen.
+//! A fleet in simulated time that wants singleton tasks, with message loss, duplication and delay,
+//! stops, kills, leader changes, lost majorities, and clocks one in a hundred apart.
 
 mod troubles;
 
--- a/crates/leases/tests/world/troubles.rs
+++ b/crates/leases/tests/world/troubles.rs
@@ -1,4 +1,4 @@
-//! What goes wrong: stops, kills, duties given back, leaders that change. Changes with the faults.
+//! Faults: stops, kills, releases, leader changes.
 
 use super::{LEASE_MS, STEP_MS, World, holders};
 use load_balancer_leases::Watch;
--- a/crates/maintenance/src/act.rs
+++ b/crates/maintenance/src/act.rs
@@ -1,4 +1,4 @@
-//! Changes with what the leader is asked to do.
+//! The actions that the leader is asked to carry out.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/maintenance/src/acted.rs
+++ b/crates/maintenance/src/acted.rs
@@ -1,4 +1,4 @@
-//! Changes with what follows from what was done, and from words about it.
+//! What follows from the results of actions.
 
 use crate::event::{Answer, Outcome, Refusal, Step};
 use crate::machine::Machine;
--- a/crates/maintenance/src/advance.rs
+++ b/crates/maintenance/src/advance.rs
@@ -1,4 +1,4 @@
-//! Changes with what follows from time and evidence alone, after each event.
+//! What follows from time and health observations alone, after each event.
 
 use std::collections::BTreeSet;
 
--- a/crates/maintenance/src/agreement.rs
+++ b/crates/maintenance/src/agreement.rs
@@ -1,4 +1,4 @@
-//! Changes with what operators may agree on: the capacity that must stay, who may be away, and how patient all are.
+//! The capacity floor and the other limits that operators set.
 
 use std::collections::BTreeMap;
 
--- a/crates/maintenance/src/booking.rs
+++ b/crates/maintenance/src/booking.rs
@@ -1,4 +1,4 @@
-//! Changes with how a request is answered, and how booked windows are planned anew.
+//! Books requested windows, and plans booked ones anew.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/maintenance/src/calendar.rs
+++ b/crates/maintenance/src/calendar.rs
@@ -1,4 +1,4 @@
-//! Changes with how blackouts are written down, and how they become times.
+//! Blackouts: how they are written, and how they become times.
 
 use jiff::civil::DateTime;
 use jiff::tz::TimeZone;
--- a/crates/maintenance/src/callback.rs
+++ b/crates/maintenance/src/callback.rs
@@ -1,4 +1,4 @@
-//! Changes with who is called back when a failure has eaten the slack, and in which order.
+//! Cancellation: which windows end early when a failure has used up the slack, and in which order.
 
 use crate::agreement::Agreement;
 use crate::machine::Machine;
--- a/crates/maintenance/src/due.rs
+++ b/crates/maintenance/src/due.rs
@@ -1,4 +1,4 @@
-//! Changes with what the leader has to do, and when it has to look again.
+//! The actions that are due, and when the leader has to look again.
 
 use crate::act::{Act, Unclear};
 use crate::event::Step;
--- a/crates/maintenance/src/event.rs
+++ b/crates/maintenance/src/event.rs
@@ -1,4 +1,4 @@
-//! Changes with what the machine is told: the events in their agreed order, and its answers.
+//! The events of the state machine in their agreed order, and its answers.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/maintenance/src/grant.rs
+++ b/crates/maintenance/src/grant.rs
@@ -1,4 +1,4 @@
-//! Changes with when a grant may be given, and when a server that was granted counts as there again.
+//! Admission: when a server may be taken, and when an admitted one counts as back.
 
 use crate::agreement::Agreement;
 use crate::event::Health;
--- a/crates/maintenance/src/ledger.rs
+++ b/crates/maintenance/src/ledger.rs
@@ -1,4 +1,4 @@
-//! Changes with how capacity is counted at one moment: what is listed, what is there, what is debited.
+//! The capacity account at one moment: what is listed, what is in service, what is debited.
 
 use std::collections::BTreeMap;
 
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -1,4 +1,4 @@
-//! Maintenance windows that never breach the agreed capacity. Changes with which parts of the crate others may name.
+//! Maintenance windows that never breach the capacity floor.
 //!
 //! A [`Machine`] takes [`Event`]s in an order that others agreed on, each with the time that its proposer read; it
 //! knows nothing of how agreement is reached, does no I/O and reads no clock. What the leader has to do follows from
--- a/crates/maintenance/src/machine.rs
+++ b/crates/maintenance/src/machine.rs
@@ -1,4 +1,4 @@
-//! Changes with what the machine keeps, and with which part answers which event.
+//! The maintenance state machine: its state, and which part handles which event.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/maintenance/src/model.rs
+++ b/crates/maintenance/src/model.rs
@@ -1,5 +1,5 @@
-//! Changes with what the exhaustive model explores: the machine itself, two servers, and a soup of words in which each
-//! act may be delivered at any time, any number of times, or never, as old leaders and networks do.
+//! An exhaustive model: the state machine, two servers, and actions that may be delivered at any
+//! time, any number of times, or never, as old leaders and networks do.
 
 mod explore;
 
--- a/crates/maintenance/src/model/explore.rs
+++ b/crates/maintenance/src/model/explore.rs
@@ -1,4 +1,4 @@
-//! Changes with how deep the model is explored, and with the faults that must be found in it.
+//! Explores the model to a stated depth, also with planted faults, which must be found.
 
 use stateright::{Checker, Model};
 
--- a/crates/maintenance/src/order.rs
+++ b/crates/maintenance/src/order.rs
@@ -1,4 +1,4 @@
-//! Changes with who goes first: priority and patience, turns between zones, and the orders that a plan tries.
+//! The order in which windows are served: priority, waiting time, rotation between zones.
 
 use std::collections::BTreeMap;
 
--- a/crates/maintenance/src/plan.rs
+++ b/crates/maintenance/src/plan.rs
@@ -1,4 +1,4 @@
-//! Changes with how windows that wait find their times: in which orders pieces are placed, and which plan is best.
+//! Plans times for waiting windows.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
--- a/crates/maintenance/src/planted.rs
+++ b/crates/maintenance/src/planted.rs
@@ -1,4 +1,4 @@
-//! Changes with the faults that the model of the crate's own tests may plant; outside of them there is none.
+//! Faults that the crate's own model tests may plant; outside of them there is none.
 
 use crate::machine::Machine;
 
--- a/crates/maintenance/src/request.rs
+++ b/crates/maintenance/src/request.rs
@@ -1,4 +1,4 @@
-//! Changes with what may be asked for: the request of a window.
+//! The request of a window.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/maintenance/src/servers.rs
+++ b/crates/maintenance/src/servers.rs
@@ -1,4 +1,4 @@
-//! Changes with what counts as evidence that a server is there.
+//! The servers with what is known of their health.
 
 use std::collections::BTreeSet;
 
--- a/crates/maintenance/src/timeline.rs
+++ b/crates/maintenance/src/timeline.rs
@@ -1,4 +1,4 @@
-//! Changes with how a plan counts loads over time, and finds the earliest place for a further one.
+//! Loads over time, and the earliest place for a further one.
 
 use std::collections::BTreeMap;
 
--- a/crates/maintenance/src/view.rs
+++ b/crates/maintenance/src/view.rs
@@ -1,4 +1,4 @@
-//! Changes with what people are shown of windows and capacity.
+//! Windows and capacity as people see them.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/maintenance/src/window.rs
+++ b/crates/maintenance/src/window.rs
@@ -1,4 +1,4 @@
-//! Changes with the life of a window: its servers' seats, their states, and how they are told to people.
+//! A window with its servers and their states.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/maintenance/tests/histories.rs
+++ b/crates/maintenance/tests/histories.rs
@@ -1,4 +1,4 @@
-//! Changes with the properties that every history must keep, and with how many are played.
+//! Properties that every random history must keep.
 
 mod play;
 mod world;
--- a/crates/maintenance/tests/play/mod.rs
+++ b/crates/maintenance/tests/play/mod.rs
@@ -1,4 +1,4 @@
-//! Changes with what is audited in a history, apart from the machine's own counting.
+//! Audits a history independently of the state machine's own accounts.
 #![allow(dead_code)]
 
 mod moves;
--- a/crates/maintenance/tests/play/moves.rs
+++ b/crates/maintenance/tests/play/moves.rs
@@ -1,4 +1,4 @@
-//! Changes with what happens in a history: what is asked, lost, repeated, dies, and who leads.
+//! The events of a history: requests, losses, repeats, failures, leader changes.
 
 use jiff::Timestamp;
 use jiff::tz::TimeZone;
--- a/crates/maintenance/tests/promises.rs
+++ b/crates/maintenance/tests/promises.rs
@@ -1,4 +1,4 @@
-//! Changes with what an accepted request may count on.
+//! What an accepted request may count on.
 
 mod world;
 
--- a/crates/maintenance/tests/rules.rs
+++ b/crates/maintenance/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Changes with single rules that people read in docs/maintenance.md, each played once by hand.
+//! Single rules of docs/maintenance.md, each played once by hand.
 
 mod world;
 
--- a/crates/maintenance/tests/size.rs
+++ b/crates/maintenance/tests/size.rs
@@ -1,4 +1,4 @@
-//! Changes with the sizes that a plan must bear: fifty windows asked at once for two hundred servers.
+//! Plans of the largest size: fifty windows requested at once for two hundred servers.
 
 mod world;
 
--- a/crates/maintenance/tests/solver.rs
+++ b/crates/maintenance/tests/solver.rs
@@ -1,4 +1,4 @@
-//! Changes with how far our waves may be from the best ones: an exact solver that knows all beforehand.
+//! Compares planned waves with the optimum of an exact solver that knows everything in advance.
 
 mod world;
 
--- a/crates/maintenance/tests/world/mod.rs
+++ b/crates/maintenance/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! Changes with what the tests' world is made of: servers, the thing acted on, and a network that loses and repeats.
+//! The simulated world of the tests: servers, a platform, and a network that loses and repeats.
 #![allow(dead_code)]
 
 pub mod stage;
--- a/crates/maintenance/tests/world/stage.rs
+++ b/crates/maintenance/tests/world/stage.rs
@@ -1,4 +1,4 @@
-//! Changes with how a test plays a few servers by hand.
+//! A few servers that a test drives by hand.
 
 use load_balancer_maintenance::{
     Act, Agreement, Event, Machine, Outcome, Request, SeatView, Step, Target,
--- a/crates/record_store/src/disk.rs
+++ b/crates/record_store/src/disk.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that fails as disks do, for tests of what is built on stores. Changes with the faults it knows.
+//! A disk in memory that fails as disks do, for tests of what is built on record stores.
 //!
 //! What is written is in the cache; a sync makes it durable. A crash keeps, of what was not synced, any part in
 //! units of a sector, in any order: lost, whole or torn.
--- a/crates/record_store/src/file.rs
+++ b/crates/record_store/src/file.rs
@@ -1,4 +1,4 @@
-//! A store in a file: opening it, and setting aside what cannot be believed. Changes with where stores lie.
+//! Opens a store in a file, and quarantines a file that cannot be believed.
 
 use crate::record::Broken;
 use crate::store::{Refusal, Store, Trouble};
--- a/crates/record_store/src/lib.rs
+++ b/crates/record_store/src/lib.rs
@@ -1,5 +1,5 @@
-//! What is kept on disk: checked records in rooms, committed together, and numbers that are never reused. Changes
-//! with what callers may keep; form, recovery and set-aside have files of their own.
+//! Checked records on disk, in tables that are committed together, and numbers that are never
+//! reused.
 //!
 //! Every record carries a format version, its owner's name and a checksum over all of it and its place. All are
 //! checked when a store is opened: a store of which one record fails is set aside whole under another name, never
--- a/crates/record_store/src/numbers.rs
+++ b/crates/record_store/src/numbers.rs
@@ -1,5 +1,5 @@
-//! Numbers that are never given twice, whatever is lost: a range is on the disk before its first number is used.
-//! Changes with how numbers are reserved.
+//! Numbers that are never given twice, whatever is lost: a range is on disk before its first number
+//! is used.
 
 use crate::store::{Change, Store, Trouble};
 
--- a/crates/record_store/src/record.rs
+++ b/crates/record_store/src/record.rs
@@ -1,4 +1,4 @@
-//! The form of one record and the checks on it. Changes with the format on disk, and then with its version.
+//! The format of one record and the checks on it.
 
 use std::fmt;
 use xxhash_rust::xxh3::Xxh3;
--- a/crates/record_store/src/store.rs
+++ b/crates/record_store/src/store.rs
@@ -1,4 +1,4 @@
-//! Records in rooms, over one redb database. Changes with what is read and written together.
+//! Tables of records over one redb database.
 
 use crate::record::{self, Broken, LONGEST_OWNER};
 use redb::{
--- a/crates/record_store/tests/faults.rs
+++ b/crates/record_store/tests/faults.rs
@@ -1,4 +1,4 @@
-//! What a disk does to a store, and what the store may make of it. Changes with the promises on durable state.
+//! What a failing disk does to a store, and what the store may make of it.
 //!
 //! The invariant: a commit that returned is whole after any crash; one that did not return is whole or absent; what
 //! was changed by anybody else is never believed.
--- a/crates/snapshot/src/belief.rs
+++ b/crates/snapshot/src/belief.rs
@@ -1,5 +1,4 @@
-//! What of that which is kept is believed: what nobody can have written in good order is refused, what is too old has
-//! no effect. Changes with what counts as plausible and with what an age does.
+//! Validates what was stored: implausible records are refused, and stale ones have no effect.
 
 use crate::Micros;
 use crate::known::{Known, List, Process, Processes};
--- a/crates/snapshot/src/bin/snapshot-inspect.rs
+++ b/crates/snapshot/src/bin/snapshot-inspect.rs
@@ -1,4 +1,4 @@
-//! snapshot-inspect: shows, verifies and exports what a sidecar has kept. It reads only. Changes with what it shows.
+//! The program `snapshot-inspect`: shows, verifies and exports a state directory. It only reads.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
--- a/crates/snapshot/src/desk.rs
+++ b/crates/snapshot/src/desk.rs
@@ -1,5 +1,5 @@
-//! What lies between whoever hands something over and the thread that writes it: a tray that holds each thing once, the
-//! counts, the lines to say. Changes with what waits, and what it makes way for.
+//! The coalescing queue between those who store something and the writer thread, with its counts
+//! and log lines.
 
 use crate::known::Changes;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
--- a/crates/snapshot/src/directory.rs
+++ b/crates/snapshot/src/directory.rs
@@ -1,4 +1,4 @@
-//! The files of a state directory, and that one process at a time has them. Changes with where things lie.
+//! The files of a state directory, which one process at a time may use.
 
 use load_balancer_record_store::{Opened, Trouble};
 use std::fmt;
--- a/crates/snapshot/src/form.rs
+++ b/crates/snapshot/src/form.rs
@@ -1,5 +1,5 @@
-//! How what is kept is written: the version of the form, then the thing itself. Changes with the form, and then
-//! [`SCHEMA`] does too, and the form before is read beside it.
+//! The encoding of what is stored: the version of the form, then the content. With each change of
+//! the form [`SCHEMA`] grows, and the form before is still read.
 
 use crate::form_before;
 use crate::known::{Changes, Known, Processes};
--- a/crates/snapshot/src/keeper.rs
+++ b/crates/snapshot/src/keeper.rs
@@ -1,4 +1,4 @@
-//! What is kept, over two stores: begins a life, and keeps changes. Changes with what a start does to the stores.
+//! The stored state over two stores: begins an incarnation, and commits changes.
 
 use crate::Micros;
 use crate::belief::plausible;
--- a/crates/snapshot/src/known.rs
+++ b/crates/snapshot/src/known.rs
@@ -1,4 +1,4 @@
-//! What is kept of one sidecar. Changes with what a next life may know; `form.rs` holds how it is written.
+//! What is stored of one sidecar; `form.rs` holds its encoding.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -1,6 +1,6 @@
-//! What a sidecar knows again after a crash or a loss of power (docs/snapshot.md): what is kept, what of it is believed
-//! and until which age, and the one thread that writes it. Nothing here stands in the way of a request. Changes with
-//! what callers may keep; each concept has a file of its own.
+//! What a sidecar restores after a crash or a loss of power (docs/snapshot.md): what is stored,
+//! what of it is believed and up to which age, and the one thread that writes it. Nothing here
+//! stands in the way of a request.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/snapshot/src/reader.rs
+++ b/crates/snapshot/src/reader.rs
@@ -1,5 +1,4 @@
-//! Reads a state directory without touching it: each file is copied into memory and looked at there. Changes with what
-//! there is to read.
+//! Reads a state directory without touching it: each file is copied into memory and read there.
 
 use crate::Micros;
 use crate::belief::plausible;
--- a/crates/snapshot/src/section.rs
+++ b/crates/snapshot/src/section.rs
@@ -1,5 +1,4 @@
-//! The `[state]` section of a product configuration. Changes with what can be configured; docs/configuration.md is its
-//! reference.
+//! The `[state]` section of a product configuration; docs/configuration.md is its reference.
 
 use crate::Micros;
 use crate::belief::Bounds;
--- a/crates/snapshot/src/writer.rs
+++ b/crates/snapshot/src/writer.rs
@@ -1,5 +1,5 @@
-//! The one thread that reads and writes what is kept. Whoever hands something over never waits for it: what comes while
-//! the disk is busy takes the place of what waits. Changes with when is written, and what follows where it cannot be.
+//! The one thread that reads and writes the stored state. Nobody waits for it: while the disk is
+//! busy a newer change takes the place of one that waits.
 
 use crate::Micros;
 use crate::desk::{ASIDES, BYTES, COMMITS, Counts, Desk};
--- a/crates/snapshot/tests/common/mod.rs
+++ b/crates/snapshot/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Two disks in memory in the place of a directory, and things to keep. Changes with what the tests here share.
+//! Two disks in memory in the place of a directory, and state to store.
 #![allow(dead_code)]
 
 use load_balancer_record_store::disk::Disk;
--- a/crates/snapshot/tests/crashes.rs
+++ b/crates/snapshot/tests/crashes.rs
@@ -1,4 +1,4 @@
-//! What a loss of power does to what is kept. Changes with the promises on crashes.
+//! What a loss of power does to the stored state.
 //!
 //! The invariants: what was kept is found whole or in one of the states that were under way; no incarnation is given
 //! twice, whatever the clock does; a start always goes on.
--- a/crates/snapshot/tests/faults.rs
+++ b/crates/snapshot/tests/faults.rs
@@ -1,4 +1,4 @@
-//! What cannot be believed, and disks that do not do what is asked. Changes with the promises on both.
+//! State that cannot be believed, and disks that fail.
 
 mod common;
 use common::*;
--- a/crates/snapshot/tests/migration.rs
+++ b/crates/snapshot/tests/migration.rs
@@ -1,4 +1,4 @@
-//! Files of other versions. Changes with the form on disk.
+//! Files of other versions.
 //!
 //! `files/known-form-1.sectors` was written by the version before: 512 bytes of the file each, behind the number of
 //! their place as four bytes; all others are zero.
--- a/crates/snapshot/tests/tool.rs
+++ b/crates/snapshot/tests/tool.rs
@@ -1,5 +1,5 @@
-//! The program that looks at what is kept. Changes with what it promises: it changes nothing, and believes nothing that
-//! a start would not.
+//! The program that inspects a state directory changes nothing, and believes nothing that a start
+//! would not.
 
 mod common;
 use common::*;
--- a/src/bin/sidecar/alarms.rs
+++ b/src/bin/sidecar/alarms.rs
@@ -1,4 +1,4 @@
-//! The timers that the module has asked for, on its clock. Changes with how they are kept.
+//! The timers that the decision module has set.
 
 use crate::clock::Clock;
 use load_balancer::Micros;
--- a/src/bin/sidecar/bindings.rs
+++ b/src/bin/sidecar/bindings.rs
@@ -1,5 +1,5 @@
-//! Hosts the bindings of keys: uses, the list and what others say go in; where a key is bound comes out. Changes with how the
-//! sidecar and its bindings talk to each other.
+//! Hosts the affinity table of this sidecar: uses, the list and other members' messages go in;
+//! affinity entries come out.
 
 use crate::bindings_list::List;
 use crate::clock::Clock;
--- a/src/bin/sidecar/bindings_list.rs
+++ b/src/bin/sidecar/bindings_list.rs
@@ -1,4 +1,4 @@
-//! The listed endpoints as processes. Changes with how a process is told from the list.
+//! The listed endpoints as processes.
 
 use load_balancer::EndpointId;
 use load_balancer_affinity::{Process, hash};
--- a/src/bin/sidecar/bindings_pages.rs
+++ b/src/bin/sidecar/bindings_pages.rs
@@ -1,5 +1,5 @@
-//! The pages on bindings: figures and a dump for people and auditors, and what a steward asks and says. Changes with the form
-//! of those pages.
+//! The pages on affinity: figures and a dump for people and auditors, and the coordinator's
+//! queries.
 
 use crate::bindings::Host;
 use hyper::StatusCode;
--- a/src/bin/sidecar/client.rs
+++ b/src/bin/sidecar/client.rs
@@ -1,5 +1,4 @@
-//! A client as seen from beside the connection that reads it. Changes with what is asked of the socket itself, and with
-//! what is known of what the connection holds.
+//! A client's connection as seen from beside the task that reads it.
 
 use socket2::SockRef;
 use std::cell::Cell;
--- a/src/bin/sidecar/clock.rs
+++ b/src/bin/sidecar/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of the decision module. Changes with how real time becomes the module's.
+//! The clock of the decision module.
 
 use load_balancer::Micros;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
--- a/src/bin/sidecar/closing.rs
+++ b/src/bin/sidecar/closing.rs
@@ -1,4 +1,4 @@
-//! How a client's connection is closed. Changes with how long and how much is still read of it.
+//! Closes a client's connection without resetting answers.
 //!
 //! A socket that is closed over bytes nobody has read is reset by the system, and what it still had to send goes with
 //! it. So the sending side is closed first, and what the client still sends is read and thrown away until it has
--- a/src/bin/sidecar/config.rs
+++ b/src/bin/sidecar/config.rs
@@ -1,5 +1,4 @@
-//! What the platform tells the sidecar at its start: the file that `LB_CONFIG` names, and the variables beside it.
-//! Changes with the platform's form of them.
+//! The platform's configuration: the file that `LB_CONFIG` names, and the variables beside it.
 
 use crate::hosts::HostList;
 use load_balancer::settings::{self, Decoded};
--- a/src/bin/sidecar/connection.rs
+++ b/src/bin/sidecar/connection.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 connection. Changes with how a connection is driven.
+//! One HTTP/1.1 connection to an endpoint.
 //!
 //! A connection carries one request at a time and is driven by whoever uses it, so that giving up an attempt
 //! (dropping its future) closes the connection, and nothing is written behind an attempt's back.
--- a/src/bin/sidecar/descriptors.rs
+++ b/src/bin/sidecar/descriptors.rs
@@ -1,4 +1,4 @@
-//! How the descriptors of the process are shared out, and how a want of them shows. Changes with who needs some.
+//! The budget of the process's file descriptors.
 
 use std::io;
 
--- a/src/bin/sidecar/discovery.rs
+++ b/src/bin/sidecar/discovery.rs
@@ -1,5 +1,5 @@
-//! Asks discovery for the list of endpoints, when the module says so, and passes on what it answers. Changes with
-//! how discovery is called.
+//! Calls discovery for the endpoint list when the decision module says so, and passes on its
+//! answers.
 
 use crate::connection::{Connection, Meter};
 use crate::hosts::HostList;
--- a/src/bin/sidecar/engine.rs
+++ b/src/bin/sidecar/engine.rs
@@ -1,5 +1,5 @@
-//! Owns the decision module: everything that happens on the sockets becomes an event for it, and its actions
-//! are carried out. Nothing is decided here. Changes with how an event is told or an action is carried out.
+//! Owns the decision module: everything that happens on the sockets becomes an event for it, and
+//! its actions are carried out. Nothing is decided here.
 
 mod actions;
 
--- a/src/bin/sidecar/engine/actions.rs
+++ b/src/bin/sidecar/engine/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the decision module asks for. Changes with how an action is carried out.
+//! Carries out the actions of the decision module.
 
 use super::Engine;
 use crate::discovery::Ask;
--- a/src/bin/sidecar/facts.rs
+++ b/src/bin/sidecar/facts.rs
@@ -1,4 +1,4 @@
-//! What a client's headers say of its request. Changes with the headers that are read.
+//! Reads what a client's headers say of its request.
 
 use crate::config::Config;
 use crate::messages::{CORRELATION_ID, TIME_LEFT};
--- a/src/bin/sidecar/fleet.rs
+++ b/src/bin/sidecar/fleet.rs
@@ -1,5 +1,4 @@
-//! Hosts this sidecar's membership in its fleet: the list and what was seen go in, words come out. Changes with how the
-//! sidecar and the fleet's member talk to each other.
+//! Hosts this sidecar's gossip member: the list and health observations go in, ejections come out.
 
 use crate::bindings::{Bound, Host};
 use crate::clock::Clock;
--- a/src/bin/sidecar/handle.rs
+++ b/src/bin/sidecar/handle.rs
@@ -1,4 +1,4 @@
-//! The engine as the application's side sees it. Changes with how a request is handed over and withdrawn.
+//! The client side's handle of the engine: requests are handed over and withdrawn.
 
 use crate::clock::Clock;
 use crate::messages::{Answer, Input, Inputs, Outgoing};
--- a/src/bin/sidecar/headers.rs
+++ b/src/bin/sidecar/headers.rs
@@ -1,4 +1,4 @@
-//! What of a message goes on to the other side. Changes with what belongs to one connection alone.
+//! Selects the headers that are forwarded to the other side.
 
 use hyper::Uri;
 use hyper::header::{self, HeaderMap, HeaderName};
--- a/src/bin/sidecar/hosts.rs
+++ b/src/bin/sidecar/hosts.rs
@@ -1,4 +1,4 @@
-//! The list of endpoints as discovery writes it. Changes with the form of that list.
+//! The endpoint list as discovery writes it.
 
 use serde::Deserialize;
 use serde_json::Value;
--- a/src/bin/sidecar/inbound.rs
+++ b/src/bin/sidecar/inbound.rs
@@ -1,4 +1,4 @@
-//! The application's side: connections are accepted, as many as there is room for. Changes with how that is done.
+//! Accepts client connections, as many as there is room for.
 
 use crate::descriptors::Limits;
 use crate::facts::Lanes;
--- a/src/bin/sidecar/inlet.rs
+++ b/src/bin/sidecar/inlet.rs
@@ -1,4 +1,4 @@
-//! A client's socket as its connection reads it. Changes with what counts as having come.
+//! A client's socket as its connection reads it.
 
 use crate::client::Client;
 use socket2::SockRef;
--- a/src/bin/sidecar/kept.rs
+++ b/src/bin/sidecar/kept.rs
@@ -1,4 +1,4 @@
-//! The list and the endpoints' knowledge in the form in which they are kept. Changes with either form.
+//! Converts the endpoint list and what is known of endpoints to and from the stored form.
 
 use crate::config::Config;
 use crate::hosts::{Host, HostList, HostStatus};
--- a/src/bin/sidecar/listed.rs
+++ b/src/bin/sidecar/listed.rs
@@ -1,5 +1,4 @@
-//! The endpoints as lists name them: their numbers, and the sockets' view of them. Changes with what a listed entry means
-//! here.
+//! Endpoints by their listed names: their numbers, and the sockets' view of them.
 
 use crate::hosts::{HostList, HostStatus};
 #[cfg(feature = "product")]
--- a/src/bin/sidecar/meter.rs
+++ b/src/bin/sidecar/meter.rs
@@ -1,4 +1,4 @@
-//! How much of a request a socket has taken. Changes with what tells that a request has surely not run.
+//! Tracks how much of a request a socket has taken.
 
 use std::cell::Cell;
 use std::rc::Rc;
--- a/src/bin/sidecar/observer.rs
+++ b/src/bin/sidecar/observer.rs
@@ -1,5 +1,4 @@
-//! What is told of requests, attempts and lists, to logs at debug level and to metrics. Changes with what can be
-//! seen from outside.
+//! Debug log lines and metrics of requests, attempts and lists.
 
 use crate::messages::{Answer, Outgoing, Survey};
 use load_balancer::{AttemptNo, Micros, Outcome};
--- a/src/bin/sidecar/open.rs
+++ b/src/bin/sidecar/open.rs
@@ -1,4 +1,4 @@
-//! What is under way: requests without their final answer, and attempts that are out. Changes with what is kept of them.
+//! Open requests and attempts in flight.
 
 use crate::clock::Clock;
 use crate::messages::{Answer, Ended, Outgoing};
--- a/src/bin/sidecar/pages.rs
+++ b/src/bin/sidecar/pages.rs
@@ -1,4 +1,4 @@
-//! What is read, and posted, at the address of the metrics. Changes with which pages there are.
+//! The pages at the metrics' address.
 
 use crate::bindings_pages;
 use crate::fleet::Fleet;
--- a/src/bin/sidecar/peers.rs
+++ b/src/bin/sidecar/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams between sidecars, as the platform hands out their addresses. Changes with how they are carried.
+//! Datagrams between sidecars, at the addresses that the platform hands out.
 
 use crate::messages::{Input, Inputs};
 use std::io;
--- a/src/bin/sidecar/plain.rs
+++ b/src/bin/sidecar/plain.rs
@@ -1,5 +1,5 @@
-//! What stands in the place of `product.rs` and `observer.rs` where the product parts are not built in: nothing is
-//! configured, hosted or counted. Changes with the face of those two.
+//! Replaces the product parts where they are not built in: nothing is configured, hosted or
+//! counted.
 
 use crate::clock::Clock;
 use crate::config::Config;
--- a/src/bin/sidecar/pool.rs
+++ b/src/bin/sidecar/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints, kept for the next request and bounded. Changes with how long one is kept, and how many are.
+//! A bounded pool of connections to endpoints.
 
 use crate::connection::Connection;
 use crate::descriptors::lacked;
--- a/src/bin/sidecar/product.rs
+++ b/src/bin/sidecar/product.rs
@@ -1,5 +1,5 @@
-//! The product parts of the sidecar: its command line, its product configuration, and what they switch on. Changes
-//! with what can be configured. Without a product configuration nothing is hosted and nothing is counted.
+//! The product parts of the sidecar: its command line, its product configuration, and what that
+//! switches on. Without a product configuration nothing is hosted and nothing is counted.
 
 pub use crate::bindings::Bound;
 use crate::clock::Clock;
--- a/src/bin/sidecar/report.rs
+++ b/src/bin/sidecar/report.rs
@@ -1,4 +1,4 @@
-//! Lines for the people on call. Changes with how a line leaves the program.
+//! Log lines for on-call engineers.
 
 /// Writes one line to standard error, at once and whole, also where what it quotes from outside holds line breaks. One
 /// that is closed must not end a sidecar that serves.
--- a/src/bin/sidecar/serving.rs
+++ b/src/bin/sidecar/serving.rs
@@ -1,4 +1,4 @@
-//! One request of a client and its answer. Changes with how the engine's answer becomes one of HTTP.
+//! One request of a client and its answer.
 
 use crate::client::Client;
 use crate::facts::{Facts, Lanes};
--- a/src/bin/sidecar/session.rs
+++ b/src/bin/sidecar/session.rs
@@ -1,5 +1,4 @@
-//! One connection of a client, from its accept to its close. Changes with how long a connection is held and what is
-//! still answered on it.
+//! One client connection, from its accept to its close.
 
 use crate::client::Client;
 use crate::closing::linger;
--- a/src/bin/sidecar/spaced.rs
+++ b/src/bin/sidecar/spaced.rs
@@ -1,4 +1,4 @@
-//! A bound on how often one line is written. Changes with how such lines are counted.
+//! Rate-limits a log line, and counts the suppressed ones.
 
 use std::time::Duration;
 use tokio::time::Instant;
--- a/src/bin/sidecar/state.rs
+++ b/src/bin/sidecar/state.rs
@@ -1,5 +1,5 @@
-//! Hosts what is kept over crashes: what a life before knew goes to the engine, what this one knows goes to the writer.
-//! Changes with when something is handed over, and how it is told.
+//! Hosts the stored state: what was known before a restart goes to the engine, what is known now
+//! goes to the writer.
 
 use crate::clock::Clock;
 use crate::config::Config;
--- a/src/bin/sidecar/stop.rs
+++ b/src/bin/sidecar/stop.rs
@@ -1,4 +1,4 @@
-//! How far a planned stop has come. Changes with the stages of a stop.
+//! The stages of a graceful shutdown.
 
 /// The stages, in their order.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
--- a/src/bin/sidecar/upstream.rs
+++ b/src/bin/sidecar/upstream.rs
@@ -1,4 +1,4 @@
-//! Attempts at endpoints. Changes with how an attempt is made and how its end is read.
+//! Attempts at endpoints: how one is made, and how its end is read.
 
 use crate::connection::Meter;
 use crate::messages::{Ended, Input, Inputs, LONGEST_BODY, Outgoing, Served, TIME_LEFT};
--- a/src/bin/sidecar/watching.rs
+++ b/src/bin/sidecar/watching.rs
@@ -1,5 +1,4 @@
-//! How long a call for the list may wait and take, and what follows one to which nothing comes back. Pure. Changes with
-//! when what discovery has to tell counts as told.
+//! Time-outs and waits of calls to discovery, and what follows a silent one. Pure.
 
 use std::time::Duration;
 
--- a/src/settings/form.rs
+++ b/src/settings/form.rs
@@ -1,4 +1,4 @@
-//! The settings object as it is written. Changes with the fields of that object that are read.
+//! The settings object as it is written.
 
 use crate::api::Micros;
 use serde::Deserialize;
--- a/src/settings/names.rs
+++ b/src/settings/names.rs
@@ -1,4 +1,4 @@
-//! Names by number. Changes with how numbers are given out and come free again.
+//! Numbers for names.
 
 use std::collections::HashMap;
 
--- a/src/simulator_wire/instance.rs
+++ b/src/simulator_wire/instance.rs
@@ -1,5 +1,5 @@
-//! One instance behind the wire: its names, the events it is told, its actions as they are written. Changes with what a
-//! message means.
+//! One instance on the simulator's wire: its names, its events, and its actions as they are
+//! written.
 
 use super::line::Line;
 use crate::api::*;
--- a/src/simulator_wire/line.rs
+++ b/src/simulator_wire/line.rs
@@ -1,4 +1,4 @@
-//! A line of the wire: a message name and fields. Changes with how a field is written.
+//! A line of the simulator's wire: a message name and fields.
 
 use crate::api::{Load, Outcome};
 use std::str::FromStr;
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -1,5 +1,4 @@
-//! What becomes of the list when discovery's agent falls silent, answers late or fails. Changes with how a silent watch
-//! is to be taken.
+//! The endpoint list while discovery's agent is silent, late or failing.
 
 mod stubs;
 
