--- a/crates/affinity/src/section.rs
+++ b/crates/affinity/src/section.rs
@@ -1,4 +1,4 @@
-//! The `[fleet.bindings]` section of a product configuration; docs/affinity.md is its reference.
+//! The `[fleet.affinity_entries]` section of a product configuration; docs/affinity.md is its reference.
 
 use crate::Micros;
 use crate::telling::Rates;
@@ -69,8 +69,12 @@
     /// # Errors
     /// The key and why its value can't be used.
     pub fn check(&self) -> Result<(), Contradiction> {
-        let wrong =
-            |key: &str, why: &str| Err(Contradiction::new(&format!("fleet.bindings.{key}"), why));
+        let wrong = |key: &str, why: &str| {
+            Err(Contradiction::new(
+                &format!("fleet.affinity_entries.{key}"),
+                why,
+            ))
+        };
         let times = self.times();
         let day = 86_400_000_000;
         for (key, time) in [
--- a/crates/affinity/src/section/tests.rs
+++ b/crates/affinity/src/section/tests.rs
@@ -12,29 +12,32 @@
                 slot: Time::ms(0),
                 ..good()
             },
-            "fleet.bindings.slot",
+            "fleet.affinity_entries.slot",
         ),
         (
             BindingsSection {
                 life_new: Time::ms(2000),
                 ..good()
             },
-            "fleet.bindings.life_new",
+            "fleet.affinity_entries.life_new",
         ),
         (
             BindingsSection {
                 life_held: Time::ms(5000),
                 ..good()
             },
-            "fleet.bindings.life_held",
+            "fleet.affinity_entries.life_held",
+        ),
+        (
+            BindingsSection { keys: 0, ..good() },
+            "fleet.affinity_entries.keys",
         ),
-        (BindingsSection { keys: 0, ..good() }, "fleet.bindings.keys"),
         (
             BindingsSection {
                 words_per_s: f64::NAN,
                 ..good()
             },
-            "fleet.bindings.words_per_s",
+            "fleet.affinity_entries.words_per_s",
         ),
     ] {
         let said = bad.check().expect_err(key);
--- a/crates/emulator/pairs/recorder/member.rs
+++ b/crates/emulator/pairs/recorder/member.rs
@@ -7,7 +7,7 @@
 //! `datagram TO HEX`, `word ENDPOINT REST`, `carried KIND HEX`, `state MEMBERS RECEIVED HEARD DROPPED`, then `.`.
 
 use super::lines::{bytes, hex, read};
-use super::member_interface::{self as interface, Core, FleetSection, Listed, Sign};
+use super::member_interface::{self as interface, Core, FleetSection, Listed};
 
 /// A member, once it has been started.
 #[derive(Default)]
@@ -65,12 +65,7 @@
             ["tick", now] => core.tick(read(now)?),
             ["datagram", now, from, hex] => core.datagram(read(now)?, read(from)?, &bytes(hex)?),
             ["witness", now, endpoint, served] => {
-                let sign = if served == "1" {
-                    Sign::Well
-                } else {
-                    Sign::Sick
-                };
-                core.witness(read(now)?, read(endpoint)?, sign);
+                interface::observe(core, read(now)?, read(endpoint)?, served == "1");
             }
             ["carry", now, kind, hex] => {
                 interface::carry(core, read(now)?, read(kind)?, &bytes(hex)?)
@@ -100,10 +95,9 @@
                 .map(|(to, bytes)| format!("datagram {to} {}", hex(bytes))),
         );
         answers.extend(
-            effects
-                .words
-                .iter()
-                .map(|word| format!("word {} {:?}", word.endpoint, word.rest)),
+            interface::ejections(&effects)
+                .into_iter()
+                .map(|(endpoint, status)| format!("word {endpoint} {status}")),
         );
         Ok(answers)
     }
--- a/crates/emulator/pairs/recorder/member_carrying.rs
+++ b/crates/emulator/pairs/recorder/member_carrying.rs
@@ -2,7 +2,7 @@
 //! `member.rs` uses.
 
 pub use linenproxy_fleet::core::{Core, Effects, Listed};
-pub use linenproxy_fleet::evidence::Sign;
+use linenproxy_fleet::evidence::Sign;
 pub use linenproxy_fleet::section::FleetSection;
 
 /// Switches on what is off by default.
@@ -23,3 +23,16 @@
         .map(|part| (part.kind, part.bytes.clone()))
         .collect()
 }
+
+/// One attempt at an endpoint was served, or was not.
+pub fn observe(core: &mut Core, now: i64, endpoint: usize, served: bool) {
+    core.witness(now, endpoint, if served { Sign::Well } else { Sign::Sick });
+}
+
+/// What observations come to for the decision module: endpoint and status.
+pub fn ejections(effects: &Effects) -> Vec<(usize, String)> {
+    let words = effects.words.iter();
+    words
+        .map(|word| (word.endpoint, format!("{:?}", word.rest)))
+        .collect()
+}
--- a/crates/emulator/src/liar.rs
+++ b/crates/emulator/src/liar.rs
@@ -1,8 +1,8 @@
 //! A Byzantine member that reports every server as dead.
 
 use load_balancer_gossip::core::Core;
-use load_balancer_gossip::evidence::{Datum, Process, Sign};
-use load_balancer_gossip::frame::{self, Content, EVIDENCE, Head, Piece};
+use load_balancer_gossip::frame::{self, Content, Head, MessagePart, OBSERVATION};
+use load_balancer_gossip::observation_table::{Observation, ObservedHealth, Process};
 use load_balancer_gossip::section::FleetSection;
 use load_balancer_gossip::{Micros, hash};
 use std::net::SocketAddr;
@@ -58,12 +58,12 @@
             let head = Head {
                 cluster: &section.cluster,
                 sent: seen,
-                content: Content::News,
+                content: Content::Updates,
             };
             let mut frame = frame::begin(&head);
             for server in chunk {
                 sequence += 1;
-                let datum = Datum {
+                let observation = Observation {
                     origin: hash(NAME),
                     incarnation: began.unsigned_abs(),
                     sequence,
@@ -73,13 +73,13 @@
                         name: hash(server),
                         started: 0,
                     },
-                    sign: Sign::Sick,
+                    health: ObservedHealth::Unhealthy,
                 };
-                if let Ok(bytes) = postcard::to_stdvec(&datum) {
+                if let Ok(bytes) = postcard::to_stdvec(&observation) {
                     frame::add(
                         &mut frame,
-                        &Piece {
-                            kind: EVIDENCE,
+                        &MessagePart {
+                            kind: OBSERVATION,
                             bytes: &bytes,
                         },
                     );
--- a/crates/emulator/src/pairs/member_interface.rs
+++ b/crates/emulator/src/pairs/member_interface.rs
@@ -1,12 +1,13 @@
 //! Today's gossip interface, under the names that `pairs/recorder/member.rs` uses.
 
 pub use load_balancer_gossip::core::{Core, Effects, Listed};
-pub use load_balancer_gossip::evidence::Sign;
+use load_balancer_gossip::health_status::EjectionStatus;
+use load_balancer_gossip::observation_table::ObservedHealth;
 pub use load_balancer_gossip::section::FleetSection;
 
 /// Switches on what is off by default.
 pub fn prepare(section: &mut FleetSection) {
-    section.standing.enabled = true;
+    section.connectivity.enabled = true;
 }
 
 /// Has a message part carried to all.
@@ -20,3 +21,27 @@
     let parts = effects.carried.iter();
     parts.map(|part| (part.kind, part.bytes.clone())).collect()
 }
+
+/// One attempt at an endpoint was served, or was not.
+pub fn observe(core: &mut Core, now: i64, endpoint: usize, served: bool) {
+    let health = if served {
+        ObservedHealth::Healthy
+    } else {
+        ObservedHealth::Unhealthy
+    };
+    core.observe(now, endpoint, health);
+}
+
+/// What observations come to for the decision module: endpoint and status, as recordings name it.
+pub fn ejections(effects: &Effects) -> Vec<(usize, String)> {
+    let name = |status| match status {
+        EjectionStatus::NotEjected => "No",
+        EjectionStatus::Ejected => "Yes",
+        EjectionStatus::TrialDue => "Trial",
+        EjectionStatus::Recovered => "Over",
+    };
+    let updates = effects.ejections.iter();
+    updates
+        .map(|update| (update.endpoint, name(update.status).to_owned()))
+        .collect()
+}
--- a/crates/emulator/src/sim/network.rs
+++ b/crates/emulator/src/sim/network.rs
@@ -8,7 +8,7 @@
 use crate::experiment::Way;
 use load_balancer::{EjectionStatus, EjectionUpdate, Event, Micros};
 use load_balancer_gossip::core::Core;
-use load_balancer_gossip::verdict;
+use load_balancer_gossip::health_status;
 use std::net::SocketAddr;
 
 impl Sim<'_> {
@@ -64,17 +64,17 @@
         for (to, bytes) in effects.datagrams {
             self.post(sidecar, to, bytes);
         }
-        let update = |word: load_balancer_gossip::core::Word| EjectionUpdate {
-            endpoint: word.endpoint,
-            status: match word.rest {
-                verdict::Rest::No => EjectionStatus::NotEjected,
-                verdict::Rest::Yes => EjectionStatus::Ejected,
-                verdict::Rest::Trial => EjectionStatus::TrialDue,
-                verdict::Rest::Over => EjectionStatus::Recovered,
+        let update = |update: load_balancer_gossip::core::EjectionUpdate| EjectionUpdate {
+            endpoint: update.endpoint,
+            status: match update.status {
+                health_status::EjectionStatus::NotEjected => EjectionStatus::NotEjected,
+                health_status::EjectionStatus::Ejected => EjectionStatus::Ejected,
+                health_status::EjectionStatus::TrialDue => EjectionStatus::TrialDue,
+                health_status::EjectionStatus::Recovered => EjectionStatus::Recovered,
             },
-            expires: word.until - offset,
+            expires: update.expires - offset,
         };
-        effects.words.into_iter().map(update).collect()
+        effects.ejections.into_iter().map(update).collect()
     }
 
     pub(super) fn post(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
--- a/crates/emulator/src/sim/sidecars.rs
+++ b/crates/emulator/src/sim/sidecars.rs
@@ -14,7 +14,7 @@
     RequestId, SharedKnowledge, Status,
 };
 use load_balancer_gossip::core::{Core, Listed, TICK};
-use load_balancer_gossip::evidence::Sign;
+use load_balancer_gossip::observation_table::ObservedHealth;
 use std::collections::{BTreeMap, VecDeque};
 
 impl Sim<'_> {
@@ -36,12 +36,12 @@
             .filter(|section| section.enabled)
             .map(|section| {
                 let affinity_slack = if section.affinity.enabled {
-                    section.affinity.ahead
+                    section.affinity.max_ahead
                 } else {
                     0.0
                 };
                 balancer.share(SharedKnowledge {
-                    peer_health: section.verdicts.enabled,
+                    peer_health: section.ejection.enabled,
                     affinity_slack,
                 });
                 let spec = &self.plan.sidecars[sidecar];
@@ -202,9 +202,13 @@
                         drop(self.instances[instance].idle.remove(&endpoint))
                     }
                     Action::ReportHealth { endpoint, served } => {
-                        let sign = if served { Sign::Well } else { Sign::Sick };
+                        let sign = if served {
+                            ObservedHealth::Healthy
+                        } else {
+                            ObservedHealth::Unhealthy
+                        };
                         let words = self
-                            .with_member(instance, |core, now| core.witness(now, endpoint, sign));
+                            .with_member(instance, |core, now| core.observe(now, endpoint, sign));
                         if !words.is_empty() {
                             events.push_back(Event::Ejections(words));
                         }
--- a/crates/gossip/benches/cost.rs
+++ b/crates/gossip/benches/cost.rs
@@ -6,9 +6,9 @@
 use foca::{Codec, Header, Message, PostcardCodec};
 use load_balancer_common::process::usage;
 use load_balancer_gossip::core::{Core, Listed};
-use load_balancer_gossip::evidence::Sign;
 use load_balancer_gossip::frame::{self, Content, Head};
 use load_balancer_gossip::member::Member;
+use load_balancer_gossip::observation_table::ObservedHealth;
 use load_balancer_gossip::section::FleetSection;
 use load_balancer_gossip::{Micros, SECOND};
 use std::collections::HashMap;
@@ -112,10 +112,14 @@
                 }
                 if step % 10 == n as i64 % 10 {
                     let endpoint = (step as usize * 7 + n) % ENDPOINTS;
-                    core.witness(
+                    core.observe(
                         now,
                         endpoint,
-                        if endpoint < 2 { Sign::Sick } else { Sign::Well },
+                        if endpoint < 2 {
+                            ObservedHealth::Unhealthy
+                        } else {
+                            ObservedHealth::Healthy
+                        },
                     );
                 }
             }
--- a/crates/gossip/src/standing/tests.rs
+++ b/crates/gossip/src/connectivity/tests.rs
@@ -1,32 +1,32 @@
-//! Tests of `standing.rs`.
+//! Tests of `connectivity.rs`.
 
 use super::*;
 
-fn row((kind, may): &(Kind, May)) -> String {
-    let verdicts = match may.verdicts {
-        Verdicts::Shared => "said and heeded",
-        Verdicts::Heeded => "heeded to their bound, none said",
+fn row((kind, permissions): &(ConnectivityState, Permissions)) -> String {
+    let observations = match permissions.observations {
+        Observations::Shared => "published and followed",
+        Observations::Followed => "followed to their maximum staleness, none published",
     };
-    let trials = match may.trials {
+    let trials = match permissions.trials {
         Trials::Shared => "one member of all a slot",
         Trials::Side => "one of those heard a slot",
         Trials::Own => "its own",
         Trials::None => "none",
     };
-    let bindings = match may.bindings {
-        Bindings::Used => "used",
-        Bindings::RunOut => "run out",
-        Bindings::Idle => "not used",
+    let entries = match permissions.affinity_entries {
+        AffinityEntries::Used => "used",
+        AffinityEntries::RunOut => "expire",
+        AffinityEntries::Idle => "not used",
     };
-    let answers = match may.answers {
+    let answers = match permissions.answers {
         Answers::Yes => "yes",
         Answers::Larger => "from the larger side",
         Answers::No => "no",
     };
-    let affinity = if may.affinity { "yes" } else { "no" };
+    let affinity = if permissions.affinity { "yes" } else { "no" };
     format!(
-        "| {} | {verdicts} | {trials} | {affinity} | {bindings} | {answers} |",
-        kind.word()
+        "| {} | {observations} | {trials} | {affinity} | {entries} | {answers} |",
+        kind.label()
     )
 }
 
@@ -41,7 +41,7 @@
     let page = include_str!("../../../../docs/gossip.md");
     let written: Vec<&str> = page
         .lines()
-        .skip_while(|l| !l.starts_with("| standing |"))
+        .skip_while(|l| !l.starts_with("| state |"))
         .skip(2)
         .take_while(|l| l.starts_with('|'))
         .collect();
@@ -50,11 +50,11 @@
 
 #[test]
 fn only_the_larger_side_of_a_cut_answers() {
-    let cut = |larger| Standing {
-        kind: Kind::Cut,
-        cut: vec![(1, Way::Both)],
+    let cut = |larger| Connectivity {
+        kind: ConnectivityState::Partitioned,
+        cut: vec![(1, Direction::Both)],
         larger,
     };
     assert!(cut(Some(true)).answers() && !cut(Some(false)).answers() && !cut(None).answers());
-    assert!(Standing::default().answers());
+    assert!(Connectivity::default().answers());
 }
--- a/crates/gossip/src/standing_watch.rs
+++ b/crates/gossip/src/connectivity_tracker.rs
@@ -1,10 +1,12 @@
 //! Concludes the connectivity state of this member from everything that it tracks.
 
-use crate::standing::{Kind, Standing, Way};
-use crate::standing_health::Health;
-use crate::standing_heard::Heard;
-use crate::standing_views::Views;
-use crate::standing_zone::{ASKED, Asking, DOUBT, FOUND, Followed, LOST, ROUND, ROUND_LOST, Zone};
+use crate::connectivity::{Connectivity, ConnectivityState, Direction};
+use crate::local_health::LocalHealth;
+use crate::view_comparison::ViewComparison;
+use crate::zone_contacts::ZoneContacts;
+use crate::zone_reachability::{
+    ASKED, DOUBT, FOUND, LOST, ProbeSchedule, ROUND, ROUND_LOST, ZoneFacts, ZoneReachability,
+};
 use crate::{Micros, SECOND};
 use std::collections::BTreeMap;
 
@@ -13,24 +15,24 @@
 
 /// Follows what is heard.
 #[derive(Clone, Debug, Default)]
-pub struct Watch {
+pub struct ConnectivityTracker {
     /// Who hears whom.
-    pub heard: Heard,
+    pub heard: ZoneContacts,
     /// Whether others see the same.
-    pub views: Views,
-    health: Health,
+    pub views: ViewComparison,
+    health: LocalHealth,
     /// Nothing before this says anything: the start, or the end of a stop.
     baseline: Micros,
-    zones: BTreeMap<u64, Followed>,
-    asking: Asking,
+    zones: BTreeMap<u64, ZoneReachability>,
+    asking: ProbeSchedule,
     /// Nobody is heard; since when somebody is again.
     alone: Option<Option<Micros>>,
     joined: bool,
-    standing: Standing,
+    connectivity: Connectivity,
     next: Micros,
 }
 
-impl Watch {
+impl ConnectivityTracker {
     /// Begins; nobody has been heard.
     pub fn new(now: Micros) -> Self {
         Self {
@@ -42,8 +44,8 @@
     }
 
     /// The standing that was concluded last.
-    pub fn standing(&self) -> &Standing {
-        &self.standing
+    pub fn connectivity(&self) -> &Connectivity {
+        &self.connectivity
     }
 
     /// A zone is lost, and did not die.
@@ -53,7 +55,7 @@
 
     /// A zone is not heard.
     pub fn silent(&self, zone: u64) -> bool {
-        self.zones.get(&zone).is_some_and(Followed::silent)
+        self.zones.get(&zone).is_some_and(ZoneReachability::silent)
     }
 
     /// When it is to be looked at next.
@@ -69,20 +71,25 @@
     }
 
     /// Looks at all zones for a member of zone `here`. Back come zones to be asked, by how many probes; none is any zone.
-    pub fn step(&mut self, now: Micros, here: u64, zones: &[Zone]) -> Vec<(Option<u64>, usize)> {
+    pub fn step(
+        &mut self,
+        now: Micros,
+        here: u64,
+        zones: &[ZoneFacts],
+    ) -> Vec<(Option<u64>, usize)> {
         self.next = now + SECOND;
         let mut asks = Vec::new();
-        if self.health.unwell() {
+        if self.health.degraded() {
             // What it misses may be its own fault: what it held before it goes on to hold.
             self.baseline = now;
-            self.standing.kind = Kind::Unwell;
+            self.connectivity.kind = ConnectivityState::Degraded;
             return asks;
         }
         let all: usize = zones.iter().map(|z| z.known).sum();
         self.zones
             .retain(|zone, _| zones.iter().any(|z| z.zone == *zone));
         let (mut there, mut died, mut doubted, mut lost_at) = (0, 0, 0, None);
-        let mut cut: Vec<(u64, Way)> = Vec::new();
+        let mut cut: Vec<(u64, Direction)> = Vec::new();
         for z in zones.iter().filter(|z| z.zone != here) {
             let followed = self.zones.entry(z.zone).or_default();
             let looked = followed.look(now, (here, z, all), &self.heard, self.baseline);
@@ -90,8 +97,8 @@
             if looked.ask > 0 {
                 asks.push((Some(z.zone), looked.ask));
             }
-            if let Some(way) = followed.lost() {
-                cut.push((z.zone, way));
+            if let Some(direction) = followed.lost() {
+                cut.push((z.zone, direction));
                 there += z.known;
             }
             died += if followed.died() { z.known } else { 0 };
@@ -103,17 +110,18 @@
             asks.push((None, ask));
         }
         let kind = match () {
-            () if self.alone.is_some() => Kind::Alone,
-            () if !cut.is_empty() => Kind::Cut,
-            () if self.views.disputed(now) => Kind::Disputed,
-            () => Kind::Whole,
+            () if self.alone.is_some() => ConnectivityState::Isolated,
+            () if !cut.is_empty() => ConnectivityState::Partitioned,
+            () if self.views.divergent(now) => ConnectivityState::Divergent,
+            () => ConnectivityState::Connected,
         };
         if lost_at.is_none_or(|at| now - at >= UNSETTLED) {
             doubted = 0;
         }
         let heard = all.saturating_sub(there + died + doubted);
-        let larger = (kind == Kind::Cut).then_some(2 * heard > all.saturating_sub(died));
-        self.standing = Standing { kind, cut, larger };
+        let larger = (kind == ConnectivityState::Partitioned)
+            .then_some(2 * heard > all.saturating_sub(died));
+        self.connectivity = Connectivity { kind, cut, larger };
         asks
     }
 
--- a/crates/gossip/src/core.rs
+++ b/crates/gossip/src/core.rs
@@ -2,43 +2,43 @@
 //! endpoint list and the time go in; datagrams and ejections come out.
 
 mod answers;
-mod ask;
-mod carry;
+mod anti_entropy;
+mod connectivity;
+mod dissemination;
+mod ejections;
+mod fragments;
 mod inbound;
-mod judge;
 mod membership;
-mod news;
-mod others;
-mod report;
-mod standing;
-mod witness;
+mod observations;
+mod peers;
+mod summaries;
 
-use crate::carrier::Carrier;
-pub use crate::carrier::{CARRIED, LONGEST_BODY, NotCarried};
-pub use crate::census::Census;
-pub use crate::effects::{Carried, Counts, Effects, Listed, Word};
-use crate::evidence::{Process, Table};
+use crate::connectivity_tracker::ConnectivityTracker;
+pub use crate::effects::{CarriedFragment, Counts, Effects, EjectionUpdate, Listed};
+use crate::fragments::FragmentCarrier;
+pub use crate::fragments::{CARRIED, FragmentRefused, LONGEST_BODY};
 use crate::frame::Dropped;
+use crate::health_status::EjectionPolicy;
 use crate::member::Member;
-use crate::roster::Roster;
+use crate::membership_table::MembershipTable;
+use crate::observation_table::{Process, Table};
 use crate::section::{FleetSection, micros};
-use crate::standing_views::Digest;
-use crate::standing_watch::Watch;
-use crate::tokens::Tokens;
-use crate::verdict::Weights;
+pub use crate::summary::MembershipSummary;
+use crate::token_bucket::TokenBucket;
+use crate::view_comparison::Digest;
 use crate::{Micros, SECOND, hash};
-use ask::{ANSWER_RATE, ASKS};
+use anti_entropy::{ANSWER_RATE, ASKS};
+use dissemination::PendingUpdate;
+use ejections::Ejection;
 use foca::{AccumulatingRuntime, Foca, NoCustomBroadcast, PostcardCodec, Timer};
 use ipnet::IpNet;
-use judge::Resting;
 use membership::{Known, foca_config};
-use news::News;
-pub use others::Others;
+use observations::{OWN_BURST, OwnObservation};
+pub use peers::Peers;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
-use witness::{OWN_BURST, Own};
 
 /// How often news leave and verdicts are looked at, while there are any; and how often a member wakes up else.
 pub const TICK: Micros = SECOND / 10;
@@ -60,9 +60,9 @@
     networks: Vec<IpNet>,
     seeds: Vec<SocketAddr>,
     skew: Micros,
-    verdicts: bool,
-    weights: Weights,
-    most_out: f64,
+    observations_shared: bool,
+    policy: EjectionPolicy,
+    max_ejected: f64,
     me: Member,
     origin: u64,
     zone: u64,
@@ -86,16 +86,16 @@
     table: Table,
     /// When all of which anything is known is looked at again.
     next_sweep: Micros,
-    own: HashMap<Process, Own>,
-    tokens: Tokens,
-    answers: Tokens,
+    own: HashMap<Process, OwnObservation>,
+    tokens: TokenBucket,
+    answers: TokenBucket,
     asks: (u8, Micros),
     overslept_until: Micros,
-    resting: BTreeMap<usize, Resting>,
-    news: VecDeque<News>,
-    stands: bool,
-    watch: Watch,
-    roster: Roster,
+    ejected: BTreeMap<usize, Ejection>,
+    news: VecDeque<PendingUpdate>,
+    tracks_connectivity: bool,
+    tracker: ConnectivityTracker,
+    membership: MembershipTable,
     version: String,
     list_seen: Option<Micros>,
     /// Zones of endpoints, by their numbers.
@@ -104,7 +104,7 @@
     next_view: Micros,
     views_due: u8,
     asked: u8,
-    carrier: Carrier,
+    fragments: FragmentCarrier,
     effects: Effects,
     counts: Counts,
 }
@@ -133,7 +133,7 @@
             SmallRng::seed_from_u64(seed),
             PostcardCodec,
         );
-        let v = &section.verdicts;
+        let ejection = &section.ejection;
         Self {
             cluster: section.cluster.clone(),
             networks: section.networks.clone(),
@@ -144,13 +144,13 @@
                 .filter(|seed| *seed != address)
                 .collect(),
             skew: micros(section.skew),
-            verdicts: v.enabled,
-            weights: Weights {
-                bound: micros(v.bound),
-                witnesses: v.witnesses,
-                rest: micros(v.rest),
+            observations_shared: ejection.enabled,
+            policy: EjectionPolicy {
+                max_staleness: micros(ejection.max_staleness),
+                min_reporters: ejection.min_reporters,
+                ejection_time: micros(ejection.ejection_time),
             },
-            most_out: v.most_out,
+            max_ejected: ejection.max_ejected,
             me,
             origin,
             zone,
@@ -173,15 +173,15 @@
             table: Table::default(),
             next_sweep: now,
             own: HashMap::new(),
-            tokens: Tokens::new(now, OWN_BURST),
-            answers: Tokens::new(now, ANSWER_RATE),
+            tokens: TokenBucket::new(now, OWN_BURST),
+            answers: TokenBucket::new(now, ANSWER_RATE),
             asks: (ASKS, now),
             overslept_until: Micros::MIN,
-            resting: BTreeMap::new(),
+            ejected: BTreeMap::new(),
             news: VecDeque::new(),
-            stands: section.standing.enabled,
-            watch: Watch::new(now),
-            roster: Roster::default(),
+            tracks_connectivity: section.connectivity.enabled,
+            tracker: ConnectivityTracker::new(now),
+            membership: MembershipTable::default(),
             version: String::new(),
             list_seen: None,
             placed: HashMap::new(),
@@ -189,7 +189,7 @@
             next_view: now,
             views_due: 0,
             asked: 0,
-            carrier: Carrier::new(now),
+            fragments: FragmentCarrier::new(now),
             effects: Effects::default(),
             counts: Counts::default(),
         }
@@ -219,8 +219,8 @@
 
     /// Time has come.
     pub fn tick(&mut self, now: Micros) {
-        if self.stands {
-            self.watch.woke(now, self.next());
+        if self.tracks_connectivity {
+            self.tracker.woke(now, self.next());
         }
         while let Some((&(at, number), _)) = self.timers.first_key_value()
             && at <= now
@@ -241,15 +241,15 @@
         if now >= self.next_ask && !self.seeds.is_empty() {
             self.ask_seeds(now);
         }
-        self.stand(now);
-        if self.verdicts {
-            self.look_at_all(now);
+        self.update_connectivity(now);
+        if self.observations_shared {
+            self.reassess_all(now);
             self.ask(now);
         }
         self.gossip(now);
-        self.tell_views(now);
-        let asks = self.verdicts && self.asks.0 > 0 && !self.drawn.is_empty();
-        if asks || !self.news.is_empty() || !self.carrier.is_empty() || !self.resting.is_empty() {
+        self.publish_views(now);
+        let asks = self.observations_shared && self.asks.0 > 0 && !self.drawn.is_empty();
+        if asks || !self.news.is_empty() || !self.fragments.is_empty() || !self.ejected.is_empty() {
             self.wake(now);
         }
     }
--- a/crates/gossip/src/core/ask.rs
+++ b/crates/gossip/src/core/anti_entropy.rs
@@ -1,8 +1,8 @@
 //! Anti-entropy at a join: a new member asks for what the others know, and is answered.
 
 use super::{Core, FANOUT};
-use crate::evidence::{Datum, Sign};
-use crate::frame::{self, ASK, Content, Dropped, EVIDENCE, Head, Piece};
+use crate::frame::{self, ASK, Content, Dropped, Head, MessagePart, OBSERVATION};
+use crate::observation_table::{Observation, ObservedHealth};
 use crate::{Micros, SECOND};
 use rand::RngExt;
 use std::cmp::Reverse;
@@ -28,11 +28,11 @@
             let mut bytes = frame::begin(&Head {
                 cluster: &self.cluster,
                 sent: now,
-                content: Content::News,
+                content: Content::Updates,
             });
             if frame::add(
                 &mut bytes,
-                &Piece {
+                &MessagePart {
                     kind: ASK,
                     bytes: &[],
                 },
@@ -47,15 +47,15 @@
         if !self.answers.take(now, ANSWER_RATE, ANSWER_RATE) {
             return self.drop_one(Dropped::Full);
         }
-        let mut data: Vec<Datum> = Vec::new();
+        let mut data: Vec<Observation> = Vec::new();
         for process in self.table.processes() {
-            let of: Vec<Datum> = self
+            let of: Vec<Observation> = self
                 .table
                 .of(process)
                 .flat_map(|(_, data)| data)
                 .copied()
                 .collect();
-            if of.iter().any(|d| d.sign == Sign::Sick) {
+            if of.iter().any(|d| d.health == ObservedHealth::Unhealthy) {
                 data.extend(of);
             }
         }
@@ -65,17 +65,17 @@
             let mut bytes = frame::begin(&Head {
                 cluster: &self.cluster,
                 sent: now,
-                content: Content::News,
+                content: Content::Updates,
             });
             let mut any = false;
-            while let Some(datum) = data.peek() {
-                let Ok(piece) = postcard::to_stdvec(datum) else {
+            while let Some(observation) = data.peek() {
+                let Ok(piece) = postcard::to_stdvec(observation) else {
                     break;
                 };
                 if !frame::add(
                     &mut bytes,
-                    &Piece {
-                        kind: EVIDENCE,
+                    &MessagePart {
+                        kind: OBSERVATION,
                         bytes: &piece,
                     },
                 ) {
--- a/crates/gossip/src/core/standing.rs
+++ b/crates/gossip/src/core/connectivity.rs
@@ -5,14 +5,14 @@
 //! foca's own pings, which members of any version answer.
 
 use super::{Core, FANOUT};
+use crate::connectivity::{Connectivity, ConnectivityState, Observations, Trials};
 use crate::effects::Note;
-use crate::evidence::Process;
-use crate::frame::{self, Content, Dropped, Head, Piece, VIEW};
+use crate::frame::{self, Content, Dropped, Head, MessagePart, VIEW};
 use crate::member::Member;
-use crate::roster::Left;
-use crate::standing::{Kind, Standing, Trials, Verdicts};
-use crate::standing_views::Digest;
-use crate::standing_zone::Zone;
+use crate::membership_table::Departure;
+use crate::observation_table::Process;
+use crate::view_comparison::Digest;
+use crate::zone_reachability::ZoneFacts;
 use crate::{Micros, SECOND, hash};
 use foca::{Header, Message};
 use rand::RngExt;
@@ -36,7 +36,7 @@
 struct View<'a> {
     origin: u64,
     version: &'a str,
-    parts: [u8; crate::standing_views::PARTS],
+    parts: [u8; crate::view_comparison::PARTS],
     members: u32,
     zones: Vec<u64>,
     /// For two zones by their place: how long before the datagram the first last heard the second, in milliseconds.
@@ -45,8 +45,8 @@
 
 impl Core {
     /// Where this member stands.
-    pub fn standing(&self) -> &Standing {
-        self.watch.standing()
+    pub fn connectivity(&self) -> &Connectivity {
+        self.tracker.connectivity()
     }
 
     /// The version of the program, as others' rosters show it; to be said before it runs.
@@ -65,72 +65,78 @@
     /// Where the endpoints of the own list stand, by their numbers: what they say of a zone that is not heard.
     pub fn placed<'a>(&mut self, zones: impl Iterator<Item = (usize, &'a str)>) {
         self.placed = zones
-            .take(super::witness::MOST_ENDPOINTS)
+            .take(super::observations::MOST_ENDPOINTS)
             .map(|(e, zone)| (e, hash(zone)))
             .collect();
     }
 
     /// Somebody of that zone is heard: an answer to what this one sent, or not.
-    pub(super) fn hears(&mut self, now: Micros, zone: u64, answer: bool) {
-        if self.stands {
-            self.watch.heard.came(now, self.zone, zone, answer);
+    pub(super) fn record_contact(&mut self, now: Micros, zone: u64, answer: bool) {
+        if self.tracks_connectivity {
+            self.tracker.heard.came(now, self.zone, zone, answer);
         }
     }
 
     /// What it may say and do about endpoints now.
-    pub(super) fn says(&self) -> bool {
-        self.standing().kind.may().verdicts == Verdicts::Shared
+    pub(super) fn may_publish(&self) -> bool {
+        self.connectivity().kind.permissions().observations == Observations::Shared
     }
 
     /// Whether that member may be thought to make trials.
-    pub(super) fn tries(&self, now: Micros, origin: u64, zone: u64) -> bool {
-        match self.standing().kind.may().trials {
+    pub(super) fn may_try(&self, now: Micros, origin: u64, zone: u64) -> bool {
+        match self.connectivity().kind.permissions().trials {
             Trials::Shared => !self.quarantined(now, origin),
-            Trials::Side => !self.watch.silent(zone) && !self.quarantined(now, origin),
+            Trials::Side => !self.tracker.silent(zone) && !self.quarantined(now, origin),
             Trials::Own | Trials::None => false,
         }
     }
 
     /// Looks where it stands.
-    pub(super) fn stand(&mut self, now: Micros) {
-        if !self.stands {
+    pub(super) fn update_connectivity(&mut self, now: Micros) {
+        if !self.tracks_connectivity {
             return;
         }
         let (members, me) = (&self.members, self.me.address);
         for (name, addresses) in self
-            .roster
+            .membership
             .twice(now, |at| at == me || members.contains_key(&at))
         {
             self.effects.notes.push(Note::Twice { name, addresses });
         }
         if now >= self.next_view {
-            let told = if self.standing().kind == Kind::Whole {
+            let told = if self.connectivity().kind == ConnectivityState::Connected {
                 TOLD
             } else {
                 2 * TOLD
             };
             (self.next_view, self.views_due) = (now + BEAT, told);
-            self.roster.expire(now);
+            self.membership.expire(now);
         }
         let zones = self.zone_facts(now);
-        let was = self.standing().clone();
+        let was = self.connectivity().clone();
         let lost = |core: &Self| {
             zones
                 .iter()
-                .map(|z| core.watch.lost(z.zone))
+                .map(|z| core.tracker.lost(z.zone))
                 .collect::<Vec<_>>()
         };
         let lost_before = lost(self);
-        let asks = self.watch.step(now, self.zone, &zones);
+        let asks = self.tracker.step(now, self.zone, &zones);
         for ((z, before), after) in zones.iter().zip(lost_before).zip(lost(self)) {
             match (before, after) {
-                (false, true) => {
-                    self.roster
-                        .relabel(z.zone, now - MISSED_WITH, Left::Failed, Left::CutOff)
-                }
+                (false, true) => self.membership.relabel(
+                    z.zone,
+                    now - MISSED_WITH,
+                    Departure::Failed,
+                    Departure::Unreachable,
+                ),
                 (true, false) if z.running == 0 => {
-                    self.roster
-                        .relabel(z.zone, Micros::MIN, Left::CutOff, Left::Failed);
+                    self.membership.relabel(
+                        z.zone,
+                        Micros::MIN,
+                        Departure::Unreachable,
+                        Departure::Failed,
+                    );
                 }
                 _ => {}
             }
@@ -138,21 +144,24 @@
         for (zone, count) in asks {
             self.ask_zone(now, zone, count);
         }
-        if *self.standing() != was {
-            let standing = self.standing().clone();
-            let zones = standing
+        if *self.connectivity() != was {
+            let connectivity = self.connectivity().clone();
+            let zones = connectivity
                 .cut
                 .iter()
-                .map(|(zone, way)| (self.zone_name(*zone), *way))
+                .map(|(zone, direction)| (self.zone_name(*zone), *direction))
                 .collect();
-            self.effects.notes.push(Note::Standing { standing, zones });
+            self.effects.notes.push(Note::Connectivity {
+                connectivity,
+                zones,
+            });
         }
-        self.next_tick = self.next_tick.min(self.watch.next());
+        self.next_tick = self.next_tick.min(self.tracker.next());
     }
 
-    fn zone_facts(&self, now: Micros) -> Vec<Zone> {
+    fn zone_facts(&self, now: Micros) -> Vec<ZoneFacts> {
         let fresh = self.list_seen.is_some_and(|at| now - at < FRESH);
-        let mut zones = self.roster.zones();
+        let mut zones = self.membership.zones();
         let own = zones.entry(self.zone).or_default();
         (own.0, own.1) = (own.0 + 1, own.1 + 1);
         let facts = zones.into_iter().map(|(zone, (running, known))| {
@@ -161,7 +170,7 @@
                     .values()
                     .filter(|l| self.placed.get(&l.endpoint) == Some(&zone))
             };
-            let (served, named) = if self.watch.silent(zone) {
+            let (served, named) = if self.tracker.silent(zone) {
                 let process = |l: &crate::effects::Listed| self.processes.get(&l.endpoint).copied();
                 let served = there()
                     .filter_map(process)
@@ -171,7 +180,7 @@
             } else {
                 (None, None)
             };
-            Zone {
+            ZoneFacts {
                 zone,
                 running,
                 known,
@@ -183,19 +192,19 @@
     }
 
     pub(super) fn zone_name(&self, zone: u64) -> String {
-        let entry = self.roster.entries().find(|(_, e)| e.zone == zone);
+        let entry = self.membership.entries().find(|(_, e)| e.zone == zone);
         entry.map_or_else(|| format!("{zone:016x}"), |(_, e)| e.member.zone.clone())
     }
 
     /// Asks some members of a zone, or of any, whether they hear.
     fn ask_zone(&mut self, now: Micros, zone: Option<u64>, count: usize) {
-        let there = |e: &&crate::roster::Entry| {
+        let there = |e: &&crate::membership_table::Entry| {
             // Who is lost cannot tell whether all are.
-            zone.map_or_else(|| !self.watch.silent(e.zone), |z| e.zone == z)
-                && matches!(e.left, None | Some((Left::CutOff, _)))
+            zone.map_or_else(|| !self.tracker.silent(e.zone), |z| e.zone == z)
+                && matches!(e.left, None | Some((Departure::Unreachable, _)))
         };
         let asked: Vec<(Member, bool)> = {
-            let entries = self.roster.entries().map(|(_, e)| e).filter(there);
+            let entries = self.membership.entries().map(|(_, e)| e).filter(there);
             let mut all: Vec<_> = entries
                 .map(|e| (e.member.clone(), e.left.is_none()))
                 .collect();
@@ -246,7 +255,7 @@
             u8::try_from(at).unwrap_or(u8::MAX)
         };
         let age = |at: Micros| u16::try_from((now - at) / 1000).unwrap_or(u16::MAX);
-        let pairs = self.watch.heard.pairs(now - TELLS);
+        let pairs = self.tracker.heard.pairs(now - TELLS);
         let pairs = pairs
             .map(|((by, whom), at)| (place(by), place(whom), age(at)))
             .collect();
@@ -269,7 +278,7 @@
     }
 
     /// Tells the views that are due and found no other datagram.
-    pub(super) fn tell_views(&mut self, now: Micros) {
+    pub(super) fn publish_views(&mut self, now: Micros) {
         while !self.drawn.is_empty() && self.views_due > 0 {
             let here = self.views_due.is_multiple_of(2);
             let draw = |core: &mut Self| core.drawn[core.rng.random_range(0..core.drawn.len())];
@@ -289,14 +298,14 @@
             let mut bytes = frame::begin(&Head {
                 cluster: &self.cluster,
                 sent: now,
-                content: Content::News,
+                content: Content::Updates,
             });
             let Some(view) = self.view_due(now) else {
                 break;
             };
             if frame::add(
                 &mut bytes,
-                &Piece {
+                &MessagePart {
                     kind: VIEW,
                     bytes: &view,
                 },
@@ -317,40 +326,44 @@
         if view.origin != origin || view.version.len() > LONGEST_VERSION {
             return self.drop_one(Dropped::Forged);
         }
-        if !self.stands {
+        if !self.tracks_connectivity {
             return;
         }
-        self.roster.version(origin, view.version);
+        self.membership.version(origin, view.version);
         for (by, whom, age) in view.pairs {
             if let (Some(by), Some(whom)) = (
                 view.zones.get(usize::from(by)),
                 view.zones.get(usize::from(whom)),
             ) {
-                self.watch
-                    .heard
-                    .told(now, self.skew, *by, *whom, sent - Micros::from(age) * 1000);
+                self.tracker.heard.told(
+                    now,
+                    self.skew,
+                    *by,
+                    *whom,
+                    sent - Micros::from(age) * 1000,
+                );
             }
         }
-        if !self.watch.silent(zone) {
+        if !self.tracker.silent(zone) {
             let differs = self
                 .digest()
                 .differs(&Digest::read(view.parts, view.members));
-            self.watch.views.compared(now, differs);
+            self.tracker.views.compared(now, differs);
         }
     }
 
     /// Its word does not count for now.
     pub(super) fn quarantined(&self, now: Micros, origin: u64) -> bool {
-        self.stands && self.roster.quarantined(now, origin)
+        self.tracks_connectivity && self.membership.quarantined(now, origin)
     }
 
     /// How one leaves that is missed now.
-    pub(super) fn left_how(&self, zone: u64) -> Left {
-        let all = self.standing().kind == Kind::Alone;
-        if self.watch.lost(zone) || all {
-            Left::CutOff
+    pub(super) fn left_how(&self, zone: u64) -> Departure {
+        let all = self.connectivity().kind == ConnectivityState::Isolated;
+        if self.tracker.lost(zone) || all {
+            Departure::Unreachable
         } else {
-            Left::Failed
+            Departure::Failed
         }
     }
 }
--- a/crates/gossip/src/core/news.rs
+++ b/crates/gossip/src/core/dissemination.rs
@@ -6,34 +6,40 @@
 
 use super::{Core, FANOUT, TICK};
 use crate::Micros;
-use crate::evidence::Datum;
-use crate::frame::{self, Content, Dropped, EVIDENCE, Head, Piece, VIEW};
+use crate::frame::{self, Content, Dropped, Head, MessagePart, OBSERVATION, VIEW};
+use crate::observation_table::Observation;
 use rand::RngExt;
 use std::cmp::Reverse;
 
 /// How often a piece of news is passed on in all: of those who hear of it one in 400 is missed by nine draws without loss,
 /// one in 500 with three draws in ten lost and repeats by others (e to the minus nine or six).
-pub(super) const SENDS: u8 = 9;
+pub(super) const MAX_SENDS: u8 = 9;
 /// News that wait to be passed on; the oldest make room.
-const MOST_NEWS: usize = 512;
+const MAX_PENDING_UPDATES: usize = 512;
 
 /// Evidence, and how often it is still to be passed on.
-pub(super) struct News {
-    pub(super) datum: Datum,
+pub(super) struct PendingUpdate {
+    pub(super) observation: Observation,
     pub(super) left: u8,
 }
 
 impl Core {
-    pub(super) fn pass_on(&mut self, now: Micros, datum: Datum) {
+    pub(super) fn disseminate(&mut self, now: Micros, observation: Observation) {
         self.news.retain(|n| {
-            (n.datum.origin, n.datum.process, n.datum.zone)
-                != (datum.origin, datum.process, datum.zone)
+            (
+                n.observation.origin,
+                n.observation.process,
+                n.observation.zone,
+            ) != (observation.origin, observation.process, observation.zone)
         });
-        if self.news.len() >= MOST_NEWS {
+        if self.news.len() >= MAX_PENDING_UPDATES {
             self.news.pop_front();
             self.drop_one(Dropped::Full);
         }
-        self.news.push_back(News { datum, left: SENDS });
+        self.news.push_back(PendingUpdate {
+            observation,
+            left: MAX_SENDS,
+        });
         self.wake(now);
     }
 
@@ -45,9 +51,9 @@
     /// Passes on news: the ones that left least often come first.
     pub(super) fn gossip(&mut self, now: Micros) {
         self.news
-            .retain(|n| n.left > 0 && now - n.datum.seen < self.weights.bound);
-        self.carrier.expire(now, self.skew);
-        if (self.news.is_empty() && self.carrier.is_empty()) || self.drawn.is_empty() {
+            .retain(|n| n.left > 0 && now - n.observation.seen < self.policy.max_staleness);
+        self.fragments.expire(now, self.skew);
+        if (self.news.is_empty() && self.fragments.is_empty()) || self.drawn.is_empty() {
             return;
         }
         for _ in 0..FANOUT.min(self.drawn.len()) {
@@ -56,28 +62,28 @@
             let head = Head {
                 cluster: &self.cluster,
                 sent: now,
-                content: Content::News,
+                content: Content::Updates,
             };
             let mut bytes = frame::begin(&head);
             let mut any = false;
             if let Some(view) = self.view_due(now) {
                 any = frame::add(
                     &mut bytes,
-                    &Piece {
+                    &MessagePart {
                         kind: VIEW,
                         bytes: &view,
                     },
                 );
             }
             for news in self.news.iter_mut().filter(|n| n.left > 0) {
-                let Ok(datum) = postcard::to_stdvec(&news.datum) else {
+                let Ok(observation) = postcard::to_stdvec(&news.observation) else {
                     continue;
                 };
                 if !frame::add(
                     &mut bytes,
-                    &Piece {
-                        kind: EVIDENCE,
-                        bytes: &datum,
+                    &MessagePart {
+                        kind: OBSERVATION,
+                        bytes: &observation,
                     },
                 ) {
                     break;
@@ -85,10 +91,10 @@
                 news.left -= 1;
                 any = true;
             }
-            for waiting in self.carrier.waiting() {
-                let piece = Piece {
+            for waiting in self.fragments.waiting() {
+                let piece = MessagePart {
                     kind: waiting.kind,
-                    bytes: &waiting.letter,
+                    bytes: &waiting.envelope,
                 };
                 // A shorter one may still fit.
                 if frame::add(&mut bytes, &piece) {
--- a/crates/gossip/src/core/carry.rs
+++ b/crates/gossip/src/core/fragments.rs
@@ -1,11 +1,11 @@
 //! Carries message parts of other crates.
 
-use super::news::SENDS;
+use super::dissemination::MAX_SENDS;
 use super::{Core, FANOUT};
 use crate::Micros;
-use crate::carrier::{BOUND, Came, Letter, NotCarried};
-use crate::effects::Carried;
-use crate::frame::{self, Content, Dropped, FAREWELL, Head, Piece};
+use crate::effects::CarriedFragment;
+use crate::fragments::{BOUND, FragmentEnvelope, FragmentRefused, Receipt};
+use crate::frame::{self, Content, Dropped, FAREWELL, Head, MessagePart};
 use rand::RngExt;
 use std::net::SocketAddr;
 
@@ -15,9 +15,9 @@
     ///
     /// # Errors
     /// Why it is not; nothing was sent then.
-    pub fn carry(&mut self, now: Micros, kind: u8, bytes: &[u8]) -> Result<(), NotCarried> {
-        let letter = self.letter(now, kind, bytes, true)?;
-        self.keep_carrying(now, kind, letter, now);
+    pub fn carry(&mut self, now: Micros, kind: u8, bytes: &[u8]) -> Result<(), FragmentRefused> {
+        let envelope = self.envelope(now, kind, bytes, true)?;
+        self.keep_carrying(now, kind, envelope, now);
         Ok(())
     }
 
@@ -31,22 +31,22 @@
         to: u64,
         kind: u8,
         bytes: &[u8],
-    ) -> Result<(), NotCarried> {
-        let to = *self.by_origin.get(&to).ok_or(NotCarried::Nobody)?;
-        let letter = self.letter(now, kind, bytes, false)?;
+    ) -> Result<(), FragmentRefused> {
+        let to = *self.by_origin.get(&to).ok_or(FragmentRefused::Nobody)?;
+        let envelope = self.envelope(now, kind, bytes, false)?;
         let mut frame = frame::begin(&Head {
             cluster: &self.cluster,
             sent: now,
-            content: Content::News,
+            content: Content::Updates,
         });
         if !frame::add(
             &mut frame,
-            &Piece {
+            &MessagePart {
                 kind,
-                bytes: &letter,
+                bytes: &envelope,
             },
         ) {
-            return Err(NotCarried::TooLong);
+            return Err(FragmentRefused::TooLong);
         }
         self.send(to, frame);
         Ok(())
@@ -64,17 +64,17 @@
         drawn
     }
 
-    fn letter(
+    fn envelope(
         &mut self,
         now: Micros,
         kind: u8,
         body: &[u8],
         spreads: bool,
-    ) -> Result<Vec<u8>, NotCarried> {
-        let sequence = self.carrier.next(now, kind, body.len(), spreads)?;
+    ) -> Result<Vec<u8>, FragmentRefused> {
+        let sequence = self.fragments.next(now, kind, body.len(), spreads)?;
         self.counts.carried += 1;
         let (origin, incarnation) = (self.origin, self.me.incarnation);
-        let letter = Letter {
+        let envelope = FragmentEnvelope {
             origin,
             incarnation,
             sequence,
@@ -82,11 +82,11 @@
             spreads,
             body,
         };
-        postcard::to_stdvec(&letter).map_err(|_| NotCarried::TooLong)
+        postcard::to_stdvec(&envelope).map_err(|_| FragmentRefused::TooLong)
     }
 
-    fn keep_carrying(&mut self, now: Micros, kind: u8, letter: Vec<u8>, said: Micros) {
-        if !self.carrier.pass_on(kind, letter, said, SENDS) {
+    fn keep_carrying(&mut self, now: Micros, kind: u8, envelope: Vec<u8>, said: Micros) {
+        if !self.fragments.disseminate(kind, envelope, said, MAX_SENDS) {
             self.drop_one(Dropped::Full);
         }
         self.wake(now);
@@ -95,8 +95,8 @@
     /// Says to some that it leaves; they pass it on.
     pub(super) fn farewell(&mut self, now: Micros) {
         let (origin, incarnation, sequence) =
-            (self.origin, self.me.incarnation, self.carrier.last());
-        let letter = Letter {
+            (self.origin, self.me.incarnation, self.fragments.last());
+        let envelope = FragmentEnvelope {
             origin,
             incarnation,
             sequence,
@@ -104,7 +104,7 @@
             spreads: true,
             body: &[],
         };
-        let Ok(letter) = postcard::to_stdvec(&letter) else {
+        let Ok(envelope) = postcard::to_stdvec(&envelope) else {
             return;
         };
         for to in self.neighbours(2 * FANOUT) {
@@ -112,14 +112,14 @@
             let mut frame = frame::begin(&Head {
                 cluster: &self.cluster,
                 sent: now,
-                content: Content::News,
+                content: Content::Updates,
             });
             if let Some(to) = to.filter(|_| {
                 frame::add(
                     &mut frame,
-                    &Piece {
+                    &MessagePart {
                         kind: FAREWELL,
-                        bytes: &letter,
+                        bytes: &envelope,
                     },
                 )
             }) {
@@ -130,51 +130,54 @@
 
     /// A carried piece came from there, a member.
     pub(super) fn carried(&mut self, now: Micros, from: SocketAddr, kind: u8, bytes: &[u8]) {
-        let Ok(letter) = postcard::from_bytes::<Letter<'_>>(bytes) else {
+        let Ok(envelope) = postcard::from_bytes::<FragmentEnvelope<'_>>(bytes) else {
             return self.drop_one(Dropped::Malformed);
         };
-        if letter.body.len() > crate::carrier::longest(letter.spreads) {
+        if envelope.body.len() > crate::fragments::longest(envelope.spreads) {
             return self.drop_one(Dropped::TooLong);
         }
-        if letter.origin == self.origin {
+        if envelope.origin == self.origin {
             // The own word comes back, which is nothing; one that was never given is another's.
-            if letter.incarnation >= self.me.incarnation && letter.sequence > self.carrier.given() {
+            if envelope.incarnation >= self.me.incarnation
+                && envelope.sequence > self.fragments.given()
+            {
                 self.drop_one(Dropped::Forged);
             }
             return;
         }
-        if !letter.spreads
+        if !envelope.spreads
             && self
                 .members
                 .get(&from)
-                .is_none_or(|known| known.origin != letter.origin)
+                .is_none_or(|known| known.origin != envelope.origin)
         {
             return self.drop_one(Dropped::Forged);
         }
-        if letter.said > now + self.skew {
+        if envelope.said > now + self.skew {
             return self.drop_one(Dropped::Clock);
         }
-        if now - letter.said >= BOUND {
+        if now - envelope.said >= BOUND {
             return self.drop_one(Dropped::Stale);
         }
-        match self.carrier.came(now, &letter) {
-            Came::Before => return,
-            Came::Full => return self.drop_one(Dropped::Full),
-            Came::New => {}
+        match self.fragments.came(now, &envelope) {
+            Receipt::Before => return,
+            Receipt::Full => return self.drop_one(Dropped::Full),
+            Receipt::New => {}
         }
         if kind == FAREWELL {
-            self.roster.said_so(letter.origin, letter.incarnation);
+            self.membership
+                .announced(envelope.origin, envelope.incarnation);
         } else {
             self.counts.handed_out += 1;
-            self.effects.carried.push(Carried {
-                origin: letter.origin,
-                incarnation: letter.incarnation,
+            self.effects.carried.push(CarriedFragment {
+                origin: envelope.origin,
+                incarnation: envelope.incarnation,
                 kind,
-                bytes: letter.body.to_vec(),
+                bytes: envelope.body.to_vec(),
             });
         }
-        if letter.spreads {
-            self.keep_carrying(now, kind, bytes.to_vec(), letter.said);
+        if envelope.spreads {
+            self.keep_carrying(now, kind, bytes.to_vec(), envelope.said);
         }
     }
 }
--- a/crates/gossip/src/core/inbound.rs
+++ b/crates/gossip/src/core/inbound.rs
@@ -2,9 +2,9 @@
 
 use super::{Core, UNDER_WAY};
 use crate::Micros;
-use crate::carrier::CARRIED;
-use crate::evidence::Datum;
-use crate::frame::{self, ASK, Content, Dropped, EVIDENCE, FAREWELL, Piece, VIEW};
+use crate::fragments::CARRIED;
+use crate::frame::{self, ASK, Content, Dropped, FAREWELL, MessagePart, OBSERVATION, VIEW};
+use crate::observation_table::Observation;
 use std::net::SocketAddr;
 
 impl Core {
@@ -22,31 +22,33 @@
         };
         match head.content {
             Content::Membership => self.membership(now, from, content),
-            Content::News => {
+            Content::Updates => {
                 let Some(zone) = self.members.get(&from).map(|known| known.zone) else {
                     return self.drop_one(Dropped::Unknown);
                 };
-                self.hears(now, zone, false);
+                self.record_contact(now, zone, false);
                 let late = now.saturating_sub(head.sent);
                 if late < -self.skew || late > self.skew + UNDER_WAY {
                     return self.drop_one(Dropped::Clock);
                 }
                 for piece in frame::pieces(content) {
                     match piece {
-                        Ok(Piece {
-                            kind: EVIDENCE,
+                        Ok(MessagePart {
+                            kind: OBSERVATION,
                             bytes,
-                        }) => match postcard::from_bytes::<Datum>(bytes) {
-                            Ok(datum) => self.heard(now, datum),
+                        }) => match postcard::from_bytes::<Observation>(bytes) {
+                            Ok(observation) => self.receive(now, observation),
                             Err(_) => self.drop_one(Dropped::Malformed),
                         },
-                        Ok(Piece { kind: ASK, .. }) => self.answer(now, from),
-                        Ok(Piece { kind: VIEW, bytes }) => self.viewed(now, head.sent, from, bytes),
-                        Ok(Piece {
+                        Ok(MessagePart { kind: ASK, .. }) => self.answer(now, from),
+                        Ok(MessagePart { kind: VIEW, bytes }) => {
+                            self.viewed(now, head.sent, from, bytes)
+                        }
+                        Ok(MessagePart {
                             kind: FAREWELL,
                             bytes,
                         }) => self.carried(now, from, FAREWELL, bytes),
-                        Ok(Piece { kind, bytes }) if CARRIED.contains(&kind) => {
+                        Ok(MessagePart { kind, bytes }) if CARRIED.contains(&kind) => {
                             self.carried(now, from, kind, bytes);
                         }
                         Ok(_) => self.drop_one(Dropped::Kind),
--- a/crates/gossip/src/core/membership.rs
+++ b/crates/gossip/src/core/membership.rs
@@ -57,7 +57,7 @@
         match postcard::take_from_bytes::<Header<Member>>(content) {
             Ok((header, _)) if header.src.address == from => {
                 if !header.src.name.is_empty() {
-                    self.hears(
+                    self.record_contact(
                         now,
                         hash(&header.src.zone),
                         matches!(header.message, Message::Ack(_)),
@@ -111,8 +111,8 @@
     pub(super) fn up(&mut self, now: Micros, member: Member) {
         self.down(&member.address);
         self.digest = None;
-        let counts = self.says() && self.stands;
-        if self.roster.up(now, &member, counts) {
+        let counts = self.may_publish() && self.tracks_connectivity;
+        if self.membership.up(now, &member, counts) {
             self.effects.notes.push(Note::Quarantined {
                 name: member.name.clone(),
             });
@@ -136,7 +136,7 @@
     fn missed(&mut self, now: Micros, address: &SocketAddr) {
         if let Some(known) = self.members.get(address) {
             let how = self.left_how(known.zone);
-            if self.roster.down(now, &known.member, how) && self.stands {
+            if self.membership.down(now, &known.member, how) && self.tracks_connectivity {
                 self.effects.notes.push(Note::Quarantined {
                     name: known.member.name.clone(),
                 });
@@ -186,7 +186,7 @@
 
     /// Tells others that this member leaves.
     pub fn leave(&mut self, now: Micros) {
-        if self.stands {
+        if self.tracks_connectivity {
             self.farewell(now);
         }
         let _ = self.foca.leave_cluster(&mut self.runtime);
--- a/crates/gossip/src/core/witness.rs
+++ b/crates/gossip/src/core/observations.rs
@@ -1,10 +1,10 @@
 //! This member's own health observations, and those it receives.
 
 use super::{Core, DOUBTED, DOUBTED_LEAST};
-use crate::effects::{Listed, Word};
-use crate::evidence::{Datum, Merged, Process, Sign};
+use crate::effects::{EjectionUpdate, Listed};
 use crate::frame::Dropped;
-use crate::verdict::Rest;
+use crate::health_status::EjectionStatus;
+use crate::observation_table::{Merged, Observation, ObservedHealth, Process};
 use crate::{Micros, hash};
 
 /// Evidence that a member gives on its own, a second and at once.
@@ -16,10 +16,10 @@
 pub(super) const MOST_ENDPOINTS: usize = 4096;
 
 /// What this member saw last of an endpoint process, and what it said of it last.
-pub(super) struct Own {
-    pub(super) sign: Sign,
+pub(super) struct OwnObservation {
+    pub(super) health: ObservedHealth,
     pub(super) at: Micros,
-    pub(super) said: Option<(Sign, Micros)>,
+    pub(super) said: Option<(ObservedHealth, Micros)>,
     /// When it last served this member.
     pub(super) served: Option<Micros>,
 }
@@ -45,75 +45,75 @@
         self.own
             .retain(|process, _| processes.values().any(|p| p == process));
         let gone: Vec<usize> = self
-            .resting
+            .ejected
             .iter()
             .filter(|(endpoint, r)| self.processes.get(endpoint) != Some(&r.process))
             .map(|(endpoint, _)| *endpoint)
             .collect();
         for endpoint in gone {
-            self.resting.remove(&endpoint);
-            self.effects.words.push(Word {
+            self.ejected.remove(&endpoint);
+            self.effects.ejections.push(EjectionUpdate {
                 endpoint,
-                rest: Rest::No,
-                until: now,
+                status: EjectionStatus::NotEjected,
+                expires: now,
             });
         }
     }
 
     /// This member was served by an endpoint, or was not.
-    pub fn witness(&mut self, now: Micros, endpoint: usize, sign: Sign) {
+    pub fn observe(&mut self, now: Micros, endpoint: usize, health: ObservedHealth) {
         let Some(process) = self
             .processes
             .get(&endpoint)
             .copied()
-            .filter(|_| self.verdicts)
+            .filter(|_| self.observations_shared)
         else {
             return;
         };
         if now < self.overslept_until {
             return;
         }
-        let own = self.own.entry(process).or_insert(Own {
-            sign,
+        let own = self.own.entry(process).or_insert(OwnObservation {
+            health,
             at: now,
             said: None,
             served: None,
         });
-        (own.sign, own.at) = (sign, now);
-        if sign == Sign::Well {
+        (own.health, own.at) = (health, now);
+        if health == ObservedHealth::Healthy {
             own.served = Some(now);
         }
         let said = own
             .said
-            .is_some_and(|(what, at)| what == sign && now - at < self.weights.rest);
-        let resting = self.resting.contains_key(&endpoint);
-        let fresh = |d: &&Datum| now - d.seen < self.weights.bound;
+            .is_some_and(|(what, at)| what == health && now - at < self.policy.ejection_time);
+        let ejected = self.ejected.contains_key(&endpoint);
+        let fresh = |d: &&Observation| now - d.seen < self.policy.max_staleness;
         let zone = self.zone;
-        let alike = |sign: Sign| {
+        let alike = |health: ObservedHealth| {
             let here = self.table.of(process).filter(|(of, _)| *of == zone);
             here.flat_map(|(_, data)| data)
                 .filter(fresh)
-                .filter(|d| d.sign == sign)
+                .filter(|d| d.health == health)
                 .count()
         };
-        let worth_saying = match sign {
-            Sign::Sick => resting || alike(Sign::Sick) <= ENOUGH,
+        let worth_saying = match health {
+            ObservedHealth::Unhealthy => ejected || alike(ObservedHealth::Unhealthy) <= ENOUGH,
             // Nobody doubts it where nobody found it sick, and two who were served since are enough.
-            Sign::Well => {
+            ObservedHealth::Healthy => {
                 let here = || {
                     let here = self
                         .table
                         .of(process)
-                        .filter(|(of, _)| *of == zone || resting);
+                        .filter(|(of, _)| *of == zone || ejected);
                     here.flat_map(|(_, data)| data).filter(fresh)
                 };
-                let sick = here()
-                    .filter(|d| d.sign == Sign::Sick)
+                let unhealthy = here()
+                    .filter(|d| d.health == ObservedHealth::Unhealthy)
                     .map(|d| d.seen)
                     .max();
-                sick.is_some_and(|sick| {
+                unhealthy.is_some_and(|unhealthy| {
                     here()
-                        .filter(|d| d.sign == Sign::Well && d.seen > sick)
+                        .filter(|d| d.health == ObservedHealth::Healthy && d.seen > unhealthy)
                         .count()
                         < 2
                 })
@@ -121,29 +121,29 @@
         };
         if said
             || !worth_saying
-            || !self.says()
-            || (sign == Sign::Sick && self.doubts_itself(now))
+            || !self.may_publish()
+            || (health == ObservedHealth::Unhealthy && self.doubts_itself(now))
             || !self.tokens.take(now, OWN_RATE, OWN_BURST)
         {
-            return self.look(now, endpoint);
+            return self.reassess(now, endpoint);
         }
         if let Some(own) = self.own.get_mut(&process) {
-            own.said = Some((sign, now));
+            own.said = Some((health, now));
         }
         self.sequence += 1;
         self.counts.said += 1;
-        let datum = Datum {
+        let observation = Observation {
             origin: self.origin,
             incarnation: self.me.incarnation,
             sequence: self.sequence,
             zone: self.zone,
             seen: now,
             process,
-            sign,
+            health,
         };
-        self.table.merge(datum);
-        self.pass_on(now, datum);
-        self.look(now, endpoint);
+        self.table.merge(observation);
+        self.disseminate(now, observation);
+        self.reassess(now, endpoint);
     }
 
     /// It finds most of what it has tried of late sick: likely the fault lies with itself.
@@ -151,43 +151,47 @@
         let fresh = || {
             self.own
                 .values()
-                .filter(|own| now - own.at < self.weights.bound)
+                .filter(|own| now - own.at < self.policy.max_staleness)
         };
-        let sick = fresh().filter(|own| own.sign == Sign::Sick).count();
-        sick >= DOUBTED_LEAST && sick as f64 > DOUBTED * fresh().count() as f64
+        let unhealthy = fresh()
+            .filter(|own| own.health == ObservedHealth::Unhealthy)
+            .count();
+        unhealthy >= DOUBTED_LEAST && unhealthy as f64 > DOUBTED * fresh().count() as f64
     }
 
-    pub(super) fn heard(&mut self, now: Micros, datum: Datum) {
-        if datum.origin == self.origin {
+    pub(super) fn receive(&mut self, now: Micros, observation: Observation) {
+        if observation.origin == self.origin {
             // What an earlier life saw is as good as another's.
-            if datum.incarnation >= self.me.incarnation && datum.sequence > self.sequence {
+            if observation.incarnation >= self.me.incarnation
+                && observation.sequence > self.sequence
+            {
                 self.drop_one(Dropped::Forged);
             }
             return;
         }
-        if datum.seen > now + self.skew {
+        if observation.seen > now + self.skew {
             return self.drop_one(Dropped::Clock);
         }
-        if now - datum.seen >= self.weights.bound {
+        if now - observation.seen >= self.policy.max_staleness {
             return self.drop_one(Dropped::Stale);
         }
         let Some((endpoint, started)) = self
             .listed
-            .get(&datum.process.name)
+            .get(&observation.process.name)
             .map(|l| (l.endpoint, l.started.unwrap_or(0)))
         else {
             return self.drop_one(Dropped::Unlisted);
         };
-        if datum.process.started < started {
+        if observation.process.started < started {
             return self.drop_one(Dropped::Unlisted);
         }
-        match self.table.merge(datum) {
+        match self.table.merge(observation) {
             Merged::New { alike } => {
                 self.counts.heard += 1;
                 if alike < ENOUGH {
-                    self.pass_on(now, datum);
+                    self.disseminate(now, observation);
                 }
-                self.look(now, endpoint);
+                self.reassess(now, endpoint);
             }
             Merged::Known => {}
             Merged::Full => self.drop_one(Dropped::Full),
--- a/crates/gossip/src/core/others.rs
+++ b/crates/gossip/src/core/peers.rs
@@ -1,8 +1,8 @@
 //! The other members by number, for message parts that are carried.
 
 use super::Core;
-use crate::roster::Left;
-use crate::standing::Bindings;
+use crate::connectivity::AffinityEntries;
+use crate::membership_table::Departure;
 use crate::{Micros, SECOND};
 
 /// One who said that it leaves and has not come back for so long is gone: a restart takes a few seconds.
@@ -10,14 +10,14 @@
 
 /// Who is there, each by the hash of its name.
 #[derive(Clone, Debug)]
-pub struct Others {
+pub struct Peers {
     /// This member and those that are known to run.
     pub running: Vec<u64>,
     /// These and all who may run without being heard: whoever is missed and did not say that it leaves, until it is
     /// forgotten. Nobody where none of the members that it should ask at its start was ever heard of.
     pub known: Vec<u64>,
-    /// What its standing lets it do with bindings.
-    pub bindings: Bindings,
+    /// What its connectivity state lets it do with affinity entries.
+    pub affinity_entries: AffinityEntries,
 }
 
 impl Core {
@@ -26,16 +26,16 @@
         self.origin
     }
 
-    /// Who is there.
-    pub fn others(&self, now: Micros) -> Others {
+    /// The other members, and this one.
+    pub fn peers(&self, now: Micros) -> Peers {
         let mut running: Vec<u64> = self.by_origin.keys().copied().collect();
         running.push(self.origin);
-        let left = |left: &Option<(Left, Micros)>| match left {
-            Some((Left::SaidSo, at)) => now - *at >= RETURNS,
+        let left = |left: &Option<(Departure, Micros)>| match left {
+            Some((Departure::Announced, at)) => now - *at >= RETURNS,
             _ => false,
         };
         let mut known: Vec<u64> = self
-            .roster
+            .membership
             .entries()
             .filter(|(_, e)| !left(&e.left))
             .map(|(origin, _)| origin)
@@ -43,10 +43,10 @@
         if !known.is_empty() || self.seeds.is_empty() {
             known.push(self.origin);
         }
-        Others {
+        Peers {
             running,
             known,
-            bindings: self.standing().kind.may().bindings,
+            affinity_entries: self.connectivity().kind.permissions().affinity_entries,
         }
     }
 }
--- a/crates/gossip/src/core/report.rs
+++ b/crates/gossip/src/core/summaries.rs
@@ -1,11 +1,11 @@
 //! The figures of a member for people.
 
 use super::Core;
-use crate::census::{Census, EvidenceCensus, MemberCensus, RestCensus};
 use crate::effects::Counts;
 use crate::frame::REASONS;
+use crate::health_status::EjectionStatus;
 use crate::member::Member;
-use crate::verdict::Rest;
+use crate::summary::{EjectionSummary, MemberSummary, MembershipSummary, ObservationSummary};
 use crate::{Micros, SECOND};
 
 impl Core {
@@ -19,13 +19,13 @@
         &self.counts
     }
 
-    /// Endpoints that rest by others' word.
-    pub fn resting(&self) -> impl Iterator<Item = usize> {
-        self.resting.keys().copied()
+    /// Endpoints that are ejected.
+    pub fn ejected(&self) -> impl Iterator<Item = usize> {
+        self.ejected.keys().copied()
     }
 
     /// All that on-call wants to see.
-    pub fn census(&self, now: Micros) -> Census {
+    pub fn summary(&self, now: Micros) -> MembershipSummary {
         let seconds = |us: Micros| (us as f64 / SECOND as f64 * 1000.0).round() / 1000.0;
         let name_of = |origin: u64| match self
             .by_origin
@@ -36,49 +36,49 @@
             None if origin == self.origin => self.me.name.clone(),
             None => format!("{origin:016x}"),
         };
-        let member = |member: &Member, since: Option<Micros>| MemberCensus {
+        let member = |member: &Member, since: Option<Micros>| MemberSummary {
             name: member.name.clone(),
             zone: member.zone.clone(),
             address: member.address,
             incarnation: member.incarnation,
             known_for_s: since.map(|since| seconds(now - since)),
         };
-        let rests = self.resting.iter().filter_map(|(endpoint, r)| {
+        let ejections = self.ejected.iter().filter_map(|(endpoint, r)| {
             let listed = self.listed.values().find(|l| l.endpoint == *endpoint)?;
-            let witnesses = self.table.of(r.process).flat_map(|(_, data)| data);
-            Some(RestCensus {
+            let observations = self.table.of(r.process).flat_map(|(_, data)| data);
+            Some(EjectionSummary {
                 endpoint: listed.name.clone(),
-                trial: r.rest == Rest::Trial,
-                rests_for_s: seconds(now - r.since),
-                lapses_in_s: seconds(r.until - now),
-                evidence: witnesses
-                    .map(|d| EvidenceCensus {
+                trial: r.status == EjectionStatus::TrialDue,
+                ejected_for_s: seconds(now - r.since),
+                expires_in_s: seconds(r.expires - now),
+                observations: observations
+                    .map(|d| ObservationSummary {
                         member: name_of(d.origin),
-                        sign: d.sign,
+                        health: d.health,
                         age_s: seconds(now - d.seen),
                     })
                     .collect(),
             })
         });
-        Census {
+        MembershipSummary {
             cluster: self.cluster.clone(),
             me: member(&self.me, None),
             doubts_itself: self.doubts_itself(now),
-            standing: self.standing().clone(),
+            connectivity: self.connectivity().clone(),
             cut: self
-                .standing()
+                .connectivity()
                 .cut
                 .iter()
-                .map(|(zone, way)| (self.zone_name(*zone), *way))
+                .map(|(zone, direction)| (self.zone_name(*zone), *direction))
                 .collect(),
-            roster: self.roster_census(now),
+            membership: self.membership_entries(now),
             members: self
                 .members
                 .values()
                 .map(|k| member(&k.member, Some(k.since)))
                 .collect(),
-            rests: rests.collect(),
-            evidence: self.table.len(),
+            ejections: ejections.collect(),
+            observations: self.table.len(),
             dropped: REASONS
                 .iter()
                 .map(|why| why.word())
--- a/crates/gossip/src/effects.rs
+++ b/crates/gossip/src/effects.rs
@@ -1,9 +1,9 @@
 //! The inputs and outputs of a member.
 
 use crate::Micros;
+use crate::connectivity::{Connectivity, Direction};
 use crate::frame::REASONS;
-use crate::standing::{Standing, Way};
-use crate::verdict::Rest;
+use crate::health_status::EjectionStatus;
 use serde::Serialize;
 use std::net::SocketAddr;
 
@@ -22,23 +22,23 @@
 
 /// What the decision module is told of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Word {
+pub struct EjectionUpdate {
     /// Its number.
     pub endpoint: usize,
     /// What others' word makes of it.
-    pub rest: Rest,
+    pub status: EjectionStatus,
     /// From then on it counts as never heard.
-    pub until: Micros,
+    pub expires: Micros,
 }
 
 /// A piece of other crates' data that a member has spread, or sent to this one alone.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Carried {
+pub struct CarriedFragment {
     /// Hash of the name of who said it.
     pub origin: u64,
     /// Its life.
     pub incarnation: u64,
-    /// What it is, in the range [`crate::carrier::CARRIED`].
+    /// What it is, in the range [`crate::fragments::CARRIED`].
     pub kind: u8,
     /// Its own form.
     pub bytes: Vec<u8>,
@@ -48,11 +48,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Note {
     /// The own standing is another.
-    Standing {
+    Connectivity {
         /// Which.
-        standing: Standing,
+        connectivity: Connectivity,
         /// The zones that it is cut from, by name.
-        zones: Vec<(String, Way)>,
+        zones: Vec<(String, Direction)>,
     },
     /// Two processes run under one name.
     Twice {
@@ -74,11 +74,11 @@
     /// Datagrams, and where they go.
     pub datagrams: Vec<(SocketAddr, Vec<u8>)>,
     /// What is new for the decision module.
-    pub words: Vec<Word>,
+    pub ejections: Vec<EjectionUpdate>,
     /// What people should know.
     pub notes: Vec<Note>,
     /// What others carried here for the host.
-    pub carried: Vec<Carried>,
+    pub carried: Vec<CarriedFragment>,
 }
 
 /// What it has done so far.
--- a/crates/gossip/src/carrier.rs
+++ b/crates/gossip/src/fragments.rs
@@ -1,7 +1,7 @@
 //! Small message parts of other crates that are disseminated with gossip: their encoding, who has
 //! which, and what waits to be passed on.
 
-use crate::tokens::Tokens;
+use crate::token_bucket::TokenBucket;
 use crate::{Micros, SECOND};
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, VecDeque};
@@ -31,7 +31,7 @@
 
 /// A piece as it is written, behind its kind.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Letter<'a> {
+pub struct FragmentEnvelope<'a> {
     /// Hash of the name of who said it.
     pub origin: u64,
     /// Its life.
@@ -57,7 +57,7 @@
 
 /// Why a piece is not carried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotCarried {
+pub enum FragmentRefused {
     /// Its kind is not in [`CARRIED`].
     Kind,
     /// It is longer than [`longest`] says.
@@ -68,7 +68,7 @@
     Nobody,
 }
 
-impl fmt::Display for NotCarried {
+impl fmt::Display for FragmentRefused {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Kind => "a kind that is not carried",
@@ -79,15 +79,15 @@
     }
 }
 
-impl std::error::Error for NotCarried {}
+impl std::error::Error for FragmentRefused {}
 
 /// A piece that waits to be passed on.
 #[derive(Clone, Debug)]
 pub struct Waiting {
     /// Its kind.
     pub kind: u8,
-    /// It as a [`Letter`].
-    pub letter: Vec<u8>,
+    /// It as a [`FragmentEnvelope`].
+    pub envelope: Vec<u8>,
     /// How often it is still to be passed on.
     pub left: u8,
     said: Micros,
@@ -95,14 +95,14 @@
 
 /// Which numbers of one life came.
 #[derive(Clone, Copy, Debug, Default)]
-struct Had {
+struct ReceivedSequence {
     highest: u64,
     /// A bit for each of the numbers from the highest downwards.
     bits: [u64; (WINDOW / 64) as usize],
     last: Micros,
 }
 
-impl Had {
+impl ReceivedSequence {
     fn bit(&mut self, number: u64) -> (&mut u64, u64) {
         let place = number % WINDOW;
         (&mut self.bits[(place / 64) as usize], 1 << (place % 64))
@@ -129,7 +129,7 @@
 
 /// What came of a piece.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Came {
+pub enum Receipt {
     /// It is new here.
     New,
     /// It, or many later ones, came before.
@@ -140,21 +140,21 @@
 
 /// All of them at one member.
 #[derive(Clone, Debug)]
-pub struct Carrier {
-    spread: Tokens,
-    direct: Tokens,
+pub struct FragmentCarrier {
+    spread: TokenBucket,
+    direct: TokenBucket,
     sequence: u64,
-    had: HashMap<(u64, u64), Had>,
+    had: HashMap<(u64, u64), ReceivedSequence>,
     forgets_at: Micros,
     waiting: VecDeque<Waiting>,
 }
 
-impl Carrier {
+impl FragmentCarrier {
     /// Nothing yet.
     pub fn new(now: Micros) -> Self {
         Self {
-            spread: Tokens::new(now, BURST),
-            direct: Tokens::new(now, BURST),
+            spread: TokenBucket::new(now, BURST),
+            direct: TokenBucket::new(now, BURST),
             sequence: 0,
             had: HashMap::new(),
             forgets_at: now,
@@ -172,12 +172,12 @@
         kind: u8,
         length: usize,
         spreads: bool,
-    ) -> Result<u64, NotCarried> {
+    ) -> Result<u64, FragmentRefused> {
         if !CARRIED.contains(&kind) {
-            return Err(NotCarried::Kind);
+            return Err(FragmentRefused::Kind);
         }
         if length > longest(spreads) {
-            return Err(NotCarried::TooLong);
+            return Err(FragmentRefused::TooLong);
         }
         let (tokens, rate) = if spreads {
             (&mut self.spread, RATE)
@@ -185,7 +185,7 @@
             (&mut self.direct, RATE_DIRECT)
         };
         if !tokens.take(now, rate, BURST) {
-            return Err(NotCarried::TooMany);
+            return Err(FragmentRefused::TooMany);
         }
         self.sequence += 1;
         Ok(self.sequence)
@@ -203,22 +203,22 @@
     }
 
     /// A piece of another's came, within its bound.
-    pub fn came(&mut self, now: Micros, letter: &Letter<'_>) -> Came {
-        let life = (letter.origin, letter.incarnation);
+    pub fn came(&mut self, now: Micros, envelope: &FragmentEnvelope<'_>) -> Receipt {
+        let life = (envelope.origin, envelope.incarnation);
         if !self.had.contains_key(&life) && self.had.len() >= MOST_ORIGINS {
-            return Came::Full;
+            return Receipt::Full;
         }
         let had = self.had.entry(life).or_default();
         had.last = now;
-        if had.is_new(letter.sequence) {
-            Came::New
+        if had.is_new(envelope.sequence) {
+            Receipt::New
         } else {
-            Came::Before
+            Receipt::Before
         }
     }
 
     /// Passes a piece on; false where another made room for it.
-    pub fn pass_on(&mut self, kind: u8, letter: Vec<u8>, said: Micros, sends: u8) -> bool {
+    pub fn disseminate(&mut self, kind: u8, envelope: Vec<u8>, said: Micros, sends: u8) -> bool {
         let room = self.waiting.len() < MOST;
         if !room {
             let most_sent = self
@@ -231,7 +231,7 @@
         }
         self.waiting.push_back(Waiting {
             kind,
-            letter,
+            envelope,
             left: sends,
             said,
         });
--- a/crates/gossip/src/frame.rs
+++ b/crates/gossip/src/frame.rs
@@ -31,21 +31,21 @@
     /// Membership, foca's.
     Membership,
     /// Pieces of news.
-    News,
+    Updates,
 }
 
 /// A piece of news: its kind and its bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Piece<'a> {
+pub struct MessagePart<'a> {
     /// What it is; see the kinds beside this.
     pub kind: u8,
     /// Its own form.
     pub bytes: &'a [u8],
 }
 
-/// A piece that is [`crate::evidence::Datum`].
-pub const EVIDENCE: u8 = 1;
-/// A piece by which a member tells what it sees of the fleet; see `core/standing.rs`.
+/// A piece that is [`crate::observation_table::Observation`].
+pub const OBSERVATION: u8 = 1;
+/// A piece by which a member tells what it sees of the fleet; see `core/connectivity.rs`.
 pub const VIEW: u8 = 3;
 /// A carried letter without body by which a member says that it leaves.
 pub const FAREWELL: u8 = 4;
@@ -123,7 +123,7 @@
 }
 
 /// Adds a piece, where there is still room for it.
-pub fn add(bytes: &mut Vec<u8>, piece: &Piece<'_>) -> bool {
+pub fn add(bytes: &mut Vec<u8>, piece: &MessagePart<'_>) -> bool {
     let Ok(piece) = postcard::to_stdvec(piece) else {
         return false;
     };
@@ -158,12 +158,12 @@
 }
 
 /// The pieces of a content, up to the first that cannot be read.
-pub fn pieces<'a>(mut content: &'a [u8]) -> impl Iterator<Item = Result<Piece<'a>, Dropped>> {
+pub fn pieces<'a>(mut content: &'a [u8]) -> impl Iterator<Item = Result<MessagePart<'a>, Dropped>> {
     std::iter::from_fn(move || {
         if content.is_empty() {
             return None;
         }
-        match postcard::take_from_bytes::<Piece<'a>>(content) {
+        match postcard::take_from_bytes::<MessagePart<'a>>(content) {
             Ok((piece, rest)) => {
                 content = rest;
                 Some(Ok(piece))
--- a/crates/gossip/src/frame/tests.rs
+++ b/crates/gossip/src/frame/tests.rs
@@ -7,15 +7,15 @@
     Head {
         cluster: "a",
         sent: 7,
-        content: Content::News,
+        content: Content::Updates,
     }
 }
 
 #[test]
 fn what_is_written_is_read_and_what_is_not_for_us_has_its_reason() {
     let mut bytes = begin(&head());
-    let piece = Piece {
-        kind: EVIDENCE,
+    let piece = MessagePart {
+        kind: OBSERVATION,
         bytes: &[1, 2, 3],
     };
     assert!(add(&mut bytes, &piece) && add(&mut bytes, &piece));
@@ -39,15 +39,15 @@
     // Version 2 has a kind of its own, and says that readers of version 1 understand the rest.
     assert!(add(
         &mut later,
-        &Piece {
+        &MessagePart {
             kind: 200,
             bytes: &[9; 40]
         }
     ));
     assert!(add(
         &mut later,
-        &Piece {
-            kind: EVIDENCE,
+        &MessagePart {
+            kind: OBSERVATION,
             bytes: &[5]
         }
     ));
@@ -56,7 +56,7 @@
     let kinds: Vec<u8> = pieces(content)
         .filter_map(|p| p.ok().map(|p| p.kind))
         .collect();
-    assert_eq!(kinds, [200, EVIDENCE]);
+    assert_eq!(kinds, [200, OBSERVATION]);
     later[4] = 2;
     assert_eq!(read(&later, "a").map(|_| ()), Err(Dropped::Version));
 }
@@ -69,8 +69,8 @@
             .enumerate()
             .all(|(n, why)| *why as usize == n)
     );
-    let words: std::collections::BTreeSet<_> = REASONS.iter().map(|why| why.word()).collect();
-    assert_eq!(words.len(), REASONS.len());
+    let ejections: std::collections::BTreeSet<_> = REASONS.iter().map(|why| why.word()).collect();
+    assert_eq!(ejections.len(), REASONS.len());
 }
 
 proptest! {
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -3,37 +3,37 @@
 //! - [`section`]: the `[fleet]` section of a product configuration.
 //! - [`member`]: who a member is.
 //! - [`frame`]: datagrams, and why one is dropped.
-//! - [`evidence`]: what members saw of endpoints, merged in any order to the same table.
+//! - [`observation_table`]: what members saw of endpoints, merged in any order to the same table.
 //! - [`verdict`]: what follows from it for one member: who rests. [`trial`]: who of those may be tried, when, by whom.
-//! - [`carrier`]: small pieces of other crates' data, spread the same way.
-//! - [`effects`]: what goes in and comes out of it. [`census`]: what people read. [`tokens`]: a rate.
-//! - [`standing`]: what a member concludes of its own place, and what each part may do there; beside it what it is
-//!   concluded from. [`roster`]: who is known, and how those left who did.
+//! - [`fragments`]: small pieces of other crates' data, spread the same way.
+//! - [`effects`]: what goes in and comes out of it. [`summary`]: what people read. [`tokens`]: a rate.
+//! - [`connectivity`]: what a member concludes of its own place, and what each part may do there; beside it what it is
+//!   concluded from. [`membership`]: who is known, and how those left who did.
 //! - [`core`]: all of it as one state machine without I/O and clock.
 //! - [`udp`]: its sockets and timers.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod carrier;
-pub mod census;
+pub mod connectivity;
+mod connectivity_tracker;
 pub mod core;
-mod datum;
 pub mod effects;
-pub mod evidence;
+pub mod fragments;
 pub mod frame;
+pub mod health_status;
+mod local_health;
 pub mod member;
-pub mod roster;
+pub mod membership_table;
+mod observation;
+pub mod observation_table;
 pub mod section;
-pub mod standing;
-mod standing_health;
-mod standing_heard;
-mod standing_views;
-mod standing_watch;
-mod standing_zone;
-pub mod tokens;
+pub mod summary;
+pub mod token_bucket;
 pub mod trial;
 pub mod udp;
-pub mod verdict;
+mod view_comparison;
+mod zone_contacts;
+mod zone_reachability;
 
 /// Microseconds of Unix time on a member's own clock, or a duration.
 pub type Micros = i64;
--- a/crates/gossip/src/standing_health.rs
+++ b/crates/gossip/src/local_health.rs
@@ -18,13 +18,13 @@
 
 /// How late it has been.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Health {
+pub struct LocalHealth {
     lateness: f64,
     at: Option<Micros>,
-    unwell: bool,
+    degraded: bool,
 }
 
-impl Health {
+impl LocalHealth {
     /// A timer that was due then runs now. True where so much was missed that what was last heard says nothing.
     pub fn woke(&mut self, now: Micros, due: Micros) -> bool {
         let Some(at) = self.at.replace(now) else {
@@ -36,13 +36,13 @@
         if late > LATE {
             self.lateness += (late as f64 / SECOND as f64).min(MOST);
         }
-        self.unwell = self.lateness >= if self.unwell { WELL } else { UNWELL };
+        self.degraded = self.lateness >= if self.degraded { WELL } else { UNWELL };
         late > LATE
     }
 
     /// It should not believe what it sees.
-    pub fn unwell(&self) -> bool {
-        self.unwell
+    pub fn degraded(&self) -> bool {
+        self.degraded
     }
 }
 
--- a/crates/gossip/src/standing_health/tests.rs
+++ b/crates/gossip/src/local_health/tests.rs
@@ -4,15 +4,15 @@
 
 #[test]
 fn one_stop_or_many_short_ones_make_it_unwell_for_a_while() {
-    let mut health = Health::default();
+    let mut health = LocalHealth::default();
     let mut now = 0;
-    let mut run = |health: &mut Health, ticks: i64, late: Micros| {
+    let mut run = |health: &mut LocalHealth, ticks: i64, late: Micros| {
         for _ in 0..ticks {
             let due = now + SECOND / 10;
             now = due + late;
             health.woke(now, due);
         }
-        health.unwell()
+        health.degraded()
     };
     assert!(!run(&mut health, 100, SECOND / 20), "a little late");
     assert!(run(&mut health, 1, 3 * SECOND) && run(&mut health, 60, 0));
--- a/crates/gossip/src/roster.rs
+++ b/crates/gossip/src/membership_table.rs
@@ -24,13 +24,15 @@
 /// How somebody left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Left {
+pub enum Departure {
     /// It said so.
-    SaidSo,
+    #[serde(rename = "said_so")]
+    Announced,
     /// It was missed, and its zone was not.
     Failed,
     /// It was missed together with its zone, or with everybody.
-    CutOff,
+    #[serde(rename = "cut_off")]
+    Unreachable,
     /// It is configured as a seed and was never heard of.
     NeverSeen,
 }
@@ -47,22 +49,22 @@
     /// Since when it runs, as far as is known here.
     pub since: Micros,
     /// How it left, and when.
-    pub left: Option<(Left, Micros)>,
+    pub left: Option<(Departure, Micros)>,
     /// Another address under the same name, and since when; true once it is sure.
     pub twice: Option<(SocketAddr, Micros, bool)>,
     /// Until then its word does not count.
     pub quarantined: Option<Micros>,
-    said_so: Option<u64>,
+    announced: Option<u64>,
     flaps: (u32, Micros),
 }
 
 /// All of them, by the hash of the name.
 #[derive(Clone, Debug, Default)]
-pub struct Roster {
+pub struct MembershipTable {
     entries: HashMap<u64, Entry>,
 }
 
-impl Roster {
+impl MembershipTable {
     /// That one runs. True where it fails again and again and is quarantined from now on.
     pub fn up(&mut self, now: Micros, member: &Member, counts: bool) -> bool {
         let (origin, zone) = (hash(&member.name), hash(&member.zone));
@@ -78,7 +80,7 @@
                     left: None,
                     twice: None,
                     quarantined: None,
-                    said_so: None,
+                    announced: None,
                     flaps,
                 };
                 self.entries.insert(origin, entry);
@@ -94,7 +96,7 @@
         let crashed = entry.left.is_none()
             && other == member.address
             && member.incarnation > entry.member.incarnation + 1
-            && entry.said_so != Some(entry.member.incarnation);
+            && entry.announced != Some(entry.member.incarnation);
         if member.incarnation > entry.member.incarnation + 1 {
             entry.version = None;
         }
@@ -106,7 +108,7 @@
     }
 
     /// That one is missed. True where it is quarantined from now on.
-    pub fn down(&mut self, now: Micros, member: &Member, how: Left) -> bool {
+    pub fn down(&mut self, now: Micros, member: &Member, how: Departure) -> bool {
         let origin = hash(&member.name);
         let Some(entry) = self.entries.get_mut(&origin) else {
             return false;
@@ -116,12 +118,12 @@
             entry.twice = None;
             return false;
         }
-        let said_so = entry.said_so == Some(member.incarnation);
-        entry.left = Some((if said_so { Left::SaidSo } else { how }, now));
+        let announced = entry.announced == Some(member.incarnation);
+        entry.left = Some((if announced { Departure::Announced } else { how }, now));
         if let Some((other, ..)) = entry.twice.take() {
             (entry.member.address, entry.left) = (other, None);
         }
-        !said_so && how == Left::Failed && self.flapped(now, origin)
+        !announced && how == Departure::Failed && self.flapped(now, origin)
     }
 
     fn flapped(&mut self, now: Micros, origin: u64) -> bool {
@@ -145,15 +147,15 @@
     }
 
     /// That life said that it leaves.
-    pub fn said_so(&mut self, origin: u64, incarnation: u64) {
+    pub fn announced(&mut self, origin: u64, incarnation: u64) {
         let Some(entry) = self.entries.get_mut(&origin) else {
             return;
         };
-        entry.said_so = Some(incarnation);
+        entry.announced = Some(incarnation);
         if entry.member.incarnation == incarnation
             && let Some((left, _)) = &mut entry.left
         {
-            *left = Left::SaidSo;
+            *left = Departure::Announced;
         }
     }
 
@@ -167,7 +169,7 @@
     }
 
     /// Members of a zone that were missed not long ago were cut off with it, or, once that is known, died with it.
-    pub fn relabel(&mut self, zone: u64, since: Micros, from: Left, to: Left) {
+    pub fn relabel(&mut self, zone: u64, since: Micros, from: Departure, to: Departure) {
         for entry in self.entries.values_mut().filter(|e| e.zone == zone) {
             if let Some((left, at)) = &mut entry.left
                 && *left == from
@@ -223,7 +225,7 @@
         let mut zones = BTreeMap::<u64, (usize, usize)>::new();
         for entry in self.entries.values() {
             let runs = entry.left.is_none();
-            if runs || matches!(entry.left, Some((Left::CutOff, _))) {
+            if runs || matches!(entry.left, Some((Departure::Unreachable, _))) {
                 let (running, known) = zones.entry(entry.zone).or_default();
                 (*running, *known) = (*running + usize::from(runs), *known + 1);
             }
--- a/crates/gossip/src/datum.rs
+++ b/crates/gossip/src/observation.rs
@@ -14,16 +14,18 @@
 
 /// What one member saw of an endpoint last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Sign {
+pub enum ObservedHealth {
     /// It failed: an error, silence, no connection, a connection that broke.
-    Sick,
+    #[serde(rename = "Sick")]
+    Unhealthy,
     /// It served.
-    Well,
+    #[serde(rename = "Well")]
+    Healthy,
 }
 
 /// Evidence of one member on one endpoint process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Datum {
+pub struct Observation {
     /// Hash of the name of who saw it.
     pub origin: u64,
     /// Its life.
@@ -37,10 +39,10 @@
     /// Of what.
     pub process: Process,
     /// What.
-    pub sign: Sign,
+    pub health: ObservedHealth,
 }
 
-impl Datum {
+impl Observation {
     /// The order in which data of one table stand: the newest last.
     pub(crate) fn rank(&self) -> (Micros, u64, u64, u64) {
         (self.seen, self.origin, self.incarnation, self.sequence)
--- a/crates/gossip/src/evidence.rs
+++ b/crates/gossip/src/observation_table.rs
@@ -6,7 +6,7 @@
 //! Shapiro et al., "Conflict-free Replicated Data Types", SSS 2011, section 2.3).
 
 use crate::Micros;
-pub use crate::datum::{Datum, Process, Sign};
+pub use crate::observation::{Observation, ObservedHealth, Process};
 use std::collections::{BTreeMap, HashMap};
 
 /// Data kept for each endpoint process and zone: twice the witnesses that a verdict needs by default.
@@ -32,45 +32,48 @@
 /// All evidence that this member knows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Table {
-    of: BTreeMap<(Process, u64), Vec<Datum>>,
+    of: BTreeMap<(Process, u64), Vec<Observation>>,
     /// How many processes and zones each origin finds sick.
-    sick_by: HashMap<u64, usize>,
+    unhealthy_by: HashMap<u64, usize>,
 }
 
 impl Table {
     /// Takes in a datum.
-    pub fn merge(&mut self, datum: Datum) -> Merged {
-        let place = (datum.process, datum.zone);
+    pub fn merge(&mut self, observation: Observation) -> Merged {
+        let place = (observation.process, observation.zone);
         if !self.of.contains_key(&place) && self.of.len() >= MOST {
             return Merged::Full;
         }
         let data = self.of.entry(place).or_default();
-        match data.iter().position(|d| d.origin == datum.origin) {
-            Some(i) if data[i].rank() >= datum.rank() => return Merged::Known,
-            Some(i) => uncounted(&mut self.sick_by, &data.remove(i)),
+        match data.iter().position(|d| d.origin == observation.origin) {
+            Some(i) if data[i].rank() >= observation.rank() => return Merged::Known,
+            Some(i) => uncounted(&mut self.unhealthy_by, &data.remove(i)),
             None => {}
         }
-        let at = data.partition_point(|d| d.rank() > datum.rank());
+        let at = data.partition_point(|d| d.rank() > observation.rank());
         if at >= KEPT {
             return Merged::Known;
         }
-        let alike = data[..at].iter().filter(|d| d.sign == datum.sign).count();
-        if datum.sign == Sign::Sick {
-            *self.sick_by.entry(datum.origin).or_default() += 1;
+        let alike = data[..at]
+            .iter()
+            .filter(|d| d.health == observation.health)
+            .count();
+        if observation.health == ObservedHealth::Unhealthy {
+            *self.unhealthy_by.entry(observation.origin).or_default() += 1;
         }
-        data.insert(at, datum);
+        data.insert(at, observation);
         data.drain(KEPT.min(data.len())..)
-            .for_each(|d| uncounted(&mut self.sick_by, &d));
+            .for_each(|d| uncounted(&mut self.unhealthy_by, &d));
         Merged::New { alike }
     }
 
     /// How many processes and zones that origin finds sick.
-    pub fn sick_by(&self, origin: u64) -> usize {
-        self.sick_by.get(&origin).copied().unwrap_or(0)
+    pub fn unhealthy_by(&self, origin: u64) -> usize {
+        self.unhealthy_by.get(&origin).copied().unwrap_or(0)
     }
 
     /// What is known of a process, zone by zone, the newest first.
-    pub fn of(&self, process: Process) -> impl Iterator<Item = (u64, &[Datum])> {
+    pub fn of(&self, process: Process) -> impl Iterator<Item = (u64, &[Observation])> {
         self.of
             .range((process, 0)..=(process, u64::MAX))
             .map(|((_, zone), data)| (*zone, data.as_slice()))
@@ -87,11 +90,11 @@
 
     /// Drops what was seen before `since`.
     pub fn drop_before(&mut self, since: Micros) {
-        let sick_by = &mut self.sick_by;
+        let unhealthy_by = &mut self.unhealthy_by;
         self.of.retain(|_, data| {
             // The newest come first.
             let kept = data.partition_point(|d| d.seen >= since);
-            data.drain(kept..).for_each(|d| uncounted(sick_by, &d));
+            data.drain(kept..).for_each(|d| uncounted(unhealthy_by, &d));
             !data.is_empty()
         });
     }
@@ -108,13 +111,13 @@
 }
 
 /// One of those is gone.
-fn uncounted(sick_by: &mut HashMap<u64, usize>, datum: &Datum) {
-    if datum.sign == Sign::Sick
-        && let Some(count) = sick_by.get_mut(&datum.origin)
+fn uncounted(unhealthy_by: &mut HashMap<u64, usize>, observation: &Observation) {
+    if observation.health == ObservedHealth::Unhealthy
+        && let Some(count) = unhealthy_by.get_mut(&observation.origin)
     {
         *count -= 1;
         if *count == 0 {
-            sick_by.remove(&datum.origin);
+            unhealthy_by.remove(&observation.origin);
         }
     }
 }
--- a/crates/gossip/src/evidence/tests.rs
+++ b/crates/gossip/src/observation_table/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of `evidence.rs`.
+//! Tests of `observation_table.rs`.
 
 use super::*;
 use proptest::prelude::*;
 
-fn data() -> impl Strategy<Value = Vec<Datum>> {
-    let datum = (
+fn data() -> impl Strategy<Value = Vec<Observation>> {
+    let observation = (
         0u64..12,
         0u64..2,
         0u64..6,
@@ -13,21 +13,25 @@
         0u64..2,
         any::<bool>(),
     );
-    let datum = datum.prop_map(
-        |(origin, incarnation, sequence, zone, seen, name, well)| Datum {
+    let observation = observation.prop_map(
+        |(origin, incarnation, sequence, zone, seen, name, healthy)| Observation {
             origin,
             incarnation,
             sequence,
             zone,
             seen,
             process: Process { name, started: 0 },
-            sign: if well { Sign::Well } else { Sign::Sick },
+            health: if healthy {
+                ObservedHealth::Healthy
+            } else {
+                ObservedHealth::Unhealthy
+            },
         },
     );
-    proptest::collection::vec(datum, 0..60)
+    proptest::collection::vec(observation, 0..60)
 }
 
-fn merged<'a>(data: impl Iterator<Item = &'a Datum>) -> Table {
+fn merged<'a>(data: impl Iterator<Item = &'a Observation>) -> Table {
     let mut table = Table::default();
     data.for_each(|d| {
         table.merge(*d);
@@ -50,7 +54,7 @@
     fn order_repeats_and_grouping_change_nothing(mut data in data(), cut in 0usize..60, swaps in proptest::collection::vec(any::<prop::sample::Index>(), 0..60)) {
         // One origin never says two things under one number.
         data.iter_mut().for_each(|d| {
-            d.sign = if (d.seen + d.sequence as i64) % 2 == 0 { Sign::Well } else { Sign::Sick };
+            d.health = if (d.seen + d.sequence as i64) % 2 == 0 { ObservedHealth::Healthy } else { ObservedHealth::Unhealthy };
             d.incarnation = d.origin % 3;
         });
         let straight = merged(data.iter());
@@ -71,8 +75,8 @@
         let mut aged = straight;
         aged.drop_before(15);
         for origin in 0..12 {
-            let sick = |d: &&Datum| d.origin == origin && d.sign == Sign::Sick;
-            prop_assert_eq!(aged.sick_by(origin), aged.of.values().flatten().filter(sick).count());
+            let unhealthy = |d: &&Observation| d.origin == origin && d.health == ObservedHealth::Unhealthy;
+            prop_assert_eq!(aged.unhealthy_by(origin), aged.of.values().flatten().filter(unhealthy).count());
         }
     }
 }
@@ -83,35 +87,39 @@
         name: 1,
         started: 0,
     };
-    let datum = |origin, seen, sign| Datum {
+    let observation = |origin, seen, health| Observation {
         origin,
         incarnation: 1,
         sequence: seen as u64,
         zone: 0,
         seen,
         process,
-        sign,
+        health,
     };
     let mut table = Table::default();
     assert_eq!(
-        table.merge(datum(1, 5, Sign::Sick)),
+        table.merge(observation(1, 5, ObservedHealth::Unhealthy)),
         Merged::New { alike: 0 }
     );
     assert_eq!(
-        table.merge(datum(1, 4, Sign::Well)),
+        table.merge(observation(1, 4, ObservedHealth::Healthy)),
         Merged::Known,
         "it has said something else since"
     );
     assert_eq!(
-        table.merge(datum(2, 4, Sign::Sick)),
+        table.merge(observation(2, 4, ObservedHealth::Unhealthy)),
         Merged::New { alike: 1 }
     );
     assert_eq!(
-        table.merge(datum(1, 9, Sign::Well)),
+        table.merge(observation(1, 9, ObservedHealth::Healthy)),
         Merged::New { alike: 0 }
     );
     for origin in 3..20 {
-        table.merge(datum(origin, origin as i64 + 10, Sign::Sick));
+        table.merge(observation(
+            origin,
+            origin as i64 + 10,
+            ObservedHealth::Unhealthy,
+        ));
     }
     assert_eq!(table.len(), KEPT);
     let kept: Vec<u64> = table
@@ -130,23 +138,23 @@
 #[test]
 fn a_full_table_takes_no_further_process() {
     let mut table = Table::default();
-    let datum = |name| Datum {
+    let observation = |name| Observation {
         origin: 1,
         incarnation: 1,
         sequence: 1,
         zone: 0,
         seen: 1,
         process: Process { name, started: 0 },
-        sign: Sign::Sick,
+        health: ObservedHealth::Unhealthy,
     };
     (0..MOST as u64)
-        .for_each(|name| assert_eq!(table.merge(datum(name)), Merged::New { alike: 0 }));
-    assert_eq!(table.merge(datum(MOST as u64)), Merged::Full);
+        .for_each(|name| assert_eq!(table.merge(observation(name)), Merged::New { alike: 0 }));
+    assert_eq!(table.merge(observation(MOST as u64)), Merged::Full);
     assert_eq!(
-        table.merge(Datum {
+        table.merge(Observation {
             seen: 2,
             sequence: 2,
-            ..datum(0)
+            ..observation(0)
         }),
         Merged::New { alike: 0 }
     );
--- a/crates/gossip/src/section.rs
+++ b/crates/gossip/src/section.rs
@@ -32,21 +32,24 @@
     pub clock_offset: ClockOffset,
     /// Members that are expected at most: how often news of members are repeated follows from it.
     pub members: u32,
-    /// Others' word on endpoints.
-    pub verdicts: Verdicts,
+    /// Ejection of endpoints by the members' health observations.
+    #[serde(alias = "verdicts")]
+    pub ejection: EjectionSection,
     /// Requests with a key prefer an endpoint that has met it.
     pub affinity: Affinity,
-    /// Where this member stands, and what follows.
-    pub standing: StandingSection,
-    /// Which key is warm where, for all members; the host has it.
-    pub bindings: BindingsSection,
+    /// The connectivity state of this member, and what follows.
+    #[serde(alias = "standing")]
+    pub connectivity: ConnectivitySection,
+    /// Which key is cached where, for all members; the host has it.
+    #[serde(alias = "bindings")]
+    pub affinity_entries: BindingsSection,
 }
 
-/// Where a member stands, and what follows.
+/// The connectivity state of a member.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct StandingSection {
-    /// Whether it is found out; else it is whole, always.
+pub struct ConnectivitySection {
+    /// Whether it is found out; else it is connected, always.
     pub enabled: bool,
 }
 
@@ -64,20 +67,24 @@
     }
 }
 
-/// Others' word on endpoints.
+/// Ejection of endpoints by the members' health observations.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Verdicts {
-    /// Whether it is said and listened to.
+pub struct EjectionSection {
+    /// Whether observations are published and followed.
     pub enabled: bool,
-    /// The age from which evidence counts as never heard.
-    pub bound: Time,
-    /// Members of the own zone that must have found an endpoint sick.
-    pub witnesses: usize,
-    /// Part of the ready endpoints that may rest by others' word.
-    pub most_out: f64,
-    /// How long an endpoint rests before it is tried again; twice and four times that later on.
-    pub rest: Time,
+    /// The age from which an observation has no effect.
+    #[serde(alias = "bound")]
+    pub max_staleness: Time,
+    /// Members of the own zone that must have found an endpoint unhealthy.
+    #[serde(alias = "witnesses")]
+    pub min_reporters: usize,
+    /// Part of the ready endpoints that may be ejected.
+    #[serde(alias = "most_out")]
+    pub max_ejected: f64,
+    /// How long an endpoint is ejected before its first trial; trials then come every 3 and 6 times that.
+    #[serde(alias = "rest")]
+    pub ejection_time: Time,
 }
 
 /// Requests with a key prefer an endpoint that has met it.
@@ -86,8 +93,9 @@
 pub struct Affinity {
     /// Whether they do.
     pub enabled: bool,
-    /// Turns that an endpoint may be ahead of or behind its weight for that.
-    pub ahead: f64,
+    /// Picks by which an endpoint may be ahead of its weight for that; it may be owed eight times as many.
+    #[serde(alias = "ahead")]
+    pub max_ahead: f64,
 }
 
 impl Default for FleetSection {
@@ -102,23 +110,23 @@
             skew: Time::ms(500),
             clock_offset: ClockOffset::default(),
             members: 300,
-            verdicts: Verdicts::default(),
+            ejection: EjectionSection::default(),
             affinity: Affinity::default(),
-            standing: StandingSection::default(),
-            bindings: BindingsSection::default(),
+            connectivity: ConnectivitySection::default(),
+            affinity_entries: BindingsSection::default(),
         }
     }
 }
 
-impl Default for Verdicts {
+impl Default for EjectionSection {
     fn default() -> Self {
         // Three of the longest deadlines that the platform knows (4 s); the longest aim (1 s).
         Self {
             enabled: true,
-            bound: Time::ms(12_000),
-            witnesses: 3,
-            most_out: 0.5,
-            rest: Time::ms(1000),
+            max_staleness: Time::ms(12_000),
+            min_reporters: 3,
+            max_ejected: 0.5,
+            ejection_time: Time::ms(1000),
         }
     }
 }
@@ -127,7 +135,7 @@
     fn default() -> Self {
         Self {
             enabled: false,
-            ahead: 4.0,
+            max_ahead: 4.0,
         }
     }
 }
@@ -156,31 +164,33 @@
                 "needed where fleet.listen is no single address",
             );
         }
-        if self.verdicts.witnesses < 2 {
+        if self.ejection.min_reporters < 2 {
             return wrong(
-                "fleet.verdicts.witnesses",
+                "fleet.ejection.min_reporters",
                 "at least 2: one alone may be what is wrong",
             );
         }
-        if !(0.0..=0.9).contains(&self.verdicts.most_out) {
-            return wrong("fleet.verdicts.most_out", "0 to 0.9");
+        if !(0.0..=0.9).contains(&self.ejection.max_ejected) {
+            return wrong("fleet.ejection.max_ejected", "0 to 0.9");
         }
-        if self.verdicts.rest.0.is_zero() || self.verdicts.bound.0 < self.verdicts.rest.0 * 4 {
+        if self.ejection.ejection_time.0.is_zero()
+            || self.ejection.max_staleness.0 < self.ejection.ejection_time.0 * 4
+        {
             return wrong(
-                "fleet.verdicts.bound",
-                "at least 4 times fleet.verdicts.rest, or verdicts lapse between two trials",
+                "fleet.ejection.max_staleness",
+                "at least 4 times fleet.ejection.ejection_time, or ejections expire between two trials",
             );
         }
-        if !(0.0..=100.0).contains(&self.affinity.ahead) {
-            return wrong("fleet.affinity.ahead", "0 to 100 turns");
+        if !(0.0..=100.0).contains(&self.affinity.max_ahead) {
+            return wrong("fleet.affinity.max_ahead", "0 to 100 turns");
         }
-        if self.bindings.enabled && !self.affinity.enabled {
+        if self.affinity_entries.enabled && !self.affinity.enabled {
             return wrong(
-                "fleet.bindings.enabled",
-                "it needs fleet.affinity.enabled, within whose turns bindings are used",
+                "fleet.affinity_entries.enabled",
+                "it needs fleet.affinity.enabled, within whose slack affinity entries are used",
             );
         }
-        self.bindings.check()
+        self.affinity_entries.check()
     }
 
     /// Where other members send to.
--- a/crates/gossip/src/section/tests.rs
+++ b/crates/gossip/src/section/tests.rs
@@ -12,18 +12,27 @@
     };
     assert_eq!(key(|s| s.cluster.clear()), "fleet.cluster");
     assert_eq!(
-        key(|s| s.verdicts.witnesses = 1),
-        "fleet.verdicts.witnesses"
+        key(|s| s.ejection.min_reporters = 1),
+        "fleet.ejection.min_reporters"
     );
     assert_eq!(
-        key(|s| s.verdicts.bound = Time::ms(3999)),
-        "fleet.verdicts.bound"
+        key(|s| s.ejection.max_staleness = Time::ms(3999)),
+        "fleet.ejection.max_staleness"
     );
     assert_eq!(
         key(|s| s.listen.set_ip([0, 0, 0, 0].into())),
         "fleet.advertise"
     );
-    assert_eq!(key(|s| s.affinity.ahead = -1.0), "fleet.affinity.ahead");
-    assert_eq!(key(|s| s.bindings.enabled = true), "fleet.bindings.enabled");
-    assert_eq!(key(|s| s.bindings.keys = 0), "fleet.bindings.keys");
+    assert_eq!(
+        key(|s| s.affinity.max_ahead = -1.0),
+        "fleet.affinity.max_ahead"
+    );
+    assert_eq!(
+        key(|s| s.affinity_entries.enabled = true),
+        "fleet.affinity_entries.enabled"
+    );
+    assert_eq!(
+        key(|s| s.affinity_entries.keys = 0),
+        "fleet.affinity_entries.keys"
+    );
 }
--- a/crates/gossip/src/census.rs
+++ b/crates/gossip/src/summary.rs
@@ -1,35 +1,39 @@
 //! The content of `GET /fleet`.
 
+use crate::connectivity::{Connectivity, Direction};
 use crate::effects::Counts;
-use crate::evidence::Sign;
-use crate::roster::Left;
-use crate::standing::{Standing, Way};
+use crate::membership_table::Departure;
+use crate::observation_table::ObservedHealth;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 /// What `GET /fleet` shows.
 #[derive(Clone, Debug, Serialize)]
-pub struct Census {
+pub struct MembershipSummary {
     /// The fleet.
     pub cluster: String,
     /// This member.
-    pub me: MemberCensus,
+    pub me: MemberSummary,
     /// It finds most endpoints sick and says so to nobody.
     pub doubts_itself: bool,
     /// Where it stands.
-    pub standing: Standing,
+    #[serde(rename = "standing")]
+    pub connectivity: Connectivity,
     /// Zones that it is cut from, and which way.
     #[serde(skip_serializing_if = "BTreeMap::is_empty")]
-    pub cut: BTreeMap<String, Way>,
+    pub cut: BTreeMap<String, Direction>,
     /// All who are known, also those who left.
-    pub roster: Vec<RosterCensus>,
+    #[serde(rename = "roster")]
+    pub membership: Vec<MembershipEntrySummary>,
     /// The others that run.
-    pub members: Vec<MemberCensus>,
+    pub members: Vec<MemberSummary>,
     /// Endpoints that rest by others' word, and why.
-    pub rests: Vec<RestCensus>,
+    #[serde(rename = "rests")]
+    pub ejections: Vec<EjectionSummary>,
     /// Evidence held.
-    pub evidence: usize,
+    #[serde(rename = "evidence")]
+    pub observations: usize,
     /// What was dropped, by reason.
     pub dropped: BTreeMap<&'static str, u64>,
     /// What it has done so far.
@@ -38,7 +42,7 @@
 
 /// A member in it.
 #[derive(Clone, Debug, Serialize)]
-pub struct MemberCensus {
+pub struct MemberSummary {
     /// Its name.
     pub name: String,
     /// Its zone.
@@ -54,33 +58,37 @@
 
 /// An endpoint that rests.
 #[derive(Clone, Debug, Serialize)]
-pub struct RestCensus {
+pub struct EjectionSummary {
     /// Its name.
     pub endpoint: String,
     /// This member may try it now.
     pub trial: bool,
     /// For how long.
-    pub rests_for_s: f64,
+    #[serde(rename = "rests_for_s")]
+    pub ejected_for_s: f64,
     /// When that ends, where nothing more is heard.
-    pub lapses_in_s: f64,
+    #[serde(rename = "lapses_in_s")]
+    pub expires_in_s: f64,
     /// Who said what.
-    pub evidence: Vec<EvidenceCensus>,
+    #[serde(rename = "evidence")]
+    pub observations: Vec<ObservationSummary>,
 }
 
 /// What somebody said.
 #[derive(Clone, Debug, Serialize)]
-pub struct EvidenceCensus {
+pub struct ObservationSummary {
     /// Who.
     pub member: String,
     /// What.
-    pub sign: Sign,
+    #[serde(rename = "sign")]
+    pub health: ObservedHealth,
     /// How long ago it was seen.
     pub age_s: f64,
 }
 
 /// Somebody who is known.
 #[derive(Clone, Debug, Serialize)]
-pub struct RosterCensus {
+pub struct MembershipEntrySummary {
     /// The name; empty where only the address of a seed is known.
     pub name: String,
     /// The zone.
@@ -94,7 +102,7 @@
     pub version: Option<String>,
     /// How it left, if it did.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub left: Option<Left>,
+    pub left: Option<Departure>,
     /// Since when it runs, or has left.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub for_s: Option<f64>,
@@ -116,7 +124,8 @@
     /// Its zone.
     pub zone: String,
     /// Where it stands.
-    pub standing: &'static str,
+    #[serde(rename = "standing")]
+    pub connectivity: &'static str,
     /// Its standing lets it answer; if not, nothing of this counts.
     pub answers: bool,
     /// The endpoints of its list.
@@ -125,13 +134,15 @@
 
 /// How a server is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-#[serde(rename_all = "lowercase")]
 pub enum State {
     /// It has served somebody, within the bound, since anybody with enough witnesses found it sick.
-    Well,
+    #[serde(rename = "well")]
+    Healthy,
     /// Enough witnesses found it sick.
-    Sick,
+    #[serde(rename = "sick")]
+    Unhealthy,
     /// Neither.
+    #[serde(rename = "unknown")]
     Unknown,
 }
 
--- a/crates/gossip/src/tokens.rs
+++ b/crates/gossip/src/token_bucket.rs
@@ -4,12 +4,12 @@
 
 /// What may still be done.
 #[derive(Clone, Debug)]
-pub struct Tokens {
+pub struct TokenBucket {
     left: f64,
     at: Micros,
 }
 
-impl Tokens {
+impl TokenBucket {
     /// Full from the start.
     pub fn new(now: Micros, most: f64) -> Self {
         Self {
--- a/crates/gossip/src/trial.rs
+++ b/crates/gossip/src/trial.rs
@@ -1,8 +1,8 @@
 //! Trials of ejected endpoints: when one is due, and which member makes it.
 
 use crate::Micros;
-use crate::evidence::{Process, Sign};
-use crate::verdict::{Weighed, Weights};
+use crate::health_status::{EjectionPolicy, HealthStatus};
+use crate::observation_table::{ObservedHealth, Process};
 
 /// The time in which one trial is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -15,9 +15,14 @@
 
 /// The slot around `now` for a process that rests since then: longer the longer it rests, short once somebody was
 /// served. None where somebody has just looked.
-pub fn slot(now: Micros, since: Micros, weighed: &Weighed, weights: &Weights) -> Option<Slot> {
-    let (age, rest) = (now - since, weights.rest);
-    let recovering = matches!(weighed.newest, Some((Sign::Well, _)));
+pub fn slot(
+    now: Micros,
+    since: Micros,
+    status: &HealthStatus,
+    policy: &EjectionPolicy,
+) -> Option<Slot> {
+    let (age, rest) = (now - since, policy.ejection_time);
+    let recovering = matches!(status.newest, Some((ObservedHealth::Healthy, _)));
     let length = match age {
         _ if recovering => rest / 4,
         _ if age < rest => return None,
@@ -25,7 +30,7 @@
         _ => 6 * rest,
     }
     .max(1);
-    let seen = weighed.newest.map_or(since, |(_, seen)| seen);
+    let seen = status.newest.map_or(since, |(_, seen)| seen);
     if !recovering && now - seen < length / 2 {
         return None;
     }
--- a/crates/gossip/src/trial/tests.rs
+++ b/crates/gossip/src/trial/tests.rs
@@ -7,32 +7,31 @@
     name: 1,
     started: 0,
 };
-const W: Weights = Weights {
-    bound: 12 * SECOND,
-    witnesses: 3,
-    rest: SECOND,
+const W: EjectionPolicy = EjectionPolicy {
+    max_staleness: 12 * SECOND,
+    min_reporters: 3,
+    ejection_time: SECOND,
 };
 
 #[test]
 fn one_trial_falls_into_each_slot_and_slots_grow_longer() {
-    let resting = Weighed {
-        sick: true,
-        newest: Some((Sign::Sick, 0)),
-        ..Weighed::default()
+    let ejected = HealthStatus {
+        unhealthy: true,
+        newest: Some((ObservedHealth::Unhealthy, 0)),
+        ..HealthStatus::default()
     };
-    let lengths = |weighed: &Weighed| {
-        [0, 1, 3, 4, 30]
-            .map(|at| slot(at * SECOND, 0, weighed, &W).map(|slot| slot.length / SECOND))
+    let lengths = |status: &HealthStatus| {
+        [0, 1, 3, 4, 30].map(|at| slot(at * SECOND, 0, status, &W).map(|slot| slot.length / SECOND))
     };
-    assert_eq!(lengths(&resting), [None, None, Some(3), Some(6), Some(6)]);
-    let served = Weighed {
-        newest: Some((Sign::Well, 0)),
-        ..resting.clone()
+    assert_eq!(lengths(&ejected), [None, None, Some(3), Some(6), Some(6)]);
+    let served = HealthStatus {
+        newest: Some((ObservedHealth::Healthy, 0)),
+        ..ejected.clone()
     };
     assert!(slot(0, 0, &served, &W).is_some_and(|slot| slot.length == SECOND / 4));
-    let looked = Weighed {
-        newest: Some((Sign::Sick, 28 * SECOND)),
-        ..resting
+    let looked = HealthStatus {
+        newest: Some((ObservedHealth::Unhealthy, 28 * SECOND)),
+        ..ejected
     };
     assert_eq!(
         slot(30 * SECOND, 0, &looked, &W),
--- a/crates/gossip/src/udp.rs
+++ b/crates/gossip/src/udp.rs
@@ -2,9 +2,9 @@
 
 mod calls;
 mod driver;
-mod others;
+mod peers;
 
-use crate::core::{Carried, Core, Word};
+use crate::core::{CarriedFragment, Core, EjectionUpdate};
 use crate::effects::Note;
 use crate::section::FleetSection;
 use crate::{Micros, hash};
@@ -17,12 +17,12 @@
 /// A clock: microseconds of Unix time.
 pub type Clock = Rc<dyn Fn() -> Micros>;
 /// Who is told of words.
-pub type Told = Rc<dyn Fn(Vec<Word>)>;
+pub type EjectionHandler = Rc<dyn Fn(Vec<EjectionUpdate>)>;
 
 /// Who is told of what people should know.
-pub type Notes = Rc<dyn Fn(Note)>;
+pub type NoteHandler = Rc<dyn Fn(Note)>;
 /// Who is told of what was carried here.
-pub type Carries = Rc<dyn Fn(Vec<Carried>)>;
+pub type FragmentHandler = Rc<dyn Fn(Vec<CarriedFragment>)>;
 
 /// A member that runs.
 #[derive(Clone)]
@@ -31,9 +31,9 @@
     socket: Rc<UdpSocket>,
     clock: Clock,
     offset: Micros,
-    told: Told,
-    carries: Rc<RefCell<Option<Carries>>>,
-    notes: Rc<RefCell<Option<Notes>>>,
+    told: EjectionHandler,
+    carries: Rc<RefCell<Option<FragmentHandler>>>,
+    notes: Rc<RefCell<Option<NoteHandler>>>,
     /// When it wakes up next, and what wakes it up before.
     wakes: Rc<Cell<Micros>>,
     wake: Rc<Notify>,
@@ -50,7 +50,7 @@
         name: &str,
         zone: &str,
         clock: Clock,
-        told: Told,
+        told: EjectionHandler,
         incarnation: Option<u64>,
     ) -> io::Result<Self> {
         let socket = UdpSocket::bind(section.listen)?;
@@ -94,12 +94,12 @@
             // Datagrams may be lost, so one that cannot leave now is.
             let _ = self.socket.send_to(&bytes, to);
         }
-        if !effects.words.is_empty() {
+        if !effects.ejections.is_empty() {
             effects
-                .words
+                .ejections
                 .iter_mut()
-                .for_each(|word| word.until -= self.offset);
-            (self.told)(effects.words);
+                .for_each(|update| update.expires -= self.offset);
+            (self.told)(effects.ejections);
         }
         if !effects.carried.is_empty() {
             let carries = self.carries.borrow().clone();
--- a/crates/gossip/src/udp/calls.rs
+++ b/crates/gossip/src/udp/calls.rs
@@ -1,19 +1,19 @@
 //! What other tasks of the thread tell a member and ask of it.
 
-use super::{Carries, Fleet, Notes};
-use crate::carrier::NotCarried;
-use crate::census::Servers;
-use crate::core::{Census, Core, Listed};
-use crate::evidence::Sign;
+use super::{Fleet, FragmentHandler, NoteHandler};
+use crate::core::{Core, Listed, MembershipSummary};
+use crate::fragments::FragmentRefused;
+use crate::observation_table::ObservedHealth;
+use crate::summary::Servers;
 
 impl Fleet {
     /// From now on that one is told of what is carried here; until then it is dropped.
-    pub fn on_carried(&self, carries: Carries) {
+    pub fn on_carried(&self, carries: FragmentHandler) {
         *self.carries.borrow_mut() = Some(carries);
     }
 
     /// From now on that one is told of what people should know.
-    pub fn on_notes(&self, notes: Notes) {
+    pub fn on_notes(&self, notes: NoteHandler) {
         *self.notes.borrow_mut() = Some(notes);
     }
 
@@ -26,7 +26,7 @@
     ///
     /// # Errors
     /// Why it is not.
-    pub fn carry(&self, kind: u8, bytes: &[u8]) -> Result<(), NotCarried> {
+    pub fn carry(&self, kind: u8, bytes: &[u8]) -> Result<(), FragmentRefused> {
         self.with(|core, now| core.carry(now, kind, bytes))
     }
 
@@ -34,7 +34,7 @@
     ///
     /// # Errors
     /// Why it is not.
-    pub fn carry_to(&self, to: u64, kind: u8, bytes: &[u8]) -> Result<(), NotCarried> {
+    pub fn carry_to(&self, to: u64, kind: u8, bytes: &[u8]) -> Result<(), FragmentRefused> {
         self.with(|core, now| core.carry_to(now, to, kind, bytes))
     }
 
@@ -59,8 +59,8 @@
     }
 
     /// An endpoint has served this member, or has not.
-    pub fn witness(&self, endpoint: usize, sign: Sign) {
-        self.with(|core, now| core.witness(now, endpoint, sign));
+    pub fn observe(&self, endpoint: usize, health: ObservedHealth) {
+        self.with(|core, now| core.observe(now, endpoint, health));
     }
 
     /// Tells the others that it leaves.
@@ -74,7 +74,7 @@
     }
 
     /// What people want to see.
-    pub fn census(&self) -> Census {
-        self.with(|core, now| core.census(now))
+    pub fn summary(&self) -> MembershipSummary {
+        self.with(|core, now| core.summary(now))
     }
 }
--- a/crates/gossip/src/udp/others.rs
+++ b/crates/gossip/src/udp/peers.rs
@@ -1,7 +1,7 @@
 //! The other members, for whoever hosts message parts of its own.
 
 use super::Fleet;
-use crate::core::Others;
+use crate::core::Peers;
 
 impl Fleet {
     /// The hash of the own name.
@@ -9,8 +9,8 @@
         self.core.borrow().origin()
     }
 
-    /// Who is there; see [`Others`].
-    pub fn others(&self) -> Others {
-        self.with(|core, now| core.others(now))
+    /// Who is there; see [`Peers`].
+    pub fn peers(&self) -> Peers {
+        self.with(|core, now| core.peers(now))
     }
 }
--- a/crates/gossip/src/standing_views.rs
+++ b/crates/gossip/src/view_comparison.rs
@@ -67,14 +67,14 @@
 
 /// What came of comparing.
 #[derive(Clone, Debug, Default)]
-pub struct Views {
+pub struct ViewComparison {
     last: VecDeque<bool>,
     /// Since when most differ, or most agree.
     most: Option<(bool, Micros)>,
-    disputed: bool,
+    divergent: bool,
 }
 
-impl Views {
+impl ViewComparison {
     /// A view was compared.
     pub fn compared(&mut self, now: Micros, differs: bool) {
         if self.last.len() == COMPARED {
@@ -89,13 +89,13 @@
     }
 
     /// Whether they differ for longer than news need.
-    pub fn disputed(&mut self, now: Micros) -> bool {
+    pub fn divergent(&mut self, now: Micros) -> bool {
         match self.most {
-            Some((true, since)) if now - since >= NEWS_NEED => self.disputed = true,
-            Some((false, since)) if now - since >= SETTLED => self.disputed = false,
+            Some((true, since)) if now - since >= NEWS_NEED => self.divergent = true,
+            Some((false, since)) if now - since >= SETTLED => self.divergent = false,
             _ => {}
         }
-        self.disputed
+        self.divergent
     }
 }
 
--- a/crates/gossip/src/standing_views/tests.rs
+++ b/crates/gossip/src/view_comparison/tests.rs
@@ -19,14 +19,14 @@
 
 #[test]
 fn a_dispute_takes_longer_than_news_and_ends_once_views_settle() {
-    let mut views = Views::default();
+    let mut views = ViewComparison::default();
     let mut at = 0;
-    let mut run = |views: &mut Views, seconds: i64, differs: bool| {
+    let mut run = |views: &mut ViewComparison, seconds: i64, differs: bool| {
         for _ in 0..2 * seconds {
             at += SECOND / 2;
             views.compared(at, differs);
         }
-        views.disputed(at)
+        views.divergent(at)
     };
     assert!(!run(&mut views, 10, false) && !run(&mut views, 11, true));
     assert!(run(&mut views, 3, true) && run(&mut views, 2, false));
--- a/crates/gossip/src/standing_heard.rs
+++ b/crates/gossip/src/zone_contacts.rs
@@ -11,7 +11,7 @@
 
 /// Who heard whom.
 #[derive(Clone, Debug, Default)]
-pub struct Heard {
+pub struct ZoneContacts {
     zones: Vec<u64>,
     /// When somebody of the first zone last heard somebody of the second.
     pairs: HashMap<(u64, u64), Micros>,
@@ -22,7 +22,7 @@
     any: Option<Micros>,
 }
 
-impl Heard {
+impl ZoneContacts {
     fn follow(&mut self, zone: u64) -> bool {
         let known = self.zones.contains(&zone);
         let room = self.zones.len() < MOST_ZONES;
--- a/crates/gossip/src/standing_zone.rs
+++ b/crates/gossip/src/zone_reachability.rs
@@ -5,8 +5,8 @@
 //! difference between silence and loss: with three datagrams in ten lost each way 26 answers fail together once in
 //! 40 million doubts that nobody else of the zone could end. Only what can have been answered counts as unanswered.
 
-use crate::standing::Way;
-use crate::standing_heard::Heard;
+use crate::connectivity::Direction;
+use crate::zone_contacts::ZoneContacts;
 use crate::{Micros, SECOND};
 
 /// Silence from which on a zone is asked: some gaps between two words from it to anybody of the own zone.
@@ -39,7 +39,7 @@
 
 /// What is known of a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Zone {
+pub struct ZoneFacts {
     /// Hash of its name.
     pub zone: u64,
     /// Members known to run there, this one included.
@@ -54,13 +54,13 @@
 
 /// Probes since somebody was heard.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Asking {
+pub struct ProbeSchedule {
     next: Micros,
     /// How many.
     pub asked: u32,
 }
 
-impl Asking {
+impl ProbeSchedule {
     /// How many are to be sent now.
     pub fn round(&mut self, now: Micros, pause: Micros) -> usize {
         if now < self.next {
@@ -77,21 +77,21 @@
 struct Silent {
     /// When that was concluded.
     at: Micros,
-    way: Way,
+    direction: Direction,
     died: bool,
     heard_since: Option<Micros>,
 }
 
 /// One zone, followed.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Followed {
-    asking: Asking,
+pub struct ZoneReachability {
+    asking: ProbeSchedule,
     silent: Option<Silent>,
 }
 
 /// What came of a look.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Looked {
+pub struct ZoneAssessment {
     /// Members of it to be asked.
     pub ask: usize,
     /// It may be lost in a moment.
@@ -100,10 +100,10 @@
     pub next: Micros,
 }
 
-impl Followed {
+impl ZoneReachability {
     /// Which way it is lost, where it did not die.
-    pub fn lost(&self) -> Option<Way> {
-        self.silent.filter(|s| !s.died).map(|s| s.way)
+    pub fn lost(&self) -> Option<Direction> {
+        self.silent.filter(|s| !s.died).map(|s| s.direction)
     }
 
     /// It died.
@@ -113,7 +113,8 @@
 
     /// It is not heard.
     pub fn silent(&self) -> bool {
-        self.silent.is_some_and(|s| s.way != Way::ToThem)
+        self.silent
+            .is_some_and(|s| s.direction != Direction::ToThem)
     }
 
     /// When it was lost.
@@ -125,10 +126,10 @@
     pub fn look(
         &mut self,
         now: Micros,
-        (here, z, all): (u64, &Zone, usize),
-        heard: &Heard,
+        (here, z, all): (u64, &ZoneFacts, usize),
+        heard: &ZoneContacts,
         baseline: Micros,
-    ) -> Looked {
+    ) -> ZoneAssessment {
         let age = |at: Option<Micros>| now - at.unwrap_or(baseline).max(baseline);
         let (from, to) = (age(heard.last(here, z.zone)), age(heard.last(z.zone, here)));
         let small = z.known < FEW || z.known * SMALL_PART < all;
@@ -153,29 +154,33 @@
             let from_lost = (from >= LOST && asked(ASKED)) || (own >= OWN_LOST && asked(ASKED_OWN));
             lost = (from_lost, to >= LOST_TOLD && asked(ASKED));
         }
-        let was = self.silent.map(|s| s.way);
+        let was = self.silent.map(|s| s.direction);
         let heard_since = |s: Silent| heard.last(z.zone, here).is_some_and(|at| at > s.at);
-        let way = match (lost, self.silent) {
-            ((true, _), _) if to >= LOST_THROUGH => Some(Way::Both),
-            ((true, _), Some(s)) if s.way == Way::FromThem || heard_since(s) => Some(Way::FromThem),
-            ((true, _), None) if to <= DOUBT_TOLD => Some(Way::FromThem),
-            ((true, _), _) => Some(Way::Both),
+        let direction = match (lost, self.silent) {
+            ((true, _), _) if to >= LOST_THROUGH => Some(Direction::Both),
+            ((true, _), Some(s)) if s.direction == Direction::FromThem || heard_since(s) => {
+                Some(Direction::FromThem)
+            }
+            ((true, _), None) if to <= DOUBT_TOLD => Some(Direction::FromThem),
+            ((true, _), _) => Some(Direction::Both),
             // Silence that is not yet loss may be the same cut, of which their word came a little later.
-            ((false, true), _) if from <= DOUBT => Some(Way::ToThem),
+            ((false, true), _) if from <= DOUBT => Some(Direction::ToThem),
             ((false, true), _) => was,
             ((false, false), _) => None,
         };
-        match (&mut self.silent, way) {
+        match (&mut self.silent, direction) {
             (None, None) => {}
-            (None, Some(way)) => {
+            (None, Some(direction)) => {
                 self.silent = Some(Silent {
                     at: now,
-                    way,
+                    direction,
                     died: false,
                     heard_since: None,
                 })
             }
-            (Some(silent), Some(way)) => (silent.way, silent.heard_since) = (way, None),
+            (Some(silent), Some(direction)) => {
+                (silent.direction, silent.heard_since) = (direction, None)
+            }
             (Some(silent), None) => {
                 if !doubted {
                     silent.heard_since.get_or_insert(now);
@@ -188,14 +193,14 @@
         if let Some(silent) = &mut self.silent {
             // Members of other zones and servers there speak for its life, then discovery; where nobody can tell, it is
             // cut off.
-            let lives = silent.way != Way::Both
+            let lives = silent.direction != Direction::Both
                 || heard.elsewhere(here, z.zone, silent.at)
                 || z.served.is_some_and(|at| at > silent.at);
             silent.died = !lives && z.listed == Some(false);
         }
         let calm = (DOUBT - from).min(DOUBT_TOLD - to).max(0) + 1;
         let next = now + if doubted { ROUND / 2 } else { calm };
-        Looked {
+        ZoneAssessment {
             ask,
             doubted: doubted && self.silent.is_none(),
             next,
--- a/crates/gossip/src/standing_zone/tests.rs
+++ b/crates/gossip/src/zone_reachability/tests.rs
@@ -4,12 +4,12 @@
 
 #[test]
 fn a_zone_is_lost_only_once_enough_probes_had_time_to_be_answered_and_soon_enough() {
-    let (mut followed, mut heard) = (Followed::default(), Heard::default());
-    let z = Zone {
+    let (mut followed, mut heard) = (ZoneReachability::default(), ZoneContacts::default());
+    let z = ZoneFacts {
         zone: 2,
         running: 20,
         known: 20,
-        ..Zone::default()
+        ..ZoneFacts::default()
     };
     heard.came(0, 1, 2, true);
     let mut sent = Vec::new();
--- a/crates/gossip/tests/standing.rs
+++ b/crates/gossip/tests/connectivity.rs
@@ -3,10 +3,10 @@
 mod lan;
 
 use lan::{Lan, listed};
-use load_balancer_gossip::census::State;
+use load_balancer_gossip::connectivity::{ConnectivityState, Direction};
 use load_balancer_gossip::effects::Note;
-use load_balancer_gossip::evidence::Sign;
-use load_balancer_gossip::standing::{Kind, Way};
+use load_balancer_gossip::observation_table::ObservedHealth;
+use load_balancer_gossip::summary::State;
 use load_balancer_gossip::{Micros, SECOND, hash};
 
 const PERIOD: Micros = SECOND;
@@ -16,15 +16,15 @@
     [(a, b), (b, a)]
 }
 
-fn all_are(lan: &Lan, kind: Kind) -> bool {
-    lan.standings().iter().all(|k| *k == kind)
+fn all_are(lan: &Lan, kind: ConnectivityState) -> bool {
+    lan.connectivity_states().iter().all(|k| *k == kind)
 }
 
 /// A member's cuts by zone, in their order, and whether it is on the larger side.
-fn cut(lan: &Lan, member: usize) -> (Vec<(char, Way)>, Option<bool>) {
-    let standing = lan.cores[member]
+fn cut(lan: &Lan, member: usize) -> (Vec<(char, Direction)>, Option<bool>) {
+    let connectivity = lan.cores[member]
         .as_ref()
-        .map(|core| core.standing().clone())
+        .map(|core| core.connectivity().clone())
         .unwrap_or_default();
     let name = |zone: u64| {
         ['a', 'b', 'c']
@@ -32,13 +32,13 @@
             .find(|z| hash(&z.to_string()) == zone)
             .unwrap_or('?')
     };
-    let mut zones: Vec<_> = standing
+    let mut zones: Vec<_> = connectivity
         .cut
         .iter()
-        .map(|(zone, way)| (name(*zone), *way))
+        .map(|(zone, direction)| (name(*zone), *direction))
         .collect();
     zones.sort_unstable_by_key(|(zone, _)| *zone);
-    (zones, standing.larger)
+    (zones, connectivity.larger)
 }
 
 /// A cut is concluded within three probe periods by all, with its zones, way and sides; healed, all are whole again and
@@ -49,7 +49,7 @@
         let mut lan = Lan::settled(60, seed);
         lan.run(20 * SECOND);
         assert!(
-            lan.notes.is_empty() && all_are(&lan, Kind::Whole),
+            lan.notes.is_empty() && all_are(&lan, ConnectivityState::Connected),
             "seed {seed}: {:?}",
             lan.notes
         );
@@ -57,9 +57,9 @@
         lan.cuts = [both(0, 1), both(0, 2)].concat();
         lan.run(3 * PERIOD);
         assert!(
-            all_are(&lan, Kind::Cut),
+            all_are(&lan, ConnectivityState::Partitioned),
             "seed {seed}: {:?}",
-            lan.standings()
+            lan.connectivity_states()
         );
         lan.run(2 * SECOND);
         let sides: Vec<_> = (0..60)
@@ -68,8 +68,8 @@
             .collect();
         assert!(sides.is_empty(), "seed {seed}: {sides:?}");
         let wrong = |lan: &Lan, m: usize| match m % 3 {
-            0 => cut(lan, m).0 != [('b', Way::Both), ('c', Way::Both)],
-            _ => cut(lan, m).0 != [('a', Way::Both)],
+            0 => cut(lan, m).0 != [('b', Direction::Both), ('c', Direction::Both)],
+            _ => cut(lan, m).0 != [('a', Direction::Both)],
         };
         assert_eq!(
             (0..60).filter(|m| wrong(&lan, *m)).count(),
@@ -78,7 +78,7 @@
         );
         // Long enough that membership has given them up.
         lan.run(30 * SECOND);
-        assert!(all_are(&lan, Kind::Cut), "seed {seed}");
+        assert!(all_are(&lan, ConnectivityState::Partitioned), "seed {seed}");
         assert!(lost > 0.0 || lan.cores.iter().flatten().all(|c| c.members() < 45));
         (lan.lost, lan.cuts) = (0.0, Vec::new());
         let sent = |lan: &Lan| {
@@ -91,9 +91,9 @@
         let before = sent(&lan);
         lan.run(15 * SECOND);
         assert!(
-            all_are(&lan, Kind::Whole),
+            all_are(&lan, ConnectivityState::Connected),
             "seed {seed}: {:?}",
-            lan.standings()
+            lan.connectivity_states()
         );
         assert_eq!(lan.known(), [59; 60], "seed {seed}");
         let most = sent(&lan)
@@ -114,20 +114,25 @@
     let mut lan = Lan::settled(60, 4);
     lan.cuts = vec![(0, 1)];
     lan.run(3 * PERIOD);
-    let of = |lan: &Lan, zone: usize, way: (char, Way)| {
+    let of = |lan: &Lan, zone: usize, direction: (char, Direction)| {
         (zone..60)
             .step_by(3)
-            .filter(|m| cut(lan, *m).0 == [way])
+            .filter(|m| cut(lan, *m).0 == [direction])
             .count()
     };
-    assert!((0..60).all(|m| lan.standings()[m] == [Kind::Cut, Kind::Cut, Kind::Whole][m % 3]));
+    assert!((0..60).all(|m| lan.connectivity_states()[m]
+        == [
+            ConnectivityState::Partitioned,
+            ConnectivityState::Partitioned,
+            ConnectivityState::Connected
+        ][m % 3]));
     // Which way it is comes through the third zone, and then stays.
     lan.run(7 * PERIOD);
     for _ in 0..20 {
         assert_eq!(
             (
-                of(&lan, 0, ('b', Way::ToThem)),
-                of(&lan, 1, ('a', Way::FromThem))
+                of(&lan, 0, ('b', Direction::ToThem)),
+                of(&lan, 1, ('a', Direction::FromThem))
             ),
             (20, 20)
         );
@@ -147,10 +152,15 @@
     let mut lan = Lan::settled(60, 5);
     lan.cuts = [both(0, 1), both(1, 2), both(0, 2)].concat();
     lan.run(3 * PERIOD);
-    assert!(all_are(&lan, Kind::Cut));
+    assert!(all_are(&lan, ConnectivityState::Partitioned));
     lan.run(SECOND);
     assert!((0..60).all(|m| cut(&lan, m).0.len() == 2 && cut(&lan, m).1 == Some(false)));
-    assert!(lan.cores.iter().flatten().all(|c| !c.standing().answers()));
+    assert!(
+        lan.cores
+            .iter()
+            .flatten()
+            .all(|c| !c.connectivity().answers())
+    );
 }
 
 /// A member that nothing reaches is alone, and no other one is moved by that; back again, it is whole.
@@ -160,15 +170,21 @@
     lan.isolated = vec![7];
     lan.run(3 * PERIOD);
     let alone: Vec<usize> = (0..18)
-        .filter(|m| lan.standings()[*m] == Kind::Alone)
+        .filter(|m| lan.connectivity_states()[*m] == ConnectivityState::Isolated)
         .collect();
     assert_eq!(alone, [7]);
-    assert!((0..18).all(|m| m == 7 || lan.standings()[m] == Kind::Whole));
+    assert!(
+        (0..18).all(|m| m == 7 || lan.connectivity_states()[m] == ConnectivityState::Connected)
+    );
     lan.run(20 * SECOND);
-    assert_eq!(lan.standings()[7], Kind::Alone);
+    assert_eq!(lan.connectivity_states()[7], ConnectivityState::Isolated);
     lan.isolated.clear();
     lan.run(20 * SECOND);
-    assert!(all_are(&lan, Kind::Whole), "{:?}", lan.standings());
+    assert!(
+        all_are(&lan, ConnectivityState::Connected),
+        "{:?}",
+        lan.connectivity_states()
+    );
 }
 
 /// Who was stopped suspects itself first: it is unwell for a while, and takes nobody for lost.
@@ -179,21 +195,24 @@
         lan.stopped[member] = lan.now + 6 * SECOND;
     }
     lan.run(7 * SECOND);
-    assert!((0..3).all(|m| lan.standings()[m] == Kind::Unwell));
+    assert!((0..3).all(|m| lan.connectivity_states()[m] == ConnectivityState::Degraded));
     lan.run(25 * SECOND);
-    assert!(all_are(&lan, Kind::Whole));
+    assert!(all_are(&lan, ConnectivityState::Connected));
     let kinds = |m: usize| {
         lan.notes
             .iter()
             .filter(move |n| n.1 == m)
             .map(|n| match &n.2 {
-                Note::Standing { standing, .. } => Some(standing.kind),
+                Note::Connectivity { connectivity, .. } => Some(connectivity.kind),
                 _ => None,
             })
     };
     for m in 0..3 {
         assert!(
-            kinds(m).all(|k| matches!(k, Some(Kind::Unwell | Kind::Whole))),
+            kinds(m).all(|k| matches!(
+                k,
+                Some(ConnectivityState::Degraded | ConnectivityState::Connected)
+            )),
             "{:?}",
             lan.notes
         );
@@ -222,14 +241,14 @@
         lan.run(SECOND);
         match second {
             3..19 => assert!(
-                all_are(&lan, Kind::Cut),
+                all_are(&lan, ConnectivityState::Partitioned),
                 "second {second}: {:?}",
-                lan.standings()
+                lan.connectivity_states()
             ),
             23.. => assert!(
-                all_are(&lan, Kind::Whole),
+                all_are(&lan, ConnectivityState::Connected),
                 "second {second}: {:?}",
-                lan.standings()
+                lan.connectivity_states()
             ),
             _ => {}
         }
@@ -240,16 +259,22 @@
 #[test]
 fn members_without_standing_are_heard_and_answer() {
     let mut lan = Lan::settled(60, 9);
-    lan.standing = false;
+    lan.connectivity = false;
     (0..60)
         .filter(|m| m / 3 % 3 == 0)
         .for_each(|m| lan.start(m));
     lan.run(20 * SECOND);
-    assert!(all_are(&lan, Kind::Whole), "{:?}", lan.standings());
+    assert!(
+        all_are(&lan, ConnectivityState::Connected),
+        "{:?}",
+        lan.connectivity_states()
+    );
     lan.cuts = [both(0, 1), both(0, 2)].concat();
     lan.run(4 * PERIOD);
     let wrong = (0..60)
-        .filter(|m| (m / 3 % 3 != 0) != (lan.standings()[*m] == Kind::Cut))
+        .filter(|m| {
+            (m / 3 % 3 != 0) != (lan.connectivity_states()[*m] == ConnectivityState::Partitioned)
+        })
         .count();
     assert_eq!(wrong, 0);
 }
@@ -258,9 +283,9 @@
 #[test]
 fn servers_are_well_where_somebody_was_served_and_sick_where_enough_were_not() {
     let mut lan = Lan::settled(18, 10);
-    lan.sees([0, 1, 2], 4, Sign::Sick);
-    lan.sees([0], 5, Sign::Well);
-    lan.sees([0], 6, Sign::Sick);
+    lan.sees([0, 1, 2], 4, ObservedHealth::Unhealthy);
+    lan.sees([0], 5, ObservedHealth::Healthy);
+    lan.sees([0], 6, ObservedHealth::Unhealthy);
     lan.run(SECOND);
     let states = |lan: &Lan| {
         let told = lan.cores[0]
@@ -268,7 +293,7 @@
             .map(|core| core.servers(lan.now))
             .expect("it runs");
         assert!(
-            told.answers && told.standing == "whole" && told.member == "n0" && told.zone == "a"
+            told.answers && told.connectivity == "whole" && told.member == "n0" && told.zone == "a"
         );
         assert_eq!(told.servers.len(), lan::ENDPOINTS);
         [4, 5, 6, 7].map(|n| {
@@ -281,7 +306,7 @@
     let seen = states(&lan);
     assert_eq!(
         seen[..2],
-        [Some((State::Sick, 1000)), Some((State::Well, 1000))]
+        [Some((State::Unhealthy, 1000)), Some((State::Healthy, 1000))]
     );
     assert!(
         seen[2..]
--- a/crates/gossip/tests/standing_long.rs
+++ b/crates/gossip/tests/connectivity_long.rs
@@ -5,8 +5,8 @@
 
 use lan::Lan;
 use load_balancer_gossip::SECOND;
+use load_balancer_gossip::connectivity::ConnectivityState;
 use load_balancer_gossip::effects::Note;
-use load_balancer_gossip::standing::Kind;
 
 /// A number from the environment, for runs by hand.
 fn asked(name: &str, usually: usize) -> usize {
@@ -28,19 +28,19 @@
         lan.lost = 0.3;
         lan.run(minutes as i64 * 60 * SECOND);
         for (at, member, note) in &lan.notes {
-            let Note::Standing { standing, .. } = note else {
+            let Note::Connectivity { connectivity, .. } = note else {
                 continue;
             };
-            match standing.kind {
-                Kind::Cut | Kind::Alone => {
+            match connectivity.kind {
+                ConnectivityState::Partitioned | ConnectivityState::Isolated => {
                     wrong += 1;
                     println!(
-                        "seed {seed}, {} s: n{member} {standing:?}",
+                        "seed {seed}, {} s: n{member} {connectivity:?}",
                         (at - lan::EPOCH) / SECOND
                     );
                 }
-                Kind::Disputed | Kind::Unwell => others += 1,
-                Kind::Whole => {}
+                ConnectivityState::Divergent | ConnectivityState::Degraded => others += 1,
+                ConnectivityState::Connected => {}
             }
         }
     }
@@ -61,20 +61,29 @@
     let members = asked("FLEET_MEMBERS", 120);
     for seed in [asked("FLEET_SEED", 1) as u64] {
         let mut lan = Lan::acquainted(members, seed);
-        let wrong = |lan: &Lan, kind| lan.standings().iter().filter(|k| **k != kind).count();
-        assert_eq!(wrong(&lan, Kind::Whole), 0, "seed {seed}");
+        let wrong = |lan: &Lan, kind| {
+            lan.connectivity_states()
+                .iter()
+                .filter(|k| **k != kind)
+                .count()
+        };
+        assert_eq!(wrong(&lan, ConnectivityState::Connected), 0, "seed {seed}");
         lan.cuts = vec![(0, 1), (1, 0), (0, 2), (2, 0)];
         let mut concluded = None;
         for tenth in 1..=30 {
             lan.run(SECOND / 10);
-            if wrong(&lan, Kind::Cut) == 0 {
+            if wrong(&lan, ConnectivityState::Partitioned) == 0 {
                 concluded = concluded.or(Some(tenth));
             }
         }
         println!(
             "{members} members, seed {seed}: concluded by all after {concluded:?} tenths of a second"
         );
-        assert_eq!(wrong(&lan, Kind::Cut), 0, "seed {seed}");
+        assert_eq!(
+            wrong(&lan, ConnectivityState::Partitioned),
+            0,
+            "seed {seed}"
+        );
         lan.run(2 * SECOND);
         lan.cuts.clear();
         let sent = |lan: &Lan| {
@@ -94,9 +103,9 @@
             .unwrap_or(0);
         println!(
             "healed: {} are not whole after 15 s; {most} bytes by one",
-            wrong(&lan, Kind::Whole)
+            wrong(&lan, ConnectivityState::Connected)
         );
-        assert_eq!(wrong(&lan, Kind::Whole), 0, "seed {seed}");
+        assert_eq!(wrong(&lan, ConnectivityState::Connected), 0, "seed {seed}");
         assert!(most < 15 * 36_000, "{most} bytes in 15 s");
     }
 }
--- a/crates/gossip/tests/carried.rs
+++ b/crates/gossip/tests/fragments.rs
@@ -3,9 +3,9 @@
 mod lan;
 
 use lan::{EPOCH, Lan, address};
-use load_balancer_gossip::carrier::Letter;
-use load_balancer_gossip::core::{CARRIED, LONGEST_BODY, NotCarried};
-use load_balancer_gossip::frame::{self, Content, Dropped, Head, Piece};
+use load_balancer_gossip::core::{CARRIED, FragmentRefused, LONGEST_BODY};
+use load_balancer_gossip::fragments::FragmentEnvelope;
+use load_balancer_gossip::frame::{self, Content, Dropped, Head, MessagePart};
 use load_balancer_gossip::{SECOND, hash};
 
 const KIND: u8 = *CARRIED.start();
@@ -63,14 +63,14 @@
     let who: Vec<usize> = (0..9).filter(|m| !lan.carried[*m].is_empty()).collect();
     assert_eq!(who, [4]);
     let nobody = lan.with(0, |core, now| core.carry_to(now, hash("n99"), KIND, b"x"));
-    assert_eq!(nobody, Some(Err(NotCarried::Nobody)));
+    assert_eq!(nobody, Some(Err(FragmentRefused::Nobody)));
     let neighbours = lan.with(0, |core, _| core.neighbours(3)).expect("it runs");
     assert!(
         (2..=3).contains(&neighbours.len()) && !neighbours.contains(&hash("n0")),
         "{neighbours:?}"
     );
     // Member 1 speaks for member 0, as if to member 4 alone.
-    let forged = letter(&lan, "n0", 1_000, false);
+    let forged = envelope(&lan, "n0", 1_000, false);
     let now = lan.now;
     lan.with(4, |core, _| core.datagram(now, address(1), &forged));
     assert_eq!(
@@ -79,9 +79,9 @@
     );
 }
 
-fn letter(lan: &Lan, origin: &str, sequence: u64, spreads: bool) -> Vec<u8> {
+fn envelope(lan: &Lan, origin: &str, sequence: u64, spreads: bool) -> Vec<u8> {
     let (incarnation, said) = (EPOCH.unsigned_abs(), lan.now);
-    let letter = Letter {
+    let envelope = FragmentEnvelope {
         origin: hash(origin),
         incarnation,
         sequence,
@@ -89,17 +89,17 @@
         spreads,
         body: b"x",
     };
-    let letter = postcard::to_stdvec(&letter).expect("it can be written");
+    let envelope = postcard::to_stdvec(&envelope).expect("it can be written");
     let mut bytes = frame::begin(&Head {
         cluster: "linenproxy",
         sent: lan.now,
-        content: Content::News,
+        content: Content::Updates,
     });
     assert!(frame::add(
         &mut bytes,
-        &Piece {
+        &MessagePart {
             kind: KIND,
-            bytes: &letter
+            bytes: &envelope
         }
     ));
     bytes
@@ -112,9 +112,9 @@
     let mut lan = Lan::new(6, 3);
     lan.run(10 * SECOND);
     let kind = lan.with(0, |core, now| core.carry(now, KIND - 1, b"x"));
-    assert_eq!(kind, Some(Err(NotCarried::Kind)));
+    assert_eq!(kind, Some(Err(FragmentRefused::Kind)));
     let long = lan.with(0, |core, now| core.carry(now, KIND, &[0; LONGEST_BODY + 1]));
-    assert_eq!(long, Some(Err(NotCarried::TooLong)));
+    assert_eq!(long, Some(Err(FragmentRefused::TooLong)));
     let taken = |lan: &mut Lan| {
         (0..200)
             .filter(|_| lan.with(0, |core, now| core.carry(now, KIND, &[7; 8])) == Some(Ok(())))
@@ -126,20 +126,20 @@
     lan.run(3 * SECOND);
     assert_eq!(lan.carried[3].len(), 60);
     // Older than its bound, though the datagram is fresh.
-    let mut late = letter(&lan, "n1", 1_000, true);
+    let mut late = envelope(&lan, "n1", 1_000, true);
     lan.run(6 * SECOND);
     let content = late.split_off(
         frame::begin(&Head {
             cluster: "linenproxy",
             sent: lan.now - 6 * SECOND,
-            content: Content::News,
+            content: Content::Updates,
         })
         .len(),
     );
     let mut late = frame::begin(&Head {
         cluster: "linenproxy",
         sent: lan.now,
-        content: Content::News,
+        content: Content::Updates,
     });
     late.extend(content);
     lan.with(0, |core, now| core.datagram(now, address(1), &late));
@@ -147,7 +147,7 @@
     let sent = |lan: &Lan| lan.cores[2].as_ref().map_or(0, |c| c.counts().sent_bytes);
     let before = sent(&lan);
     for sequence in 2_000..4_000 {
-        let flood = letter(&lan, "n1", sequence, true);
+        let flood = envelope(&lan, "n1", sequence, true);
         lan.with(2, |core, now| core.datagram(now, address(1), &flood));
         lan.run(SECOND / 1000);
     }
--- a/crates/gossip/tests/lan/mod.rs
+++ b/crates/gossip/tests/lan/mod.rs
@@ -1,14 +1,14 @@
 //! Fleets of members over a simulated network: no socket, no clock, the same for the same seed.
 #![allow(dead_code, reason = "each file of tests uses its part")]
 
-use load_balancer_gossip::core::{Carried, Core, Listed, Word};
+use load_balancer_gossip::connectivity::ConnectivityState;
+use load_balancer_gossip::core::{CarriedFragment, Core, EjectionUpdate, Listed};
 use load_balancer_gossip::effects::Note;
-use load_balancer_gossip::evidence::{Datum, Process, Sign};
-use load_balancer_gossip::frame::{self, Content, Dropped, EVIDENCE, Head, Piece};
+use load_balancer_gossip::frame::{self, Content, Dropped, Head, MessagePart, OBSERVATION};
+use load_balancer_gossip::health_status::EjectionStatus;
 use load_balancer_gossip::member::Member;
+use load_balancer_gossip::observation_table::{Observation, ObservedHealth, Process};
 use load_balancer_gossip::section::FleetSection;
-use load_balancer_gossip::standing::Kind;
-use load_balancer_gossip::verdict::Rest;
 use load_balancer_gossip::{Micros, SECOND, hash};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -30,9 +30,9 @@
     pub offsets: Vec<Micros>,
     /// Stopped until then.
     pub stopped: Vec<Micros>,
-    pub words: Vec<BTreeMap<usize, Word>>,
+    pub ejections: Vec<BTreeMap<usize, EjectionUpdate>>,
     /// What came out of carried pieces at each.
-    pub carried: Vec<Vec<Carried>>,
+    pub carried: Vec<Vec<CarriedFragment>>,
     pub now: Micros,
     pub mail: BinaryHeap<Mail>,
     pub number: u64,
@@ -46,7 +46,7 @@
     /// What people were told, by when and whom.
     pub notes: Vec<(Micros, usize, Note)>,
     /// Members find out where they stand.
-    pub standing: bool,
+    pub connectivity: bool,
     /// Members that nothing reaches and that reach nobody.
     pub isolated: Vec<usize>,
     /// From that zone nothing gets into that one.
@@ -88,7 +88,7 @@
             cores: (0..members).map(|_| None).collect(),
             offsets: vec![0; members],
             stopped: vec![Micros::MIN; members],
-            words: vec![BTreeMap::new(); members],
+            ejections: vec![BTreeMap::new(); members],
             carried: vec![Vec::new(); members],
             now: EPOCH,
             mail: BinaryHeap::new(),
@@ -100,7 +100,7 @@
             places: (0..members).map(|m| (address(m), m)).collect(),
             due: vec![EPOCH; members],
             notes: Vec::new(),
-            standing: false,
+            connectivity: false,
             isolated: Vec::new(),
             cuts: Vec::new(),
         };
@@ -111,7 +111,7 @@
     /// One whose members find out where they stand, settled.
     pub fn settled(members: usize, seed: u64) -> Self {
         let mut lan = Self::new(members, seed);
-        lan.standing = true;
+        lan.connectivity = true;
         (0..members).for_each(|member| lan.start(member));
         lan.run(15 * SECOND);
         lan.notes.clear();
@@ -121,7 +121,7 @@
     /// The same, but all know all from the start: a large fleet that gets to know itself takes long to simulate.
     pub fn acquainted(members: usize, seed: u64) -> Self {
         let mut lan = Self::new(members, seed);
-        lan.standing = true;
+        lan.connectivity = true;
         (0..members).for_each(|member| lan.start(member));
         let all: Vec<Member> = (0..members).map(|m| lan.member(m)).collect();
         for member in 0..members {
@@ -148,11 +148,11 @@
     }
 
     /// What each member that runs takes its standing for.
-    pub fn standings(&self) -> Vec<Kind> {
+    pub fn connectivity_states(&self) -> Vec<ConnectivityState> {
         self.cores
             .iter()
             .flatten()
-            .map(|core| core.standing().kind)
+            .map(|core| core.connectivity().kind)
             .collect()
     }
 
@@ -162,7 +162,7 @@
         let zone = ["a", "b", "c"][member % 3];
         let mut section = section(member, self.cores.len());
         section.members = section.members.max(self.cores.len() as u32);
-        section.standing.enabled = self.standing;
+        section.connectivity.enabled = self.connectivity;
         let mut core = Core::new(
             &section,
             &format!("n{member}"),
@@ -175,7 +175,7 @@
         core.placed((0..ENDPOINTS).map(|e| (e, ["a", "b", "c"][e % 3])));
         self.due[member] = self.now;
         self.cores[member] = Some(core);
-        self.words[member].clear();
+        self.ejections[member].clear();
     }
 
     pub fn with<T>(
@@ -198,10 +198,14 @@
             self.post(address(member), to, bytes);
         }
         self.carried[member].extend(effects.carried);
-        for word in effects.words {
-            match word.rest {
-                Rest::Yes | Rest::Trial => drop(self.words[member].insert(word.endpoint, word)),
-                Rest::No | Rest::Over => drop(self.words[member].remove(&word.endpoint)),
+        for update in effects.ejections {
+            match update.status {
+                EjectionStatus::Ejected | EjectionStatus::TrialDue => {
+                    self.ejections[member].insert(update.endpoint, update);
+                }
+                EjectionStatus::NotEjected | EjectionStatus::Recovered => {
+                    self.ejections[member].remove(&update.endpoint);
+                }
             }
         }
         Some(result)
@@ -263,18 +267,23 @@
         self.now = until;
     }
 
-    pub fn sees(&mut self, members: impl IntoIterator<Item = usize>, endpoint: usize, sign: Sign) {
+    pub fn sees(
+        &mut self,
+        members: impl IntoIterator<Item = usize>,
+        endpoint: usize,
+        health: ObservedHealth,
+    ) {
         for member in members {
-            self.with(member, |core, now| core.witness(now, endpoint, sign));
+            self.with(member, |core, now| core.observe(now, endpoint, health));
         }
     }
 
     /// Members that let an endpoint rest.
-    pub fn resting(&self, endpoint: usize) -> Vec<usize> {
+    pub fn ejected(&self, endpoint: usize) -> Vec<usize> {
         let rests = |m: &usize| {
-            self.words[*m]
+            self.ejections[*m]
                 .get(&endpoint)
-                .is_some_and(|w| w.until > self.now + self.offsets[*m])
+                .is_some_and(|w| w.expires > self.now + self.offsets[*m])
         };
         (0..self.cores.len()).filter(rests).collect()
     }
@@ -298,25 +307,25 @@
         };
         let zone = hash(["a", "b", "c"][origin % 3]);
         let origin = hash(&format!("n{origin}"));
-        let datum = Datum {
+        let observation = Observation {
             origin,
             incarnation,
             sequence,
             zone,
             seen: self.now,
             process,
-            sign: Sign::Sick,
+            health: ObservedHealth::Unhealthy,
         };
-        let bytes = postcard::to_stdvec(&datum).expect("it can be written");
+        let bytes = postcard::to_stdvec(&observation).expect("it can be written");
         let mut frame = frame::begin(&Head {
             cluster: "linenproxy",
             sent: self.now,
-            content: Content::News,
+            content: Content::Updates,
         });
         assert!(frame::add(
             &mut frame,
-            &Piece {
-                kind: EVIDENCE,
+            &MessagePart {
+                kind: OBSERVATION,
                 bytes: &bytes
             }
         ));
--- a/crates/gossip/tests/membership.rs
+++ b/crates/gossip/tests/membership.rs
@@ -4,8 +4,8 @@
 
 use lan::{EPOCH, Lan, NOBODY, address, section};
 use load_balancer_gossip::core::Core;
-use load_balancer_gossip::evidence::{Datum, Process, Sign};
-use load_balancer_gossip::frame::{self, Content, Dropped, EVIDENCE, Head, Piece};
+use load_balancer_gossip::frame::{self, Content, Dropped, Head, MessagePart, OBSERVATION};
+use load_balancer_gossip::observation_table::{Observation, ObservedHealth, Process};
 use load_balancer_gossip::{SECOND, hash};
 use std::net::SocketAddr;
 
@@ -53,14 +53,14 @@
     lan.start(1);
     lan.run(15 * SECOND);
     assert_eq!(lan.known(), [8; 9], "membership needs no clock");
-    lan.sees([0, 1, 2], 4, Sign::Sick);
+    lan.sees([0, 1, 2], 4, ObservedHealth::Unhealthy);
     lan.run(SECOND);
-    assert_eq!(lan.resting(4), NOBODY, "two witnesses are not enough");
+    assert_eq!(lan.ejected(4), NOBODY, "two witnesses are not enough");
     assert!((1..9).any(|m| lan.dropped(m, Dropped::Clock) > 0));
-    lan.sees([3], 4, Sign::Sick);
+    lan.sees([3], 4, ObservedHealth::Unhealthy);
     lan.run(SECOND);
-    let resting = lan.resting(4);
-    assert!((1..9).all(|m| resting.contains(&m)), "{resting:?}");
+    let ejected = lan.ejected(4);
+    assert!((1..9).all(|m| ejected.contains(&m)), "{ejected:?}");
 }
 
 /// Who was stopped and goes on has seen its own silence, not that of endpoints.
@@ -72,9 +72,9 @@
         lan.stopped[member] = lan.now + 5 * SECOND;
     }
     lan.run(5 * SECOND + SECOND / 4);
-    lan.sees([0, 1, 2], 4, Sign::Sick);
+    lan.sees([0, 1, 2], 4, ObservedHealth::Unhealthy);
     lan.run(SECOND / 2);
-    assert_eq!(lan.resting(4), NOBODY);
+    assert_eq!(lan.ejected(4), NOBODY);
     lan.run(10 * SECOND);
     assert_eq!(lan.known(), [8; 9], "they are members again");
 }
@@ -87,7 +87,7 @@
     let head = Head {
         cluster: "linenproxy",
         sent: lan.now,
-        content: Content::News,
+        content: Content::Updates,
     };
     let stranger: SocketAddr = "127.9.9.9:1".parse().expect("an address");
     let outside: SocketAddr = "192.0.2.1:7946".parse().expect("an address");
@@ -115,7 +115,7 @@
     for origin in 1..4 {
         let mut later = good.clone();
         later[3] = 2;
-        let datum = Datum {
+        let observation = Observation {
             origin: hash(&format!("n{origin}")),
             incarnation: EPOCH.unsigned_abs(),
             sequence: 1,
@@ -125,27 +125,27 @@
                 name: hash("s-4"),
                 started: 0,
             },
-            sign: Sign::Sick,
+            health: ObservedHealth::Unhealthy,
         };
-        let bytes = postcard::to_stdvec(&datum).expect("it can be written");
+        let bytes = postcard::to_stdvec(&observation).expect("it can be written");
         assert!(frame::add(
             &mut later,
-            &Piece {
+            &MessagePart {
                 kind: 99,
                 bytes: &[1; 30]
             }
         ));
         assert!(frame::add(
             &mut later,
-            &Piece {
-                kind: EVIDENCE,
+            &MessagePart {
+                kind: OBSERVATION,
                 bytes: &bytes
             }
         ));
         lan.with(0, |core, now| core.datagram(now, address(origin), &later));
     }
     assert_eq!(lan.dropped(0, Dropped::Kind), 3);
-    assert!(lan.resting(4).contains(&0));
+    assert!(lan.ejected(4).contains(&0));
     let mut beyond = good;
     (beyond[3], beyond[4]) = (2, 2);
     lan.with(0, |core, now| core.datagram(now, address(1), &beyond));
@@ -177,7 +177,7 @@
     let mut lan = Lan::new(6, 12);
     for member in 0..6 {
         let mut section = section(member, 6);
-        section.verdicts.enabled = false;
+        section.ejection.enabled = false;
         let now = lan.now + 1;
         lan.due[member] = now;
         lan.cores[member] = Some(Core::new(
@@ -191,7 +191,7 @@
     }
     lan.run(10 * SECOND);
     assert_eq!(lan.known(), [5; 6]);
-    lan.sees(0..6, 4, Sign::Sick);
+    lan.sees(0..6, 4, ObservedHealth::Unhealthy);
     lan.run(SECOND);
-    assert_eq!(lan.resting(4), NOBODY);
+    assert_eq!(lan.ejected(4), NOBODY);
 }
--- a/crates/gossip/tests/roster.rs
+++ b/crates/gossip/tests/membership_table.rs
@@ -6,8 +6,8 @@
 use load_balancer_gossip::SECOND;
 use load_balancer_gossip::core::Core;
 use load_balancer_gossip::effects::Note;
-use load_balancer_gossip::evidence::Sign;
-use load_balancer_gossip::roster::Left;
+use load_balancer_gossip::membership_table::Departure;
+use load_balancer_gossip::observation_table::ObservedHealth;
 
 /// How members left is known, and two processes of one name are found, by each that knows both.
 #[test]
@@ -22,24 +22,24 @@
     // A second n7, elsewhere: as member 17.
     let now = lan.now;
     let mut section = lan::section(17, 18);
-    section.standing.enabled = true;
+    section.connectivity.enabled = true;
     lan.cores[17] = Some(Core::new(&section, "n7", "b", now.unsigned_abs(), 1, now));
     lan.due[17] = now;
     lan.run(40 * SECOND);
-    let census = lan.cores[0]
+    let summary = lan.cores[0]
         .as_ref()
-        .map(|core| core.census(lan.now))
+        .map(|core| core.summary(lan.now))
         .expect("it runs");
     let of = |name: &str| {
-        census
-            .roster
+        summary
+            .membership
             .iter()
             .find(|e| e.name == name)
             .expect("it is known")
     };
     assert_eq!(
         (of("n4").left, of("n5").left, of("n6").left),
-        (Some(Left::SaidSo), Some(Left::Failed), None)
+        (Some(Departure::Announced), Some(Departure::Failed), None)
     );
     assert!(of("n7").twice.is_some());
     let told = |n: &Note| matches!(n, Note::Twice { name, addresses } if name == "n7" && addresses.contains(&lan::address(17)));
@@ -77,14 +77,14 @@
             .iter()
             .any(|(.., n)| matches!(n, Note::Quarantined { name } if name != "n5"))
     );
-    lan.sees([5, 6, 7], 4, Sign::Sick);
+    lan.sees([5, 6, 7], 4, ObservedHealth::Unhealthy);
     lan.run(SECOND);
     assert!(
-        lan.resting(4).iter().all(|m| *m == 5),
+        lan.ejected(4).iter().all(|m| *m == 5),
         "two witnesses are not enough: {:?}",
-        lan.resting(4)
+        lan.ejected(4)
     );
-    lan.sees([8], 4, Sign::Sick);
+    lan.sees([8], 4, ObservedHealth::Unhealthy);
     lan.run(SECOND);
-    assert!(lan.resting(4).len() >= 16);
+    assert!(lan.ejected(4).len() >= 16);
 }
--- a/src/bin/sidecar/bindings.rs
+++ b/src/bin/sidecar/affinity.rs
@@ -1,7 +1,7 @@
 //! Hosts the affinity table of this sidecar: uses, the list and other members' messages go in;
 //! affinity entries come out.
 
-use crate::bindings_list::List;
+use crate::affinity_list::List;
 use crate::clock::Clock;
 use load_balancer::{EndpointId, Micros};
 use load_balancer_affinity::exchange::TICK;
@@ -9,9 +9,9 @@
 use load_balancer_affinity::report::{Census, Clear};
 use load_balancer_affinity::word::Word;
 use load_balancer_affinity::{Bindings, Process};
-use load_balancer_gossip::core::{Carried, Listed};
+use load_balancer_gossip::connectivity::AffinityEntries as Permission;
+use load_balancer_gossip::core::{CarriedFragment, Listed};
 use load_balancer_gossip::section::{FleetSection, micros};
-use load_balancer_gossip::standing::Bindings as May;
 use load_balancer_gossip::udp;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -37,8 +37,8 @@
     offset: Micros,
     core: RefCell<Bindings>,
     list: RefCell<List>,
-    /// What the own standing allows.
-    may: Cell<May>,
+    /// What the own connectivity state allows.
+    may: Cell<Permission>,
     running: RefCell<Vec<u64>>,
     /// Picks by a binding: how many, and when the last one was.
     picks: RefCell<BTreeMap<Process, (u64, Micros)>>,
@@ -78,7 +78,7 @@
 impl Host {
     /// Begins with none, as a member of that fleet.
     pub fn start(section: &FleetSection, member: &udp::Fleet, clock: Clock) -> Self {
-        let (bindings, offset) = (&section.bindings, section.offset());
+        let (bindings, offset) = (&section.affinity_entries, section.offset());
         let times = bindings.times_with(micros(section.skew));
         let rates = bindings.rates(section.members);
         let now = clock.now() + offset;
@@ -89,7 +89,7 @@
             offset,
             core: RefCell::new(core),
             list: RefCell::default(),
-            may: Cell::new(May::Idle),
+            may: Cell::new(Permission::Idle),
             running: RefCell::default(),
             picks: RefCell::default(),
         };
@@ -107,7 +107,7 @@
         (mono + self.0.offset, mono)
     }
 
-    fn hear(&self, came: &[Carried]) {
+    fn hear(&self, came: &[CarriedFragment]) {
         let (now, _) = self.now();
         for piece in came.iter().filter(|piece| piece.kind == KIND) {
             // What is refused is counted there.
@@ -142,14 +142,14 @@
 
     /// Looks who is there, and what is listed.
     fn look(&self) {
-        let others = self.0.member.others();
+        let peers = self.0.member.peers();
         let (now, _) = self.now();
-        self.0.may.set(others.bindings);
+        self.0.may.set(peers.affinity_entries);
         let mut core = self.0.core.borrow_mut();
-        core.roster(&others.known);
+        core.roster(&peers.known);
         let list = self.0.list.borrow();
         core.forget(now, |process| list.names.contains_key(&process));
-        *self.0.running.borrow_mut() = others.running;
+        *self.0.running.borrow_mut() = peers.running;
     }
 
     /// The list has changed.
@@ -165,7 +165,7 @@
 
     /// Where a key is bound, if it is and that may be used.
     pub fn pick(&self, key: u64) -> Option<Bound> {
-        if self.0.may.get() == May::Idle {
+        if self.0.may.get() == Permission::Idle {
             return None;
         }
         let ((now, mono), list) = (self.now(), self.0.list.borrow());
@@ -195,7 +195,7 @@
 
     /// A request about a key was served there.
     pub fn used(&self, key: u64, endpoint: EndpointId) {
-        if self.0.may.get() == May::Used
+        if self.0.may.get() == Permission::Used
             && let Some(process) = self.0.list.borrow().processes.get(&endpoint).copied()
         {
             let (now, _) = self.now();
@@ -217,8 +217,8 @@
         self.0.core.borrow_mut().stays(now, process, epoch)
     }
 
-    /// Figures, what the standing allows, and the slot of now.
-    pub fn census(&self) -> (Census, May, i64) {
+    /// Figures, what the connectivity state allows, and the slot of now.
+    pub fn census(&self) -> (Census, Permission, i64) {
         let (now, mono) = self.now();
         let core = self.0.core.borrow();
         (core.census(mono), self.0.may.get(), core.slot_of(now))
--- a/src/bin/sidecar/bindings_pages.rs
+++ b/src/bin/sidecar/affinity_pages.rs
@@ -1,13 +1,13 @@
 //! The pages on affinity: figures and a dump for people and auditors, and the coordinator's
 //! queries.
 
-use crate::bindings::Host;
+use crate::affinity::Host;
 use hyper::StatusCode;
 use load_balancer_affinity::phase::NotBegun;
 use load_balancer_affinity::report::Census;
 use load_balancer_affinity::{Process, hash};
 use load_balancer_common::pages::{Ask, Page};
-use load_balancer_gossip::standing::Bindings as May;
+use load_balancer_gossip::connectivity::AffinityEntries as Permission;
 use serde::{Deserialize, Serialize};
 
 /// Bindings in one dump: all of the default table.
@@ -32,7 +32,7 @@
 
 #[derive(Serialize)]
 struct Figures {
-    /// What the own standing allows: used, run out, not used.
+    /// What the own connectivity state allows: used, run out, not used.
     bindings: &'static str,
     #[serde(flatten)]
     census: Census,
@@ -147,11 +147,11 @@
 fn figures(host: &Host) -> Figures {
     let (census, may, _) = host.census();
     let bindings = match may {
-        May::Used => "used",
-        May::RunOut => "run out",
-        May::Idle => "not used",
+        Permission::Used => "used",
+        Permission::RunOut => "run out",
+        Permission::Idle => "not used",
     };
-    let leaves = |l: crate::bindings::Leaving| Leaves {
+    let leaves = |l: crate::affinity::Leaving| Leaves {
         server: l.name,
         started_ms: l.process.started,
         epoch: l.epoch,
--- a/src/bin/sidecar/engine/actions.rs
+++ b/src/bin/sidecar/engine/actions.rs
@@ -52,7 +52,7 @@
             }
             Action::ReportHealth { endpoint, served } => {
                 if let Some(fleet) = &self.fleet {
-                    fleet.witness(endpoint, served);
+                    fleet.report_health(endpoint, served);
                 }
             }
             Action::Log(text) => say!(info, "sidecar::balancer", "{text}"),
--- a/src/bin/sidecar/fleet.rs
+++ b/src/bin/sidecar/gossip.rs
@@ -1,17 +1,17 @@
 //! Hosts this sidecar's gossip member: the list and health observations go in, ejections come out.
 
-use crate::bindings::{Bound, Host};
+use crate::affinity::{Bound, Host};
 use crate::clock::Clock;
 use crate::messages::{Input, Inputs};
 use crate::report::say;
 use load_balancer::{EjectionStatus, EjectionUpdate, EndpointId, Listing, SharedKnowledge, Status};
 use load_balancer_common::cli;
-use load_balancer_gossip::census::Servers;
-use load_balancer_gossip::core::{Census, Listed};
+use load_balancer_gossip::core::{Listed, MembershipSummary};
 use load_balancer_gossip::effects::Note;
-use load_balancer_gossip::evidence::Sign;
+use load_balancer_gossip::observation_table::ObservedHealth;
 use load_balancer_gossip::section::FleetSection;
-use load_balancer_gossip::{hash, udp, verdict};
+use load_balancer_gossip::summary::Servers;
+use load_balancer_gossip::{hash, health_status, udp};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
@@ -24,7 +24,7 @@
     member: udp::Fleet,
     list: Rc<RefCell<BTreeMap<EndpointId, (Listed, String)>>>,
     sharing: SharedKnowledge,
-    bindings: Option<Host>,
+    affinity: Option<Host>,
 }
 
 impl Fleet {
@@ -38,54 +38,58 @@
         incarnation: Option<u64>,
     ) -> io::Result<Self> {
         let inputs = inputs.clone();
-        let told = Rc::new(move |words: Vec<load_balancer_gossip::core::Word>| {
-            inputs.send(Input::Ejections(words.into_iter().map(ejection).collect()));
-        });
+        let on_ejections = Rc::new(
+            move |updates: Vec<load_balancer_gossip::core::EjectionUpdate>| {
+                inputs.send(Input::Ejections(
+                    updates.into_iter().map(ejection).collect(),
+                ));
+            },
+        );
         let member = udp::Fleet::bind(
             section,
             name,
             zone,
             Rc::new(move || clock.now()),
-            told,
+            on_ejections,
             incarnation,
         )?;
         member.set_version(cli::VERSION);
         member.on_notes(Rc::new(|note| note_down(&note)));
         spawn_local(member.clone().run());
         let affinity_slack = if section.affinity.enabled {
-            section.affinity.ahead
+            section.affinity.max_ahead
         } else {
             0.0
         };
         let sharing = SharedKnowledge {
-            peer_health: section.verdicts.enabled,
+            peer_health: section.ejection.enabled,
             affinity_slack,
         };
-        let bindings = section
-            .bindings
+        let affinity = section
+            .affinity_entries
             .enabled
             .then(|| Host::start(section, &member, clock));
         Ok(Self {
             member,
             list: Rc::default(),
             sharing,
-            bindings,
+            affinity,
         })
     }
 
     /// The bindings, where they are hosted.
-    pub fn bindings(&self) -> Option<&Host> {
-        self.bindings.as_ref()
+    pub fn affinity(&self) -> Option<&Host> {
+        self.affinity.as_ref()
     }
 
     /// Where a key is bound, if it is and that may be used.
     pub fn bound(&self, key: Option<u64>) -> Option<Bound> {
-        self.bindings.as_ref()?.pick(key?)
+        self.affinity.as_ref()?.pick(key?)
     }
 
     /// A request was served there; it may be about a key.
     pub fn used(&self, key: Option<u64>, endpoint: EndpointId) {
-        if let Some((host, key)) = self.bindings.as_ref().zip(key) {
+        if let Some((host, key)) = self.affinity.as_ref().zip(key) {
             host.used(key, endpoint);
         }
     }
@@ -138,8 +142,8 @@
                 ),
             );
         }
-        if let Some(bindings) = &self.bindings {
-            bindings.listed(list.values().map(|(listed, _)| listed));
+        if let Some(affinity) = &self.affinity {
+            affinity.listed(list.values().map(|(listed, _)| listed));
         }
         self.member.placed(
             list.iter()
@@ -150,9 +154,15 @@
     }
 
     /// An attempt was served, or was not.
-    pub fn witness(&self, endpoint: EndpointId, served: bool) {
-        self.member
-            .witness(endpoint, if served { Sign::Well } else { Sign::Sick });
+    pub fn report_health(&self, endpoint: EndpointId, served: bool) {
+        self.member.observe(
+            endpoint,
+            if served {
+                ObservedHealth::Healthy
+            } else {
+                ObservedHealth::Unhealthy
+            },
+        );
     }
 
     /// Tells the others that this one ends.
@@ -166,35 +176,38 @@
     }
 
     /// What on-call wants to see.
-    pub fn census(&self) -> Census {
-        self.member.census()
+    pub fn summary(&self) -> MembershipSummary {
+        self.member.summary()
     }
 }
 
 /// What members' observations come to, as the decision module takes it.
-fn ejection(word: load_balancer_gossip::core::Word) -> EjectionUpdate {
+fn ejection(update: load_balancer_gossip::core::EjectionUpdate) -> EjectionUpdate {
     EjectionUpdate {
-        endpoint: word.endpoint,
-        status: match word.rest {
-            verdict::Rest::No => EjectionStatus::NotEjected,
-            verdict::Rest::Yes => EjectionStatus::Ejected,
-            verdict::Rest::Trial => EjectionStatus::TrialDue,
-            verdict::Rest::Over => EjectionStatus::Recovered,
+        endpoint: update.endpoint,
+        status: match update.status {
+            health_status::EjectionStatus::NotEjected => EjectionStatus::NotEjected,
+            health_status::EjectionStatus::Ejected => EjectionStatus::Ejected,
+            health_status::EjectionStatus::TrialDue => EjectionStatus::TrialDue,
+            health_status::EjectionStatus::Recovered => EjectionStatus::Recovered,
         },
-        expires: word.until,
+        expires: update.expires,
     }
 }
 
 /// What people should know, in a line.
 fn note_down(note: &Note) {
     match note {
-        Note::Standing { standing, zones } => {
-            let word = standing.kind.word();
+        Note::Connectivity {
+            connectivity,
+            zones,
+        } => {
+            let state = connectivity.kind.label();
             let zones: Vec<String> = zones
                 .iter()
-                .map(|(zone, way)| format!("{zone} {}", way.word()))
+                .map(|(zone, direction)| format!("{zone} {}", direction.label()))
                 .collect();
-            let side = match standing.larger {
+            let side = match connectivity.larger {
                 Some(true) => ", on the larger side",
                 Some(false) => ", not on the larger side",
                 None => "",
@@ -204,7 +217,7 @@
             } else {
                 format!(" from {}", zones.join(", "))
             };
-            say!(info, "sidecar::fleet", "standing: {word}{from}{side}");
+            say!(info, "sidecar::fleet", "connectivity: {state}{from}{side}");
         }
         Note::Twice {
             name,
@@ -220,7 +233,7 @@
             say!(
                 warn,
                 "sidecar::fleet",
-                "{name} fails again and again: its word does not count for now"
+                "{name} fails again and again: it is quarantined, its observations do not count for now"
             );
         }
     }
--- a/src/bin/sidecar/main.rs
+++ b/src/bin/sidecar/main.rs
@@ -1,13 +1,13 @@
 //! sidecar: a sidecar load balancer on real sockets. One thread; every task shares it.
 #![forbid(unsafe_code)]
 
-mod alarms;
 #[cfg(feature = "product")]
-mod bindings;
+mod affinity;
 #[cfg(feature = "product")]
-mod bindings_list;
+mod affinity_list;
 #[cfg(feature = "product")]
-mod bindings_pages;
+mod affinity_pages;
+mod alarms;
 mod client;
 mod clock;
 mod closing;
@@ -18,7 +18,7 @@
 mod engine;
 mod facts;
 #[cfg(feature = "product")]
-mod fleet;
+mod gossip;
 mod handle;
 mod headers;
 mod hosts;
--- a/src/bin/sidecar/observer.rs
+++ b/src/bin/sidecar/observer.rs
@@ -229,18 +229,18 @@
     }
 
     /// Takes in how this member of a fleet stands.
-    pub fn fleet(&self, census: &load_balancer_gossip::core::Census) {
+    pub fn fleet(&self, members: &load_balancer_gossip::core::MembershipSummary) {
         let Some(seen) = &self.0 else { return };
         let f = &seen.figures;
         f.gauge("sidecar_fleet_members", "Other members that run.", &[])
-            .set(census.members.len() as f64);
+            .set(members.members.len() as f64);
         f.gauge(
             "sidecar_fleet_resting",
             "Endpoints that rest by others' word.",
             &[],
         )
-        .set(census.rests.len() as f64);
-        let counts = &census.counts;
+        .set(members.ejections.len() as f64);
+        let counts = &members.counts;
         for (name, what, value) in [
             (
                 "sidecar_fleet_datagrams_sent_total",
@@ -280,7 +280,7 @@
         ] {
             f.counter(name, what, &[]).absolute(value);
         }
-        for (why, count) in &census.dropped {
+        for (why, count) in &members.dropped {
             f.counter(
                 "sidecar_fleet_dropped_total",
                 "What was dropped, by reason.",
--- a/src/bin/sidecar/pages.rs
+++ b/src/bin/sidecar/pages.rs
@@ -1,7 +1,7 @@
 //! The pages at the metrics' address.
 
-use crate::bindings_pages;
-use crate::fleet::Fleet;
+use crate::affinity_pages;
+use crate::gossip::Fleet;
 use crate::messages::Inputs;
 use crate::observer::Observer;
 use crate::state::State;
@@ -28,8 +28,8 @@
 impl Pages {
     /// The page that is asked for; none where there is none.
     pub async fn page(self, ask: Ask) -> Option<Page> {
-        if let Some(host) = self.fleet.as_ref().and_then(Fleet::bindings)
-            && let Some(page) = bindings_pages::page(host, &ask)
+        if let Some(host) = self.fleet.as_ref().and_then(Fleet::affinity)
+            && let Some(page) = affinity_pages::page(host, &ask)
         {
             return Some(page);
         }
@@ -37,11 +37,11 @@
             "/fleet" | "/fleet/servers" | "/metrics" if ask.posted.is_some() => {
                 Page::refused(StatusCode::METHOD_NOT_ALLOWED, "method", "this is read")
             }
-            "/fleet" => Page::json(StatusCode::OK, &self.fleet?.census()),
+            "/fleet" => Page::json(StatusCode::OK, &self.fleet?.summary()),
             "/fleet/servers" => Page::compact(&self.fleet?.servers()),
             "/metrics" => {
                 if let Some(fleet) = &self.fleet {
-                    self.observer.fleet(&fleet.census());
+                    self.observer.fleet(&fleet.summary());
                 }
                 if let (Some(state), Some(figures)) = (&self.state, self.observer.figures()) {
                     state.count(&figures);
--- a/src/bin/sidecar/plain.rs
+++ b/src/bin/sidecar/plain.rs
@@ -94,7 +94,7 @@
         match *self {}
     }
     /// See `fleet.rs`.
-    pub fn witness(&self, _: EndpointId, _: bool) {
+    pub fn report_health(&self, _: EndpointId, _: bool) {
         match *self {}
     }
     /// See `fleet.rs`.
--- a/src/bin/sidecar/product.rs
+++ b/src/bin/sidecar/product.rs
@@ -1,10 +1,10 @@
 //! The product parts of the sidecar: its command line, its product configuration, and what that
 //! switches on. Without a product configuration nothing is hosted and nothing is counted.
 
-pub use crate::bindings::Bound;
+pub use crate::affinity::Bound;
 use crate::clock::Clock;
 use crate::config::Config;
-pub use crate::fleet::Fleet;
+pub use crate::gossip::Fleet;
 use crate::messages::Inputs;
 pub use crate::observer::Observer;
 use crate::pages::Pages;
--- a/tests/product/configuration.rs
+++ b/tests/product/configuration.rs
@@ -103,6 +103,29 @@
     assert_eq!(with(&bad).status.code(), Some(78));
 }
 
+// Product configurations that were written before the keys had the field's terms.
+#[test]
+fn earlier_keys_mean_the_same_as_todays() {
+    let checked = |text: &str| {
+        let file = File::new(text);
+        let output = run(
+            &["--check", "--config", file.0.to_str().expect("text")],
+            &[],
+        );
+        assert_eq!(output.status.code(), Some(0), "{output:?}");
+        String::from_utf8(output.stdout).expect("text")
+    };
+    let earlier = "[fleet.verdicts]\nbound = \"11s\"\nwitnesses = 4\nmost_out = 0.4\nrest = \"2s\"\n\
+        [fleet.affinity]\nenabled = true\nahead = 3.0\n[fleet.standing]\nenabled = true\n\
+        [fleet.bindings]\nenabled = true\n";
+    let today = "[fleet.ejection]\nmax_staleness = \"11s\"\nmin_reporters = 4\nmax_ejected = 0.4\n\
+        ejection_time = \"2s\"\n[fleet.affinity]\nenabled = true\nmax_ahead = 3.0\n\
+        [fleet.connectivity]\nenabled = true\n[fleet.affinity_entries]\nenabled = true\n";
+    let written = checked(today);
+    assert_eq!(checked(earlier), written);
+    assert!(written.contains("min_reporters = 4"), "{written}");
+}
+
 // What a writer has got to as the signal comes: the file is cut, and later whole.
 #[test]
 fn a_reload_takes_a_whole_file_or_nothing_of_it() {
--- a/tests/product/fleet.rs
+++ b/tests/product/gossip.rs
@@ -84,7 +84,7 @@
     });
     let (second, _said) = start_named("two", &discovery, &endpoint, &files[1]);
     await_that("it says that it is whole", || {
-        said.count("standing: whole") == 1
+        said.count("connectivity: connected") == 1
     });
     let version = format!("\"version\": \"{}\"", env!("CARGO_PKG_VERSION"));
     await_that("the other's version is known", || {
--- a/tests/product/main.rs
+++ b/tests/product/main.rs
@@ -4,7 +4,7 @@
 mod stubs;
 
 mod configuration;
-mod fleet;
+mod gossip;
 mod harness;
 mod logs;
 mod metrics;
