--- a/crates/affinity/src/contact.rs
+++ b/crates/affinity/src/contact.rs
@@ -24,11 +24,11 @@
 
 /// What a pulse tells of a beacon: the lower half of its number, twice its age in steps, plus 1 where it knew who left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told([u8; 4], u32);
+pub struct BeaconAge([u8; 4], u32);
 
 /// When a beacon was heard of, by its clock: at all, and knowing who left.
 #[derive(Clone, Copy, Debug, Default)]
-struct Heard {
+struct BeaconContact {
     number: u64,
     at_all: Option<Micros>,
     sound: Option<Micros>,
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug)]
 pub struct Contact {
     me: u64,
-    beacons: BTreeMap<[u8; 4], Heard>,
+    beacons: BTreeMap<[u8; 4], BeaconContact>,
 }
 
 fn short(number: u64) -> [u8; 4] {
@@ -55,7 +55,7 @@
     }
 
     /// Those are all members, this one too: who runs, and who may still run without being heard.
-    pub fn roster(&mut self, members: impl Iterator<Item = u64>) {
+    pub fn members(&mut self, members: impl Iterator<Item = u64>) {
         let mut drawn: Vec<u64> = members.collect();
         drawn.sort_unstable_by_key(|number| (mix(*number, DRAW), *number));
         drawn.dedup();
@@ -65,9 +65,9 @@
                 .beacons
                 .get(&short(number))
                 .filter(|heard| heard.number == number);
-            known.copied().unwrap_or(Heard {
+            known.copied().unwrap_or(BeaconContact {
                 number,
-                ..Heard::default()
+                ..BeaconContact::default()
             })
         };
         self.beacons = drawn
@@ -77,21 +77,21 @@
     }
 
     /// What a pulse tells of them at that instant.
-    pub fn told(&self, now: Micros, sound: bool) -> Vec<Told> {
-        let told = |(short, heard): (&[u8; 4], &Heard)| {
+    pub fn told(&self, now: Micros, sound: bool) -> Vec<BeaconAge> {
+        let told = |(short, heard): (&[u8; 4], &BeaconContact)| {
             let (at, knew) = match self.heard_at(heard, now, sound) {
                 (_, Some(knew)) if now - knew < LONGEST => (knew, true),
                 (at, _) => (at?, false),
             };
             let steps = u32::try_from((now - at).max(0).div_euclid(STEP) + 1).ok()?;
-            (now - at < LONGEST).then_some(Told(*short, steps * 2 + u32::from(knew)))
+            (now - at < LONGEST).then_some(BeaconAge(*short, steps * 2 + u32::from(knew)))
         };
         self.beacons.iter().filter_map(told).collect()
     }
 
     fn heard_at(
         &self,
-        heard: &Heard,
+        heard: &BeaconContact,
         now: Micros,
         sound: bool,
     ) -> (Option<Micros>, Option<Micros>) {
@@ -102,8 +102,8 @@
     }
 
     /// A pulse of that time told this, and all that it says of who left was taken in.
-    pub fn heard(&mut self, stamp: Micros, told: &[Told]) {
-        for Told(short, packed) in told.iter().take(MOST_BEACONS) {
+    pub fn heard(&mut self, stamp: Micros, told: &[BeaconAge]) {
+        for BeaconAge(short, packed) in told.iter().take(MOST_BEACONS) {
             let at = stamp.saturating_sub(Micros::from(packed / 2).saturating_mul(STEP));
             if let Some(heard) = self.beacons.get_mut(short) {
                 heard.at_all = heard.at_all.max(Some(at));
@@ -116,7 +116,7 @@
 
     /// Since when a quorum was heard of: beacons that knew who left, or any.
     fn quorum(&self, now: Micros, sound: bool, any: bool) -> Option<Micros> {
-        let at = |heard: &Heard| {
+        let at = |heard: &BeaconContact| {
             let (at_all, knew) = self.heard_at(heard, now, sound);
             if any { at_all.max(knew) } else { knew }
         };
@@ -138,8 +138,9 @@
 
     /// Beacons that were heard of since that instant.
     pub fn beacons(&self, since: Micros) -> impl Iterator<Item = u64> {
-        let heard =
-            move |heard: &&Heard| heard.sound.max(heard.at_all).is_some_and(|at| at >= since);
+        let heard = move |heard: &&BeaconContact| {
+            heard.sound.max(heard.at_all).is_some_and(|at| at >= since)
+        };
         self.beacons
             .values()
             .filter(heard)
--- a/crates/affinity/src/contact/tests.rs
+++ b/crates/affinity/src/contact/tests.rs
@@ -12,7 +12,7 @@
 fn fleet(members: u64) -> Vec<Contact> {
     let contact = |i| {
         let mut contact = Contact::new(number(i));
-        contact.roster((0..members).map(number));
+        contact.members((0..members).map(number));
         contact
     };
     (0..members).map(contact).collect()
--- a/crates/affinity/src/hearing.rs
+++ b/crates/affinity/src/contact_lease.rs
@@ -7,18 +7,18 @@
 
 /// When contact was last known.
 #[derive(Clone, Copy, Debug)]
-pub struct Hearing {
-    silence: Micros,
+pub struct ContactLease {
+    contact_timeout: Micros,
     until: Option<Micros>,
     sound: bool,
 }
 
-impl Hearing {
+impl ContactLease {
     /// One that starts. It is `sound` where it founds the fleet; else only after its first contact, as it does not know
     /// which processes left before it came.
-    pub fn new(silence: Micros, sound: bool) -> Self {
+    pub fn new(contact_timeout: Micros, sound: bool) -> Self {
         Self {
-            silence,
+            contact_timeout,
             until: None,
             sound,
         }
@@ -26,7 +26,7 @@
 
     /// It is in contact with the others at that instant of its monotonic clock.
     pub fn contact(&mut self, mono: Micros) {
-        self.until = self.until.max(Some(mono + self.silence));
+        self.until = self.until.max(Some(mono + self.contact_timeout));
         self.sound = true;
     }
 
@@ -36,7 +36,7 @@
     }
 
     /// It knows that it is out of contact.
-    pub fn parted(&mut self) {
+    pub fn lose_contact(&mut self) {
         self.until = None;
     }
 
--- a/crates/affinity/src/phase.rs
+++ b/crates/affinity/src/drain_phase.rs
@@ -1,12 +1,12 @@
 //! Endpoint processes that drain or have come back, and who is drained of affinity to them.
 //!
-//! Each process has an epoch, 0 at first. `leaving` ends its epoch for good; where its leave is called off, the next one
+//! Each process has an epoch, 0 at first. `begin_drain` ends its epoch for good; where its leave is called off, the next one
 //! opens. Bindings belong to the epoch in which they were made and end with it.
 
 use crate::Micros;
+use crate::entry::Process;
 use crate::mix;
 use crate::time::{Slot, Times};
-use crate::word::Process;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -28,7 +28,7 @@
 
 /// Why no phase was begun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotBegun {
+pub enum EpochRefused {
     /// Too many processes leave at a time.
     TooMany,
     /// That epoch is over.
@@ -55,10 +55,10 @@
     ///
     /// # Errors
     /// Why not.
-    pub fn merge(&mut self, process: Process, phase: Phase) -> Result<(), NotBegun> {
+    pub fn merge(&mut self, process: Process, phase: Phase) -> Result<(), EpochRefused> {
         if let Some(state) = self.known.get_mut(&process) {
             if (phase.epoch, phase.leaves) < (state.phase.epoch, state.phase.leaves) {
-                return Err(NotBegun::Past);
+                return Err(EpochRefused::Past);
             }
             if (phase.epoch, phase.leaves) > (state.phase.epoch, state.phase.leaves) {
                 (state.reported, state.complete) = (BTreeSet::new(), None);
@@ -68,7 +68,7 @@
         }
         if self.known.len() >= MOST_PHASES {
             self.overflowed = true;
-            return Err(NotBegun::TooMany);
+            return Err(EpochRefused::TooMany);
         }
         self.known.insert(
             process,
@@ -87,26 +87,26 @@
     }
 
     /// The epoch in which that process is bound now.
-    pub fn era(&self, process: Process) -> u64 {
+    pub fn epoch(&self, process: Process) -> u64 {
         self.known.get(&process).map_or(0, |s| s.phase.epoch)
     }
 
     /// Whether a word of that epoch has ended.
-    pub fn ended(&self, process: Process, era: u64) -> bool {
+    pub fn ended(&self, process: Process, epoch: u64) -> bool {
         self.known
             .get(&process)
-            .is_some_and(|s| era < s.phase.epoch || era == s.phase.epoch && s.phase.leaves)
+            .is_some_and(|s| epoch < s.phase.epoch || epoch == s.phase.epoch && s.phase.leaves)
     }
 
     /// From that slot on a key bound at that process in that epoch binds elsewhere; none where the process stays. Keys
     /// are parted evenly over the time, the same at every member: few move at a time. Those of epochs before, too, as an epoch
     /// may be skipped.
-    pub fn moves(&self, key: u64, process: Process, era: u64, times: &Times) -> Option<Slot> {
+    pub fn moves(&self, key: u64, process: Process, epoch: u64, times: &Times) -> Option<Slot> {
         let phase = self.known.get(&process)?.phase;
-        if era > phase.epoch || era == phase.epoch && !phase.leaves {
+        if epoch > phase.epoch || epoch == phase.epoch && !phase.leaves {
             return None;
         }
-        let place = mix(key, process.name).rem_euclid(times.moving.unsigned_abs());
+        let place = mix(key, process.name).rem_euclid(times.migration_time.unsigned_abs());
         Some(if phase.leaves {
             phase.since.0.saturating_add(place.cast_signed())
         } else {
@@ -146,13 +146,14 @@
         process: Process,
         epoch: u64,
         mono: Micros,
-        roster: &[u64],
+        members: &[u64],
     ) -> Option<Micros> {
         let state = self
             .known
             .get_mut(&process)
             .filter(|s| s.phase.epoch == epoch && s.phase.leaves)?;
-        if state.complete.is_none() && roster.iter().all(|member| state.reported.contains(member)) {
+        if state.complete.is_none() && members.iter().all(|member| state.reported.contains(member))
+        {
             state.complete = Some(mono);
         }
         state.complete
--- a/crates/affinity/src/phase/tests.rs
+++ b/crates/affinity/src/drain_phase/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of `phase.rs`.
 
 use super::*;
-use crate::section::BindingsSection;
+use crate::section::AffinityEntriesSection;
 
 const P: Process = Process {
     name: 1,
@@ -34,12 +34,12 @@
         Ok(())
     );
     assert!(phases.ended(P, 0) && !phases.ended(P, 1));
-    assert_eq!(phases.merge(P, leaves(0, 5)), Err(NotBegun::Past));
+    assert_eq!(phases.merge(P, leaves(0, 5)), Err(EpochRefused::Past));
 }
 
 #[test]
 fn keys_move_evenly_and_all_of_them_in_time() {
-    let (mut phases, times) = (Phases::default(), BindingsSection::default().times());
+    let (mut phases, times) = (Phases::default(), AffinityEntriesSection::default().times());
     phases.merge(P, leaves(0, 100)).expect("there is room");
     let mut by_slot = BTreeMap::new();
     for key in 0..4096 {
@@ -47,7 +47,10 @@
             .entry(phases.moves(key, P, 0, &times).expect("it leaves"))
             .or_insert(0) += 1;
     }
-    assert_eq!(by_slot.keys().next_back(), Some(&(99 + times.moving)));
+    assert_eq!(
+        by_slot.keys().next_back(),
+        Some(&(99 + times.migration_time))
+    );
     phases.merge(P, leaves(17, 100)).expect("it is known");
     assert!(
         phases
@@ -55,7 +58,7 @@
             .is_some_and(|slot| slot >= 100),
         "of an epoch before"
     );
-    let even = 4096 / times.moving;
+    let even = 4096 / times.migration_time;
     assert!(by_slot.values().all(|n| *n < even * 3 / 2), "{by_slot:?}");
 }
 
@@ -86,10 +89,10 @@
             },
             leaves(0, 0)
         ),
-        Err(NotBegun::TooMany)
+        Err(EpochRefused::TooMany)
     );
     assert!(!phases.whole());
-    let times = BindingsSection::default().times();
+    let times = AffinityEntriesSection::default().times();
     phases.forget(1 << 40, &times, |p| p == P);
     assert_eq!(phases.iter().map(|(p, _)| p).collect::<Vec<_>>(), [P]);
     let late = times.remembered();
--- a/crates/affinity/src/word.rs
+++ b/crates/affinity/src/entry.rs
@@ -15,22 +15,22 @@
 /// The last use of a key at a process that all members were told of. Of two words on the same key and process the greater
 /// one holds: fields are compared in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Word {
+pub struct AffinityEntry {
     /// The first slot in which that use is past its life: then it counts as never made. The word that lives longest holds,
     /// so that what it replaces cannot outlive it.
     pub ends: Slot,
     /// The epoch of the process in which it was used; see [`crate::phase`].
-    pub era: u64,
+    pub epoch: u64,
     /// The key was met there before.
     pub held: bool,
 }
 
-impl Word {
+impl AffinityEntry {
     /// That of a use in a slot.
-    pub fn of(last: Slot, era: u64, held: bool, times: &Times) -> Self {
+    pub fn of(last: Slot, epoch: u64, held: bool, times: &Times) -> Self {
         Self {
             ends: last + times.life(held),
-            era,
+            epoch,
             held,
         }
     }
@@ -42,63 +42,68 @@
 }
 
 /// Processes at which one key is remembered: where two are bound at once, both until one ages out.
-pub const MOST_PLACES: usize = 2;
+pub const MAX_ENTRIES_PER_KEY: usize = 2;
 
 /// Words on one key. The merge takes the greater word of each process and keeps the greatest ones: idempotent,
 /// commutative and associative, as a process that is left out has no part in what is kept.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Places(Vec<(Word, Process)>);
+pub struct KeyEntries(Vec<(AffinityEntry, Process)>);
 
-impl Places {
+impl KeyEntries {
     /// Takes a word in; whether that changed anything.
-    pub fn merge(&mut self, process: Process, word: Word) -> bool {
+    pub fn merge(&mut self, process: Process, entry: AffinityEntry) -> bool {
         match self.0.iter_mut().find(|(_, p)| *p == process) {
-            Some((held, _)) if *held >= word => return false,
-            Some((held, _)) => *held = word,
-            None => self.0.push((word, process)),
+            Some((held, _)) if *held >= entry => return false,
+            Some((held, _)) => *held = entry,
+            None => self.0.push((entry, process)),
         }
         // By the same order as the words of one process: else one that was left out would have a part in what is kept.
         self.0.sort_by_key(|place| std::cmp::Reverse(*place));
-        let dropped =
-            self.0.len() > MOST_PLACES && self.0[MOST_PLACES..].contains(&(word, process));
-        self.0.truncate(MOST_PLACES);
+        let dropped = self.0.len() > MAX_ENTRIES_PER_KEY
+            && self.0[MAX_ENTRIES_PER_KEY..].contains(&(entry, process));
+        self.0.truncate(MAX_ENTRIES_PER_KEY);
         !dropped
     }
 
     /// Keeps those only.
-    pub fn retain(&mut self, keep: impl Fn(&Word, &Process) -> bool) {
-        self.0.retain(|(word, process)| keep(word, process));
+    pub fn retain(&mut self, keep: impl Fn(&AffinityEntry, &Process) -> bool) {
+        self.0.retain(|(entry, process)| keep(entry, process));
     }
 
     /// The word on that process.
-    pub fn at(&self, process: Process) -> Option<Word> {
+    pub fn at(&self, process: Process) -> Option<AffinityEntry> {
         self.0
             .iter()
             .find(|(_, p)| *p == process)
-            .map(|(word, _)| *word)
+            .map(|(entry, _)| *entry)
     }
 
     /// All, the one that ends last first.
-    pub fn iter(&self) -> impl Iterator<Item = (Process, Word)> {
-        self.0.iter().map(|(word, process)| (*process, *word))
+    pub fn iter(&self) -> impl Iterator<Item = (Process, AffinityEntry)> {
+        self.0.iter().map(|(entry, process)| (*process, *entry))
     }
 
     /// The slot in which all are past their lives.
     pub fn ends(&self) -> Option<Slot> {
-        self.0.first().map(|(word, _)| word.ends)
+        self.0.first().map(|(entry, _)| entry.ends)
     }
 
     /// The places at which the key is bound, of those that may be used: first one that it was met at again, then one drawn by
     /// the key, the same at every member.
-    pub fn bound(&self, key: u64, may: impl Fn(Process, Word) -> bool) -> Vec<Process> {
-        let rank =
-            |(p, w): &(Process, Word)| (w.held, mix(key, mix(p.name, p.started.unsigned_abs())));
-        let mut bound: Vec<_> = self
+    pub fn cached_at(
+        &self,
+        key: u64,
+        may: impl Fn(Process, AffinityEntry) -> bool,
+    ) -> Vec<Process> {
+        let rank = |(p, w): &(Process, AffinityEntry)| {
+            (w.held, mix(key, mix(p.name, p.started.unsigned_abs())))
+        };
+        let mut cached_at: Vec<_> = self
             .iter()
-            .filter(|(process, word)| may(*process, *word))
+            .filter(|(process, entry)| may(*process, *entry))
             .collect();
-        bound.sort_by_key(|place| std::cmp::Reverse(rank(place)));
-        bound.into_iter().map(|(process, _)| process).collect()
+        cached_at.sort_by_key(|place| std::cmp::Reverse(rank(place)));
+        cached_at.into_iter().map(|(process, _)| process).collect()
     }
 
     /// No place is left.
--- a/crates/affinity/src/exchange.rs
+++ b/crates/affinity/src/exchange.rs
@@ -1,12 +1,12 @@
 //! The exchange of affinity messages between members.
 
-use crate::member::Bindings;
-use crate::piece::{LONGEST, Piece, Refused};
-use crate::report::Told;
+use crate::member::AffinityMember;
+use crate::message::{AffinityMessage, LONGEST, MessageRefused};
+use crate::report::Outgoing;
 use crate::time::Slot;
 use crate::{Micros, mix};
 
-/// How often [`Bindings::tick`] is to be called.
+/// How often [`AffinityMember::tick`] is to be called.
 pub const TICK: Micros = 100_000;
 /// Time from one pulse to the next.
 const PULSE: Micros = 500_000;
@@ -18,26 +18,30 @@
 /// Least room of a pulse for members that are clear of a process.
 const REPORT_ROOM: usize = 48;
 
-impl Bindings {
+impl AffinityMember {
     /// A piece came from a member.
     ///
     /// # Errors
     /// Why it was refused; nothing of it was taken in.
-    pub fn hear(&mut self, now: Micros, from: u64, bytes: &[u8]) -> Result<(), Refused> {
-        let read =
-            Piece::read(bytes).and_then(|piece| match piece.stamp <= now + self.times.skew {
-                true => Ok(piece),
-                false => Err(Refused::Clock),
-            });
-        let piece = read.inspect_err(|_| self.census.refused += 1)?;
+    pub fn receive(&mut self, now: Micros, from: u64, bytes: &[u8]) -> Result<(), MessageRefused> {
+        let read = AffinityMessage::read(bytes).and_then(|message| {
+            match message.stamp <= now + self.times.skew {
+                true => Ok(message),
+                false => Err(MessageRefused::Clock),
+            }
+        });
+        let message = read.inspect_err(|_| self.summary.refused += 1)?;
         let (newest, oldest) = (self.times.slot(now + self.times.skew), self.times.slot(now));
-        for (process, phase) in piece.phases().filter(|(_, phase)| phase.since.0 <= newest) {
+        for (process, phase) in message
+            .phases()
+            .filter(|(_, phase)| phase.since.0 <= newest)
+        {
             // One that finds no room stops all bindings here until it does.
             if self.phases.takes(process, phase, oldest, &self.times) {
                 let _ = self.phases.merge(process, phase);
             }
         }
-        for (process, epoch, member) in piece.reports() {
+        for (process, epoch, member) in message.reports() {
             self.phases.report(process, epoch, member);
             // What an earlier life of this member said holds for this one too.
             if member == self.member
@@ -46,41 +50,41 @@
             {
                 let phases = &self.phases;
                 self.table
-                    .retain(|_, of, word| of != process || !phases.ended(of, word.era));
+                    .retain(|_, of, entry| of != process || !phases.ended(of, entry.epoch));
             }
         }
-        for (key, process, mut word) in piece.each_word() {
-            if !self.guards.ages_from_use {
-                word.ends = oldest + self.times.life(word.held);
+        for (key, process, mut entry) in message.each_entry() {
+            if !self.rules.ages_from_use {
+                entry.ends = oldest + self.times.life(entry.held);
             }
-            let ended = self.phases.ended(process, word.era) && self.guards.refuses_ended;
+            let ended = self.phases.ended(process, entry.epoch) && self.rules.refuses_ended;
             let ended = ended || self.closed.contains(&process);
-            let counts = word.last(&self.times) <= newest && oldest < word.ends && !ended;
-            if !counts || !self.table.merge(key, process, word) {
-                self.census.passed_over += 1;
+            let counts = entry.last(&self.times) <= newest && oldest < entry.ends && !ended;
+            if !counts || !self.table.merge(key, process, entry) {
+                self.summary.passed_over += 1;
                 continue;
             }
-            self.census.heard += 1;
-            if piece.news {
-                self.rumours.add(key, process);
+            self.summary.received += 1;
+            if message.news {
+                self.pending.add(key, process);
             }
         }
         // Who has no room for who left does not know what the sender did.
         if self.phases.whole() {
-            self.contact.heard(piece.stamp, &piece.heard);
+            self.contact.heard(message.stamp, &message.heard);
         }
-        if piece.asks
+        if message.asks
             && self.asked.len() < MOST_ASKED
             && self.asked.iter().all(|(who, _)| *who != from)
         {
             self.asked.push_back((from, None));
         }
-        if piece.ends {
+        if message.ends {
             self.asks = 0;
         }
-        if let Some(floor) = piece
+        if let Some(floor) = message
             .floor
-            .filter(|(slot, _)| *slot <= newest + self.times.life_held)
+            .filter(|(slot, _)| *slot <= newest + self.times.renewed_lifetime)
         {
             self.table.raise(floor);
         }
@@ -90,34 +94,34 @@
     /// Says at an instant of both clocks since when it is in contact. One that starts is so only by what was said after it
     /// began; where a quorum was heard and most of it has just started too, nobody there knows more.
     fn follow(&mut self, now: Micros, mono: Micros) {
-        let sound = self.hearing.sound();
+        let sound = self.contact_lease.sound();
         if let Some(at) = self
             .contact
             .since(now, sound)
             .filter(|at| sound || *at > self.begun)
         {
-            self.hearing.contact(mono - (now - at));
-        } else if !sound && now >= self.begun + self.times.silence {
+            self.contact_lease.contact(mono - (now - at));
+        } else if !sound && now >= self.begun + self.times.contact_timeout {
             let met = self
                 .contact
                 .met(now)
-                .is_some_and(|at| at > self.begun && now - at < self.times.silence);
-            self.hearing.founds(met);
+                .is_some_and(|at| at > self.begun && now - at < self.times.contact_timeout);
+            self.contact_lease.founds(met);
         }
     }
 
     /// Every [`TICK`]: ages out what is past its life and says what is to be sent.
-    pub fn tick(&mut self, now: Micros, mono: Micros) -> Told {
+    pub fn tick(&mut self, now: Micros, mono: Micros) -> Outgoing {
         self.follow(now, mono);
         let slot = self.times.slot(now);
         if slot != self.slot {
             self.slot = slot;
             self.turn_of_slot(slot);
         }
-        let mut told = Told::default();
+        let mut told = Outgoing::default();
         let due = now >= self.pulses_at.saturating_add(PULSE) || now < self.pulses_at;
         // What does not fit into one pulse goes with one between.
-        if due || self.rumours.count() > MANY && now >= self.pulses_at + PULSE / 2 {
+        if due || self.pending.count() > MANY && now >= self.pulses_at + PULSE / 2 {
             self.pulses_at = now;
             self.tell(now);
             told.nearby = Some(self.pulse(now));
@@ -129,14 +133,15 @@
     /// Own uses that the others need to know of become words.
     fn tell(&mut self, now: Micros) {
         let phases = &self.phases;
-        let era = |process| Some(phases.era(process)).filter(|era| !phases.ended(process, *era));
-        for (key, process, word) in self
-            .telling
-            .due_now(now, PULSE, &self.table, &self.times, era)
+        let epoch =
+            |process| Some(phases.epoch(process)).filter(|epoch| !phases.ended(process, *epoch));
+        for (key, process, entry) in
+            self.publishing
+                .due_now(now, PULSE, &self.table, &self.times, epoch)
         {
-            self.census.told += 1;
-            self.table.merge(key, process, word);
-            self.rumours.add(key, process);
+            self.summary.published += 1;
+            self.table.merge(key, process, entry);
+            self.pending.add(key, process);
         }
     }
 
@@ -144,13 +149,13 @@
         let (phases, times) = (&self.phases, &self.times);
         self.table.age(slot);
         if phases.iter().next().is_some() {
-            let moved = |key, process, era| {
+            let moved = |key, process, epoch| {
                 phases
-                    .moves(key, process, era, times)
+                    .moves(key, process, epoch, times)
                     .is_some_and(|m| m <= slot)
             };
             self.table
-                .retain(|key, process, word| !moved(key, process, word.era));
+                .retain(|key, process, entry| !moved(key, process, entry.epoch));
         }
         let left: Vec<_> = phases.iter().filter(|(_, phase)| phase.leaves).collect();
         for (process, phase) in left {
@@ -162,17 +167,17 @@
 
     /// What is told to a few again and again: who left, who is clear, what was dropped.
     pub(crate) fn pulse(&mut self, now: Micros) -> Vec<u8> {
-        let mut piece = Piece::at(now);
-        let sound = self.hearing.sound() && self.phases.whole();
+        let mut message = AffinityMessage::at(now);
+        let sound = self.contact_lease.sound() && self.phases.whole();
         if self.phases.whole() {
-            piece.heard = self.contact.told(now, sound);
+            message.heard = self.contact.told(now, sound);
         }
-        piece.asks = self.asks > 0;
-        piece.floor = self.table.floor();
+        message.asks = self.asks > 0;
+        message.floor = self.table.floor();
         self.asks = self.asks.saturating_sub(1);
         self.phases
             .iter()
-            .for_each(|(process, phase)| piece.phase(process, phase));
+            .for_each(|(process, phase)| message.phase(process, phase));
         let left: Vec<_> = self
             .phases
             .iter()
@@ -184,28 +189,32 @@
             let reported = self.phases.reported(process);
             let skip = self.turn as usize % reported.clone().count().max(1);
             let around = reported.clone().skip(skip).chain(reported.take(skip));
-            if piece.bytes().len() + REPORT_ROOM > LONGEST {
+            if message.bytes().len() + REPORT_ROOM > LONGEST {
                 break;
             }
-            piece.report(process, phase.epoch, around);
+            message.report(process, phase.epoch, around);
         }
         let slot = self.times.slot(now);
-        let (mut over, mut words) = (Vec::new(), Vec::new());
-        for (key, process) in self.rumours.waiting() {
-            match self.table.at(key, process).filter(|word| slot < word.ends) {
-                Some(word) => words.push((key, process, word)),
+        let (mut over, mut entries) = (Vec::new(), Vec::new());
+        for (key, process) in self.pending.waiting() {
+            match self
+                .table
+                .at(key, process)
+                .filter(|entry| slot < entry.ends)
+            {
+                Some(entry) => entries.push((key, process, entry)),
                 None => over.push((key, process)),
             }
         }
-        over.into_iter().for_each(|of| self.rumours.went(of, true));
-        let base = words
+        over.into_iter().for_each(|of| self.pending.went(of, true));
+        let base = entries
             .iter()
-            .map(|(.., word)| word.ends)
+            .map(|(.., entry)| entry.ends)
             .max()
             .unwrap_or(slot);
-        let went = piece.news(base, words.into_iter());
-        went.into_iter().for_each(|of| self.rumours.went(of, false));
-        piece.bytes()
+        let went = message.news(base, entries.into_iter());
+        went.into_iter().for_each(|of| self.pending.went(of, false));
+        message.bytes()
     }
 
     /// The next turn of the answer to a member that asked.
@@ -213,24 +222,24 @@
         let Some((who, from)) = self.asked.pop_front() else {
             return Vec::new();
         };
-        let (mut words, mut rank) = (Vec::new(), from);
+        let (mut entries, mut rank) = (Vec::new(), from);
         for at in self.table.below(from).take(ANSWER) {
-            words.extend(
+            entries.extend(
                 self.table
-                    .words(at.2)
-                    .map(|(process, word)| (at.2, process, word)),
+                    .entries(at.2)
+                    .map(|(process, entry)| (at.2, process, entry)),
             );
             rank = Some(at);
         }
         if rank == from {
-            let mut end = Piece::at(now);
+            let mut end = AffinityMessage::at(now);
             end.ends = true;
             return vec![(who, end.bytes())];
         }
         self.asked.push_back((who, rank));
-        Piece::words(now, words)
+        AffinityMessage::entries(now, entries)
             .iter()
-            .map(|piece| (who, piece.bytes()))
+            .map(|message| (who, message.bytes()))
             .collect()
     }
 }
--- a/crates/affinity/src/histories.rs
+++ b/crates/affinity/src/histories.rs
@@ -5,12 +5,12 @@
 mod events;
 mod runs;
 
+use crate::entry::Process;
 use crate::exchange::TICK;
-use crate::guards::Guards;
-use crate::member::Bindings;
-use crate::section::BindingsSection;
+use crate::member::AffinityMember;
+use crate::safety_rules::SafetyRules;
+use crate::section::AffinityEntriesSection;
 use crate::time::Times;
-use crate::word::Process;
 use crate::{Micros, mix};
 use load_balancer_common::units::Time;
 use std::cmp::Reverse;
@@ -25,12 +25,12 @@
 const SENDS: usize = 9;
 
 /// Lives as short as they can be beside the spread, so that much ages out in a history.
-fn section() -> BindingsSection {
-    let (life_new, life_held) = (Time::ms(6000), Time::ms(12_000));
-    BindingsSection {
-        life_new,
-        life_held,
-        ..BindingsSection::default()
+fn section() -> AffinityEntriesSection {
+    let (first_lifetime, renewed_lifetime) = (Time::ms(6000), Time::ms(12_000));
+    AffinityEntriesSection {
+        first_lifetime,
+        renewed_lifetime,
+        ..AffinityEntriesSection::default()
     }
 }
 
@@ -43,7 +43,7 @@
 }
 
 struct Node {
-    bindings: Bindings,
+    bindings: AffinityMember,
     life: u64,
     offset: Micros,
     stopped: bool,
@@ -59,7 +59,7 @@
 struct World {
     t: Micros,
     times: Times,
-    guards: Guards,
+    rules: SafetyRules,
     capacity: usize,
     rng: fastrand::Rng,
     nodes: Vec<Node>,
@@ -77,14 +77,14 @@
 }
 
 impl World {
-    fn new(seed: u64, members: usize, capacity: usize, guards: Guards) -> Self {
+    fn new(seed: u64, members: usize, capacity: usize, rules: SafetyRules) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let times = section().times();
         let loss = [0.0, 0.1, 0.3][rng.usize(..3)];
         let mut world = Self {
             t: EPOCH + rng.i64(0..times.slot),
             times,
-            guards,
+            rules,
             capacity,
             nodes: Vec::new(),
             net: BinaryHeap::new(),
@@ -122,7 +122,7 @@
         let (members, life) = (self.cut.len(), self.sent);
         let rates = section().rates(members as u32);
         let number = member(i as u64);
-        let mut bindings = Bindings::new(
+        let mut bindings = AffinityMember::new(
             self.t + offset,
             self.times,
             self.capacity,
@@ -131,11 +131,11 @@
             founds,
         );
         (
-            bindings.guards,
-            bindings.telling.guards,
-            bindings.table.guards,
-        ) = (self.guards, self.guards, self.guards);
-        bindings.roster(&(0..members as u64).map(member).collect::<Vec<_>>());
+            bindings.rules,
+            bindings.publishing.rules,
+            bindings.table.rules,
+        ) = (self.rules, self.rules, self.rules);
+        bindings.members(&(0..members as u64).map(member).collect::<Vec<_>>());
         let (booted, steady, under_way) = (self.t, self.t, Vec::new());
         Node {
             bindings,
@@ -217,7 +217,7 @@
         }
         let now = self.now(to);
         // What cannot be read is no history's business.
-        let _ = self.nodes[to].bindings.hear(now, from as u64, bytes);
+        let _ = self.nodes[to].bindings.receive(now, from as u64, bytes);
     }
 
     fn tick(&mut self, i: usize) {
@@ -234,10 +234,10 @@
         for to in (0..self.nodes.len()).filter(|to| *to != i) {
             told.nearby
                 .iter()
-                .for_each(|piece| self.send(i, to, piece, SENDS));
+                .for_each(|message| self.send(i, to, message, SENDS));
         }
-        for (to, piece) in told.direct {
-            self.send(i, to as usize, &piece, 1);
+        for (to, message) in told.direct {
+            self.send(i, to as usize, &message, 1);
         }
     }
 
@@ -249,31 +249,32 @@
             }
             let key = self.rng.u64(..KEYS);
             let (now, mono) = (self.now(i), self.mono(i));
-            let bound = self.nodes[i]
+            let cached_at = self.nodes[i]
                 .bindings
                 .picks(now, mono, key, |_| true)
                 .first()
                 .copied();
-            let at = bound.unwrap_or_else(|| process(mix(key, self.rng.u64(..2)) % PROCESSES));
-            if bound.is_some() {
+            let at = cached_at.unwrap_or_else(|| process(mix(key, self.rng.u64(..2)) % PROCESSES));
+            if cached_at.is_some() {
                 let until = self.t + self.rng.i64(0..self.times.longest_use);
                 self.nodes[i].under_way.push((until, at));
                 self.nodes[i].bindings.under_way(at, true);
             }
-            self.nodes[i].bindings.used(now, key, at);
+            self.nodes[i].bindings.record_use(now, key, at);
             // A use by a binding that is about to end is told too late: the spread, two clocks and a slot before.
-            let late = self.times.slot(now + 2 * self.times.skew) + self.times.spread + 2;
+            let late =
+                self.times.slot(now + 2 * self.times.skew) + self.times.dissemination_time + 2;
             let in_time = self.nodes[i]
                 .bindings
                 .table
                 .at(key, at)
                 .is_some_and(|w| w.ends > late);
-            self.truth.used(
+            self.truth.record_use(
                 self.t,
                 self.times.slot(now),
                 i,
                 (key, at),
-                bound.is_some() && in_time,
+                cached_at.is_some() && in_time,
             );
         }
     }
@@ -298,9 +299,9 @@
 /// What came of histories: how often each property was looked at, and the first breach.
 type Found = (HashMap<&'static str, u64>, Option<String>);
 
-fn play(seed: u64, guards: Guards, capacity: usize, seconds: i64) -> Found {
+fn play(seed: u64, rules: SafetyRules, capacity: usize, seconds: i64) -> Found {
     let members = 3 + (seed % 3) as usize;
-    let mut world = World::new(seed, members, capacity, guards);
+    let mut world = World::new(seed, members, capacity, rules);
     while world.t < EPOCH + seconds * 1_000_000 && world.truth.breach.is_none() {
         world.step();
     }
--- a/crates/affinity/src/histories/checks.rs
+++ b/crates/affinity/src/histories/checks.rs
@@ -2,8 +2,8 @@
 
 use super::{KEYS, World, process};
 use crate::Micros;
+use crate::entry::{AffinityEntry, Process};
 use crate::time::Slot;
-use crate::word::{Process, Word};
 use std::collections::HashMap;
 
 type Binding = (u64, Process);
@@ -14,9 +14,9 @@
     /// The last use of each, in the slot of who used it.
     last: HashMap<Binding, Slot>,
     /// The last use by way of a binding: when, and by whom.
-    bound: HashMap<Binding, (Micros, usize)>,
+    cached_at: HashMap<Binding, (Micros, usize)>,
     /// Bindings that a member held and then no more, and the word that it knew.
-    held: HashMap<(usize, u64, Binding), (Word, bool)>,
+    held: HashMap<(usize, u64, Binding), (AffinityEntry, bool)>,
     /// Processes that left, or were about to.
     pub(super) left: Vec<Process>,
     pub(super) looked: HashMap<&'static str, u64>,
@@ -24,11 +24,18 @@
 }
 
 impl Truth {
-    pub(super) fn used(&mut self, t: Micros, slot: Slot, by: usize, of: Binding, bound: bool) {
+    pub(super) fn record_use(
+        &mut self,
+        t: Micros,
+        slot: Slot,
+        by: usize,
+        of: Binding,
+        cached_at: bool,
+    ) {
         let last = self.last.entry(of).or_insert(slot);
         *last = slot.max(*last);
-        if bound {
-            self.bound.insert(of, (t, by));
+        if cached_at {
+            self.cached_at.insert(of, (t, by));
         }
     }
 
@@ -56,36 +63,36 @@
     fn nothing_comes_back(&self, truth: &mut Truth, i: usize) {
         let (slot, life) = (self.times.slot(self.now(i)), self.nodes[i].life);
         let dump: Vec<_> = self.nodes[i].bindings.dump().collect();
-        let alive: HashMap<Binding, Word> = dump
+        let alive: HashMap<Binding, AffinityEntry> = dump
             .iter()
-            .filter(|(.., word)| slot < word.ends)
-            .map(|(key, at, word)| ((*key, *at), *word))
+            .filter(|(.., entry)| slot < entry.ends)
+            .map(|(key, at, entry)| ((*key, *at), *entry))
             .collect();
-        for (of, word) in &alive {
-            let last = word.last(&self.times);
+        for (of, entry) in &alive {
+            let last = entry.last(&self.times);
             truth.look("a");
-            let used = truth.last.get(of).copied();
-            if used.is_none_or(|used| last > used) {
+            let record_use = truth.last.get(of).copied();
+            if record_use.is_none_or(|record_use| last > record_use) {
                 truth.breach(format!(
-                    "a: {of:?} at {i} is of slot {last}, last used {used:?}"
+                    "a: {of:?} at {i} is of slot {last}, last used {record_use:?}"
                 ));
             }
             if let Some((gone, _)) = truth.held.get(&(i, life, *of)).filter(|(_, alive)| !alive)
-                && word.era == gone.era
-                && word <= gone
+                && entry.epoch == gone.epoch
+                && entry <= gone
             {
                 truth.breach(format!(
-                    "a: {of:?} at {i} is back by {word:?}, gone with {gone:?}"
+                    "a: {of:?} at {i} is back by {entry:?}, gone with {gone:?}"
                 ));
             }
         }
-        for (key, at, word) in &dump {
+        for (key, at, entry) in &dump {
             if self.nodes[i]
                 .bindings
                 .phases
                 .reported(*at)
                 .any(|m| m == self.nodes[i].bindings.member)
-                && self.nodes[i].bindings.phases.ended(*at, word.era)
+                && self.nodes[i].bindings.phases.ended(*at, entry.epoch)
             {
                 truth.breach(format!(
                     "a: {key} at {at:?} is back at {i}, which was clear of it"
@@ -98,7 +105,7 @@
         truth.held.extend(
             alive
                 .into_iter()
-                .map(|(of, word)| ((i, life, of), (word, true))),
+                .map(|(of, entry)| ((i, life, of), (entry, true))),
         );
     }
 
@@ -140,18 +147,28 @@
             .max()
             .unwrap_or(0);
         // What was bound just before is still on its way.
-        let spread = slots(self.times.spread);
-        let used: Vec<_> = truth.bound.iter().map(|(of, use_)| (*of, *use_)).collect();
-        for ((key, at), (when, by)) in used {
-            let told_of = when - slots(self.times.life_held + self.times.spread) - self.times.skew;
-            let lasts = when + slots(self.times.life_held - 1) - self.times.skew;
-            if truth.left.contains(&at) || since > told_of || t < when + spread || t >= lasts {
+        let dissemination_time = slots(self.times.dissemination_time);
+        let record_use: Vec<_> = truth
+            .cached_at
+            .iter()
+            .map(|(of, use_)| (*of, *use_))
+            .collect();
+        for ((key, at), (when, by)) in record_use {
+            let told_of = when
+                - slots(self.times.renewed_lifetime + self.times.dissemination_time)
+                - self.times.skew;
+            let lasts = when + slots(self.times.renewed_lifetime - 1) - self.times.skew;
+            if truth.left.contains(&at)
+                || since > told_of
+                || t < when + dissemination_time
+                || t >= lasts
+            {
                 continue;
             }
             truth.look("b");
             let slot = self.times.slot(now);
-            let word = self.nodes[i].bindings.table.at(key, at);
-            let alive = word.is_some_and(|w| slot < w.ends);
+            let entry = self.nodes[i].bindings.table.at(key, at);
+            let alive = entry.is_some_and(|w| slot < w.ends);
             if !alive {
                 truth.breach(format!("b: {key} at {at:?}, used by {by}, is gone at {i}"));
             }
@@ -187,7 +204,10 @@
     /// Property c: who heard each other for long enough holds the same, but for what ends within skew and a slot.
     pub(super) fn compare(&mut self) {
         let mut truth = std::mem::take(&mut self.truth);
-        let long = (self.times.life_held + self.times.spread + self.times.moving) * self.times.slot;
+        let long = (self.times.renewed_lifetime
+            + self.times.dissemination_time
+            + self.times.migration_time)
+            * self.times.slot;
         for i in 0..self.nodes.len() {
             for j in (0..self.nodes.len()).filter(|j| *j != i) {
                 // A third one may have told one of the two alone.
@@ -201,12 +221,12 @@
                     self.times.slot(self.t),
                 );
                 let held: Vec<_> = self.nodes[i].bindings.dump().collect();
-                for (key, at, word) in held.iter().filter(|(.., w)| w.ends > slot + edge) {
+                for (key, at, entry) in held.iter().filter(|(.., w)| w.ends > slot + edge) {
                     truth.look("c");
                     let other = self.nodes[j].bindings.table.at(*key, *at);
                     if other.is_none() {
                         truth.breach(format!(
-                            "c: {key} at {at:?} {word:?} is at {i} and not at {j}"
+                            "c: {key} at {at:?} {entry:?} is at {i} and not at {j}"
                         ));
                     }
                 }
--- a/crates/affinity/src/histories/events.rs
+++ b/crates/affinity/src/histories/events.rs
@@ -22,16 +22,18 @@
                 let now = self.now(i);
                 self.nodes[i]
                     .bindings
-                    .leaving(now, process(0), 0)
+                    .begin_drain(now, process(0), 0)
                     .expect("there is room");
                 self.truth.left.push(process(0));
             }
             16 => {
                 // Another process leaves and stays after all.
                 let (now, other) = (self.now(i), process(1 + self.rng.u64(..PROCESSES - 1)));
-                if !self.nodes[i].stopped && self.nodes[i].bindings.leaving(now, other, 0).is_ok() {
+                if !self.nodes[i].stopped
+                    && self.nodes[i].bindings.begin_drain(now, other, 0).is_ok()
+                {
                     self.truth.left.push(other);
-                    let _ = self.nodes[i].bindings.stays(now, other, 1);
+                    let _ = self.nodes[i].bindings.cancel_drain(now, other, 1);
                 }
             }
             _ => {}
@@ -63,8 +65,8 @@
 
     /// A member dies and starts again, knowing nothing: of most members at a time one that knows who left is up.
     fn crash(&mut self, i: usize) {
-        let fresh =
-            (0..self.nodes.len()).filter(|j| *j != i && !self.nodes[*j].bindings.hearing.sound());
+        let fresh = (0..self.nodes.len())
+            .filter(|j| *j != i && !self.nodes[*j].bindings.contact_lease.sound());
         if fresh.count() < (self.nodes.len() - 1) / 2 {
             let offset = self.nodes[i].offset;
             self.nodes[i] = self.boot(i, offset, false);
@@ -73,7 +75,7 @@
                 let now = self.now(i);
                 self.nodes[i]
                     .bindings
-                    .leaving(now, process(0), 0)
+                    .begin_drain(now, process(0), 0)
                     .expect("there is room");
             }
         }
@@ -88,8 +90,8 @@
 
     /// No more uses and faults, then nothing more is told: what is on its way arrives, and members are compared.
     pub(super) fn settle(&mut self) {
-        let spread = self.times.spread * self.times.slot;
-        let (quiet, end) = (self.t + SECOND, self.t + 2 * SECOND + spread);
+        let dissemination_time = self.times.dissemination_time * self.times.slot;
+        let (quiet, end) = (self.t + SECOND, self.t + 2 * SECOND + dissemination_time);
         while self.t < end && self.truth.breach.is_none() {
             self.t += crate::exchange::TICK;
             self.deliver();
--- a/crates/affinity/src/histories/runs.rs
+++ b/crates/affinity/src/histories/runs.rs
@@ -1,7 +1,7 @@
 //! Runs of histories: a few in CI, many by hand, and one with each safety rule switched off.
 
 use super::{Found, KEYS, play};
-use crate::guards::Guards;
+use crate::safety_rules::SafetyRules;
 use std::collections::HashMap;
 
 /// Seconds of a history.
@@ -12,10 +12,10 @@
 const UNTIL_FOUND: u64 = 400;
 
 /// Half of the histories have room for all keys, half drop.
-fn one(seed: u64, guards: Guards) -> Found {
+fn one(seed: u64, rules: SafetyRules) -> Found {
     play(
         seed,
-        guards,
+        rules,
         if seed.is_multiple_of(2) {
             KEYS as usize
         } else {
@@ -30,7 +30,7 @@
     let part = |n: u64| {
         let mut looked = HashMap::new();
         for seed in seeds.clone().filter(|seed| seed % threads == n) {
-            let (found, breach) = one(seed, Guards::ALL);
+            let (found, breach) = one(seed, SafetyRules::ALL);
             assert_eq!(breach, None, "seed {seed}");
             found
                 .into_iter()
@@ -70,8 +70,8 @@
 }
 
 /// Without that guard some history breaks one of those properties.
-fn missed(properties: &str, guards: Guards) {
-    let breach = (0..UNTIL_FOUND).find_map(|seed| one(seed, guards).1);
+fn missed(properties: &str, rules: SafetyRules) {
+    let breach = (0..UNTIL_FOUND).find_map(|seed| one(seed, rules).1);
     let breach = breach.unwrap_or_else(|| panic!("{properties} holds without its guard"));
     assert!(properties.contains(&breach[..1]), "{breach}");
 }
@@ -80,9 +80,9 @@
 fn what_counts_from_when_it_came_comes_back() {
     missed(
         "a",
-        Guards {
+        SafetyRules {
             ages_from_use: false,
-            ..Guards::ALL
+            ..SafetyRules::ALL
         },
     );
 }
@@ -91,9 +91,9 @@
 fn what_is_taken_of_an_epoch_that_ended_comes_back() {
     missed(
         "a",
-        Guards {
+        SafetyRules {
             refuses_ended: false,
-            ..Guards::ALL
+            ..SafetyRules::ALL
         },
     );
 }
@@ -102,9 +102,9 @@
 fn what_is_not_renewed_goes_early() {
     missed(
         "b",
-        Guards {
+        SafetyRules {
             renews: false,
-            ..Guards::ALL
+            ..SafetyRules::ALL
         },
     );
 }
@@ -113,9 +113,9 @@
 fn what_is_dropped_by_an_own_order_differs_or_comes_back() {
     missed(
         "ac",
-        Guards {
+        SafetyRules {
             drops_alike: false,
-            ..Guards::ALL
+            ..SafetyRules::ALL
         },
     );
 }
@@ -124,9 +124,9 @@
 fn who_does_not_fall_silent_picks_what_is_clear() {
     missed(
         "d",
-        Guards {
+        SafetyRules {
             falls_silent: false,
-            ..Guards::ALL
+            ..SafetyRules::ALL
         },
     );
 }
@@ -135,9 +135,9 @@
 fn a_clear_before_the_silence_is_picked() {
     missed(
         "d",
-        Guards {
+        SafetyRules {
             waits_for_silence: false,
-            ..Guards::ALL
+            ..SafetyRules::ALL
         },
     );
 }
--- a/crates/affinity/src/lib.rs
+++ b/crates/affinity/src/lib.rs
@@ -7,14 +7,14 @@
 //!
 //! - [`section`]: the `[fleet.bindings]` section of a product configuration.
 //! - [`time`]: slots that all members count alike.
-//! - [`word`]: processes, words on uses, and their merge for one key.
+//! - [`entry`]: processes, words on uses, and their merge for one key.
 //! - [`table`]: words on all keys, bounded.
-//! - [`phase`]: processes that leave or have come back, and who is clear of them.
+//! - [`drain_phase`]: processes that leave or have come back, and who is clear of them.
 //! - [`contact`]: whom this member has heard, itself or through others.
-//! - [`hearing`]: whether this member may still hear the others.
-//! - [`telling`]: what is told, and when.
-//! - [`rumour`]: words that are passed on.
-//! - [`piece`]: what goes from member to member.
+//! - [`contact_lease`]: whether this member may still hear the others.
+//! - [`publishing`]: what is told, and when.
+//! - [`pending_updates`]: words that are passed on.
+//! - [`message`]: what goes from member to member.
 //! - [`exchange`]: what members send each other and make of it.
 //! - [`report`]: what a member gives out.
 //! - [`member`]: all of it as one state machine without I/O and clock.
@@ -22,24 +22,24 @@
 #![warn(missing_docs)]
 
 pub mod contact;
+pub mod contact_lease;
+pub mod drain_phase;
+pub mod entry;
 pub mod exchange;
-mod guards;
-pub mod hearing;
 #[cfg(test)]
 mod histories;
 pub mod member;
-pub mod phase;
-pub mod piece;
+pub mod message;
+pub mod pending_updates;
+pub mod publishing;
 pub mod report;
-pub mod rumour;
+mod safety_rules;
 pub mod section;
 pub mod table;
-pub mod telling;
 pub mod time;
-pub mod word;
 
-pub use member::Bindings;
-pub use word::Process;
+pub use entry::Process;
+pub use member::AffinityMember;
 
 /// Microseconds of Unix time on a member's own clock, of its monotonic clock, or a duration.
 pub type Micros = i64;
--- a/crates/affinity/src/member.rs
+++ b/crates/affinity/src/member.rs
@@ -2,15 +2,15 @@
 
 use crate::Micros;
 use crate::contact::Contact;
-use crate::guards::Guards;
-use crate::hearing::Hearing;
-use crate::phase::{NotBegun, Phase, Phases};
-use crate::report::{Census, Clear};
-use crate::rumour::Rumours;
+use crate::contact_lease::ContactLease;
+use crate::drain_phase::{EpochRefused, Phase, Phases};
+use crate::entry::{AffinityEntry, MAX_ENTRIES_PER_KEY, Process};
+use crate::pending_updates::PendingUpdates;
+use crate::publishing::{PublishRates, Publishing};
+use crate::report::{AffinitySummary, DrainStatus};
+use crate::safety_rules::SafetyRules;
 use crate::table::{Rank, Table};
-use crate::telling::{Rates, Telling};
 use crate::time::{Slot, Times};
-use crate::word::{MOST_PLACES, Process, Word};
 use std::cmp::Reverse;
 use std::collections::{HashMap, HashSet, VecDeque};
 
@@ -19,15 +19,15 @@
 
 /// All that one member knows of bindings.
 #[derive(Clone, Debug)]
-pub struct Bindings {
+pub struct AffinityMember {
     pub(crate) times: Times,
     pub(crate) member: u64,
     pub(crate) table: Table,
-    pub(crate) telling: Telling,
-    pub(crate) rumours: Rumours,
+    pub(crate) publishing: Publishing,
+    pub(crate) pending: PendingUpdates,
     pub(crate) phases: Phases,
     pub(crate) contact: Contact,
-    pub(crate) hearing: Hearing,
+    pub(crate) contact_lease: ContactLease,
     /// Processes that the own list has named and that take nothing any more: nothing is bound there.
     pub(crate) closed: HashSet<Process>,
     /// Requests under way that may go by a binding, by process.
@@ -40,27 +40,27 @@
     pub(crate) pulses_at: Micros,
     pub(crate) slot: Slot,
     pub(crate) turn: u64,
-    pub(crate) census: Census,
-    pub(crate) guards: Guards,
+    pub(crate) summary: AffinitySummary,
+    pub(crate) rules: SafetyRules,
 }
 
-impl Bindings {
+impl AffinityMember {
     /// Those of a member by that number, the same in all its lives, that begins now. One that `founds` the fleet asks nobody.
     pub fn new(
         now: Micros,
         times: Times,
         keys: usize,
-        rates: Rates,
+        rates: PublishRates,
         member: u64,
         founds: bool,
     ) -> Self {
         Self {
             table: Table::new(keys, member),
-            telling: Telling::new(rates, member),
-            rumours: Rumours::default(),
+            publishing: Publishing::new(rates, member),
+            pending: PendingUpdates::default(),
             phases: Phases::default(),
             contact: Contact::new(member),
-            hearing: Hearing::new(times.silence, founds),
+            contact_lease: ContactLease::new(times.contact_timeout, founds),
             closed: HashSet::new(),
             under_way: HashMap::new(),
             asked: VecDeque::new(),
@@ -69,22 +69,22 @@
             pulses_at: Micros::MIN,
             slot: Slot::MIN,
             turn: member,
-            census: Census::default(),
-            guards: Guards::ALL,
+            summary: AffinitySummary::default(),
+            rules: SafetyRules::ALL,
             times,
             member,
         }
     }
 
     /// Those are all members, this one too: who runs, and who may still run without being heard.
-    pub fn roster(&mut self, members: &[u64]) {
-        self.contact.roster(members.iter().copied());
-        self.telling.set_members(members.len());
+    pub fn members(&mut self, members: &[u64]) {
+        self.contact.members(members.iter().copied());
+        self.publishing.set_members(members.len());
     }
 
     /// It knows that it is out of contact.
-    pub fn parted(&mut self) {
-        self.hearing.parted();
+    pub fn lose_contact(&mut self) {
+        self.contact_lease.lose_contact();
     }
 
     /// Where a key is bound, of the processes that may be used, the best first. None where this member may not hear the
@@ -96,14 +96,14 @@
         key: u64,
         may: impl Fn(Process) -> bool,
     ) -> Vec<Process> {
-        let hears = self.hearing.hears(mono) || !self.guards.falls_silent;
+        let hears = self.contact_lease.hears(mono) || !self.rules.falls_silent;
         let slot = self.times.slot(now);
-        let alive = |process: Process, word: Word| {
-            let moves = self.phases.moves(key, process, word.era, &self.times);
-            slot < word.ends && moves.is_none_or(|moves| slot < moves) && may(process)
+        let alive = |process: Process, entry: AffinityEntry| {
+            let moves = self.phases.moves(key, process, entry.epoch, &self.times);
+            slot < entry.ends && moves.is_none_or(|moves| slot < moves) && may(process)
         };
         if hears && self.phases.whole() {
-            self.table.bound(key, alive)
+            self.table.cached_at(key, alive)
         } else {
             Vec::new()
         }
@@ -123,21 +123,21 @@
     }
 
     /// This member used a key at a process.
-    pub fn used(&mut self, now: Micros, key: u64, process: Process) {
+    pub fn record_use(&mut self, now: Micros, key: u64, process: Process) {
         if self.closed.contains(&process) {
             return;
         }
-        let (slot, era) = (self.times.slot(now), self.phases.era(process));
+        let (slot, epoch) = (self.times.slot(now), self.phases.epoch(process));
         let at = self.table.at(key, process).is_some();
         // Who finds so many places has one to go to: a further one would cost words at each use.
-        let places = || {
+        let key_entries = || {
             self.table
-                .words(key)
-                .filter(|(_, word)| slot < word.ends)
+                .entries(key)
+                .filter(|(_, entry)| slot < entry.ends)
                 .count()
         };
-        if !self.phases.ended(process, era) && (at || places() < MOST_PLACES) {
-            self.telling.used(key, process, slot, at);
+        if !self.phases.ended(process, epoch) && (at || key_entries() < MAX_ENTRIES_PER_KEY) {
+            self.publishing.record_use(key, process, slot, at);
         }
     }
 
@@ -154,7 +154,12 @@
     ///
     /// # Errors
     /// Why it cannot.
-    pub fn leaving(&mut self, now: Micros, process: Process, epoch: u64) -> Result<(), NotBegun> {
+    pub fn begin_drain(
+        &mut self,
+        now: Micros,
+        process: Process,
+        epoch: u64,
+    ) -> Result<(), EpochRefused> {
         if self
             .phases
             .iter()
@@ -177,7 +182,12 @@
     ///
     /// # Errors
     /// Why it cannot.
-    pub fn stays(&mut self, now: Micros, process: Process, epoch: u64) -> Result<(), NotBegun> {
+    pub fn cancel_drain(
+        &mut self,
+        now: Micros,
+        process: Process,
+        epoch: u64,
+    ) -> Result<(), EpochRefused> {
         self.phases.merge(
             process,
             Phase {
@@ -197,7 +207,7 @@
         process: Process,
         epoch: u64,
         running: &[u64],
-    ) -> Clear {
+    ) -> DrainStatus {
         let phase = self
             .phases
             .iter()
@@ -205,23 +215,23 @@
         let known = phase.is_some();
         // Whoever knows that it leaves uses no binding from then on.
         let moved = phase.is_some_and(|(_, phase)| now >= self.times.moved(phase.since.0));
-        let moved = moved || !self.guards.waits_for_silence;
+        let moved = moved || !self.rules.waits_for_silence;
         let reported = self.phases.reported(process).filter(|_| known);
         let (mine, reported) = (reported.clone().any(|m| m == self.member), reported.count());
-        let hears = self.hearing.hears(mono) || !self.guards.falls_silent;
-        let mut roster = running.to_vec();
-        roster.extend(self.contact.beacons(now - self.times.silence));
+        let hears = self.contact_lease.hears(mono) || !self.rules.falls_silent;
+        let mut members = running.to_vec();
+        members.extend(self.contact.beacons(now - self.times.contact_timeout));
         let all = if hears && mine {
-            self.phases.complete(process, epoch, mono, &roster)
+            self.phases.complete(process, epoch, mono, &members)
         } else {
             None
         };
-        let waits = if self.guards.waits_for_silence {
+        let waits = if self.rules.waits_for_silence {
             self.times.clear_after()
         } else {
             0
         };
-        Clear {
+        DrainStatus {
             clear: moved && all.is_some_and(|since| mono - since >= waits),
             known,
             mine,
@@ -248,27 +258,27 @@
     }
 
     /// All bindings, for whoever audits them: key, process, word.
-    pub fn dump(&self) -> impl Iterator<Item = (u64, Process, Word)> {
-        let words = |key| {
+    pub fn dump(&self) -> impl Iterator<Item = (u64, Process, AffinityEntry)> {
+        let entries = |key| {
             self.table
-                .words(key)
-                .map(move |(process, word)| (key, process, word))
+                .entries(key)
+                .map(move |(process, entry)| (key, process, entry))
         };
-        self.table.below(None).flat_map(move |rank| words(rank.2))
+        self.table.below(None).flat_map(move |rank| entries(rank.2))
     }
 
     /// Figures for whoever watches.
-    pub fn census(&self, mono: Micros) -> Census {
-        Census {
+    pub fn summary(&self, mono: Micros) -> AffinitySummary {
+        AffinitySummary {
             keys: self.table.len(),
             phases: self.phases.iter().count(),
-            waiting: self.telling.waiting(),
-            rumours: self.rumours.count(),
-            made_room: self.rumours.dropped,
-            hears: self.hearing.hears(mono),
+            waiting: self.publishing.waiting(),
+            pending: self.pending.count(),
+            made_room: self.pending.dropped,
+            in_contact: self.contact_lease.hears(mono),
             dropped: self.table.dropped,
-            untold: self.telling.dropped + self.census.untold,
-            ..self.census
+            unpublished: self.publishing.dropped + self.summary.unpublished,
+            ..self.summary
         }
     }
 }
--- a/crates/affinity/src/piece.rs
+++ b/crates/affinity/src/message.rs
@@ -1,12 +1,12 @@
 //! The encoding of affinity messages.
 //!
-//! A byte for the version of the form, then a [`Piece`] by postcard.
+//! A byte for the version of the form, then a [`AffinityMessage`] by postcard.
 
 use crate::Micros;
-use crate::contact::Told as Met;
-use crate::phase::Phase;
+use crate::contact::BeaconAge;
+use crate::drain_phase::Phase;
+use crate::entry::{AffinityEntry, Process};
 use crate::time::Slot;
-use crate::word::{Process, Word};
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
 
@@ -18,7 +18,7 @@
 
 /// Why a piece was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Refused {
+pub enum MessageRefused {
     /// Not of this form.
     Malformed,
     /// Of a version that cannot be read.
@@ -28,17 +28,17 @@
 }
 
 /// A process as it is written.
-type Name = ([u8; 8], i64);
+type EncodedProcess = ([u8; 8], i64);
 /// A phase: of whom, which epoch, whether it leaves, since which slot.
-type Told = (Name, u64, bool, Slot);
+type EncodedPhase = (EncodedProcess, u64, bool, Slot);
 /// Members that are clear of a process at an epoch.
-type Report = (Name, u64, Vec<[u8; 8]>);
+type EncodedReport = (EncodedProcess, u64, Vec<[u8; 8]>);
 /// Words on one process in one epoch: the key, then twice the slots back of its end from the piece's own, plus 1 where it is held.
-type Group = (Name, u64, Vec<([u8; 8], u64)>);
+type EncodedEntries = (EncodedProcess, u64, Vec<([u8; 8], u64)>);
 
 /// A piece.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Piece {
+pub struct AffinityMessage {
     /// When it was written, by the sender's clock.
     pub stamp: Micros,
     /// The sender asks for all bindings.
@@ -50,25 +50,25 @@
     /// Entries up to that rank were dropped somewhere: they are everywhere.
     pub floor: Option<(Slot, u64)>,
     /// Whom the sender has heard.
-    pub heard: Vec<Met>,
+    pub heard: Vec<BeaconAge>,
     base: Slot,
-    phases: Vec<Told>,
-    reports: Vec<Report>,
-    groups: Vec<Group>,
+    phases: Vec<EncodedPhase>,
+    reports: Vec<EncodedReport>,
+    groups: Vec<EncodedEntries>,
 }
 
-fn name(process: Process) -> Name {
+fn name(process: Process) -> EncodedProcess {
     (process.name.to_le_bytes(), process.started)
 }
 
-fn process((name, started): Name) -> Process {
+fn process((name, started): EncodedProcess) -> Process {
     Process {
         name: u64::from_le_bytes(name),
         started,
     }
 }
 
-impl Piece {
+impl AffinityMessage {
     /// One written at that instant.
     pub fn at(stamp: Micros) -> Self {
         Self {
@@ -97,78 +97,82 @@
     pub fn news(
         &mut self,
         base: Slot,
-        words: impl Iterator<Item = (u64, Process, Word)>,
+        entries: impl Iterator<Item = (u64, Process, AffinityEntry)>,
     ) -> Vec<(u64, Process)> {
         (self.news, self.base) = (true, base);
         let (mut length, mut taken) = (self.bytes().len() + 4, Vec::new());
-        for (key, of, word) in words {
-            let back = base.saturating_sub(word.ends).max(0).cast_unsigned();
+        for (key, of, entry) in entries {
+            let back = base.saturating_sub(entry.ends).max(0).cast_unsigned();
             let at = self
                 .groups
                 .iter()
-                .position(|(n, era, _)| *n == name(of) && *era == word.era);
+                .position(|(n, epoch, _)| *n == name(of) && *epoch == entry.epoch);
             length += 8
                 + varint(back * 2 + 1)
                 + if at.is_some() {
                     0
                 } else {
-                    8 + 10 + varint(word.era) + 2
+                    8 + 10 + varint(entry.epoch) + 2
                 };
             if length > LONGEST {
                 break;
             }
             let at = at.unwrap_or_else(|| {
-                self.groups.push((name(of), word.era, Vec::new()));
+                self.groups.push((name(of), entry.epoch, Vec::new()));
                 self.groups.len() - 1
             });
             self.groups[at]
                 .2
-                .push((key.to_le_bytes(), back * 2 + u64::from(word.held)));
+                .push((key.to_le_bytes(), back * 2 + u64::from(entry.held)));
             taken.push((key, of));
         }
         taken
     }
 
     /// Pieces with these words, as few as hold them.
-    pub fn words(stamp: Micros, mut words: Vec<(u64, Process, Word)>) -> Vec<Self> {
-        words.sort_by_key(|(key, process, word)| (*process, word.era, *key));
-        let base = words.iter().map(|(.., word)| word.ends).max().unwrap_or(0);
+    pub fn entries(stamp: Micros, mut entries: Vec<(u64, Process, AffinityEntry)>) -> Vec<Self> {
+        entries.sort_by_key(|(key, process, entry)| (*process, entry.epoch, *key));
+        let base = entries
+            .iter()
+            .map(|(.., entry)| entry.ends)
+            .max()
+            .unwrap_or(0);
         let empty = || Self {
             base,
             ..Self::at(stamp)
         };
         let mut pieces = Vec::new();
-        let (mut piece, mut length) = (empty(), empty().bytes().len() + 2);
-        for (key, of, word) in words {
-            let back = (base - word.ends).cast_unsigned();
+        let (mut message, mut length) = (empty(), empty().bytes().len() + 2);
+        for (key, of, entry) in entries {
+            let back = (base - entry.ends).cast_unsigned();
             // A key, the slots back, and where it opens a group its head, each at its longest.
-            let same = piece
+            let same = message
                 .groups
                 .last()
-                .is_some_and(|(n, era, _)| *n == name(of) && *era == word.era);
+                .is_some_and(|(n, epoch, _)| *n == name(of) && *epoch == entry.epoch);
             let cost = 8
                 + varint(back * 2 + 1)
                 + if same {
                     0
                 } else {
-                    8 + 10 + varint(word.era) + 2
+                    8 + 10 + varint(entry.epoch) + 2
                 };
             if length + cost > LONGEST {
-                pieces.push(std::mem::replace(&mut piece, empty()));
-                length = empty().bytes().len() + 2 + 8 + 10 + varint(word.era) + 2 + 10;
-                piece.groups.push((name(of), word.era, Vec::new()));
+                pieces.push(std::mem::replace(&mut message, empty()));
+                length = empty().bytes().len() + 2 + 8 + 10 + varint(entry.epoch) + 2 + 10;
+                message.groups.push((name(of), entry.epoch, Vec::new()));
             } else {
                 length += cost;
                 if !same {
-                    piece.groups.push((name(of), word.era, Vec::new()));
+                    message.groups.push((name(of), entry.epoch, Vec::new()));
                 }
             }
-            if let Some((.., listed)) = piece.groups.last_mut() {
-                listed.push((key.to_le_bytes(), back * 2 + u64::from(word.held)));
+            if let Some((.., listed)) = message.groups.last_mut() {
+                listed.push((key.to_le_bytes(), back * 2 + u64::from(entry.held)));
             }
         }
-        if !piece.groups.is_empty() {
-            pieces.push(piece);
+        if !message.groups.is_empty() {
+            pieces.push(message);
         }
         pieces
     }
@@ -183,13 +187,13 @@
     ///
     /// # Errors
     /// Why it is to be dropped.
-    pub fn read(bytes: &[u8]) -> Result<Self, Refused> {
+    pub fn read(bytes: &[u8]) -> Result<Self, MessageRefused> {
         match bytes {
             [VERSION, rest @ ..] if bytes.len() <= LONGEST => {
-                postcard::from_bytes(rest).map_err(|_| Refused::Malformed)
+                postcard::from_bytes(rest).map_err(|_| MessageRefused::Malformed)
             }
-            [VERSION, ..] | [] => Err(Refused::Malformed),
-            _ => Err(Refused::Version),
+            [VERSION, ..] | [] => Err(MessageRefused::Malformed),
+            _ => Err(MessageRefused::Version),
         }
     }
 
@@ -207,7 +211,7 @@
 
     /// Who is clear of what at which epoch.
     pub fn reports(&self) -> impl Iterator<Item = (Process, u64, u64)> {
-        let of = |(n, epoch, members): &Report| {
+        let of = |(n, epoch, members): &EncodedReport| {
             let (of, epoch) = (process(*n), *epoch);
             members
                 .clone()
@@ -218,8 +222,8 @@
     }
 
     /// Words in it; those that lie too far back are passed over.
-    pub fn each_word(&self) -> impl Iterator<Item = (u64, Process, Word)> {
-        self.groups.iter().flat_map(move |(n, era, listed)| {
+    pub fn each_entry(&self) -> impl Iterator<Item = (u64, Process, AffinityEntry)> {
+        self.groups.iter().flat_map(move |(n, epoch, listed)| {
             listed
                 .iter()
                 .filter(|(_, packed)| packed / 2 <= FARTHEST)
@@ -228,8 +232,8 @@
                     Some((
                         u64::from_le_bytes(*key),
                         process(*n),
-                        Word {
-                            era: *era,
+                        AffinityEntry {
+                            epoch: *epoch,
                             ends,
                             held: packed % 2 == 1,
                         },
--- a/crates/affinity/src/rumour.rs
+++ b/crates/affinity/src/pending_updates.rs
@@ -3,7 +3,7 @@
 //! What is told here, or was new here, goes along with pulses to members drawn anew each time (Demers et al., PODC 1987,
 //! p. 1, "rumor mongering" by counter): what went least often first, each time as the table has it by then.
 
-use crate::word::Process;
+use crate::entry::Process;
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
@@ -15,13 +15,13 @@
 
 /// Words that are to be passed on.
 #[derive(Clone, Debug, Default)]
-pub struct Rumours {
+pub struct PendingUpdates {
     left: HashMap<(u64, Process), u8>,
     /// Words that made room before they went as often as they should.
     pub dropped: u64,
 }
 
-impl Rumours {
+impl PendingUpdates {
     /// A word is new here.
     pub fn add(&mut self, key: u64, process: Process) {
         if self.left.len() >= MOST && !self.left.contains_key(&(key, process)) {
--- a/crates/affinity/src/telling.rs
+++ b/crates/affinity/src/publishing.rs
@@ -5,10 +5,10 @@
 //! feedback of multicast: Nonnenmacher and Biersack, IEEE/ACM Transactions on Networking 7, 1999, p. 375); who hears the
 //! word meanwhile says nothing.
 
-use crate::guards::Guards;
+use crate::entry::{AffinityEntry, Process};
+use crate::safety_rules::SafetyRules;
 use crate::table::Table;
 use crate::time::{Slot, Times};
-use crate::word::{Process, Word};
 use crate::{Micros, mix};
 use std::collections::{HashMap, VecDeque};
 
@@ -22,17 +22,17 @@
 
 /// What may be told of keys that are not bound yet.
 #[derive(Clone, Copy, Debug)]
-pub struct Rates {
+pub struct PublishRates {
     /// By all members together.
-    pub words_per_s: f64,
+    pub updates_per_s: f64,
     /// Members that are expected, two at the least.
     pub members: f64,
 }
 
 /// Own uses that the others may need to be told of.
 #[derive(Clone, Debug)]
-pub struct Telling {
-    rates: Rates,
+pub struct Publishing {
+    rates: PublishRates,
     member: u64,
     uses: HashMap<(u64, Process), Slot>,
     fresh: VecDeque<(u64, Process, Slot)>,
@@ -40,14 +40,14 @@
     filled: Micros,
     /// First uses that were never told, as too many came.
     pub dropped: u64,
-    pub(crate) guards: Guards,
+    pub(crate) rules: SafetyRules,
 }
 
-impl Telling {
+impl Publishing {
     /// Nothing to tell yet.
-    pub fn new(rates: Rates, member: u64) -> Self {
+    pub fn new(rates: PublishRates, member: u64) -> Self {
         let (uses, fresh) = (HashMap::new(), VecDeque::new());
-        let guards = Guards::ALL;
+        let rules = SafetyRules::ALL;
         Self {
             rates,
             member,
@@ -56,7 +56,7 @@
             tokens: LEAST_SAVED,
             filled: Micros::MAX,
             dropped: 0,
-            guards,
+            rules,
         }
     }
 
@@ -66,8 +66,8 @@
     }
 
     /// This member used a key there, which is bound there already or not.
-    pub fn used(&mut self, key: u64, process: Process, slot: Slot, bound: bool) {
-        if bound {
+    pub fn record_use(&mut self, key: u64, process: Process, slot: Slot, cached_at: bool) {
+        if cached_at {
             self.uses.insert((key, process), slot);
         } else if !self
             .fresh
@@ -85,12 +85,12 @@
     }
 
     /// When this member tells of a use on which the others know that word.
-    fn due(&self, key: u64, word: Word, times: &Times) -> Micros {
+    fn due(&self, key: u64, entry: AffinityEntry, times: &Times) -> Micros {
         // With everybody before anybody's clock says that it ended.
-        let before = times.spread + times.slots(times.skew);
-        let latest = word.ends - before;
-        let over = ((times.life(word.held) - before) / 2).max(1) * times.slot;
-        let drawn = mix(mix(self.member, key), word.ends.cast_unsigned());
+        let before = times.dissemination_time + times.slots(times.skew);
+        let latest = entry.ends - before;
+        let over = ((times.life(entry.held) - before) / 2).max(1) * times.slot;
+        let drawn = mix(mix(self.member, key), entry.ends.cast_unsigned());
         let uniform = (drawn >> 11) as f64 / (1u64 << 53) as f64;
         let waits =
             (1.0 + uniform.max(f64::MIN_POSITIVE).ln() / self.rates.members.ln()).clamp(0.0, 1.0);
@@ -104,27 +104,27 @@
         every: Micros,
         table: &Table,
         times: &Times,
-        era: impl Fn(Process) -> Option<u64>,
-    ) -> Vec<(u64, Process, Word)> {
+        epoch: impl Fn(Process) -> Option<u64>,
+    ) -> Vec<(u64, Process, AffinityEntry)> {
         let mut told = Vec::new();
         let uses = std::mem::take(&mut self.uses);
         self.uses.reserve(uses.len());
         for ((key, process), last) in uses {
             let known = table.at(key, process);
-            let Some((word, era)) = known.zip(era(process)) else {
+            let Some((entry, epoch)) = known.zip(epoch(process)) else {
                 continue;
             };
-            let mine = Word::of(last, era, true, times);
-            if mine <= word {
+            let mine = AffinityEntry::of(last, epoch, true, times);
+            if mine <= entry {
                 continue;
             }
-            let due = now + every > self.due(key, word, times) || !self.guards.tells_sparsely;
-            match due && self.guards.renews && told.len() < MOST_AT_ONCE {
+            let due = now + every > self.due(key, entry, times) || !self.rules.tells_sparsely;
+            match due && self.rules.renews && told.len() < MOST_AT_ONCE {
                 true => told.push((key, process, mine)),
                 false => drop(self.uses.insert((key, process), last)),
             }
         }
-        let part = self.rates.words_per_s / self.rates.members;
+        let part = self.rates.updates_per_s / self.rates.members;
         let passed = now.saturating_sub(self.filled).max(0) as f64 / 1e6;
         self.tokens = (self.tokens + passed * part).min((SAVES * part).max(LEAST_SAVED));
         self.filled = now;
@@ -132,14 +132,16 @@
             && told.len() < MOST_AT_ONCE
             && let Some((key, process, last)) = self.fresh.pop_front()
         {
-            let Some(era) = era(process) else { continue };
+            let Some(epoch) = epoch(process) else {
+                continue;
+            };
             // Another may have told of it meanwhile.
             if table.at(key, process).is_some() {
                 self.uses.insert((key, process), last);
                 continue;
             }
-            if times.slot(now) < last + times.life_new {
-                told.push((key, process, Word::of(last, era, false, times)));
+            if times.slot(now) < last + times.first_lifetime {
+                told.push((key, process, AffinityEntry::of(last, epoch, false, times)));
                 self.tokens -= 1.0;
             }
         }
--- a/crates/affinity/src/report.rs
+++ b/crates/affinity/src/report.rs
@@ -5,7 +5,7 @@
 
 /// What is to be sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct Outgoing {
     /// To a few members drawn anew each time: a pulse.
     pub nearby: Option<Vec<u8>>,
     /// To one member each.
@@ -14,12 +14,12 @@
 
 /// How far a process is clear.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Clear {
-    /// No member picks by a binding to it in that epoch, ever again.
+pub struct DrainStatus {
+    /// No member picks by an entry to it in that epoch, ever again.
     pub clear: bool,
-    /// It is known to leave in that epoch.
+    /// It is known to drain in that epoch.
     pub known: bool,
-    /// This member is clear of it.
+    /// This member is drained of affinity to it.
     pub mine: bool,
     /// Members that are.
     pub reported: usize,
@@ -27,29 +27,34 @@
 
 /// Figures for whoever watches.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Census {
-    /// Keys bound.
+pub struct AffinitySummary {
+    /// Keys with entries.
     pub keys: usize,
-    /// Processes that leave, or did.
+    /// Processes that drain, or did.
     pub phases: usize,
-    /// Own uses that wait to be told.
+    /// Own uses that wait to be published.
     pub waiting: usize,
-    /// Words that are still to be passed on, and those that made room for others.
-    pub rumours: usize,
-    /// See `rumours`.
+    /// Updates that are still to be disseminated, and those that made room for others.
+    #[serde(rename = "rumours")]
+    pub pending: usize,
+    /// See `pending`.
     pub made_room: u64,
-    /// Bindings are used at present.
-    pub hears: bool,
-    /// Words told.
-    pub told: u64,
-    /// Words that came and changed something, and that did not.
-    pub heard: u64,
-    /// See `heard`.
+    /// Entries are used at present.
+    #[serde(rename = "hears")]
+    pub in_contact: bool,
+    /// Updates published.
+    #[serde(rename = "told")]
+    pub published: u64,
+    /// Updates received that changed something, and that did not.
+    #[serde(rename = "heard")]
+    pub received: u64,
+    /// See `received`.
     pub passed_over: u64,
-    /// Entries dropped as the table was full; first uses that were never told.
+    /// Entries dropped as the table was full; first uses that were never published.
     pub dropped: u64,
     /// See `dropped`.
-    pub untold: u64,
-    /// Pieces refused.
+    #[serde(rename = "untold")]
+    pub unpublished: u64,
+    /// Messages refused.
     pub refused: u64,
 }
--- a/crates/affinity/src/guards.rs
+++ b/crates/affinity/src/safety_rules.rs
@@ -3,7 +3,7 @@
 
 /// Which rules hold. Outside of tests all do.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Guards {
+pub(crate) struct SafetyRules {
     /// A word counts from the use that it tells of, not from when it came (property a).
     pub ages_from_use: bool,
     /// A word on a process of an epoch that ended is refused (properties a and d).
@@ -20,7 +20,7 @@
     pub tells_sparsely: bool,
 }
 
-impl Guards {
+impl SafetyRules {
     /// As it is outside of tests.
     pub(crate) const ALL: Self = Self {
         ages_from_use: true,
--- a/crates/affinity/src/section/tests.rs
+++ b/crates/affinity/src/section/tests.rs
@@ -4,40 +4,40 @@
 
 #[test]
 fn what_nothing_could_work_with_is_named() {
-    let good = BindingsSection::default;
+    let good = AffinityEntriesSection::default;
     assert!(good().check().is_ok());
     for (bad, key) in [
         (
-            BindingsSection {
+            AffinityEntriesSection {
                 slot: Time::ms(0),
                 ..good()
             },
             "fleet.affinity_entries.slot",
         ),
         (
-            BindingsSection {
-                life_new: Time::ms(2000),
+            AffinityEntriesSection {
+                first_lifetime: Time::ms(2000),
                 ..good()
             },
-            "fleet.affinity_entries.life_new",
+            "fleet.affinity_entries.first_lifetime",
         ),
         (
-            BindingsSection {
-                life_held: Time::ms(5000),
+            AffinityEntriesSection {
+                renewed_lifetime: Time::ms(5000),
                 ..good()
             },
-            "fleet.affinity_entries.life_held",
+            "fleet.affinity_entries.renewed_lifetime",
         ),
         (
-            BindingsSection { keys: 0, ..good() },
+            AffinityEntriesSection { keys: 0, ..good() },
             "fleet.affinity_entries.keys",
         ),
         (
-            BindingsSection {
-                words_per_s: f64::NAN,
+            AffinityEntriesSection {
+                updates_per_s: f64::NAN,
                 ..good()
             },
-            "fleet.affinity_entries.words_per_s",
+            "fleet.affinity_entries.updates_per_s",
         ),
     ] {
         let said = bad.check().expect_err(key);
--- a/crates/affinity/src/table/tests.rs
+++ b/crates/affinity/src/table/tests.rs
@@ -1,25 +1,25 @@
 //! Tests of `table.rs`.
 
 use super::*;
-use crate::section::BindingsSection;
+use crate::section::AffinityEntriesSection;
 use proptest::prelude::*;
 
 proptest! {
     #[test]
     fn a_full_table_keeps_the_same_whatever_the_order(
-        words in prop::collection::vec((0..40u64, 0..2u64, 0..30i64), 1..80), turn in 0..80usize,
+        entries in prop::collection::vec((0..40u64, 0..2u64, 0..30i64), 1..80), turn in 0..80usize,
     ) {
-        let held = |words: &[(u64, u64, i64)], own| {
+        let held = |entries: &[(u64, u64, i64)], own| {
             let mut table = Table::new(8, own);
-            for (key, name, last) in words {
-                let word = Word { era: 0, ends: *last, held: false };
-                table.merge(*key, Process { name: *name, started: 0 }, word);
+            for (key, name, last) in entries {
+                let entry = AffinityEntry { epoch: 0, ends: *last, held: false };
+                table.merge(*key, Process { name: *name, started: 0 }, entry);
             }
-            table.below(None).map(|rank| (rank, table.words(rank.2).collect::<Vec<_>>())).collect::<Vec<_>>()
+            table.below(None).map(|rank| (rank, table.entries(rank.2).collect::<Vec<_>>())).collect::<Vec<_>>()
         };
-        let mut others = words.clone();
-        others.rotate_left(turn % words.len());
-        let (one, other) = (held(&words, 1), held(&others, 2));
+        let mut others = entries.clone();
+        others.rotate_left(turn % entries.len());
+        let (one, other) = (held(&entries, 1), held(&others, 2));
         prop_assert!(one.len() <= 8);
         prop_assert_eq!(one, other);
     }
@@ -27,7 +27,7 @@
 
 #[test]
 fn what_is_past_its_life_leaves_and_no_rank_stays_behind() {
-    let times = BindingsSection::default().times();
+    let times = AffinityEntriesSection::default().times();
     let (mut table, process) = (
         Table::new(8, 0),
         Process {
@@ -35,12 +35,12 @@
             started: 0,
         },
     );
-    table.merge(1, process, Word::of(0, 0, false, &times));
-    table.merge(2, process, Word::of(0, 0, true, &times));
-    table.age(times.life_new - 1);
+    table.merge(1, process, AffinityEntry::of(0, 0, false, &times));
+    table.merge(2, process, AffinityEntry::of(0, 0, true, &times));
+    table.age(times.first_lifetime - 1);
     assert_eq!(table.len(), 2);
-    table.age(times.life_new);
+    table.age(times.first_lifetime);
     assert!(table.at(1, process).is_none() && table.at(2, process).is_some());
-    table.age(times.life_held);
+    table.age(times.renewed_lifetime);
     assert!(table.is_empty() && table.ranks.is_empty());
 }
--- a/crates/affinity/src/time.rs
+++ b/crates/affinity/src/time.rs
@@ -11,17 +11,17 @@
     /// Length of a slot in microseconds.
     pub slot: Micros,
     /// Slots from the last use for which a key met once is bound.
-    pub life_new: Slot,
+    pub first_lifetime: Slot,
     /// Slots from the last use for which a key met again is bound.
-    pub life_held: Slot,
+    pub renewed_lifetime: Slot,
     /// Slots that a word needs to be with everybody who hears.
-    pub spread: Slot,
+    pub dissemination_time: Slot,
     /// Slots over which the keys of a process that leaves move.
-    pub moving: Slot,
+    pub migration_time: Slot,
     /// How far members' clocks may be off from each other, in microseconds.
     pub skew: Micros,
     /// Time on the own monotonic clock after which a member that heard nobody uses no binding.
-    pub silence: Micros,
+    pub contact_timeout: Micros,
     /// Age from which what came is no sign that its sender is heard.
     pub late: Micros,
     /// Longest time from the pick of a binding to the end of its request.
@@ -41,21 +41,25 @@
 
     /// How long a binding lives from its last use.
     pub fn life(&self, held: bool) -> Slot {
-        if held { self.life_held } else { self.life_new }
+        if held {
+            self.renewed_lifetime
+        } else {
+            self.first_lifetime
+        }
     }
 
     /// Time on the asked member's monotonic clock from when it knew that everybody heard is clear to when whoever is not
     /// heard is silent, its last request ended: the silence, the age of what was last heard, two clocks that are off
     /// either way, the longest use.
     pub fn clear_after(&self) -> Micros {
-        self.silence + self.late + 2 * self.skew + self.longest_use
+        self.contact_timeout + self.late + 2 * self.skew + self.longest_use
     }
 
     /// When all keys of a process that leaves since that slot have moved by everybody's clock, and the last request that went by a
     /// binding has ended.
     pub fn moved(&self, since: Slot) -> Micros {
         since
-            .saturating_add(self.moving + 1)
+            .saturating_add(self.migration_time + 1)
             .saturating_mul(self.slot)
             + 2 * self.skew
             + self.longest_use
@@ -63,8 +67,9 @@
 
     /// Slots for which it is remembered that a process left: until no word on it can be alive at any member.
     pub fn remembered(&self) -> Slot {
-        let longest =
-            self.slots(self.clear_after()) + self.moving + self.life_new.max(self.life_held);
+        let longest = self.slots(self.clear_after())
+            + self.migration_time
+            + self.first_lifetime.max(self.renewed_lifetime);
         2 * longest
     }
 }
--- a/crates/affinity/src/time/tests.rs
+++ b/crates/affinity/src/time/tests.rs
@@ -1,10 +1,10 @@
 //! Tests of `time.rs`.
 
-use crate::section::BindingsSection;
+use crate::section::AffinityEntriesSection;
 
 #[test]
 fn slots_are_counted_from_the_epoch_either_way_and_a_part_of_one_is_one() {
-    let t = BindingsSection::default().times();
+    let t = AffinityEntriesSection::default().times();
     assert_eq!(
         (t.slot(0), t.slot(t.slot - 1), t.slot(t.slot), t.slot(-1)),
         (0, 0, 1, -1)
--- a/crates/gossip/src/section.rs
+++ b/crates/gossip/src/section.rs
@@ -2,7 +2,7 @@
 
 use crate::Micros;
 use ipnet::{IpNet, Ipv4Net};
-use load_balancer_affinity::section::BindingsSection;
+use load_balancer_affinity::section::AffinityEntriesSection;
 use load_balancer_common::config::Contradiction;
 use load_balancer_common::units::Time;
 use serde::{Deserialize, Serialize};
@@ -42,7 +42,7 @@
     pub connectivity: ConnectivitySection,
     /// Which key is cached where, for all members; the host has it.
     #[serde(alias = "bindings")]
-    pub affinity_entries: BindingsSection,
+    pub affinity_entries: AffinityEntriesSection,
 }
 
 /// The connectivity state of a member.
@@ -113,7 +113,7 @@
             ejection: EjectionSection::default(),
             affinity: Affinity::default(),
             connectivity: ConnectivitySection::default(),
-            affinity_entries: BindingsSection::default(),
+            affinity_entries: AffinityEntriesSection::default(),
         }
     }
 }
--- a/src/bin/sidecar/affinity.rs
+++ b/src/bin/sidecar/affinity.rs
@@ -4,11 +4,11 @@
 use crate::affinity_list::List;
 use crate::clock::Clock;
 use load_balancer::{EndpointId, Micros};
+use load_balancer_affinity::drain_phase::EpochRefused;
+use load_balancer_affinity::entry::AffinityEntry;
 use load_balancer_affinity::exchange::TICK;
-use load_balancer_affinity::phase::NotBegun;
-use load_balancer_affinity::report::{Census, Clear};
-use load_balancer_affinity::word::Word;
-use load_balancer_affinity::{Bindings, Process};
+use load_balancer_affinity::report::{AffinitySummary, DrainStatus};
+use load_balancer_affinity::{AffinityMember, Process};
 use load_balancer_gossip::connectivity::AffinityEntries as Permission;
 use load_balancer_gossip::core::{CarriedFragment, Listed};
 use load_balancer_gossip::section::{FleetSection, micros};
@@ -20,14 +20,14 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// What the fleet carries for bindings.
-const KIND: u8 = 128;
+/// The kind of message fragments that carry affinity messages.
+const FRAGMENT_KIND: u8 = 128;
 /// Members that a pulse goes to.
 const FANOUT: usize = 4;
 /// Ticks from one look at who is there to the next.
 const LOOKS: u64 = 10;
 
-/// The bindings of this sidecar.
+/// The affinity table of this sidecar.
 #[derive(Clone)]
 pub struct Host(Rc<Inner>);
 
@@ -35,24 +35,24 @@
     member: udp::Fleet,
     clock: Clock,
     offset: Micros,
-    core: RefCell<Bindings>,
+    core: RefCell<AffinityMember>,
     list: RefCell<List>,
     /// What the own connectivity state allows.
     may: Cell<Permission>,
     running: RefCell<Vec<u64>>,
-    /// Picks by a binding: how many, and when the last one was.
+    /// Picks by an entry: how many, and when the last one was.
     picks: RefCell<BTreeMap<Process, (u64, Micros)>>,
 }
 
-/// A request that was given a binding; while it is there the request is under way.
-pub struct Bound {
+/// A pick by affinity entries; while it exists its request is in flight.
+pub struct Pick {
     host: Host,
     processes: Vec<Process>,
     /// Where it is to go, the best first.
     pub endpoints: Vec<EndpointId>,
 }
 
-impl Drop for Bound {
+impl Drop for Pick {
     fn drop(&mut self) {
         let mut core = self.host.0.core.borrow_mut();
         self.processes
@@ -61,8 +61,8 @@
     }
 }
 
-/// A process that leaves, or has come back, as the page has it.
-pub struct Leaving {
+/// A process that drains, or has come back, as the page has it.
+pub struct Draining {
     /// Its name, where it is listed.
     pub name: Option<String>,
     /// It.
@@ -71,18 +71,18 @@
     pub epoch: u64,
     /// That epoch has ended.
     pub leaves: bool,
-    /// Members that are clear of it.
+    /// Members that are drained of affinity to it.
     pub reported: usize,
 }
 
 impl Host {
-    /// Begins with none, as a member of that fleet.
+    /// Begins with no entry, as a member of that fleet.
     pub fn start(section: &FleetSection, member: &udp::Fleet, clock: Clock) -> Self {
-        let (bindings, offset) = (&section.affinity_entries, section.offset());
-        let times = bindings.times_with(micros(section.skew));
-        let rates = bindings.rates(section.members);
+        let (entries, offset) = (&section.affinity_entries, section.offset());
+        let times = entries.times_with(micros(section.skew));
+        let rates = entries.rates(section.members);
         let now = clock.now() + offset;
-        let core = Bindings::new(now, times, bindings.keys, rates, member.origin(), false);
+        let core = AffinityMember::new(now, times, entries.keys, rates, member.origin(), false);
         let inner = Inner {
             member: member.clone(),
             clock,
@@ -94,8 +94,8 @@
             picks: RefCell::default(),
         };
         let host = Self(Rc::new(inner));
-        let hears = host.clone();
-        member.on_carried(Rc::new(move |came| hears.hear(&came)));
+        let receiver = host.clone();
+        member.on_carried(Rc::new(move |fragments| receiver.receive(&fragments)));
         spawn_local(host.clone().run());
         host
     }
@@ -107,15 +107,18 @@
         (mono + self.0.offset, mono)
     }
 
-    fn hear(&self, came: &[CarriedFragment]) {
+    fn receive(&self, fragments: &[CarriedFragment]) {
         let (now, _) = self.now();
-        for piece in came.iter().filter(|piece| piece.kind == KIND) {
+        for fragment in fragments
+            .iter()
+            .filter(|fragment| fragment.kind == FRAGMENT_KIND)
+        {
             // What is refused is counted there.
             let _ = self
                 .0
                 .core
                 .borrow_mut()
-                .hear(now, piece.origin, &piece.bytes);
+                .receive(now, fragment.origin, &fragment.bytes);
         }
     }
 
@@ -126,15 +129,15 @@
                 self.look();
             }
             let (now, mono) = self.now();
-            let told = self.0.core.borrow_mut().tick(now, mono);
+            let outgoing = self.0.core.borrow_mut().tick(now, mono);
             // Pieces may be lost, so one that the fleet does not take now is.
-            if let Some(pulse) = told.nearby {
+            if let Some(pulse) = outgoing.nearby {
                 for to in self.0.member.neighbours(FANOUT) {
-                    let _ = self.0.member.carry_to(to, KIND, &pulse);
+                    let _ = self.0.member.carry_to(to, FRAGMENT_KIND, &pulse);
                 }
             }
-            for (to, piece) in told.direct {
-                let _ = self.0.member.carry_to(to, KIND, &piece);
+            for (to, piece) in outgoing.direct {
+                let _ = self.0.member.carry_to(to, FRAGMENT_KIND, &piece);
             }
             sleep(every).await;
         }
@@ -146,7 +149,7 @@
         let (now, _) = self.now();
         self.0.may.set(peers.affinity_entries);
         let mut core = self.0.core.borrow_mut();
-        core.roster(&peers.known);
+        core.members(&peers.known);
         let list = self.0.list.borrow();
         core.forget(now, |process| list.names.contains_key(&process));
         *self.0.running.borrow_mut() = peers.running;
@@ -163,8 +166,8 @@
         self.0.core.borrow_mut().closes(closed);
     }
 
-    /// Where a key is bound, if it is and that may be used.
-    pub fn pick(&self, key: u64) -> Option<Bound> {
+    /// Where a key is cached by its entries, if they may be used.
+    pub fn pick(&self, key: u64) -> Option<Pick> {
         if self.0.may.get() == Permission::Idle {
             return None;
         }
@@ -186,7 +189,7 @@
             .iter()
             .filter_map(|process| list.endpoints.get(process).copied())
             .collect();
-        Some(Bound {
+        Some(Pick {
             host: self.clone(),
             processes,
             endpoints,
@@ -194,42 +197,42 @@
     }
 
     /// A request about a key was served there.
-    pub fn used(&self, key: u64, endpoint: EndpointId) {
+    pub fn record_use(&self, key: u64, endpoint: EndpointId) {
         if self.0.may.get() == Permission::Used
             && let Some(process) = self.0.list.borrow().processes.get(&endpoint).copied()
         {
             let (now, _) = self.now();
-            self.0.core.borrow_mut().used(now, key, process);
+            self.0.core.borrow_mut().record_use(now, key, process);
         }
     }
 
-    /// That process leaves, in that epoch; gives how far it is clear.
-    pub fn leaving(&self, process: Process, epoch: u64) -> Result<Clear, NotBegun> {
+    /// That process drains, in that epoch; gives how far it is drained of affinity.
+    pub fn begin_drain(&self, process: Process, epoch: u64) -> Result<DrainStatus, EpochRefused> {
         let (now, mono) = self.now();
         let mut core = self.0.core.borrow_mut();
-        core.leaving(now, process, epoch)?;
+        core.begin_drain(now, process, epoch)?;
         Ok(core.clear(now, mono, process, epoch, &self.0.running.borrow()))
     }
 
     /// It stays after all, or is back, in that epoch.
-    pub fn stays(&self, process: Process, epoch: u64) -> Result<(), NotBegun> {
+    pub fn cancel_drain(&self, process: Process, epoch: u64) -> Result<(), EpochRefused> {
         let (now, _) = self.now();
-        self.0.core.borrow_mut().stays(now, process, epoch)
+        self.0.core.borrow_mut().cancel_drain(now, process, epoch)
     }
 
     /// Figures, what the connectivity state allows, and the slot of now.
-    pub fn census(&self) -> (Census, Permission, i64) {
+    pub fn summary(&self) -> (AffinitySummary, Permission, i64) {
         let (now, mono) = self.now();
         let core = self.0.core.borrow();
-        (core.census(mono), self.0.may.get(), core.slot_of(now))
+        (core.summary(mono), self.0.may.get(), core.slot_of(now))
     }
 
-    /// Processes that leave or have come back.
-    pub fn leave(&self) -> Vec<Leaving> {
+    /// Processes that drain or have come back.
+    pub fn draining(&self) -> Vec<Draining> {
         let (core, list) = (self.0.core.borrow(), self.0.list.borrow());
-        let leaving = |(process, phase, reported): (Process, _, _)| {
-            let phase: load_balancer_affinity::phase::Phase = phase;
-            Leaving {
+        let draining = |(process, phase, reported): (Process, _, _)| {
+            let phase: load_balancer_affinity::drain_phase::Phase = phase;
+            Draining {
                 name: list.names.get(&process).cloned(),
                 process,
                 epoch: phase.epoch,
@@ -237,17 +240,18 @@
                 reported,
             }
         };
-        core.phases().map(leaving).collect()
+        core.phases().map(draining).collect()
     }
 
-    /// Bindings, at most so many: key, name of the endpoint where it is listed, process, word.
-    pub fn dump(&self, most: usize) -> Vec<(u64, Option<String>, Process, Word)> {
+    /// Affinity entries, at most so many: key, name of the endpoint where it is listed, process, entry.
+    pub fn dump(&self, most: usize) -> Vec<(u64, Option<String>, Process, AffinityEntry)> {
         let (core, list) = (self.0.core.borrow(), self.0.list.borrow());
-        let named = |(key, process, word)| (key, list.names.get(&process).cloned(), process, word);
+        let named =
+            |(key, process, entry)| (key, list.names.get(&process).cloned(), process, entry);
         core.dump().take(most).map(named).collect()
     }
 
-    /// Picks by a binding since the start, for processes that are listed: how many, and how long ago the last one was.
+    /// Picks by an entry since the start, for processes that are listed: how many, and how long ago the last one was.
     pub fn picks(&self) -> Vec<(String, Process, u64, Micros)> {
         let ((_, mono), list) = (self.now(), self.0.list.borrow());
         let named = |(process, (count, last)): (&Process, &(u64, Micros))| {
--- a/src/bin/sidecar/affinity_pages.rs
+++ b/src/bin/sidecar/affinity_pages.rs
@@ -3,8 +3,8 @@
 
 use crate::affinity::Host;
 use hyper::StatusCode;
-use load_balancer_affinity::phase::NotBegun;
-use load_balancer_affinity::report::Census;
+use load_balancer_affinity::drain_phase::EpochRefused;
+use load_balancer_affinity::report::AffinitySummary;
 use load_balancer_affinity::{Process, hash};
 use load_balancer_common::pages::{Ask, Page};
 use load_balancer_gossip::connectivity::AffinityEntries as Permission;
@@ -35,7 +35,7 @@
     /// What the own connectivity state allows: used, run out, not used.
     bindings: &'static str,
     #[serde(flatten)]
-    census: Census,
+    summary: AffinitySummary,
     leaving: Vec<Leaves>,
 }
 
@@ -53,12 +53,12 @@
 struct Dump {
     slot: i64,
     hears: bool,
-    bindings: Vec<Binding>,
+    bindings: Vec<Entry>,
     picks: Vec<Picks>,
 }
 
 #[derive(Serialize)]
-struct Binding {
+struct Entry {
     key: u64,
     server: Option<String>,
     started_ms: i64,
@@ -81,14 +81,14 @@
         ("/fleet/bindings", None) => Page::json(StatusCode::OK, &figures(host)),
         ("/fleet/bindings/dump", None) => Page::compact(&dump(host)),
         ("/fleet/leaving", Some(body)) => answer(body, |process, epoch| {
-            host.leaving(process, epoch).map(|clear| Answered {
+            host.begin_drain(process, epoch).map(|clear| Answered {
                 clear: clear.clear,
                 epoch,
             })
         }),
         ("/fleet/stays", Some(body)) => answer(body, |process, token| {
             let epoch = token + 1;
-            host.stays(process, epoch).map(|()| Answered {
+            host.cancel_drain(process, epoch).map(|()| Answered {
                 clear: false,
                 epoch,
             })
@@ -124,19 +124,22 @@
     ))
 }
 
-fn answer(body: &[u8], does: impl Fn(Process, u64) -> Result<Answered, NotBegun>) -> Option<Page> {
+fn answer(
+    body: &[u8],
+    does: impl Fn(Process, u64) -> Result<Answered, EpochRefused>,
+) -> Option<Page> {
     let (process, epoch) = match read(body) {
         Ok(read) => read,
         Err((key, reason)) => return Page::refused(StatusCode::BAD_REQUEST, key, &reason),
     };
     match does(process, epoch) {
         Ok(answered) => Page::json(StatusCode::OK, &answered),
-        Err(NotBegun::Past) => Page::refused(
+        Err(EpochRefused::Past) => Page::refused(
             StatusCode::CONFLICT,
             "epoch",
             "a later one has begun for this process",
         ),
-        Err(NotBegun::TooMany) => Page::refused(
+        Err(EpochRefused::TooMany) => Page::refused(
             StatusCode::TOO_MANY_REQUESTS,
             "server",
             "as many processes leave already as members can tell of",
@@ -145,13 +148,13 @@
 }
 
 fn figures(host: &Host) -> Figures {
-    let (census, may, _) = host.census();
+    let (summary, may, _) = host.summary();
     let bindings = match may {
         Permission::Used => "used",
         Permission::RunOut => "run out",
         Permission::Idle => "not used",
     };
-    let leaves = |l: crate::affinity::Leaving| Leaves {
+    let leaves = |l: crate::affinity::Draining| Leaves {
         server: l.name,
         started_ms: l.process.started,
         epoch: l.epoch,
@@ -160,24 +163,28 @@
     };
     Figures {
         bindings,
-        census,
-        leaving: host.leave().into_iter().map(leaves).collect(),
+        summary,
+        leaving: host.draining().into_iter().map(leaves).collect(),
     }
 }
 
 fn dump(host: &Host) -> Dump {
-    let (census, _, slot) = host.census();
-    let binding =
-        |(key, server, process, word): (u64, _, Process, load_balancer_affinity::word::Word)| {
-            Binding {
-                key,
-                server,
-                started_ms: process.started,
-                epoch: word.era,
-                ends: word.ends,
-                held: word.held,
-            }
-        };
+    let (summary, _, slot) = host.summary();
+    let entry = |(key, server, process, entry): (
+        u64,
+        _,
+        Process,
+        load_balancer_affinity::entry::AffinityEntry,
+    )| {
+        Entry {
+            key,
+            server,
+            started_ms: process.started,
+            epoch: entry.epoch,
+            ends: entry.ends,
+            held: entry.held,
+        }
+    };
     let picks = |(server, process, count, ago): (String, Process, u64, i64)| Picks {
         server,
         started_ms: process.started,
@@ -186,8 +193,8 @@
     };
     Dump {
         slot,
-        hears: census.hears,
-        bindings: host.dump(MOST_DUMPED).into_iter().map(binding).collect(),
+        hears: summary.in_contact,
+        bindings: host.dump(MOST_DUMPED).into_iter().map(entry).collect(),
         picks: host.picks().into_iter().map(picks).collect(),
     }
 }
--- a/src/bin/sidecar/gossip.rs
+++ b/src/bin/sidecar/gossip.rs
@@ -1,6 +1,6 @@
 //! Hosts this sidecar's gossip member: the list and health observations go in, ejections come out.
 
-use crate::affinity::{Bound, Host};
+use crate::affinity::{Host, Pick};
 use crate::clock::Clock;
 use crate::messages::{Input, Inputs};
 use crate::report::say;
@@ -83,14 +83,14 @@
     }
 
     /// Where a key is bound, if it is and that may be used.
-    pub fn bound(&self, key: Option<u64>) -> Option<Bound> {
+    pub fn bound(&self, key: Option<u64>) -> Option<Pick> {
         self.affinity.as_ref()?.pick(key?)
     }
 
     /// A request was served there; it may be about a key.
     pub fn used(&self, key: Option<u64>, endpoint: EndpointId) {
         if let Some((host, key)) = self.affinity.as_ref().zip(key) {
-            host.used(key, endpoint);
+            host.record_use(key, endpoint);
         }
     }
 
--- a/src/bin/sidecar/open.rs
+++ b/src/bin/sidecar/open.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Clock;
 use crate::messages::{Answer, Ended, Outgoing};
-use crate::product::{Bound, Fleet, Observer};
+use crate::product::{Fleet, Observer, Pick};
 use load_balancer::{
     AttemptEnd, AttemptNo, ClassId, Event, Load, Micros, NewRequest, Outcome, RequestId,
 };
@@ -20,7 +20,7 @@
     arrived: Micros,
     key: Option<u64>,
     /// Where its key was bound; while it is held, the request is under way there.
-    _bound: Option<Bound>,
+    _bound: Option<Pick>,
 }
 
 /// An attempt that is out; the module is owed one event on its end.
--- a/src/bin/sidecar/plain.rs
+++ b/src/bin/sidecar/plain.rs
@@ -98,7 +98,7 @@
         match *self {}
     }
     /// See `fleet.rs`.
-    pub fn bound(&self, _: Option<u64>) -> Option<Bound> {
+    pub fn bound(&self, _: Option<u64>) -> Option<Pick> {
         match *self {}
     }
     /// See `fleet.rs`.
@@ -112,7 +112,7 @@
 }
 
 /// A request that was given a binding; there is none.
-pub struct Bound {
+pub struct Pick {
     /// Where it is to go, the best first.
     pub endpoints: Vec<EndpointId>,
 }
--- a/src/bin/sidecar/product.rs
+++ b/src/bin/sidecar/product.rs
@@ -1,7 +1,7 @@
 //! The product parts of the sidecar: its command line, its product configuration, and what that
 //! switches on. Without a product configuration nothing is hosted and nothing is counted.
 
-pub use crate::affinity::Bound;
+pub use crate::affinity::Pick;
 use crate::clock::Clock;
 use crate::config::Config;
 pub use crate::gossip::Fleet;
