--- a/src/bin/sidecar/inlet.rs
+++ b/src/bin/sidecar/client_socket.rs
@@ -14,7 +14,7 @@
 
 /// Looks at the socket itself before a connection counts as idle: the runtime may not have heard yet of what has come,
 /// as when the process was stopped and goes on, and its timers fire first.
-pub struct Inlet {
+pub struct ClientSocket {
     client: Rc<Client>,
     /// Since when nothing was read.
     quiet: Instant,
@@ -26,7 +26,7 @@
     overdue: Option<Pin<Box<Sleep>>>,
 }
 
-impl Inlet {
+impl ClientSocket {
     /// Over a connection that may be ended once it was quiet for longer than `sure`, and that ends once its client
     /// has left an answer unread for longer than `slowest` after its system had no more room.
     pub fn new(client: Rc<Client>, sure: Duration, slowest: Duration) -> Self {
@@ -55,7 +55,7 @@
     }
 }
 
-impl AsyncRead for Inlet {
+impl AsyncRead for ClientSocket {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -97,7 +97,7 @@
     }
 }
 
-impl AsyncWrite for Inlet {
+impl AsyncWrite for ClientSocket {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/src/bin/sidecar/config.rs
+++ b/src/bin/sidecar/config.rs
@@ -1,6 +1,6 @@
 //! The platform's configuration: the file that `LB_CONFIG` names, and the variables beside it.
 
-use crate::hosts::HostList;
+use crate::host_list::HostList;
 use load_balancer::settings::{self, Decoded};
 use serde::Deserialize;
 use serde_json::value::RawValue;
--- a/src/bin/sidecar/connection.rs
+++ b/src/bin/sidecar/connection.rs
@@ -3,7 +3,7 @@
 //! A connection carries one request at a time and is driven by whoever uses it, so that giving up an attempt
 //! (dropping its future) closes the connection, and nothing is written behind an attempt's back.
 
-pub use crate::meter::Meter;
+pub use crate::write_progress::WriteProgress;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -29,7 +29,7 @@
 /// A socket that tells a meter what is written, and that can be looked at while a connection holds it.
 struct MeteredStream {
     stream: Rc<TcpStream>,
-    meter: Rc<RefCell<Meter>>,
+    meter: Rc<RefCell<WriteProgress>>,
 }
 
 impl AsyncRead for MeteredStream {
@@ -87,7 +87,7 @@
     driver: http1::Connection<TokioIo<MeteredStream>, Full<Bytes>>,
     ended: bool,
     stream: Rc<TcpStream>,
-    meter: Rc<RefCell<Meter>>,
+    meter: Rc<RefCell<WriteProgress>>,
     made: SystemTime,
 }
 
@@ -96,7 +96,7 @@
     pub async fn open(at: SocketAddr) -> io::Result<Self> {
         let stream = Rc::new(TcpStream::connect(at).await?);
         stream.set_nodelay(true)?;
-        let meter = Rc::new(RefCell::new(Meter::default()));
+        let meter = Rc::new(RefCell::new(WriteProgress::default()));
         let metered = MeteredStream {
             stream: Rc::clone(&stream),
             meter: Rc::clone(&meter),
@@ -133,7 +133,7 @@
     pub async fn request(
         &mut self,
         request: Request<Full<Bytes>>,
-        meter: Meter,
+        meter: WriteProgress,
     ) -> Result<Response<Incoming>, &'static str> {
         *self.meter.borrow_mut() = meter.clone();
         let Self {
--- a/src/bin/sidecar/discovery.rs
+++ b/src/bin/sidecar/discovery.rs
@@ -1,10 +1,10 @@
 //! Calls discovery for the endpoint list when the decision module says so, and passes on its
 //! answers.
 
-use crate::connection::{Connection, Meter};
-use crate::hosts::HostList;
+use crate::connection::{Connection, WriteProgress};
+use crate::host_list::HostList;
 use crate::messages::{Input, Inputs};
-use crate::watching::{Call, PATIENCE, Watching};
+use crate::watch_schedule::{Call, PATIENCE, WatchSchedule};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::{Request, StatusCode};
@@ -59,7 +59,7 @@
         if running(&self.watching) {
             return;
         }
-        let watching = Watching::new(self.watching.is_some());
+        let watching = WatchSchedule::new(self.watching.is_some());
         let task = keep_watching(
             self.at,
             watching,
@@ -145,7 +145,7 @@
 /// Call after call until one fails; the module then says when to begin anew.
 async fn keep_watching(
     at: SocketAddr,
-    mut watching: Watching,
+    mut watching: WatchSchedule,
     mut rng: fastrand::Rng,
     index: Rc<Cell<Option<u64>>>,
     inputs: Inputs,
@@ -197,10 +197,10 @@
             // Where changes go back to an earlier version, discovery has begun anew: what they build on is not held here.
             let follows = list.snapshot || after.is_none_or(|after| after <= list.index);
             index.set(follows.then_some(list.index));
-            inputs.send(Input::Hosts(list));
+            inputs.send(Input::EndpointList(list));
         }
-        Err(Failure::Silent) => inputs.send(Input::HostsFailed("no answer".to_owned())),
-        Err(Failure::Said(what)) => inputs.send(Input::HostsFailed(what)),
+        Err(Failure::Silent) => inputs.send(Input::ListFailed("no answer".to_owned())),
+        Err(Failure::Said(what)) => inputs.send(Input::ListFailed(what)),
     }
 }
 
@@ -254,7 +254,9 @@
             Err(_) => return Err(Failure::Silent),
         },
     };
-    let response = connection.request(request, Meter::default()).await?;
+    let response = connection
+        .request(request, WriteProgress::default())
+        .await?;
     let (head, body) = response.into_parts();
     let body = connection
         .drive(Limited::new(body, LONGEST).collect())
--- a/src/bin/sidecar/listed.rs
+++ b/src/bin/sidecar/endpoint_directory.rs
@@ -1,10 +1,10 @@
 //! Endpoints by their listed names: their numbers, and the sockets' view of them.
 
-use crate::hosts::{HostList, HostStatus};
+use crate::host_list::{HostList, HostStatus};
 #[cfg(feature = "product")]
-use crate::messages::Named;
+use crate::messages::{Exported, NamedEndpoint};
 use crate::pool::{Pool, Target};
-use crate::product::{Fleet, State};
+use crate::product::{Fleet, SnapshotHost};
 use load_balancer::settings::Names;
 #[cfg(feature = "product")]
 use load_balancer::{Balancer, RestoredEndpoint};
@@ -13,18 +13,23 @@
 use std::rc::Rc;
 
 /// Names by number, and what follows lists besides the module.
-pub struct Listed {
+pub struct EndpointDirectory {
     endpoints: Names,
     zones: Names,
     kinds: Names,
     pool: Rc<Pool>,
     fleet: Option<Fleet>,
-    state: Option<State>,
+    state: Option<SnapshotHost>,
 }
 
-impl Listed {
+impl EndpointDirectory {
     /// No endpoint yet; the settings name some zones.
-    pub fn new(zones: Names, pool: Rc<Pool>, fleet: Option<Fleet>, state: Option<State>) -> Self {
+    pub fn new(
+        zones: Names,
+        pool: Rc<Pool>,
+        fleet: Option<Fleet>,
+        state: Option<SnapshotHost>,
+    ) -> Self {
         Self {
             endpoints: Names::default(),
             zones,
@@ -37,24 +42,27 @@
 
     /// What was known of endpoints, by their numbers; those without one are left out.
     #[cfg(feature = "product")]
-    pub fn numbered(&self, known: Vec<Named>) -> Vec<RestoredEndpoint> {
-        let of = |(name, k): Named| {
+    pub fn by_number(&self, known: Vec<NamedEndpoint>) -> Vec<RestoredEndpoint> {
+        let numbered = |named: NamedEndpoint| {
             Some(RestoredEndpoint {
-                endpoint: self.endpoints.find(&name)?,
-                ..k
+                endpoint: self.endpoints.find(&named.name)?,
+                ..named.known
             })
         };
-        known.into_iter().filter_map(of).collect()
+        known.into_iter().filter_map(numbered).collect()
     }
 
     /// How many are listed, and what the module knows of them, by their names.
     #[cfg(feature = "product")]
-    pub fn named(&self, balancer: &Balancer) -> (usize, Vec<Named>) {
-        let named = |k: RestoredEndpoint| (self.name(k.endpoint).to_owned(), k);
-        (
-            balancer.summary().listed,
-            balancer.export().into_iter().map(named).collect(),
-        )
+    pub fn export(&self, balancer: &Balancer) -> Exported {
+        let named = |known: RestoredEndpoint| NamedEndpoint {
+            name: self.name(known.endpoint).to_owned(),
+            known,
+        };
+        Exported {
+            listed: balancer.summary().listed,
+            endpoints: balancer.export().into_iter().map(named).collect(),
+        }
     }
 
     /// The name of an endpoint.
--- a/src/bin/sidecar/engine.rs
+++ b/src/bin/sidecar/engine.rs
@@ -3,23 +3,23 @@
 
 mod actions;
 
-use crate::alarms::Alarms;
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::descriptors::Limits;
 use crate::discovery::{self, Ask};
-use crate::handle::Handle;
-use crate::hosts::HostList;
-use crate::listed::Listed;
+use crate::endpoint_directory::EndpointDirectory;
+use crate::engine_handle::EngineHandle;
+use crate::host_list::HostList;
+use crate::log_throttle::{LogThrottle, suppressed_note};
 #[cfg(feature = "product")]
-use crate::messages::Survey;
+use crate::messages::EngineSummary;
 use crate::messages::{Input, Inputs};
-use crate::open::Open;
+use crate::open_requests::OpenRequests;
 use crate::peers::Peers;
 use crate::pool::Pool;
-use crate::product::{Fleet, Observer, State};
+use crate::product::{Fleet, Observer, SnapshotHost};
 use crate::report::say;
-use crate::spaced::{Spaced, left_out};
+use crate::timers::Timers;
 use crate::upstream::Upstream;
 use load_balancer::{Balancer, Discovery, Event, ListUpdate};
 use std::collections::VecDeque;
@@ -39,38 +39,54 @@
     clock: Clock,
     inputs: mpsc::UnboundedReceiver<Input>,
     sender: Inputs,
-    open: Open,
-    listed: Listed,
+    open: OpenRequests,
+    listed: EndpointDirectory,
     pool: Rc<Pool>,
     upstream: Rc<Upstream>,
     asks: mpsc::UnboundedSender<Ask>,
     peers: Option<Peers>,
-    timers: Alarms,
+    timers: Timers,
     /// Events that follow from actions.
     events: VecDeque<Event>,
-    complaints: Spaced,
+    complaints: LogThrottle,
     observer: Observer,
     fleet: Option<Fleet>,
 }
 
-/// What an engine is made of besides its configuration: its inputs, its clock, its membership in a fleet, what is kept.
-pub type Parts = (
-    Inputs,
-    mpsc::UnboundedReceiver<Input>,
-    Clock,
-    Option<Fleet>,
-    Option<State>,
-);
+/// What an engine is made of besides its configuration.
+pub struct EngineParts {
+    /// The way to it, for the tasks that it starts.
+    pub inputs: Inputs,
+    /// Its own end of that.
+    pub arriving: mpsc::UnboundedReceiver<Input>,
+    /// The decision module's clock.
+    pub clock: Clock,
+    /// What sees its doings.
+    pub observer: Observer,
+    /// The datagrams to and from peers, where the platform has any.
+    pub peers: Option<Peers>,
+    /// Its gossip member, where one is configured.
+    pub fleet: Option<Fleet>,
+    /// What it stores, where that is configured.
+    pub state: Option<SnapshotHost>,
+}
 
 impl Engine {
     /// Starts the module with the list as last known, and the tasks that serve it.
     pub fn new(
         config: Config,
-        peers: Option<Peers>,
         discovery_at: watch::Receiver<SocketAddr>,
-        observer: Observer,
-        (sender, inputs, clock, fleet, state): Parts,
-    ) -> Result<(Self, Handle), String> {
+        parts: EngineParts,
+    ) -> Result<(Self, EngineHandle), String> {
+        let EngineParts {
+            inputs: sender,
+            arriving: inputs,
+            clock,
+            observer,
+            peers,
+            fleet,
+            state,
+        } = parts;
         let decoded = config.decoded;
         let limits = &decoded.settings.limits;
         let most = Limits::of(config.sockets).upstream;
@@ -87,15 +103,15 @@
             clock,
             inputs,
             sender: sender.clone(),
-            open: Open::new(clock, observer.clone(), fleet.clone()),
-            listed: Listed::new(decoded.zones, Rc::clone(&pool), fleet.clone(), state),
+            open: OpenRequests::new(clock, observer.clone(), fleet.clone()),
+            listed: EndpointDirectory::new(decoded.zones, Rc::clone(&pool), fleet.clone(), state),
             upstream: Rc::new(Upstream::new(Rc::clone(&pool))),
             pool: Rc::clone(&pool),
             asks,
             peers: peers.clone(),
-            timers: Alarms::new(clock),
+            timers: Timers::new(clock),
             events: VecDeque::new(),
-            complaints: Spaced::new(COMPLAINT_SPACING),
+            complaints: LogThrottle::new(COMPLAINT_SPACING),
             observer,
             fleet,
         };
@@ -125,7 +141,7 @@
             .listed
             .apply(known, true, |id| engine.balancer.knows(id));
         engine.deliver(Event::Endpoints(ListUpdate::Cached(listings)));
-        Ok((engine, Handle::new(sender, clock)))
+        Ok((engine, EngineHandle::new(sender, clock)))
     }
 
     /// Runs for good.
@@ -160,7 +176,11 @@
 
     fn take(&mut self, input: Input) {
         match input {
-            Input::Request(mut request, outgoing, reply) => {
+            Input::Request {
+                mut request,
+                outgoing,
+                reply,
+            } => {
                 self.open.take(&mut request, outgoing, reply);
                 self.deliver(Event::Request(request));
             }
@@ -174,15 +194,18 @@
                     self.deliver(event);
                 }
             }
-            Input::Probed(endpoint, outcome, took, load) => {
-                self.deliver(Event::ProbeEnded {
-                    endpoint,
-                    outcome,
-                    took,
-                    load,
-                });
-            }
-            Input::Hosts(list) => {
+            Input::Probed {
+                endpoint,
+                outcome,
+                took,
+                load,
+            } => self.deliver(Event::ProbeEnded {
+                endpoint,
+                outcome,
+                took,
+                load,
+            }),
+            Input::EndpointList(list) => {
                 if list.unread > 0 {
                     self.complain(&format!(
                         "discovery: {} entries without a name",
@@ -193,33 +216,46 @@
                 let update = self.listed.answered(list, |id| self.balancer.knows(id));
                 self.deliver(Event::Endpoints(update));
             }
-            Input::HostsFailed(what) => {
+            Input::ListFailed(what) => {
                 self.complain(&format!("discovery: {what}"));
                 self.deliver(Event::Endpoints(ListUpdate::Failed));
             }
             #[cfg(feature = "product")]
-            Input::Survey(reply) => {
+            Input::Summarize(reply) => {
                 let (open, attempts) = self.open.count();
                 // Whoever asked may have left.
-                let _ = reply.send(Survey {
+                let _ = reply.send(EngineSummary {
                     summary: self.balancer.summary(),
                     open,
                     attempts,
                 });
             }
             #[cfg(feature = "product")]
-            Input::Recalled(known) => self.deliver(Event::Restored(self.listed.numbered(known))),
+            Input::Restored(known) => self.deliver(Event::Restored(self.listed.by_number(known))),
             #[cfg(feature = "product")]
-            Input::Recollect(reply) => drop(reply.send(self.listed.named(&self.balancer))),
+            Input::Export(reply) => drop(reply.send(self.listed.export(&self.balancer))),
             #[cfg(feature = "product")]
             Input::Ejections(updates) => self.deliver(Event::Ejections(updates)),
-            Input::Peer(from, bytes, _permit) => self.deliver(Event::PeerMessage { from, bytes }),
+            Input::Peer {
+                from,
+                bytes,
+                permit,
+            } => {
+                self.deliver(Event::PeerMessage { from, bytes });
+                // Its place is free once it has been taken in.
+                drop(permit);
+            }
         }
     }
 
     fn complain(&mut self, what: &str) {
         if let Some(others) = self.complaints.pass(Instant::now()) {
-            say!(warn, "sidecar::discovery", "{what}{}", left_out(others));
+            say!(
+                warn,
+                "sidecar::discovery",
+                "{what}{}",
+                suppressed_note(others)
+            );
         }
     }
 
--- a/src/bin/sidecar/engine/actions.rs
+++ b/src/bin/sidecar/engine/actions.rs
@@ -2,9 +2,9 @@
 
 use super::Engine;
 use crate::discovery::Ask;
-use crate::messages::Answer;
+use crate::messages::{Answer, AttemptId};
 use crate::report::say;
-use crate::upstream::Times;
+use crate::upstream::{Destination, Times};
 use load_balancer::{Action, Micros, RequestId};
 use std::rc::Rc;
 use tokio::task::spawn_local;
@@ -30,10 +30,11 @@
             Action::Reject {
                 request,
                 retry_after,
-            } => self.open.answer(request, Answer::Refused(retry_after)),
+            } => self.open.answer(request, Answer::Rejected(retry_after)),
             Action::Fail(request) => self.open.answer(request, Answer::Failed),
             Action::Cancel { request, attempt } => {
-                self.events.extend(self.open.cancel((request, attempt)));
+                self.events
+                    .extend(self.open.cancel(AttemptId { request, attempt }));
             }
             Action::Probe(endpoint) => {
                 let (upstream, inputs) = (Rc::clone(&self.upstream), self.sender.clone());
@@ -47,7 +48,7 @@
             Action::CloseIdle(endpoint) => self.pool.endpoint(endpoint).close_idle(),
             Action::SendToPeer { to, bytes } => {
                 if let Some(peers) = &self.peers {
-                    peers.tell(to, &bytes);
+                    peers.send(to, &bytes);
                 }
             }
             Action::ReportHealth { endpoint, served } => {
@@ -67,13 +68,14 @@
         let to = self.pool.endpoint(endpoint);
         // What was decided holds for the process that is there now.
         let attempting = Rc::clone(&self.upstream).attempt(
-            (request, attempt),
-            (to.target(), to),
+            AttemptId { request, attempt },
+            Destination::of(to),
             outgoing,
             times,
             self.sender.clone(),
         );
         let task = spawn_local(attempting).abort_handle();
-        self.open.sent((request, attempt), endpoint, task);
+        self.open
+            .sent(AttemptId { request, attempt }, endpoint, task);
     }
 }
--- a/src/bin/sidecar/handle.rs
+++ b/src/bin/sidecar/engine_handle.rs
@@ -10,13 +10,13 @@
 
 /// The engine as the application's side sees it.
 #[derive(Clone)]
-pub struct Handle {
+pub struct EngineHandle {
     inputs: Inputs,
     clock: Clock,
     last_id: Rc<Cell<RequestId>>,
 }
 
-impl Handle {
+impl EngineHandle {
     /// One that hands over to these inputs.
     pub fn new(inputs: Inputs, clock: Clock) -> Self {
         Self {
@@ -42,16 +42,16 @@
     }
 
     /// Hands over a request, which gets a new id.
-    pub fn submit(&self, request: NewRequest, outgoing: Outgoing) -> Owed {
+    pub fn submit(&self, request: NewRequest, outgoing: Outgoing) -> PendingAnswer {
         let id = self.last_id.get() + 1;
         self.last_id.set(id);
         let (sender, answer) = oneshot::channel();
-        self.inputs.send(Input::Request(
-            NewRequest { id, ..request },
-            Rc::new(outgoing),
-            sender,
-        ));
-        Owed {
+        self.inputs.send(Input::Request {
+            request: NewRequest { id, ..request },
+            outgoing: Rc::new(outgoing),
+            reply: sender,
+        });
+        PendingAnswer {
             id,
             answer,
             answered: false,
@@ -61,14 +61,14 @@
 }
 
 /// An answer that a client is owed. Dropped before it has come, it withdraws the request.
-pub struct Owed {
+pub struct PendingAnswer {
     id: RequestId,
     answer: oneshot::Receiver<Answer>,
     answered: bool,
     inputs: Inputs,
 }
 
-impl Owed {
+impl PendingAnswer {
     /// Waits for the answer.
     pub async fn answer(&mut self) -> Answer {
         let answer = (&mut self.answer).await;
@@ -77,7 +77,7 @@
     }
 }
 
-impl Drop for Owed {
+impl Drop for PendingAnswer {
     fn drop(&mut self) {
         if !self.answered {
             self.inputs.send(Input::Withdrawn(self.id));
--- a/src/bin/sidecar/gossip.rs
+++ b/src/bin/sidecar/gossip.rs
@@ -83,12 +83,12 @@
     }
 
     /// Where a key is bound, if it is and that may be used.
-    pub fn bound(&self, key: Option<u64>) -> Option<Pick> {
+    pub fn pick(&self, key: Option<u64>) -> Option<Pick> {
         self.affinity.as_ref()?.pick(key?)
     }
 
     /// A request was served there; it may be about a key.
-    pub fn used(&self, key: Option<u64>, endpoint: EndpointId) {
+    pub fn record_use(&self, key: Option<u64>, endpoint: EndpointId) {
         if let Some((host, key)) = self.affinity.as_ref().zip(key) {
             host.record_use(key, endpoint);
         }
--- a/src/bin/sidecar/inbound.rs
+++ b/src/bin/sidecar/inbound.rs
@@ -1,12 +1,12 @@
 //! Accepts client connections, as many as there is room for.
 
 use crate::descriptors::Limits;
-use crate::facts::Lanes;
-use crate::handle::Handle;
+use crate::engine_handle::EngineHandle;
+use crate::log_throttle::{LogThrottle, suppressed_note};
 use crate::report::say;
+use crate::request_headers::RequestClasses;
 use crate::session::Session;
-use crate::spaced::{Spaced, left_out};
-use crate::stop::Stop;
+use crate::shutdown::ShutdownStage;
 use std::io;
 use std::net::SocketAddr;
 use std::pin::pin;
@@ -66,10 +66,10 @@
 pub async fn accept(
     listener: TcpListener,
     limits: Limits,
-    lanes: Rc<Lanes>,
-    handle: Handle,
+    lanes: Rc<RequestClasses>,
+    handle: EngineHandle,
     longest: Duration,
-    stop: watch::Receiver<Stop>,
+    stop: watch::Receiver<ShutdownStage>,
 ) {
     let (crowded, crowding) = watch::channel(false);
     let room = Room {
@@ -77,7 +77,12 @@
         crowded,
     };
     let mut closed = stop.clone();
-    let mut closed = pin!(async move { closed.wait_for(|s| *s >= Stop::Closed).await.map(drop) });
+    let mut closed = pin!(async move {
+        closed
+            .wait_for(|s| *s >= ShutdownStage::Closed)
+            .await
+            .map(drop)
+    });
     let session = Session {
         lanes,
         handle,
@@ -90,11 +95,11 @@
         let place = tokio::select! {
             biased;
             place = room.place() => place,
-            () = session.stopped(Stop::Now) => None,
+            () = session.stopped(ShutdownStage::Now) => None,
         };
         spawn_local(session.clone().run(stream, place));
     };
-    let mut failures = Spaced::new(COMPLAINT_SPACING);
+    let mut failures = LogThrottle::new(COMPLAINT_SPACING);
     loop {
         let accepted = tokio::select! {
             biased;
@@ -109,7 +114,7 @@
                         warn,
                         "sidecar::inbound",
                         "cannot accept: {e}{}",
-                        left_out(others)
+                        suppressed_note(others)
                     );
                 }
                 sleep(ACCEPT_PAUSE).await;
--- a/src/bin/sidecar/spaced.rs
+++ b/src/bin/sidecar/log_throttle.rs
@@ -5,19 +5,19 @@
 
 /// Lets one through in so much time and counts the others, for lines that input from outside can bring about.
 #[derive(Debug)]
-pub struct Spaced {
+pub struct LogThrottle {
     spacing: Duration,
     last: Option<Instant>,
-    left_out: u64,
+    suppressed_note: u64,
 }
 
-impl Spaced {
+impl LogThrottle {
     /// One in `spacing`.
     pub const fn new(spacing: Duration) -> Self {
         Self {
             spacing,
             last: None,
-            left_out: 0,
+            suppressed_note: 0,
         }
     }
 
@@ -27,16 +27,16 @@
             .last
             .is_some_and(|last| now.saturating_duration_since(last) < self.spacing)
         {
-            self.left_out += 1;
+            self.suppressed_note += 1;
             return None;
         }
         self.last = Some(now);
-        Some(std::mem::take(&mut self.left_out))
+        Some(std::mem::take(&mut self.suppressed_note))
     }
 }
 
 /// What is said behind a line, where others like it were left out since the last one.
-pub fn left_out(count: u64) -> String {
+pub fn suppressed_note(count: u64) -> String {
     if count == 0 {
         String::new()
     } else {
--- a/src/bin/sidecar/main.rs
+++ b/src/bin/sidecar/main.rs
@@ -7,60 +7,60 @@
 mod affinity_list;
 #[cfg(feature = "product")]
 mod affinity_pages;
-mod alarms;
 mod client;
+mod client_socket;
 mod clock;
 mod closing;
 mod config;
 mod connection;
 mod descriptors;
 mod discovery;
+mod endpoint_directory;
 mod engine;
-mod facts;
+mod engine_handle;
 #[cfg(feature = "product")]
 mod gossip;
-mod handle;
 mod headers;
-mod hosts;
+mod host_list;
 mod inbound;
-mod inlet;
-#[cfg(feature = "product")]
-mod kept;
-mod listed;
+mod log_throttle;
 mod messages;
-mod meter;
 #[cfg(feature = "product")]
 mod observer;
-mod open;
+mod open_requests;
 #[cfg(feature = "product")]
 mod pages;
 mod peers;
 mod pool;
-#[cfg_attr(not(feature = "product"), path = "plain.rs")]
+#[cfg_attr(not(feature = "product"), path = "product_disabled.rs")]
 mod product;
 mod product_file;
 mod report;
+mod request_headers;
 mod serving;
 mod session;
-mod spaced;
+mod shutdown;
+#[cfg(feature = "product")]
+mod snapshot;
 #[cfg(feature = "product")]
-mod state;
-mod stop;
+mod stored_form;
+mod timers;
 mod upstream;
-mod watching;
+mod watch_schedule;
+mod write_progress;
 
 use clock::Clock;
 use config::Config;
 use descriptors::Limits;
-use engine::Engine;
+use engine::{Engine, EngineParts};
 use messages::Inputs;
 use product::Product;
 use report::say;
+use shutdown::ShutdownStage;
 use std::net::SocketAddr;
 use std::process::ExitCode;
 use std::rc::Rc;
 use std::time::Duration;
-use stop::Stop;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
@@ -121,24 +121,25 @@
     };
     let longest = config.longest_deadline();
     let limits = Limits::of(config.sockets);
-    let lanes = Rc::new(facts::Lanes::of(&config));
+    let lanes = Rc::new(request_headers::RequestClasses::of(&config));
     let (discovery, discovery_at) = watch::channel(config.discovery);
     let fixed = config.fixed.clone();
     let observer = product.observer(&config.decoded.classes);
     let ((inputs, arriving), clock) = (Inputs::channel(), Clock::new());
     let state = product.recover(&mut config, clock)?;
     let fleet = product.join(&config, &inputs, clock, state.as_ref())?;
-    let parts = (
-        inputs.clone(),
+    let parts = EngineParts {
+        inputs: inputs.clone(),
         arriving,
         clock,
-        fleet.clone(),
-        state.clone(),
-    );
-    let (engine, handle) =
-        Engine::new(config, peers, discovery_at, observer.clone(), parts).map_err(failed)?;
+        observer: observer.clone(),
+        peers,
+        fleet: fleet.clone(),
+        state: state.clone(),
+    };
+    let (engine, handle) = Engine::new(config, discovery_at, parts).map_err(failed)?;
     product.host(&observer, handle.inputs(), fleet.as_ref(), state.as_ref())?;
-    let (stop, stopped) = watch::channel(Stop::No);
+    let (stop, stopped) = watch::channel(ShutdownStage::No);
     let mut running = spawn_local(engine.run());
     let accepting = spawn_local(inbound::accept(
         listener, limits, lanes, handle, longest, stopped,
@@ -178,11 +179,11 @@
 }
 
 /// Takes what still comes, has what is held answered, and fails the rest in time.
-async fn end(stop: watch::Sender<Stop>, accepting: JoinHandle<()>, longest: Duration) {
+async fn end(stop: watch::Sender<ShutdownStage>, accepting: JoinHandle<()>, longest: Duration) {
     let told = Instant::now();
-    stop.send_replace(Stop::Closing);
+    stop.send_replace(ShutdownStage::Closing);
     sleep(ACCEPT_AFTER_TERM).await;
-    stop.send_replace(Stop::Closed);
+    stop.send_replace(ShutdownStage::Closed);
     // Ends once every connection has.
     let all_closed = async {
         if accepting.await.is_ok() {
@@ -194,7 +195,7 @@
         () = &mut all_closed => return,
         () = sleep_until(told + longest + ANSWER_AFTER_TERM) => {}
     }
-    stop.send_replace(Stop::Now);
+    stop.send_replace(ShutdownStage::Now);
     let _ = timeout(LAST_WRITES, all_closed).await;
 }
 
--- a/src/bin/sidecar/messages.rs
+++ b/src/bin/sidecar/messages.rs
@@ -1,10 +1,10 @@
-//! What the tasks of the sidecar tell each other, as plain data. Changes when one of them has something new to say.
+//! The messages between the tasks of the sidecar, as plain data.
 
-use crate::hosts::HostList;
+use crate::host_list::HostList;
 use bytes::Bytes;
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::{Method, Uri};
-use load_balancer::{AttemptNo, Load, Micros, NewRequest, Outcome, RequestId};
+use load_balancer::{AttemptNo, EndpointId, Load, Micros, NewRequest, Outcome, RequestId};
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::{OwnedSemaphorePermit, mpsc, oneshot};
@@ -18,44 +18,90 @@
 
 /// What the sockets tell the engine.
 pub enum Input {
-    /// A client's request, what goes on to endpoints, and where its answer goes.
-    Request(NewRequest, Rc<Outgoing>, oneshot::Sender<Answer>),
+    /// A client's request.
+    Request {
+        /// As the decision module takes it.
+        request: NewRequest,
+        /// What is forwarded to endpoints.
+        outgoing: Rc<Outgoing>,
+        /// Where its answer goes.
+        reply: oneshot::Sender<Answer>,
+    },
     /// Its client has left, or its answer is overdue.
     Withdrawn(RequestId),
     /// An attempt ended.
     Ended(Ended),
-    /// A probe of an endpoint ended.
-    Probed(usize, Outcome, Micros, Load),
+    /// A health check of an endpoint ended.
+    Probed {
+        /// The endpoint.
+        endpoint: EndpointId,
+        /// How it ended.
+        outcome: Outcome,
+        /// Time since it was sent.
+        took: Micros,
+        /// The load report that came along.
+        load: Load,
+    },
     /// Discovery answered.
-    Hosts(HostList),
+    EndpointList(HostList),
     /// A call to discovery failed, for this reason.
-    HostsFailed(String),
-    /// Somebody measures.
+    ListFailed(String),
+    /// The metrics are read.
     #[cfg(feature = "product")]
-    Survey(oneshot::Sender<Survey>),
-    /// What a life before knew of endpoints.
+    Summarize(oneshot::Sender<EngineSummary>),
+    /// What was known of endpoints before a restart.
     #[cfg(feature = "product")]
-    Recalled(Vec<Named>),
-    /// Somebody keeps what is known of endpoints, and counts how many are listed.
+    Restored(Vec<NamedEndpoint>),
+    /// What is known of endpoints is to be stored.
     #[cfg(feature = "product")]
-    Recollect(oneshot::Sender<(usize, Vec<Named>)>),
-    /// The fleet's words have changed.
+    Export(oneshot::Sender<Exported>),
+    /// What other members' health observations come to has changed.
     #[cfg(feature = "product")]
     Ejections(Vec<load_balancer::EjectionUpdate>),
     /// A datagram from a peer.
-    Peer(u32, Vec<u8>, OwnedSemaphorePermit),
+    Peer {
+        /// The peer's index.
+        from: u32,
+        /// Its content.
+        bytes: Vec<u8>,
+        /// Its place among the datagrams that wait.
+        permit: OwnedSemaphorePermit,
+    },
+}
+
+/// An attempt of a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct AttemptId {
+    /// The request.
+    pub request: RequestId,
+    /// Its attempt.
+    pub attempt: AttemptNo,
 }
 
 /// What is known of an endpoint, by its name; its number is only the engine's.
 #[cfg(feature = "product")]
-pub type Named = (String, load_balancer::RestoredEndpoint);
+pub struct NamedEndpoint {
+    /// Its name.
+    pub name: String,
+    /// What is known.
+    pub known: load_balancer::RestoredEndpoint,
+}
+
+/// What is known of endpoints, to be stored.
+#[cfg(feature = "product")]
+pub struct Exported {
+    /// How many are listed.
+    pub listed: usize,
+    /// Those of which anything is known.
+    pub endpoints: Vec<NamedEndpoint>,
+}
 
 /// The one final answer to a request.
 pub enum Answer {
     /// An endpoint's answer.
     Served(Served),
     /// Trying again is harmless, best after that time.
-    Refused(Micros),
+    Rejected(Micros),
     /// Nothing is promised.
     Failed,
 }
@@ -74,17 +120,17 @@
 
     /// What the engine has in hand just now; `None` once it has ended.
     #[cfg(feature = "product")]
-    pub async fn survey(&self) -> Option<Survey> {
-        let (reply, survey) = oneshot::channel();
-        self.send(Input::Survey(reply));
-        survey.await.ok()
+    pub async fn summarize(&self) -> Option<EngineSummary> {
+        let (reply, summary) = oneshot::channel();
+        self.send(Input::Summarize(reply));
+        summary.await.ok()
     }
 
     /// How many endpoints are listed, and what the engine knows of them; `None` once it has ended.
     #[cfg(feature = "product")]
-    pub async fn recollect(&self) -> Option<(usize, Vec<Named>)> {
+    pub async fn export(&self) -> Option<Exported> {
         let (reply, known) = oneshot::channel();
-        self.send(Input::Recollect(reply));
+        self.send(Input::Export(reply));
         known.await.ok()
     }
 
@@ -97,7 +143,7 @@
 
 /// What the engine has in hand.
 #[cfg(feature = "product")]
-pub struct Survey {
+pub struct EngineSummary {
     /// What the module tells.
     pub summary: load_balancer::BalancerSummary,
     /// Requests without their final answer.
@@ -141,10 +187,8 @@
 
 /// How an attempt ended, as the engine is told.
 pub struct Ended {
-    /// The request.
-    pub request: RequestId,
-    /// Its attempt.
-    pub attempt: AttemptNo,
+    /// The attempt.
+    pub id: AttemptId,
     /// The outcome.
     pub outcome: Outcome,
     /// The answer, where it was served.
--- a/src/bin/sidecar/observer.rs
+++ b/src/bin/sidecar/observer.rs
@@ -1,6 +1,6 @@
 //! Debug log lines and metrics of requests, attempts and lists.
 
-use crate::messages::{Answer, Outgoing, Survey};
+use crate::messages::{Answer, EngineSummary, Outgoing};
 use load_balancer::{AttemptNo, Micros, Outcome};
 use load_balancer_common::cli;
 use load_balancer_common::metering::Figures;
@@ -62,7 +62,7 @@
 fn end(answer: Option<&Answer>) -> usize {
     match answer {
         Some(Answer::Served(_)) => 0,
-        Some(Answer::Refused(_)) => 1,
+        Some(Answer::Rejected(_)) => 1,
         Some(Answer::Failed) => 2,
         None => 3,
     }
@@ -291,17 +291,17 @@
     }
 
     /// Takes in what the engine found when it was asked, and writes all figures.
-    pub fn page(&self, survey: &Survey, lines_dropped: u64) -> Option<String> {
+    pub fn page(&self, summarize: &EngineSummary, lines_dropped: u64) -> Option<String> {
         let seen = self.0.as_deref()?;
-        let summary = &survey.summary;
+        let summary = &summarize.summary;
         for (counter, total) in seen.given_up.iter().zip(summary.given_up) {
             counter.absolute(total);
         }
         for (gauge, value) in [
             (&seen.circuits_open, summary.circuits_open),
             (&seen.queued, summary.queued),
-            (&seen.open, survey.open),
-            (&seen.attempts_open, survey.attempts),
+            (&seen.open, summarize.open),
+            (&seen.attempts_open, summarize.attempts),
             (&seen.endpoints[0], summary.ready),
             (
                 &seen.endpoints[1],
--- a/src/bin/sidecar/open.rs
+++ b/src/bin/sidecar/open_requests.rs
@@ -1,7 +1,7 @@
 //! Open requests and attempts in flight.
 
 use crate::clock::Clock;
-use crate::messages::{Answer, Ended, Outgoing};
+use crate::messages::{Answer, AttemptId, Ended, Outgoing};
 use crate::product::{Fleet, Observer, Pick};
 use load_balancer::{
     AttemptEnd, AttemptNo, ClassId, Event, Load, Micros, NewRequest, Outcome, RequestId,
@@ -12,7 +12,7 @@
 use tokio::task::AbortHandle;
 
 /// A request without its final answer.
-struct Held {
+struct OpenRequest {
     reply: oneshot::Sender<Answer>,
     outgoing: Rc<Outgoing>,
     attempts: AttemptNo,
@@ -20,31 +20,31 @@
     arrived: Micros,
     key: Option<u64>,
     /// Where its key was bound; while it is held, the request is under way there.
-    _bound: Option<Pick>,
+    _pick: Option<Pick>,
 }
 
 /// An attempt that is out; the module is owed one event on its end.
-struct Out {
+struct InFlight {
     endpoint: usize,
     sent: Micros,
     task: AbortHandle,
 }
 
 /// All that is under way.
-pub struct Open {
-    held: HashMap<RequestId, Held>,
-    out: HashMap<(RequestId, AttemptNo), Out>,
+pub struct OpenRequests {
+    open: HashMap<RequestId, OpenRequest>,
+    in_flight: HashMap<AttemptId, InFlight>,
     clock: Clock,
     observer: Observer,
     fleet: Option<Fleet>,
 }
 
-impl Open {
+impl OpenRequests {
     /// Nothing yet.
     pub fn new(clock: Clock, observer: Observer, fleet: Option<Fleet>) -> Self {
         Self {
-            held: HashMap::new(),
-            out: HashMap::new(),
+            open: HashMap::new(),
+            in_flight: HashMap::new(),
             clock,
             observer,
             fleet,
@@ -54,7 +54,7 @@
     /// Requests without their answer, and attempts that are out.
     #[cfg(feature = "product")]
     pub fn count(&self) -> (usize, usize) {
-        (self.held.len(), self.out.len())
+        (self.open.len(), self.in_flight.len())
     }
 
     /// A request was taken; it is told where its key is bound.
@@ -65,30 +65,30 @@
         reply: oneshot::Sender<Answer>,
     ) {
         self.observer.taken(request.class, &outgoing);
-        let bound = self
+        let pick = self
             .fleet
             .as_ref()
-            .and_then(|fleet| fleet.bound(request.key));
-        request.affinity_endpoints = bound
+            .and_then(|fleet| fleet.pick(request.key));
+        request.affinity_endpoints = pick
             .as_ref()
-            .map(|bound| bound.endpoints.clone())
+            .map(|pick| pick.endpoints.clone())
             .unwrap_or_default();
         let (class, arrived, key) = (request.class, self.clock.now(), request.key);
-        let held = Held {
+        let held = OpenRequest {
             reply,
             outgoing,
             attempts: 0,
             class,
             arrived,
             key,
-            _bound: bound,
+            _pick: pick,
         };
-        self.held.insert(request.id, held);
+        self.open.insert(request.id, held);
     }
 
     /// The client of a request has left; whether it was still without its answer, as the two may cross.
     pub fn withdraw(&mut self, id: RequestId) -> bool {
-        let Some(held) = self.held.remove(&id) else {
+        let Some(held) = self.open.remove(&id) else {
             return false;
         };
         held.outgoing.settled.set(true);
@@ -103,7 +103,7 @@
 
     /// The only place where a request gets its final answer; a second one finds nothing to answer.
     pub fn answer(&mut self, id: RequestId, answer: Answer) {
-        if let Some(held) = self.held.remove(&id) {
+        if let Some(held) = self.open.remove(&id) {
             held.outgoing.settled.set(true);
             let took = self.clock.now() - held.arrived;
             self.observer
@@ -115,7 +115,7 @@
 
     /// The next attempt of a request, to an endpoint of that name; `None` where it has its answer.
     pub fn next(&mut self, request: RequestId, name: &str) -> Option<(AttemptNo, Rc<Outgoing>)> {
-        let held = self.held.get_mut(&request)?;
+        let held = self.open.get_mut(&request)?;
         let attempt = held.attempts;
         held.attempts += 1;
         self.observer.sent(&held.outgoing, attempt, name);
@@ -123,10 +123,10 @@
     }
 
     /// That attempt is out.
-    pub fn sent(&mut self, key: (RequestId, AttemptNo), endpoint: usize, task: AbortHandle) {
-        self.out.insert(
-            key,
-            Out {
+    pub fn sent(&mut self, id: AttemptId, endpoint: usize, task: AbortHandle) {
+        self.in_flight.insert(
+            id,
+            InFlight {
                 endpoint,
                 sent: self.clock.now(),
                 task,
@@ -137,41 +137,41 @@
     /// An attempt ended by itself; what the module is to hear of it. One that was called back has ended already,
     /// whatever it still brings.
     pub fn ended(&mut self, ended: Ended) -> Option<Event> {
-        let key = (ended.request, ended.attempt);
-        let out = self.out.remove(&key)?;
-        self.note(key, &out, ended.outcome);
+        let id = ended.id;
+        let out = self.in_flight.remove(&id)?;
+        self.note(id, &out, ended.outcome);
         if let Some(served) = ended.served {
-            if let Some((fleet, held)) = self.fleet.as_ref().zip(self.held.get(&ended.request)) {
-                fleet.used(held.key, out.endpoint);
+            if let Some((fleet, held)) = self.fleet.as_ref().zip(self.open.get(&id.request)) {
+                fleet.record_use(held.key, out.endpoint);
             }
-            self.answer(ended.request, Answer::Served(served));
+            self.answer(id.request, Answer::Served(served));
         }
-        Some(self.end(key, &out, ended.outcome, ended.load))
+        Some(self.end(id, &out, ended.outcome, ended.load))
     }
 
     /// An attempt is called back; what the module is to hear of it.
-    pub fn cancel(&mut self, key: (RequestId, AttemptNo)) -> Option<Event> {
-        let out = self.out.remove(&key)?;
+    pub fn cancel(&mut self, id: AttemptId) -> Option<Event> {
+        let out = self.in_flight.remove(&id)?;
         out.task.abort();
-        self.note(key, &out, Outcome::Cancelled);
-        Some(self.end(key, &out, Outcome::Cancelled, Load::default()))
+        self.note(id, &out, Outcome::Cancelled);
+        Some(self.end(id, &out, Outcome::Cancelled, Load::default()))
     }
 
-    fn note(&self, key: (RequestId, AttemptNo), out: &Out, outcome: Outcome) {
-        let outgoing = self.held.get(&key.0).map(|held| &*held.outgoing);
+    fn note(&self, id: AttemptId, out: &InFlight, outcome: Outcome) {
+        let outgoing = self.open.get(&id.request).map(|held| &*held.outgoing);
         self.observer
             .ended(outgoing, outcome, self.clock.now() - out.sent);
     }
 
     fn end(
         &self,
-        (request, attempt): (RequestId, AttemptNo),
-        out: &Out,
+        AttemptId { request, attempt }: AttemptId,
+        out: &InFlight,
         outcome: Outcome,
         load: Load,
     ) -> Event {
         let took = self.clock.now() - out.sent;
-        let (endpoint, settled) = (out.endpoint, !self.held.contains_key(&request));
+        let (endpoint, settled) = (out.endpoint, !self.open.contains_key(&request));
         Event::AttemptEnded(AttemptEnd {
             request,
             attempt,
--- a/src/bin/sidecar/pages.rs
+++ b/src/bin/sidecar/pages.rs
@@ -4,7 +4,7 @@
 use crate::gossip::Fleet;
 use crate::messages::Inputs;
 use crate::observer::Observer;
-use crate::state::State;
+use crate::snapshot::SnapshotHost;
 use hyper::StatusCode;
 use load_balancer_common::logging::Log;
 use load_balancer_common::pages::{Ask, Page};
@@ -22,7 +22,7 @@
     /// The membership, if any.
     pub fleet: Option<Fleet>,
     /// What is kept on disk, if anything.
-    pub state: Option<State>,
+    pub state: Option<SnapshotHost>,
 }
 
 impl Pages {
@@ -46,9 +46,9 @@
                 if let (Some(state), Some(figures)) = (&self.state, self.observer.figures()) {
                     state.count(&figures);
                 }
-                let survey = self.inputs.survey().await?;
+                let summarize = self.inputs.summarize().await?;
                 self.observer
-                    .page(&survey, self.log.dropped())
+                    .page(&summarize, self.log.dropped())
                     .map(Page::metrics)
             }
             _ => None,
--- a/src/bin/sidecar/peers.rs
+++ b/src/bin/sidecar/peers.rs
@@ -41,7 +41,7 @@
     }
 
     /// Sends to one peer or to all. Datagrams may be lost, so one that can't leave now is.
-    pub fn tell(&self, to: Option<u32>, bytes: &[u8]) {
+    pub fn send(&self, to: Option<u32>, bytes: &[u8]) {
         let to = match to {
             Some(number) => self.addresses.get(number as usize).copied(),
             None => self.all,
@@ -52,7 +52,7 @@
     }
 
     /// The next datagram from a known peer, with the peer's number. Others are dropped.
-    async fn hear(&self) -> (u32, Vec<u8>) {
+    async fn receive(&self) -> (u32, Vec<u8>) {
         let mut bytes = [0; LONGEST + 1];
         loop {
             let Ok((length, from)) = self.socket.recv_from(&mut bytes).await else {
@@ -66,13 +66,17 @@
             }
         }
     }
-    /// Passes on what is heard. Runs for good.
+    /// Passes on what is received. Runs for good.
     pub async fn pass_on(self, inputs: Inputs) {
         let room = Arc::new(Semaphore::new(MOST_WAITING));
         loop {
-            let (from, bytes) = self.hear().await;
+            let (from, bytes) = self.receive().await;
             if let Ok(permit) = Arc::clone(&room).try_acquire_owned() {
-                inputs.send(Input::Peer(from, bytes, permit));
+                inputs.send(Input::Peer {
+                    from,
+                    bytes,
+                    permit,
+                });
             }
         }
     }
--- a/src/bin/sidecar/product.rs
+++ b/src/bin/sidecar/product.rs
@@ -10,7 +10,7 @@
 use crate::pages::Pages;
 use crate::product_file::{CONFIG_VARIABLE, EARLIER_CONFIG_VARIABLE};
 use crate::report::say;
-pub use crate::state::State;
+pub use crate::snapshot::SnapshotHost;
 use clap::Parser;
 use load_balancer_common::cli::{self, Exit};
 use load_balancer_common::config::{self, Configuration, Contradiction, Problem};
@@ -138,8 +138,8 @@
         &self,
         config: &mut Config,
         clock: Clock,
-    ) -> Result<Option<State>, (String, ExitCode)> {
-        State::begin(&self.holds.state, &self.holds.fleet.cluster, config, clock)
+    ) -> Result<Option<SnapshotHost>, (String, ExitCode)> {
+        SnapshotHost::begin(&self.holds.state, &self.holds.fleet.cluster, config, clock)
     }
 
     /// Joins the fleet, where one is configured.
@@ -148,7 +148,7 @@
         config: &Config,
         inputs: &Inputs,
         clock: Clock,
-        state: Option<&State>,
+        state: Option<&SnapshotHost>,
     ) -> Result<Option<Fleet>, (String, ExitCode)> {
         let section = &self.holds.fleet;
         if !section.enabled {
@@ -170,7 +170,7 @@
             zone,
             inputs,
             clock,
-            state.and_then(State::incarnation),
+            state.and_then(SnapshotHost::incarnation),
         ) {
             Ok(fleet) => Ok(Some(fleet)),
             Err(e) => {
@@ -186,7 +186,7 @@
         observer: &Observer,
         inputs: &Inputs,
         fleet: Option<&Fleet>,
-        state: Option<&State>,
+        state: Option<&SnapshotHost>,
     ) -> Result<(), (String, ExitCode)> {
         if let Some(state) = state {
             state.host(inputs, config::written(&self.holds));
--- a/src/bin/sidecar/plain.rs
+++ b/src/bin/sidecar/product_disabled.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::Clock;
 use crate::config::Config;
-use crate::hosts::HostList;
+use crate::host_list::HostList;
 use crate::messages::{Answer, Inputs, Outgoing};
 use crate::product_file::{CONFIG_VARIABLE, EARLIER_CONFIG_VARIABLE};
 use load_balancer::{AttemptNo, EndpointId, Listing, Micros, Outcome, SharedKnowledge};
@@ -33,7 +33,11 @@
     }
 
     /// Keeps nothing.
-    pub fn recover(&self, _: &mut Config, _: Clock) -> Result<Option<State>, (String, ExitCode)> {
+    pub fn recover(
+        &self,
+        _: &mut Config,
+        _: Clock,
+    ) -> Result<Option<SnapshotHost>, (String, ExitCode)> {
         Ok(None)
     }
 
@@ -43,7 +47,7 @@
         _: &Config,
         _: &Inputs,
         _: Clock,
-        _: Option<&State>,
+        _: Option<&SnapshotHost>,
     ) -> Result<Option<Fleet>, (String, ExitCode)> {
         Ok(None)
     }
@@ -54,7 +58,7 @@
         _: &Observer,
         _: &Inputs,
         _: Option<&Fleet>,
-        _: Option<&State>,
+        _: Option<&SnapshotHost>,
     ) -> Result<(), (String, ExitCode)> {
         Ok(())
     }
@@ -71,15 +75,15 @@
 pub enum Fleet {}
 
 impl Fleet {
-    /// See `fleet.rs`.
+    /// See `gossip.rs`.
     pub fn sharing(&self) -> SharedKnowledge {
         match *self {}
     }
-    /// See `fleet.rs`.
+    /// See `gossip.rs`.
     pub fn alias(&self, _: &str) -> u64 {
         match *self {}
     }
-    /// See `fleet.rs`.
+    /// See `gossip.rs`.
     pub fn listed<'a>(
         &self,
         _: bool,
@@ -89,23 +93,23 @@
     ) {
         match *self {}
     }
-    /// See `fleet.rs`.
+    /// See `gossip.rs`.
     pub fn list_seen(&self) {
         match *self {}
     }
-    /// See `fleet.rs`.
+    /// See `gossip.rs`.
     pub fn report_health(&self, _: EndpointId, _: bool) {
         match *self {}
     }
-    /// See `fleet.rs`.
-    pub fn bound(&self, _: Option<u64>) -> Option<Pick> {
+    /// See `gossip.rs`.
+    pub fn pick(&self, _: Option<u64>) -> Option<Pick> {
         match *self {}
     }
-    /// See `fleet.rs`.
-    pub fn used(&self, _: Option<u64>, _: EndpointId) {
+    /// See `gossip.rs`.
+    pub fn record_use(&self, _: Option<u64>, _: EndpointId) {
         match *self {}
     }
-    /// See `fleet.rs`.
+    /// See `gossip.rs`.
     pub fn leave(&self) {
         match *self {}
     }
@@ -119,14 +123,14 @@
 
 /// There is none.
 #[derive(Clone)]
-pub enum State {}
+pub enum SnapshotHost {}
 
-impl State {
-    /// See `state.rs`.
+impl SnapshotHost {
+    /// See `snapshot.rs`.
     pub fn listed(&self, _: &HostList, _: bool) {
         match *self {}
     }
-    /// See `state.rs`.
+    /// See `snapshot.rs`.
     pub fn stop(&self, _: &Inputs) {
         match *self {}
     }
--- a/src/bin/sidecar/facts.rs
+++ b/src/bin/sidecar/request_headers.rs
@@ -17,12 +17,12 @@
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
 /// The classes and tenants by name.
-pub struct Lanes {
+pub struct RequestClasses {
     classes: Vec<(String, Effect)>,
     tenants: Vec<String>,
 }
 
-impl Lanes {
+impl RequestClasses {
     /// As the configuration has them.
     pub fn of(config: &Config) -> Self {
         let decoded = &config.decoded;
@@ -35,7 +35,7 @@
 }
 
 /// What the headers say of a request.
-pub struct Facts {
+pub struct RequestHeaders {
     /// Its class.
     pub class: usize,
     /// Its tenant, where it has one.
@@ -50,9 +50,9 @@
     pub repeat: bool,
 }
 
-impl Facts {
+impl RequestHeaders {
     /// Reads them; `None` where the request can't be served as it is.
-    pub fn read(lanes: &Lanes, method: &Method, headers: &HeaderMap) -> Option<Self> {
+    pub fn read(lanes: &RequestClasses, method: &Method, headers: &HeaderMap) -> Option<Self> {
         let text = |name: &HeaderName| {
             headers
                 .get(name)
--- a/src/bin/sidecar/serving.rs
+++ b/src/bin/sidecar/serving.rs
@@ -1,11 +1,11 @@
 //! One request of a client and its answer.
 
 use crate::client::Client;
-use crate::facts::{Facts, Lanes};
-use crate::handle::Handle;
+use crate::engine_handle::EngineHandle;
 use crate::headers::{end_to_end, origin_form};
 use crate::messages::{Answer, LONGEST_BODY, Outgoing, Served};
-use crate::stop::Stop;
+use crate::request_headers::{RequestClasses, RequestHeaders};
+use crate::shutdown::ShutdownStage;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
@@ -48,14 +48,14 @@
 
 /// Answers one request.
 pub async fn serve(
-    lanes: Rc<Lanes>,
-    handle: Handle,
+    lanes: Rc<RequestClasses>,
+    handle: EngineHandle,
     request: Request<Incoming>,
     client: Rc<Client>,
-    mut stop: watch::Receiver<Stop>,
+    mut stop: watch::Receiver<ShutdownStage>,
 ) -> Result<Reply, Unanswered> {
     let mut reply = match request.uri().path() {
-        "/up" if *stop.borrow() == Stop::No => plain(StatusCode::OK),
+        "/up" if *stop.borrow() == ShutdownStage::No => plain(StatusCode::OK),
         "/up" => plain(StatusCode::SERVICE_UNAVAILABLE),
         path if path == "/api" || path.starts_with("/api/") => {
             api(&lanes, &handle, request, &client, &mut stop).await?
@@ -63,7 +63,7 @@
         _ => plain(StatusCode::NOT_FOUND),
     };
     // During a stop an answer is the last one, unless something has come behind its request.
-    if *stop.borrow() != Stop::No && !client.in_hand() && !client.unread() {
+    if *stop.borrow() != ShutdownStage::No && !client.in_hand() && !client.unread() {
         close_after(&mut reply);
     }
     Ok(reply)
@@ -88,15 +88,15 @@
 }
 
 async fn api(
-    lanes: &Lanes,
-    handle: &Handle,
+    lanes: &RequestClasses,
+    handle: &EngineHandle,
     request: Request<Incoming>,
     client: &Client,
-    stop: &mut watch::Receiver<Stop>,
+    stop: &mut watch::Receiver<ShutdownStage>,
 ) -> Result<Reply, Unanswered> {
     let arrived = handle.now();
     let (head, body) = request.into_parts();
-    let Some(facts) = Facts::read(lanes, &head.method, &head.headers) else {
+    let Some(facts) = RequestHeaders::read(lanes, &head.method, &head.headers) else {
         return Ok(closing(StatusCode::BAD_REQUEST));
     };
     let due = arrived.saturating_add(facts.time_left);
@@ -107,7 +107,7 @@
     let whole = tokio::select! {
         biased;
         whole = timeout_at(whole_by, Limited::new(body, LONGEST_BODY).collect()) => whole,
-        _ = stop.wait_for(|s| *s == Stop::Now) => return Ok(closing(StatusCode::SERVICE_UNAVAILABLE)),
+        _ = stop.wait_for(|s| *s == ShutdownStage::Now) => return Ok(closing(StatusCode::SERVICE_UNAVAILABLE)),
     };
     let body = match whole {
         Ok(Ok(body)) => body.to_bytes(),
@@ -141,7 +141,7 @@
         return Err(Unanswered::Left);
     }
     // There is no time left in which it could be answered: it must not be sent on.
-    if *stop.borrow() == Stop::Now {
+    if *stop.borrow() == ShutdownStage::Now {
         return Ok(closing(StatusCode::SERVICE_UNAVAILABLE));
     }
     let mut owed = handle.submit(request, outgoing);
@@ -152,7 +152,7 @@
         answer = owed.answer() => answer,
         () = client.left() => return Err(Unanswered::Left),
         () = sleep_until(handle.instant(due)) => Answer::Failed,
-        _ = stop.wait_for(|s| *s == Stop::Now) => Answer::Failed,
+        _ = stop.wait_for(|s| *s == ShutdownStage::Now) => Answer::Failed,
     };
     Ok(match answer {
         Answer::Served(Served { headers, body }) => {
@@ -160,7 +160,7 @@
             *reply.headers_mut() = end_to_end(headers);
             reply
         }
-        Answer::Refused(hold_off) => {
+        Answer::Rejected(hold_off) => {
             let mut reply = plain(StatusCode::SERVICE_UNAVAILABLE);
             if hold_off > 0
                 && let Ok(value) = HeaderValue::from_str(&format!("{:.3}", hold_off as f64 / 1e6))
--- a/src/bin/sidecar/session.rs
+++ b/src/bin/sidecar/session.rs
@@ -1,12 +1,12 @@
 //! One client connection, from its accept to its close.
 
 use crate::client::Client;
+use crate::client_socket::ClientSocket;
 use crate::closing::linger;
-use crate::facts::Lanes;
-use crate::handle::Handle;
-use crate::inlet::Inlet;
+use crate::engine_handle::EngineHandle;
+use crate::request_headers::RequestClasses;
 use crate::serving::serve;
-use crate::stop::Stop;
+use crate::shutdown::ShutdownStage;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::{TokioIo, TokioTimer};
@@ -35,15 +35,15 @@
 #[derive(Clone)]
 pub struct Session {
     /// The classes and tenants.
-    pub lanes: Rc<Lanes>,
+    pub lanes: Rc<RequestClasses>,
     /// The engine.
-    pub handle: Handle,
+    pub handle: EngineHandle,
     /// Whether connections have to make way for new ones.
     pub crowded: watch::Receiver<bool>,
     /// How long a client may take to make room for an answer.
     pub slowest: Duration,
     /// How far a planned stop has come.
-    pub stop: watch::Receiver<Stop>,
+    pub stop: watch::Receiver<ShutdownStage>,
 }
 
 impl Session {
@@ -58,7 +58,7 @@
 
     /// Answers requests until the connection is to be closed and every answer is out.
     async fn converse(&self, client: &Rc<Client>) {
-        let idle = if *self.stop.borrow() == Stop::No {
+        let idle = if *self.stop.borrow() == ShutdownStage::No {
             IDLE
         } else {
             IDLE_AT_STOP
@@ -77,7 +77,7 @@
                 reply.await
             }
         });
-        let inlet = Inlet::new(Rc::clone(client), idle - LAST_LOOK, self.slowest);
+        let inlet = ClientSocket::new(Rc::clone(client), idle - LAST_LOOK, self.slowest);
         let mut builder = http1::Builder::new();
         builder
             .timer(TokioTimer::new())
@@ -88,7 +88,7 @@
             biased;
             // What is wrong with a connection concerns its client alone, who has been told 400 or has left.
             _ = connection.as_mut() => return,
-            () = self.stopped(Stop::Closing) => {}
+            () = self.stopped(ShutdownStage::Closing) => {}
             () = self.crowding() => {}
         }
         // A request that has come in but was not seen yet is still read: closing on it would cost its client a
@@ -111,7 +111,7 @@
         let ended = tokio::select! {
             biased;
             ended = settle(connection.as_mut(), client, patience) => ended,
-            () = self.stopped(Stop::Now) => false,
+            () = self.stopped(ShutdownStage::Now) => false,
         };
         if !ended {
             connection.as_mut().graceful_shutdown();
@@ -134,7 +134,7 @@
     }
 
     /// Waits until a planned stop has come so far.
-    pub async fn stopped(&self, stage: Stop) {
+    pub async fn stopped(&self, stage: ShutdownStage) {
         if self
             .stop
             .clone()
--- a/src/bin/sidecar/stop.rs
+++ b/src/bin/sidecar/shutdown.rs
@@ -2,7 +2,7 @@
 
 /// The stages, in their order.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Stop {
+pub enum ShutdownStage {
     /// In service.
     No,
     /// Connections close once what is open on them is answered.
--- a/src/bin/sidecar/state.rs
+++ b/src/bin/sidecar/snapshot.rs
@@ -3,10 +3,10 @@
 
 use crate::clock::Clock;
 use crate::config::Config;
-use crate::hosts::HostList;
-use crate::kept::{Lists, restored, stored};
-use crate::messages::{Input, Inputs, Named};
+use crate::host_list::HostList;
+use crate::messages::{Exported, Input, Inputs};
 use crate::report::say;
+use crate::stored_form::{Lists, restored, stored};
 use load_balancer_common::cli::Exit;
 use load_balancer_common::metering::Figures;
 use load_balancer_snapshot::{
@@ -29,7 +29,7 @@
 
 /// What is kept, of a sidecar that runs.
 #[derive(Clone)]
-pub struct State(Rc<Inner>);
+pub struct SnapshotHost(Rc<Inner>);
 
 struct Inner {
     writer: Writer,
@@ -43,7 +43,7 @@
     kept: Cell<Micros>,
 }
 
-impl State {
+impl SnapshotHost {
     /// Begins a life of `name` in the directory of the section, where it names one; a list that is newer than the
     /// platform's takes its place. Waits for the disk no longer than the section says.
     pub fn begin(
@@ -111,7 +111,7 @@
     pub fn host(&self, inputs: &Inputs, configuration: String) {
         let known = self.0.known.take();
         if !known.is_empty() {
-            inputs.send(Input::Recalled(known.into_iter().map(restored).collect()));
+            inputs.send(Input::Restored(known.into_iter().map(restored).collect()));
         }
         let first = Changes {
             configuration: Some(configuration),
@@ -123,10 +123,10 @@
         spawn_local(async move {
             loop {
                 sleep(this.0.every).await;
-                let Some((listed, known)) = inputs.recollect().await else {
+                let Some(exported) = inputs.export().await else {
                     return;
                 };
-                let changes = this.changes(listed, known, false);
+                let changes = this.changes(exported, false);
                 this.0.writer.keep(changes);
                 this.say();
             }
@@ -138,10 +138,10 @@
     pub fn stop(&self, inputs: &Inputs) {
         let (this, inputs) = (self.clone(), inputs.clone());
         spawn_local(async move {
-            let Some((listed, known)) = inputs.recollect().await else {
+            let Some(exported) = inputs.export().await else {
                 return;
             };
-            let mut changes = this.changes(listed, known, true);
+            let mut changes = this.changes(exported, true);
             let ended = Some(this.0.clock.now());
             changes.life = this.0.life.map(|life| Life { ended, ..life });
             this.0.writer.keep_last(changes);
@@ -149,12 +149,16 @@
     }
 
     /// What is worth keeping anew.
-    fn changes(&self, listed: usize, known: Vec<Named>, last: bool) -> Changes {
+    fn changes(&self, exported: Exported, last: bool) -> Changes {
+        let Exported {
+            listed,
+            endpoints: known,
+        } = exported;
         let (now, inner) = (self.0.clock.now(), &self.0);
         let mut open: Vec<String> = known
             .iter()
-            .filter(|(_, known)| known.circuit_open)
-            .map(|(name, _)| name.clone())
+            .filter(|endpoint| endpoint.known.circuit_open)
+            .map(|endpoint| endpoint.name.clone())
             .collect();
         open.sort_unstable();
         let due = now.saturating_sub(inner.kept.get()) >= PACE_EVERY && !known.is_empty();
--- a/src/bin/sidecar/kept.rs
+++ b/src/bin/sidecar/stored_form.rs
@@ -1,8 +1,8 @@
 //! Converts the endpoint list and what is known of endpoints to and from the stored form.
 
 use crate::config::Config;
-use crate::hosts::{Host, HostList, HostStatus};
-use crate::messages::Named;
+use crate::host_list::{Host, HostList, HostStatus};
+use crate::messages::NamedEndpoint;
 use load_balancer::RestoredEndpoint;
 use load_balancer_snapshot::{Entry, List, Micros, Process};
 use std::collections::BTreeMap;
@@ -105,7 +105,7 @@
 }
 
 /// What was known of a process, as the engine is told; it knows the endpoint by its name.
-pub fn restored(process: Process) -> Named {
+pub fn restored(process: Process) -> NamedEndpoint {
     let endpoint = RestoredEndpoint {
         endpoint: 0,
         started: process.started,
@@ -115,11 +115,14 @@
         latency_per_work: process.slow,
         concurrency_limit: process.cap,
     };
-    (process.name, endpoint)
+    NamedEndpoint {
+        name: process.name,
+        known: endpoint,
+    }
 }
 
 /// What the engine knows of a process, in the form in which it is stored.
-pub fn stored((name, known): Named) -> Process {
+pub fn stored(NamedEndpoint { name, known }: NamedEndpoint) -> Process {
     Process {
         name,
         started: known.started,
--- a/src/bin/sidecar/alarms.rs
+++ b/src/bin/sidecar/timers.rs
@@ -7,12 +7,12 @@
 use tokio::time::{Instant, sleep_until};
 
 /// Timers by when they are due.
-pub struct Alarms {
+pub struct Timers {
     clock: Clock,
     all: BinaryHeap<Reverse<(Micros, u64)>>,
 }
 
-impl Alarms {
+impl Timers {
     /// None yet.
     pub fn new(clock: Clock) -> Self {
         Self {
--- a/src/bin/sidecar/upstream.rs
+++ b/src/bin/sidecar/upstream.rs
@@ -1,13 +1,13 @@
 //! Attempts at endpoints: how one is made, and how its end is read.
 
-use crate::connection::Meter;
-use crate::messages::{Ended, Input, Inputs, LONGEST_BODY, Outgoing, Served, TIME_LEFT};
+use crate::connection::WriteProgress;
+use crate::messages::{AttemptId, Ended, Input, Inputs, LONGEST_BODY, Outgoing, Served, TIME_LEFT};
 use crate::pool::{DialError, Endpoint, Pool, Target};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Request, StatusCode, Uri};
-use load_balancer::{AttemptNo, Load, Micros, Outcome, RequestId};
+use load_balancer::{Load, Micros, Outcome};
 use std::cell::Cell;
 use std::pin::pin;
 use std::rc::Rc;
@@ -21,9 +21,52 @@
 const UNPROCESSED: HeaderName = HeaderName::from_static("x-unprocessed");
 const BACKEND_LOAD: HeaderName = HeaderName::from_static("x-backend-load");
 
-type Reply = (Outcome, Option<Served>, Load);
-/// The process that an attempt is meant for, and its endpoint as it is now.
-type To<'a> = (Target, &'a Endpoint);
+/// How an attempt ended.
+struct Reply {
+    outcome: Outcome,
+    served: Option<Served>,
+    load: Load,
+}
+
+impl Reply {
+    /// One without an answer to pass on.
+    fn of(outcome: Outcome, load: Load) -> Self {
+        Self {
+            outcome,
+            served: None,
+            load,
+        }
+    }
+}
+
+impl From<Outcome> for Reply {
+    fn from(outcome: Outcome) -> Self {
+        Self::of(outcome, Load::default())
+    }
+}
+
+/// Where an attempt goes: the process that it is meant for, and its endpoint, which may move or drain meanwhile.
+pub struct Destination {
+    target: Option<Target>,
+    endpoint: Rc<Endpoint>,
+}
+
+impl Destination {
+    /// The process that is at an endpoint now.
+    pub fn of(endpoint: Rc<Endpoint>) -> Self {
+        Self {
+            target: endpoint.target(),
+            endpoint,
+        }
+    }
+}
+
+/// A process at an endpoint.
+#[derive(Clone, Copy)]
+struct To<'a> {
+    target: Target,
+    endpoint: &'a Endpoint,
+}
 
 /// Until when an attempt may do what.
 #[derive(Clone, Copy)]
@@ -48,37 +91,40 @@
     /// Makes one attempt and tells how it ended.
     pub async fn attempt(
         self: Rc<Self>,
-        (request, attempt): (RequestId, AttemptNo),
-        (target, endpoint): (Option<Target>, Rc<Endpoint>),
+        id: AttemptId,
+        destination: Destination,
         outgoing: Rc<Outgoing>,
         times: Times,
         inputs: Inputs,
     ) {
-        let (outcome, served, load) = match target {
-            Some(target) => self.within(times, (target, &endpoint), &outgoing).await,
-            None => plain(Outcome::NotSent),
+        let endpoint = &*destination.endpoint;
+        let reply = match destination.target {
+            Some(target) => {
+                let to = To { target, endpoint };
+                self.within(times, to, &outgoing).await
+            }
+            None => Outcome::NotSent.into(),
         };
         inputs.send(Input::Ended(Ended {
-            request,
-            attempt,
-            outcome,
-            served,
-            load,
+            id,
+            outcome: reply.outcome,
+            served: reply.served,
+            load: reply.load,
         }));
     }
 
     /// An exchange inside its times.
     async fn within(&self, times: Times, to: To<'_>, out: &Outgoing) -> Reply {
-        let meter = Meter::new(out.body.len());
-        let mut exchange = pin!(self.exchange(to, out, &meter, times));
+        let progress = WriteProgress::new(out.body.len());
+        let mut exchange = pin!(self.exchange(to, out, &progress, times));
         tokio::select! {
             biased;
             () = sleep_until(times.write_by) => {}
             reply = exchange.as_mut() => return reply,
         }
         // What has not wholly been written never began, and is not to begin any more.
-        if !meter.complete() {
-            return plain(Outcome::ConnectFailed);
+        if !progress.complete() {
+            return Outcome::ConnectFailed.into();
         }
         tokio::select! {
             biased;
@@ -88,14 +134,20 @@
         // An answer that has come by then counts, also where a process that was held up has not looked at it yet.
         yield_now().await;
         let reply = timeout_at(times.until, exchange).await;
-        reply.unwrap_or(plain(Outcome::TimedOut))
+        reply.unwrap_or(Outcome::TimedOut.into())
     }
 
-    async fn exchange(&self, to: To<'_>, out: &Outgoing, meter: &Meter, times: Times) -> Reply {
-        let (target, endpoint) = to;
+    async fn exchange(
+        &self,
+        to: To<'_>,
+        out: &Outgoing,
+        progress: &WriteProgress,
+        times: Times,
+    ) -> Reply {
+        let To { target, endpoint } = to;
         loop {
             if let Some(outcome) = barred(to, out, times) {
-                return plain(outcome);
+                return outcome.into();
             }
             let (mut connection, permit, reused) = match self.pool.reuse(endpoint).await {
                 Some((connection, permit)) => (connection, permit, true),
@@ -108,27 +160,27 @@
                         (connection, permit, false)
                     }
                     // For want of room here: no endpoint is to blame.
-                    Err(DialError::NoRoom) => return plain(Outcome::NotSent),
-                    Err(DialError::Unreachable) => return plain(Outcome::ConnectFailed),
+                    Err(DialError::NoRoom) => return Outcome::NotSent.into(),
+                    Err(DialError::Unreachable) => return Outcome::ConnectFailed.into(),
                 },
             };
             // It may have changed while it was dialled.
             if let Some(outcome) = barred(to, out, times) {
-                return plain(outcome);
+                return outcome.into();
             }
             let Some(request) = out.request(times.until) else {
-                return plain(Outcome::NotSent);
+                return Outcome::NotSent.into();
             };
-            let Ok(response) = connection.request(request, meter.clone()).await else {
+            let Ok(response) = connection.request(request, progress.clone()).await else {
                 // Closed by the endpoint in the moment it was taken up again, before anything was written.
-                if reused && !meter.begun() {
+                if reused && !progress.begun() {
                     continue;
                 }
-                return plain(if meter.complete() {
-                    Outcome::Reset
+                return if progress.complete() {
+                    Outcome::Reset.into()
                 } else {
-                    Outcome::ConnectFailed
-                });
+                    Outcome::ConnectFailed.into()
+                };
             };
             let (head, body) = response.into_parts();
             let body = connection
@@ -150,19 +202,23 @@
                         headers: head.headers,
                         body: body.to_bytes(),
                     };
-                    (Outcome::Ok, Some(served), load)
+                    Reply {
+                        outcome: Outcome::Ok,
+                        served: Some(served),
+                        load,
+                    }
                 }
                 (StatusCode::OK, Some(Err(e))) if e.is::<http_body_util::LengthLimitError>() => {
-                    (Outcome::Error, None, load)
+                    Reply::of(Outcome::Error, load)
                 }
-                (StatusCode::OK, _) => (Outcome::Reset, None, load),
+                (StatusCode::OK, _) => Reply::of(Outcome::Reset, load),
                 // One that breaks off can't be read as what it promises to be.
                 (StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT, Some(Ok(_)))
                     if unprocessed =>
                 {
-                    (Outcome::Rejected, None, load)
+                    Reply::of(Outcome::Rejected, load)
                 }
-                _ => (Outcome::Error, None, load),
+                _ => Reply::of(Outcome::Error, load),
             };
         }
     }
@@ -181,33 +237,34 @@
             settled: Cell::new(false),
         };
         let until = start + PROBE_TIME;
-        let (outcome, _, load) = match endpoint.target() {
+        let times = Times {
+            write_by: until,
+            until,
+        };
+        let reply = match endpoint.target() {
             Some(target) => {
-                self.within(
-                    Times {
-                        write_by: until,
-                        until,
-                    },
-                    (target, &endpoint),
-                    &outgoing,
-                )
-                .await
+                let to = To {
+                    target,
+                    endpoint: &endpoint,
+                };
+                self.within(times, to, &outgoing).await
             }
-            None => plain(Outcome::ConnectFailed),
+            None => Outcome::ConnectFailed.into(),
         };
         let took = Micros::try_from(start.elapsed().as_micros()).unwrap_or(Micros::MAX);
-        inputs.send(Input::Probed(id, outcome, took, load));
+        inputs.send(Input::Probed {
+            endpoint: id,
+            outcome: reply.outcome,
+            took,
+            load: reply.load,
+        });
     }
 }
 
-fn plain(outcome: Outcome) -> Reply {
-    (outcome, None, Load::default())
-}
-
 /// How an attempt ends that must not begin any more: its request has its answer, the process that it was meant for
 /// has been told to leave, has moved or been replaced, or its time is over.
-fn barred((target, endpoint): To<'_>, out: &Outgoing, times: Times) -> Option<Outcome> {
-    if out.settled.get() || endpoint.target() != Some(target) {
+fn barred(to: To<'_>, out: &Outgoing, times: Times) -> Option<Outcome> {
+    if out.settled.get() || to.endpoint.target() != Some(to.target) {
         return Some(Outcome::NotSent);
     }
     (Instant::now() >= times.write_by).then_some(Outcome::ConnectFailed)
--- a/src/bin/sidecar/watching.rs
+++ b/src/bin/sidecar/watch_schedule.rs
@@ -26,12 +26,12 @@
 }
 
 /// How a watch goes on.
-pub struct Watching {
+pub struct WatchSchedule {
     /// Calls in a row that may have missed something.
     missed: u32,
 }
 
-impl Watching {
+impl WatchSchedule {
     /// One that begins; where a call before it has failed, with what that may have missed.
     pub fn new(after_failure: bool) -> Self {
         Self {
--- a/src/bin/sidecar/watching/tests.rs
+++ b/src/bin/sidecar/watch_schedule/tests.rs
@@ -45,7 +45,7 @@
 struct Follower {
     balancer: Balancer,
     timers: BTreeSet<(Micros, u64)>,
-    watching: Watching,
+    watching: WatchSchedule,
     now: Micros,
     news: bool,
     chance: f64,
@@ -61,7 +61,7 @@
         );
         let settings = settings::decode(&text).expect("settings").settings;
         let balancer = Balancer::new(settings, seed).expect("usable settings");
-        let (timers, watching) = (BTreeSet::new(), Watching::new(false));
+        let (timers, watching) = (BTreeSet::new(), WatchSchedule::new(false));
         let mut follower = Self {
             balancer,
             timers,
@@ -113,7 +113,7 @@
             Lost::Silent | Lost::Unconnected => self.watching.silent(),
             Lost::Refused | Lost::ResetLate => {
                 while !self.wake() {}
-                self.watching = Watching::new(true);
+                self.watching = WatchSchedule::new(true);
             }
         }
         begun
@@ -173,7 +173,7 @@
                 for _ in 0..20 {
                     follower.lose(Lost::Refused);
                 }
-                follower.watching = Watching::new(false);
+                follower.watching = WatchSchedule::new(false);
                 let begun: Vec<_> = order.iter().map(|how| follower.lose(*how)).collect();
                 let last = begun[2] - begun[0] + micros(ON_ITS_WAY);
                 assert!(
@@ -229,7 +229,7 @@
 #[test]
 fn a_silence_is_never_without_an_open_call_and_no_tight_loop() {
     for news in [true, false] {
-        let mut watching = Watching::new(false);
+        let mut watching = WatchSchedule::new(false);
         for _ in 0..20 {
             assert!(watching.call(news, 0.0).within >= PATIENCE);
             watching.silent();
@@ -240,7 +240,7 @@
 #[test]
 fn an_agent_that_takes_three_seconds_is_heard_again() {
     for news in [true, false] {
-        let mut watching = Watching::new(false);
+        let mut watching = WatchSchedule::new(false);
         let calls = (0..3).map(|_| {
             let call = watching.call(news, 0.0);
             watching.silent();
@@ -257,7 +257,7 @@
 // The protocol: a watch goes on as long as each call comes within 200 ms of the last answer.
 #[test]
 fn a_watch_that_was_answered_waits_again() {
-    let mut watching = Watching::new(true);
+    let mut watching = WatchSchedule::new(true);
     assert_eq!(
         watching.call(true, 1.0).wait,
         Duration::ZERO,
--- a/src/bin/sidecar/meter.rs
+++ b/src/bin/sidecar/write_progress.rs
@@ -6,10 +6,10 @@
 /// How much of a request the socket has taken. An endpoint begins one when its last byte has come, so until
 /// that is written it has surely not run.
 #[derive(Clone, Default)]
-pub struct Meter(Rc<MeterState>);
+pub struct WriteProgress(Rc<WriteProgressState>);
 
 #[derive(Default)]
-struct MeterState {
+struct WriteProgressState {
     /// Bytes of the blank line that ends the head seen so far, 4 once the head is out.
     head_end: Cell<u8>,
     body_left: Cell<usize>,
@@ -17,7 +17,7 @@
     interrupted: Cell<bool>,
 }
 
-impl Meter {
+impl WriteProgress {
     /// For a request with a body of that length.
     pub fn new(body: usize) -> Self {
         let meter = Self::default();
--- a/src/bin/sidecar/meter/tests.rs
+++ b/src/bin/sidecar/write_progress/tests.rs
@@ -7,14 +7,14 @@
 fn a_meter_tells_the_last_byte_from_the_one_before() {
     let request = b"POST /api HTTP/1.1\r\nA: b\r\n\r\n{\r\n\r\n}";
     for cut in 1..request.len() {
-        let meter = Meter::new(6);
+        let meter = WriteProgress::new(6);
         assert!(!meter.begun());
         meter.count(&request[..cut]);
         assert!(meter.begun() && !meter.complete(), "after {cut}");
         meter.count(&request[cut..]);
         assert!(meter.complete());
     }
-    let meter = Meter::new(0);
+    let meter = WriteProgress::new(0);
     meter.count(b"GET / HTTP/1.1\r\n\r");
     assert!(!meter.complete());
     meter.count(b"\n");
