--- a/crates/coordinator/src/agreement/contract.rs
+++ b/crates/coordinator/src/agreement/contract.rs
@@ -1,6 +1,6 @@
 //! The inputs and outputs of a log node.
 
-use load_balancer_record_store::Trouble;
+use load_balancer_record_store::StoreError;
 use raft::eraftpb::Message;
 use serde::Serialize;
 use std::fmt;
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Halt {
     /// The disk failed: what is kept is not known.
-    Disk(Trouble),
+    Disk(StoreError),
     /// The agreement holds what this program does not know.
     Unknown(String),
 }
@@ -59,8 +59,8 @@
 
 impl std::error::Error for Halt {}
 
-impl From<Trouble> for Halt {
-    fn from(trouble: Trouble) -> Self {
+impl From<StoreError> for Halt {
+    fn from(trouble: StoreError) -> Self {
         Self::Disk(trouble)
     }
 }
--- a/crates/coordinator/src/agreement/shelf.rs
+++ b/crates/coordinator/src/agreement/shelf.rs
@@ -3,7 +3,7 @@
 //! All of it is in memory too: it is read, and checked, once. Every write is one commit, synced before it returns.
 
 use super::entry::{self, Kept};
-use load_balancer_record_store::{Change, Store, Trouble};
+use load_balancer_record_store::{Change, Store, StoreError};
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
 use raft::util::limit_size;
@@ -36,11 +36,12 @@
     ///
     /// # Errors
     /// The store cannot be read or written, or what it keeps does not belong together.
-    pub fn open(store: Store, id: u64) -> Result<Self, Trouble> {
-        let unreadable = |e: protobuf::ProtobufError| Trouble(format!("a record of the log: {e}"));
+    pub fn open(store: Store, id: u64) -> Result<Self, StoreError> {
+        let unreadable =
+            |e: protobuf::ProtobufError| StoreError(format!("a record of the log: {e}"));
         let id = match store.get(SELF, 0)? {
             Some(bytes) => {
-                entry::read(&bytes).map_err(|e| Trouble(format!("the disk's number: {e}")))?
+                entry::read(&bytes).map_err(|e| StoreError(format!("the disk's number: {e}")))?
             }
             None => {
                 store.commit(&[Change::Put(SELF, 0, &entry::write(&id))])?;
@@ -61,7 +62,7 @@
         if let Some(bytes) = shelf.store.get(SNAPSHOT, 0)? {
             shelf.snapshot = Snapshot::parse_from_bytes(&bytes).map_err(unreadable)?;
         }
-        for (_, bytes) in shelf.store.room(LOG)? {
+        for (_, bytes) in shelf.store.collection(LOG)? {
             shelf
                 .entries
                 .push(Entry::parse_from_bytes(&bytes).map_err(unreadable)?);
@@ -69,7 +70,7 @@
         let mut before = (shelf.start(), shelf.snapshot.get_metadata().term);
         for entry in &shelf.entries {
             if entry.index != before.0 + 1 || entry.term < before.1 {
-                return Err(Trouble(format!(
+                return Err(StoreError(format!(
                     "the log has a gap after entry {}",
                     before.0
                 )));
@@ -77,7 +78,7 @@
             before = (entry.index, entry.term);
         }
         if !(shelf.start()..=before.0).contains(&shelf.hard.commit) {
-            return Err(Trouble(format!(
+            return Err(StoreError(format!(
                 "entry {} is agreed on and not there",
                 shelf.hard.commit
             )));
@@ -91,7 +92,7 @@
         Self { delay, ..self }
     }
 
-    fn commit(&self, changes: &[Change<'_>]) -> Result<(), Trouble> {
+    fn commit(&self, changes: &[Change<'_>]) -> Result<(), StoreError> {
         if !self.delay.is_zero() {
             std::thread::sleep(self.delay);
         }
@@ -115,7 +116,7 @@
     }
 
     /// Begins an agreement of which this steward is the only member, over a machine in this state.
-    pub(crate) fn found(&mut self, name: &str, machine: Vec<u8>) -> Result<(), Trouble> {
+    pub(crate) fn found(&mut self, name: &str, machine: Vec<u8>) -> Result<(), StoreError> {
         let kept = Kept {
             members: [(self.id, name.to_owned())].into(),
             at_ms: 0,
@@ -149,7 +150,7 @@
     }
 
     /// Keeps what the engine wants kept before anything is said about it.
-    pub(crate) fn keep_ready(&mut self, ready: &Ready) -> Result<(), Trouble> {
+    pub(crate) fn keep_ready(&mut self, ready: &Ready) -> Result<(), StoreError> {
         let snapshot = Some(ready.snapshot()).filter(|s| !s.is_empty());
         if snapshot.is_some() || !ready.entries().is_empty() || ready.hs().is_some() {
             self.keep(snapshot, ready.entries(), ready.hs())?;
@@ -168,8 +169,8 @@
         applied: u64,
         members: ConfState,
         kept: &Kept,
-    ) -> Result<(), Trouble> {
-        let term = Storage::term(self, applied).map_err(|e| Trouble(e.to_string()))?;
+    ) -> Result<(), StoreError> {
+        let term = Storage::term(self, applied).map_err(|e| StoreError(e.to_string()))?;
         let mut snapshot = Snapshot::default();
         snapshot.set_data(entry::write(kept).into());
         let metadata = snapshot.mut_metadata();
@@ -185,7 +186,7 @@
         Ok(())
     }
 
-    fn write(&self, snapshot: &Snapshot, more: &[Change<'_>]) -> Result<(), Trouble> {
+    fn write(&self, snapshot: &Snapshot, more: &[Change<'_>]) -> Result<(), StoreError> {
         let (snapshot, hard) = (bytes(snapshot)?, bytes(&self.hard)?);
         let mut changes = more.to_vec();
         changes.extend([
@@ -200,7 +201,7 @@
         snapshot: Option<&Snapshot>,
         entries: &[Entry],
         hard: Option<&HardState>,
-    ) -> Result<(), Trouble> {
+    ) -> Result<(), StoreError> {
         if let Some(hard) = hard {
             self.hard = hard.clone();
         }
@@ -219,7 +220,7 @@
                 .and_then(|n| usize::try_from(n).ok())
                 .filter(|n| *n <= self.entries.len());
             self.entries
-                .truncate(after.ok_or_else(|| Trouble("the engine left a gap".to_owned()))?);
+                .truncate(after.ok_or_else(|| StoreError("the engine left a gap".to_owned()))?);
         }
         let puts = entries
             .iter()
@@ -234,8 +235,10 @@
     }
 }
 
-fn bytes(message: &impl protobuf::Message) -> Result<Vec<u8>, Trouble> {
-    message.write_to_bytes().map_err(|e| Trouble(e.to_string()))
+fn bytes(message: &impl protobuf::Message) -> Result<Vec<u8>, StoreError> {
+    message
+        .write_to_bytes()
+        .map_err(|e| StoreError(e.to_string()))
 }
 
 impl Storage for Shelf {
--- a/crates/coordinator/src/keeper.rs
+++ b/crates/coordinator/src/keeper.rs
@@ -130,17 +130,17 @@
     fn open(&self, found: bool) -> Result<Steward, Halt> {
         let own = &self.sections.steward;
         let opened = load_balancer_record_store::open(&own.data, &own.name)?;
-        if let Some(aside) = opened.aside {
+        if let Some(quarantined) = opened.quarantined {
             let what = format!(
                 "what {} kept is not believed ({})",
                 own.data.display(),
-                aside.why
+                quarantined.why
             );
             self.line(
                 true,
                 format!(
                     "{what}, it lies in {} now; comes in anew",
-                    aside.file.display()
+                    quarantined.file.display()
                 ),
             );
         }
--- a/crates/coordinator/tests/agreement/world.rs
+++ b/crates/coordinator/tests/agreement/world.rs
@@ -7,7 +7,7 @@
     Admission, Message, Node, Options, Shelf, decode, encode,
 };
 use load_balancer_record_store::disk::Disk;
-use load_balancer_record_store::{Refusal, Store};
+use load_balancer_record_store::{OpenError, Store};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -81,7 +81,7 @@
         let seat = &mut self.seats[place];
         let store = match Store::on(seat.disk.clone(), &seat.name) {
             Ok(store) => store,
-            Err(Refusal::Broken(_)) => {
+            Err(OpenError::Corruption(_)) => {
                 // Set aside, as the file's opening does.
                 self.counts.refused_disks += 1;
                 seat.disk = Disk::new();
--- a/crates/coordinator/tests/core/world.rs
+++ b/crates/coordinator/tests/core/world.rs
@@ -6,7 +6,7 @@
 use load_balancer_coordinator::core::{Input, Now, Settings, Steward};
 use load_balancer_maintenance::{Agreement, Event, Request, Target};
 use load_balancer_record_store::disk::Disk;
-use load_balancer_record_store::{Refusal, Store};
+use load_balancer_record_store::{OpenError, Store};
 use std::collections::{BTreeMap, BTreeSet};
 
 const START_MS: i64 = 1_800_000_000_000;
@@ -101,7 +101,7 @@
         let seat = &mut self.seats[place];
         let store = match Store::on(seat.disk.clone(), &seat.name) {
             Ok(store) => store,
-            Err(Refusal::Broken(_)) => {
+            Err(OpenError::Corruption(_)) => {
                 seat.disk = Disk::new();
                 Store::on(seat.disk.clone(), &seat.name).expect("a new disk")
             }
--- a/crates/emulator/pairs/recorder/coordinator.rs
+++ b/crates/emulator/pairs/recorder/coordinator.rs
@@ -8,7 +8,7 @@
 //! `state ID ACTS LINES` (the applied orders with their times), then `.`.
 
 use super::coordinator_interface::{
-    Admission, Node, Options, Replicated, Shelf, decode, encode, open,
+    Admission, Node, Options, Replicated, Shelf, decode, encode, open_store,
 };
 use super::lines::{bytes, hex, read};
 use std::fmt::Write as _;
@@ -67,9 +67,9 @@
         let mut answers = Vec::new();
         match words[..] {
             ["start", name, id, run, founds, file] => {
-                let opened = open(Path::new(file), name).map_err(|e| e.to_string())?;
-                answers.extend(opened.aside.map(|aside| format!("aside {:?}", aside.why)));
-                let shelf = Shelf::open(opened.store, read(id)?).map_err(|e| e.to_string())?;
+                let (store, quarantined) = open_store(Path::new(file), name)?;
+                answers.extend(quarantined.map(|why| format!("aside {why}")));
+                let shelf = Shelf::open(store, read(id)?).map_err(|e| e.to_string())?;
                 let options = Options {
                     name: name.to_owned(),
                     run: read(run)?,
--- a/crates/emulator/src/pairs/coordinator_interface.rs
+++ b/crates/emulator/src/pairs/coordinator_interface.rs
@@ -3,4 +3,12 @@
 pub use load_balancer_coordinator::agreement::{
     Admission, Node, Options, Replicated, Shelf, decode, encode,
 };
-pub use load_balancer_record_store::open;
+use load_balancer_record_store::Store;
+use std::path::Path;
+
+/// Opens a store; and why an earlier file was quarantined, if one was.
+pub fn open_store(file: &Path, owner: &str) -> Result<(Store, Option<String>), String> {
+    let opened = load_balancer_record_store::open(file, owner).map_err(|e| e.to_string())?;
+    let why = opened.quarantined.map(|file| format!("{:?}", file.why));
+    Ok((opened.store, why))
+}
--- a/crates/leases/src/event.rs
+++ b/crates/leases/src/event.rs
@@ -15,7 +15,7 @@
     /// Its name, one of a kind among those who want this duty.
     pub name: String,
     /// Grows with each start of a process of that name, and is never reused.
-    pub life: u64,
+    pub incarnation: u64,
     /// Its zone, for people.
     #[serde(default)]
     pub zone: String,
@@ -34,14 +34,14 @@
     /// renewal.
     Ask {
         /// The duty's name.
-        duty: String,
+        task: String,
         /// Who asks.
         by: Claimant,
     },
     /// The holder is still there.
     Renew {
         /// The duty's name.
-        duty: String,
+        task: String,
         /// The holder's name.
         name: String,
         /// The token that it holds the duty by.
@@ -50,7 +50,7 @@
     /// The holder has stopped, and gives the duty back.
     Release {
         /// The duty's name.
-        duty: String,
+        task: String,
         /// The holder's name.
         name: String,
         /// The token that it held the duty by.
@@ -59,7 +59,7 @@
     /// The holder has stopped, and hands the duty to one who waits for it.
     Transfer {
         /// The duty's name.
-        duty: String,
+        task: String,
         /// The holder's name.
         name: String,
         /// The token that it held the duty by.
@@ -70,14 +70,14 @@
     /// Who waited wants the duty no more.
     Withdraw {
         /// The duty's name.
-        duty: String,
+        task: String,
         /// Who waited.
         name: String,
     },
     /// The leader has not heard the holder for a whole lease. Counts only where it was not heard since.
-    Lapse {
+    Expire {
         /// The duty's name.
-        duty: String,
+        task: String,
         /// The token of the lease that ends.
         token: u64,
         /// How often it had been renewed.
@@ -86,7 +86,7 @@
     /// The leader has not heard one who waits for a whole lease. Counts only where it was not heard since.
     Forget {
         /// The duty's name.
-        duty: String,
+        task: String,
         /// Who waited.
         name: String,
         /// How often it had asked.
@@ -94,7 +94,7 @@
     },
 }
 
-/// What [`Duties::apply`](crate::Duties::apply) answers.
+/// What [`LeaseTable::apply`](crate::Duties::apply) answers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
--- a/crates/leases/src/gate.rs
+++ b/crates/leases/src/fencing_gate.rs
@@ -5,7 +5,7 @@
 
 /// The highest token seen of each duty, at whatever is acted on. Where acts outlive the process, it is kept on disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Gate {
+pub struct FencingGate {
     seen: BTreeMap<String, u64>,
 }
 
@@ -27,15 +27,15 @@
     Full,
 }
 
-impl Gate {
+impl FencingGate {
     /// Whether an act on a duty with that token may be done; a higher token than seen is remembered. Keeps at most
     /// `most` duties.
     ///
     /// # Errors
     /// It may not, with the reason.
-    pub fn pass(&mut self, duty: &str, token: u64, most: usize) -> Result<Pass, Stale> {
+    pub fn pass(&mut self, task: &str, token: u64, most: usize) -> Result<Pass, Stale> {
         let full = self.seen.len() >= most;
-        match self.seen.get_mut(duty) {
+        match self.seen.get_mut(task) {
             Some(seen) if token < *seen => Err(Stale::Seen(*seen)),
             Some(seen) if token == *seen => Ok(Pass::Known),
             Some(seen) => {
@@ -44,14 +44,14 @@
             }
             None if full => Err(Stale::Full),
             None => {
-                self.seen.insert(duty.to_owned(), token);
+                self.seen.insert(task.to_owned(), token);
                 Ok(Pass::First)
             }
         }
     }
 
     /// The highest token seen of a duty.
-    pub fn seen(&self, duty: &str) -> Option<u64> {
-        self.seen.get(duty).copied()
+    pub fn seen(&self, task: &str) -> Option<u64> {
+        self.seen.get(task).copied()
     }
 }
--- a/crates/leases/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -11,7 +11,7 @@
 
 /// How a holder keeps time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Terms {
+pub struct LeaseTerms {
     /// By how much the rates of two processes' clocks may differ, in thousandths.
     pub rate_permille: u64,
     /// A holder that was not run for that long, in milliseconds, has been stopped: it acts on nothing until it has
@@ -21,7 +21,7 @@
 
 /// The right to act, now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Right {
+pub struct LeaseGrant {
     /// What each act goes with.
     pub token: u64,
     /// The right ends at this moment of the holder's clock, in milliseconds.
@@ -30,8 +30,8 @@
 
 /// Something to send to those who agree.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Word {
-    /// Its number; [`Holder::heard`] wants it with the answer.
+pub struct LeaseMessage {
+    /// Its number; [`Holder::receive`] wants it with the answer.
     pub number: u64,
     /// What is said.
     pub event: Event,
@@ -40,9 +40,9 @@
 /// One process's side of one duty. Times are of the process's own monotonic clock, in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Holder {
-    duty: String,
+    task: String,
     by: Claimant,
-    terms: Terms,
+    terms: LeaseTerms,
     wants: bool,
     /// Token, end, and whether it has been said again since this process was last stopped.
     held: Option<(u64, u64, bool)>,
@@ -58,11 +58,11 @@
 
 impl Holder {
     /// One that wants the duty.
-    pub fn new(duty: &str, by: Claimant, terms: Terms) -> Self {
+    pub fn new(task: &str, by: Claimant, terms: LeaseTerms) -> Self {
         let (held, wanted_by, back, beat_ms) = (None, None, None, None);
         let (number, open, next_ms, wants) = (0, VecDeque::new(), 0, true);
         Self {
-            duty: duty.to_owned(),
+            task: task.to_owned(),
             by,
             terms,
             wants,
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Is to be called more often than each [`Terms::pause_ms`]; says what is to be sent now, if anything is.
-    pub fn beat(&mut self, now_ms: u64) -> Option<Word> {
+    /// Is to be called more often than each [`LeaseTerms::pause_ms`]; says what is to be sent now, if anything is.
+    pub fn tick(&mut self, now_ms: u64) -> Option<LeaseMessage> {
         self.notice_pause(now_ms);
         if self.held.is_some_and(|(_, end, _)| end <= now_ms) {
             (self.held, self.wanted_by) = (None, None);
@@ -85,23 +85,23 @@
         if now_ms < self.next_ms {
             return None;
         }
-        let (duty, name) = (self.duty.clone(), self.by.name.clone());
+        let (task, name) = (self.task.clone(), self.by.name.clone());
         let event = match (&self.back, self.held) {
             (Some((token, None)), _) => Event::Release {
-                duty,
+                task,
                 name,
                 token: *token,
             },
             (Some((token, Some(heir))), _) => Event::Transfer {
-                duty,
+                task,
                 name,
                 token: *token,
                 heir: heir.clone(),
             },
             (None, _) if !self.wants => return None,
-            (None, Some((token, ..))) => Event::Renew { duty, name, token },
+            (None, Some((token, ..))) => Event::Renew { task, name, token },
             (None, None) => Event::Ask {
-                duty,
+                task,
                 by: self.by.clone(),
             },
         };
@@ -111,7 +111,7 @@
             self.open.pop_front();
         }
         self.open.push_back((self.number, now_ms));
-        Some(Word {
+        Some(LeaseMessage {
             number: self.number,
             event,
         })
@@ -119,7 +119,7 @@
 
     /// Takes the answer to the word of that number. One that comes late counts from when its word was sent; one to a
     /// word of before a stop counts for nothing.
-    pub fn heard(&mut self, now_ms: u64, number: u64, outcome: &Outcome) {
+    pub fn receive(&mut self, now_ms: u64, number: u64, outcome: &Outcome) {
         self.notice_pause(now_ms);
         let Some(place) = self.open.iter().position(|(open, _)| *open == number) else {
             return;
@@ -162,13 +162,13 @@
         }
     }
 
-    /// The right to act at this moment. An act that takes long is to be ended before [`Right::until_ms`].
-    pub fn may_act(&self, now_ms: u64) -> Option<Right> {
+    /// The right to act at this moment. An act that takes long is to be ended before [`LeaseGrant::until_ms`].
+    pub fn may_act(&self, now_ms: u64) -> Option<LeaseGrant> {
         let (token, until_ms, fresh) = self.held?;
         let awake = self
             .beat_ms
-            .is_some_and(|beat| now_ms.saturating_sub(beat) <= self.terms.pause_ms);
-        (fresh && awake && now_ms < until_ms).then_some(Right { token, until_ms })
+            .is_some_and(|tick| now_ms.saturating_sub(tick) <= self.terms.pause_ms);
+        (fresh && awake && now_ms < until_ms).then_some(LeaseGrant { token, until_ms })
     }
 
     /// Somebody of a higher rank waits for what this one holds.
@@ -177,13 +177,13 @@
     }
 
     /// Something was said of the duty's holder: ask at once.
-    pub fn nudge(&mut self, now_ms: u64) {
+    pub fn hurry(&mut self, now_ms: u64) {
         self.next_ms = self.next_ms.min(now_ms);
     }
 
     /// Stops acting at once and gives the duty back, to the heir if one is named who waits for it. It goes on to want
     /// the duty if `wants`.
-    pub fn give_back(&mut self, now_ms: u64, heir: Option<&str>, wants: bool) {
+    pub fn release(&mut self, now_ms: u64, heir: Option<&str>, wants: bool) {
         self.wants = wants;
         if let Some((token, ..)) = self.held.take() {
             self.back = Some((token, heir.map(str::to_owned)));
@@ -196,13 +196,13 @@
     fn notice_pause(&mut self, now_ms: u64) {
         let slept = self
             .beat_ms
-            .is_some_and(|beat| now_ms.saturating_sub(beat) > self.terms.pause_ms);
+            .is_some_and(|tick| now_ms.saturating_sub(tick) > self.terms.pause_ms);
         if slept {
             self.open.clear();
             self.next_ms = now_ms;
             self.held = self.held.map(|(token, end, _)| (token, end, false));
         }
-        self.beat_ms = Some(self.beat_ms.map_or(now_ms, |beat| beat.max(now_ms)));
+        self.beat_ms = Some(self.beat_ms.map_or(now_ms, |tick| tick.max(now_ms)));
     }
 
     /// As if the word of that number were sent only now: a fault that the model plants.
--- a/crates/leases/src/watch.rs
+++ b/crates/leases/src/holder_monitor.rs
@@ -1,56 +1,58 @@
 //! The leader's failure detector of lease holders.
 
 use crate::event::Event;
-use crate::machine::Duties;
+use crate::machine::LeaseTable;
 use std::collections::BTreeMap;
 
 /// What a leader keeps in mind of when it saw whom, by its own monotonic clock. It is made at the start of each
 /// leadership and dropped at its end: nobody is held for gone who was not silent for a whole lease before this
 /// leader's own eyes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Watch {
+pub struct HolderMonitor {
     /// Holders by duty: token, renewals, since when those stand.
     held: BTreeMap<String, (u64, u64, u64)>,
     /// Those who wait, by duty and name: life, asks, since when those stand.
     waiting: BTreeMap<(String, String), (u64, u64, u64)>,
 }
 
-impl Watch {
+impl HolderMonitor {
     /// Events that the leader should propose, of which each says itself what it rests on: the order in which events are
     /// agreed on decides whether it still holds. At most `most` of them, holders first.
-    pub fn due(&mut self, now_ms: u64, duties: &Duties, most: usize) -> Vec<Event> {
+    pub fn due(&mut self, now_ms: u64, tasks: &LeaseTable, most: usize) -> Vec<Event> {
         let mut due = Vec::new();
         self.held.retain(|name, _| {
-            duties
-                .duties()
+            tasks
+                .tasks()
                 .get(name)
-                .is_some_and(|duty| duty.held.is_some())
+                .is_some_and(|task| task.held.is_some())
         });
         self.waiting.retain(|(name, who), _| {
-            duties
-                .duties()
+            tasks
+                .tasks()
                 .get(name)
-                .is_some_and(|duty| duty.waiting.iter().any(|w| &w.by.name == who))
+                .is_some_and(|task| task.waiting.iter().any(|w| &w.by.name == who))
         });
-        for (name, duty) in duties.duties() {
-            if let Some(held) = &duty.held {
+        for (name, task) in tasks.tasks() {
+            if let Some(held) = &task.held {
                 let seen = (held.token, held.renewals);
                 if silent(&mut self.held, name.clone(), seen, now_ms) >= held.by.lease_ms {
                     let (token, renewals) = seen;
-                    due.push(Event::Lapse {
-                        duty: name.clone(),
+                    due.push(Event::Expire {
+                        task: name.clone(),
                         token,
                         renewals,
                     });
                 }
             }
         }
-        for (name, duty) in duties.duties() {
-            for w in &duty.waiting {
+        for (name, task) in tasks.tasks() {
+            for w in &task.waiting {
                 let key = (name.clone(), w.by.name.clone());
-                if silent(&mut self.waiting, key, (w.by.life, w.asks), now_ms) >= w.by.lease_ms {
+                if silent(&mut self.waiting, key, (w.by.incarnation, w.asks), now_ms)
+                    >= w.by.lease_ms
+                {
                     due.push(Event::Forget {
-                        duty: name.clone(),
+                        task: name.clone(),
                         name: w.by.name.clone(),
                         asks: w.asks,
                     });
--- a/crates/leases/src/machine.rs
+++ b/crates/leases/src/machine.rs
@@ -1,51 +1,51 @@
 //! The lease state machine: who gets a singleton task, and when a lease ends.
 
-use crate::duty::{Duty, Held, Waiting};
 use crate::event::{Claimant, Event, LEASE_MS, LONGEST_NAME, Outcome, Refusal};
+use crate::task::{HeldLease, Task, Waiting};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// Most duties: one for each server group and each limit of a large fleet, and some to spare.
-pub const MOST_DUTIES: usize = 4_096;
+pub const MAX_TASKS: usize = 4_096;
 /// Most who wait for one duty: a few in each zone.
-pub const MOST_WAITING: usize = 16;
+pub const MAX_WAITING: usize = 16;
 
 /// All duties. Serialized, it is the snapshot of them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Duties {
+pub struct LeaseTable {
     /// The last token that was given, of any duty.
     token: u64,
     /// The number of the last change of a holder.
     change: u64,
-    duties: BTreeMap<String, Duty>,
+    tasks: BTreeMap<String, Task>,
 }
 
-impl Duties {
+impl LeaseTable {
     /// Takes the next agreed event.
     pub fn apply(&mut self, event: Event) -> Outcome {
         match event {
-            Event::Ask { duty, by } => self.ask(&duty, by),
-            Event::Renew { duty, name, token } => self.renew(&duty, &name, token),
-            Event::Release { duty, name, token } => self.release(&duty, &name, token, None),
+            Event::Ask { task, by } => self.ask(&task, by),
+            Event::Renew { task, name, token } => self.renew(&task, &name, token),
+            Event::Release { task, name, token } => self.release(&task, &name, token, None),
             Event::Transfer {
-                duty,
+                task,
                 name,
                 token,
                 heir,
-            } => self.release(&duty, &name, token, Some(&heir)),
-            Event::Withdraw { duty, name } => self.leave(&duty, &name, |_| true),
-            Event::Forget { duty, name, asks } => self.leave(&duty, &name, |w| w.asks == asks),
-            Event::Lapse {
-                duty,
+            } => self.release(&task, &name, token, Some(&heir)),
+            Event::Withdraw { task, name } => self.leave(&task, &name, |_| true),
+            Event::Forget { task, name, asks } => self.leave(&task, &name, |w| w.asks == asks),
+            Event::Expire {
+                task,
                 token,
                 renewals,
-            } => self.lapse(&duty, token, renewals),
+            } => self.expire(&task, token, renewals),
         }
     }
 
     /// The duties, by name.
-    pub fn duties(&self) -> &BTreeMap<String, Duty> {
-        &self.duties
+    pub fn tasks(&self) -> &BTreeMap<String, Task> {
+        &self.tasks
     }
 
     /// The last token that was given.
@@ -59,36 +59,35 @@
     }
 
     /// Duties whose holder changed after that change.
-    pub fn changed_since(&self, change: u64) -> impl Iterator<Item = (&String, &Duty)> {
-        self.duties
+    pub fn changed_since(&self, change: u64) -> impl Iterator<Item = (&String, &Task)> {
+        self.tasks
             .iter()
-            .filter(move |(_, duty)| duty.changed > change)
+            .filter(move |(_, task)| task.changed > change)
     }
 
     fn ask(&mut self, name: &str, by: Claimant) -> Outcome {
         if let Err((key, why)) = check(name, &by) {
             return Outcome::Refused(Refusal::Invalid(key.to_owned(), why));
         }
-        if !self.duties.contains_key(name) && self.duties.len() >= MOST_DUTIES && !self.drop_idle()
-        {
+        if !self.tasks.contains_key(name) && self.tasks.len() >= MAX_TASKS && !self.drop_idle() {
             return Outcome::Refused(Refusal::Full);
         }
-        let duty = self.duties.entry(name.to_owned()).or_default();
-        let lives = duty
+        let task = self.tasks.entry(name.to_owned()).or_default();
+        let lives = task
             .held
             .iter()
             .map(|h| &h.by)
-            .chain(duty.waiting.iter().map(|w| &w.by));
+            .chain(task.waiting.iter().map(|w| &w.by));
         if lives
             .into_iter()
-            .any(|known| known.name == by.name && known.life > by.life)
+            .any(|known| known.name == by.name && known.incarnation > by.incarnation)
         {
             return Outcome::Refused(Refusal::OldLife);
         }
-        if let Some(held) = duty
+        if let Some(held) = task
             .held
             .as_mut()
-            .filter(|h| (&h.by.name, h.by.life) == (&by.name, by.life))
+            .filter(|h| (&h.by.name, h.by.incarnation) == (&by.name, by.incarnation))
         {
             // It counts the lease from this very asking, so who watches must do so too.
             held.renewals += 1;
@@ -97,18 +96,18 @@
         }
         // Whoever asks with a new rank stands at the end of that rank.
         let asker = by.name.clone();
-        match duty
+        match task
             .waiting
             .iter_mut()
             .find(|w| w.by.name == asker && w.by.rank == by.rank)
         {
             Some(known) => (known.by, known.asks) = (by, known.asks + 1),
             None => {
-                let asks = duty.take(&asker).map_or(0, |known| known.asks) + 1;
-                if duty.waiting.len() >= MOST_WAITING {
+                let asks = task.take(&asker).map_or(0, |known| known.asks) + 1;
+                if task.waiting.len() >= MAX_WAITING {
                     return Outcome::Refused(Refusal::Full);
                 }
-                duty.wait(Waiting { by, asks });
+                task.wait(Waiting { by, asks });
             }
         }
         self.fill(name);
@@ -117,11 +116,11 @@
 
     fn renew(&mut self, name: &str, holder: &str, token: u64) -> Outcome {
         match self
-            .duties
+            .tasks
             .get_mut(name)
-            .filter(|duty| duty.held_by(holder, token).is_some())
+            .filter(|task| task.held_by(holder, token).is_some())
         {
-            Some(Duty {
+            Some(Task {
                 held: Some(held), ..
             }) => held.renewals += 1,
             _ => return Outcome::Refused(Refusal::NotYours),
@@ -131,46 +130,46 @@
 
     /// Gives a duty back, to the heir if one is named.
     fn release(&mut self, name: &str, holder: &str, token: u64, heir: Option<&str>) -> Outcome {
-        let Some(duty) = self
-            .duties
+        let Some(task) = self
+            .tasks
             .get_mut(name)
-            .filter(|duty| duty.held_by(holder, token).is_some())
+            .filter(|task| task.held_by(holder, token).is_some())
         else {
             return Outcome::Refused(Refusal::NotYours);
         };
         if let Some(heir) = heir {
-            let Some(next) = duty.take(heir) else {
+            let Some(next) = task.take(heir) else {
                 return Outcome::Refused(Refusal::NotWaiting);
             };
             // However many of a higher rank wait: this one was named.
-            duty.waiting.insert(0, next);
+            task.waiting.insert(0, next);
         }
-        duty.held = None;
+        task.held = None;
         self.fill(name);
         Outcome::Taken
     }
 
-    fn lapse(&mut self, name: &str, token: u64, renewals: u64) -> Outcome {
-        let ended = |held: &Held| (held.token, held.renewals) == (token, renewals);
-        let Some(duty) = self
-            .duties
+    fn expire(&mut self, name: &str, token: u64, renewals: u64) -> Outcome {
+        let ended = |held: &HeldLease| (held.token, held.renewals) == (token, renewals);
+        let Some(task) = self
+            .tasks
             .get_mut(name)
             .filter(|d| d.held.as_ref().is_some_and(ended))
         else {
             return Outcome::Ignored;
         };
-        duty.held = None;
+        task.held = None;
         self.fill(name);
         Outcome::Taken
     }
 
     fn leave(&mut self, name: &str, who: &str, is: impl Fn(&Waiting) -> bool) -> Outcome {
-        let Some(duty) = self.duties.get_mut(name) else {
+        let Some(task) = self.tasks.get_mut(name) else {
             return Outcome::Ignored;
         };
-        let before = duty.waiting.len();
-        duty.waiting.retain(|w| w.by.name != who || !is(w));
-        if duty.waiting.len() < before {
+        let before = task.waiting.len();
+        task.waiting.retain(|w| w.by.name != who || !is(w));
+        if task.waiting.len() < before {
             Outcome::Taken
         } else {
             Outcome::Ignored
@@ -179,15 +178,15 @@
 
     /// Gives a duty that nobody holds to the first who waits.
     fn fill(&mut self, name: &str) {
-        let Some(duty) = self.duties.get_mut(name).filter(|duty| duty.held.is_none()) else {
+        let Some(task) = self.tasks.get_mut(name).filter(|task| task.held.is_none()) else {
             return;
         };
         self.change += 1;
-        duty.changed = self.change;
-        if !duty.waiting.is_empty() {
+        task.changed = self.change;
+        if !task.waiting.is_empty() {
             self.token += 1;
-            let Waiting { by, .. } = duty.waiting.remove(0);
-            duty.held = Some(Held {
+            let Waiting { by, .. } = task.waiting.remove(0);
+            task.held = Some(HeldLease {
                 by,
                 token: self.token,
                 renewals: 0,
@@ -197,15 +196,15 @@
 
     /// Makes room where nobody holds a duty and nobody waits for it. The token is common to all, so nothing is lost.
     fn drop_idle(&mut self) -> bool {
-        let before = self.duties.len();
-        self.duties
-            .retain(|_, duty| duty.held.is_some() || !duty.waiting.is_empty());
-        self.duties.len() < before
+        let before = self.tasks.len();
+        self.tasks
+            .retain(|_, task| task.held.is_some() || !task.waiting.is_empty());
+        self.tasks.len() < before
     }
 
     fn granted(&self, name: &str) -> Outcome {
-        let Some((duty, held)) = self
-            .duties
+        let Some((task, held)) = self
+            .tasks
             .get(name)
             .and_then(|d| Some((d, d.held.as_ref()?)))
         else {
@@ -215,16 +214,16 @@
         Outcome::Granted {
             token,
             lease_ms,
-            wanted_by: duty.wanted_by(),
+            wanted_by: task.wanted_by(),
         }
     }
 
     fn answer(&self, name: &str, asker: &str) -> Outcome {
-        let Some(Duty {
+        let Some(Task {
             held: Some(held),
             waiting,
             ..
-        }) = self.duties.get(name)
+        }) = self.tasks.get(name)
         else {
             return Outcome::Ignored;
         };
@@ -243,10 +242,10 @@
 }
 
 /// Whether names and lease are within bounds; else the key and why.
-fn check(duty: &str, by: &Claimant) -> Result<(), (&'static str, String)> {
+fn check(task: &str, by: &Claimant) -> Result<(), (&'static str, String)> {
     let fits =
         |name: &str| (1..=LONGEST_NAME).contains(&name.len()) && !name.contains(char::is_control);
-    for (key, name) in [("duty", duty), ("name", &by.name)] {
+    for (key, name) in [("duty", task), ("name", &by.name)] {
         if !fits(name) {
             return Err((
                 key,
--- a/crates/leases/src/model.rs
+++ b/crates/leases/src/model.rs
@@ -4,8 +4,11 @@
 mod explore;
 mod scope;
 
-use crate::{Claimant, Duties, Event, Gate, Holder, Outcome, Refusal, Terms, Watch, Word};
-use scope::{Planted, Scope};
+use crate::{
+    Claimant, Event, FencingGate, Holder, HolderMonitor, LeaseMessage, LeaseTable, LeaseTerms,
+    Outcome, Refusal,
+};
+use scope::{PlantedFault, Scope};
 use stateright::{Model, Property};
 use std::collections::BTreeSet;
 
@@ -17,14 +20,14 @@
 /// A third of a lease: one step that a holder's clock may fall behind.
 const RATE_PERMILLE: u64 = 334;
 
-struct Lease(Planted, Scope);
+struct Lease(PlantedFault, Scope);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Moment {
-    duties: Duties,
+    tasks: LeaseTable,
     /// What a crash of those who agree goes back to, where they forget.
-    last: Option<Duties>,
-    watch: Watch,
+    last: Option<LeaseTable>,
+    holder_monitor: HolderMonitor,
     now: u64,
     /// Steps by which each holder's clock is behind, and whether it is stopped.
     behind: [u64; 2],
@@ -32,11 +35,11 @@
     holders: [Holder; 2],
     lives: [u64; 2],
     /// Who said it in which life, its number.
-    words: BTreeSet<(usize, u64, u64, Event)>,
+    messages: BTreeSet<(usize, u64, u64, Event)>,
     answers: BTreeSet<(usize, u64, Outcome)>,
     /// Acts on their way: token and who.
     acts: BTreeSet<(u64, usize)>,
-    gate: Gate,
+    fencing_gate: FencingGate,
     /// The highest token by which something was done, and by whom.
     done: (u64, usize),
     /// Something was done by an older token than before, or by one token of two processes.
@@ -53,31 +56,31 @@
     Crash(usize),
     GiveBack(usize),
     Act(usize),
-    Word(usize, u64, u64, Event),
+    LeaseMessage(usize, u64, u64, Event),
     Answer(usize, u64, Outcome),
     Effect(u64, usize),
-    Watch,
+    HolderMonitor,
     NewLeader,
     Forget,
 }
 
-fn claimant(who: usize, life: u64) -> Claimant {
+fn claimant(who: usize, incarnation: u64) -> Claimant {
     let (name, zone) = (NAMES[who].to_owned(), String::new());
     Claimant {
         name,
-        life,
+        incarnation,
         zone,
         rank: 0,
         lease_ms: LEASE_MS,
     }
 }
 
-fn holder(who: usize, life: u64) -> Holder {
+fn holder(who: usize, incarnation: u64) -> Holder {
     // A stop ends a holder's right in the model only by its clock and the gate, so that these are what is tried.
     Holder::new(
         DUTY,
-        claimant(who, life),
-        Terms {
+        claimant(who, incarnation),
+        LeaseTerms {
             rate_permille: RATE_PERMILLE,
             pause_ms: 100 * LEASE_MS,
         },
@@ -96,9 +99,9 @@
         Some(right.token)
     }
 
-    fn agree(&mut self, planted: Planted, event: Event) -> Outcome {
-        self.last = planted.forgets.then(|| self.duties.clone());
-        self.duties.apply(event)
+    fn agree(&mut self, planted: PlantedFault, event: Event) -> Outcome {
+        self.last = planted.forgets.then(|| self.tasks.clone());
+        self.tasks.apply(event)
     }
 }
 
@@ -108,47 +111,47 @@
 
     fn init_states(&self) -> Vec<Moment> {
         let mut moment = Moment {
-            duties: Duties::default(),
+            tasks: LeaseTable::default(),
             last: None,
-            watch: Watch::default(),
+            holder_monitor: HolderMonitor::default(),
             now: STEP_MS,
             behind: [0; 2],
             stopped: [false; 2],
             holders: [holder(0, 1), holder(1, 1)],
             lives: [1; 2],
-            words: BTreeSet::new(),
+            messages: BTreeSet::new(),
             answers: BTreeSet::new(),
             acts: BTreeSet::new(),
-            gate: Gate::default(),
+            fencing_gate: FencingGate::default(),
             done: (0, 0),
             broken: false,
         };
         for who in (0..2).filter(|_| self.1.held) {
-            if let Some(Word { number, event }) = moment.holders[who].beat(moment.now) {
+            if let Some(LeaseMessage { number, event }) = moment.holders[who].tick(moment.now) {
                 let outcome = moment.agree(self.0, event);
-                if self.1.heard {
-                    moment.holders[who].heard(moment.now, number, &outcome);
+                if self.1.receive {
+                    moment.holders[who].receive(moment.now, number, &outcome);
                 } else {
                     moment.answers.insert((who, number, outcome));
                 }
             }
         }
         if self.1.held {
-            moment.watch.due(moment.now, &moment.duties, 0);
+            moment.holder_monitor.due(moment.now, &moment.tasks, 0);
         }
         vec![moment]
     }
 
     fn actions(&self, moment: &Moment, actions: &mut Vec<Move>) {
-        actions.extend([Move::Pass, Move::Watch, Move::NewLeader]);
+        actions.extend([Move::Pass, Move::HolderMonitor, Move::NewLeader]);
         for who in 0..2 {
-            if self.1.troubles && moment.behind[who] == 0 {
+            if self.1.faults && moment.behind[who] == 0 {
                 actions.push(Move::PassSlow(who));
             }
             if !moment.stopped[who] {
                 actions.extend([Move::Beat(who), Move::GiveBack(who)]);
             }
-            if self.1.troubles {
+            if self.1.faults {
                 actions.extend([Move::Stop(who), Move::Crash(who)]);
             }
             if moment.may_act(who).is_some() {
@@ -157,17 +160,19 @@
         }
         actions.extend(
             moment
-                .words
+                .messages
                 .iter()
                 .cloned()
-                .map(|(who, life, number, event)| Move::Word(who, life, number, event)),
+                .map(|(who, incarnation, number, event)| {
+                    Move::LeaseMessage(who, incarnation, number, event)
+                }),
         );
-        let heard = moment
+        let receive = moment
             .answers
             .iter()
             .filter(|(who, ..)| !moment.stopped[*who])
             .cloned();
-        actions.extend(heard.map(|(who, number, outcome)| Move::Answer(who, number, outcome)));
+        actions.extend(receive.map(|(who, number, outcome)| Move::Answer(who, number, outcome)));
         actions.extend(
             moment
                 .acts
@@ -188,8 +193,10 @@
                 moment.behind[who] += 1;
             }
             Move::Beat(who) => {
-                let Word { number, event } = moment.holders[who].beat(before.clock(who))?;
-                moment.words.insert((who, before.lives[who], number, event));
+                let LeaseMessage { number, event } = moment.holders[who].tick(before.clock(who))?;
+                moment
+                    .messages
+                    .insert((who, before.lives[who], number, event));
             }
             Move::Stop(who) => moment.stopped[who] = !moment.stopped[who],
             Move::Crash(who) => {
@@ -199,16 +206,18 @@
                 // The answers of the last life find nobody.
                 moment.answers.retain(|(to, ..)| *to != who);
             }
-            Move::GiveBack(who) => moment.holders[who].give_back(before.clock(who), None, true),
+            Move::GiveBack(who) => moment.holders[who].release(before.clock(who), None, true),
             Move::Act(who) => {
                 moment.acts.insert((before.may_act(who)?, who));
             }
-            Move::Word(who, life, number, event) => {
+            Move::LeaseMessage(who, incarnation, number, event) => {
                 if self.1.once {
-                    moment.words.remove(&(who, life, number, event.clone()));
+                    moment
+                        .messages
+                        .remove(&(who, incarnation, number, event.clone()));
                 }
                 let outcome = moment.agree(self.0, event);
-                if life == moment.lives[who] {
+                if incarnation == moment.lives[who] {
                     moment.answers.insert((who, number, outcome));
                 }
             }
@@ -218,31 +227,31 @@
                     // As if its word had been sent only now.
                     moment.holders[who].sent_now(now, number);
                 }
-                moment.holders[who].heard(now, number, &outcome);
+                moment.holders[who].receive(now, number, &outcome);
                 if self.1.once {
                     moment.answers.remove(&(who, number, outcome));
                 }
             }
             Move::Effect(token, who) => {
                 moment.acts.remove(&(token, who));
-                if self.0.no_gate || moment.gate.pass(DUTY, token, 1).is_ok() {
+                if self.0.no_gate || moment.fencing_gate.pass(DUTY, token, 1).is_ok() {
                     moment.broken |=
                         token < moment.done.0 || (token == moment.done.0 && who != moment.done.1);
                     moment.done = moment.done.max((token, who));
                 }
             }
-            Move::Watch => {
+            Move::HolderMonitor => {
                 let now = if self.0.no_wait { u64::MAX } else { moment.now };
-                for event in moment.watch.due(now, &before.duties, 1) {
+                for event in moment.holder_monitor.due(now, &before.tasks, 1) {
                     moment.agree(self.0, event);
                 }
                 if self.0.no_wait {
-                    moment.watch = Watch::default();
-                    moment.watch.due(0, &moment.duties, 0);
+                    moment.holder_monitor = HolderMonitor::default();
+                    moment.holder_monitor.due(0, &moment.tasks, 0);
                 }
             }
-            Move::NewLeader => moment.watch = Watch::default(),
-            Move::Forget => moment.duties = moment.last.take()?,
+            Move::NewLeader => moment.holder_monitor = HolderMonitor::default(),
+            Move::Forget => moment.tasks = moment.last.take()?,
         }
         (moment != *before).then_some(moment)
     }
@@ -254,7 +263,9 @@
             }),
             Property::always("in order", |_, m: &Moment| !m.broken),
             Property::always("tokens grow", |_, m: &Moment| {
-                m.gate.seen(DUTY).is_none_or(|seen| seen >= m.done.0)
+                m.fencing_gate
+                    .seen(DUTY)
+                    .is_none_or(|seen| seen >= m.done.0)
             }),
             Property::sometimes("taken again", |_, m: &Moment| m.done.0 >= 2),
             Property::sometimes("refused", |_, m: &Moment| {
--- a/crates/leases/src/model/explore.rs
+++ b/crates/leases/src/model/explore.rs
@@ -1,6 +1,6 @@
 //! Explores the model to a stated depth, also with rules removed, whose faults must be found.
 
-use super::{Lease, Planted, Scope};
+use super::{Lease, PlantedFault, Scope};
 use stateright::{Checker, HasDiscoveries, Model};
 
 /// Steps in a row that CI explores.
@@ -9,7 +9,7 @@
 const RULES: [&str; 3] = ["one holder", "in order", "tokens grow"];
 
 /// Which rules were seen broken within that many steps, and how many states there are.
-fn explore(planted: Planted, scope: Scope, depth: usize) -> (Vec<&'static str>, usize) {
+fn explore(planted: PlantedFault, scope: Scope, depth: usize) -> (Vec<&'static str>, usize) {
     let checker = Lease(planted, scope)
         .checker()
         .threads(4)
@@ -26,7 +26,7 @@
 }
 
 fn holds(scope: Scope, depth: usize, least: usize) {
-    let (broken, states) = explore(Planted::default(), scope, depth);
+    let (broken, states) = explore(PlantedFault::default(), scope, depth);
     println!("{scope:?}, depth {depth}: {states} states");
     assert!(broken.is_empty(), "{broken:?}");
     assert!(states > least, "{states} states are no exploration");
@@ -55,7 +55,7 @@
 }
 
 /// Explores until the rule is seen broken, at most to that depth.
-fn breaks(planted: Planted, scope: Scope, rule: &str, depth: usize) {
+fn breaks(planted: PlantedFault, scope: Scope, rule: &str, depth: usize) {
     let (broken, states) = explore(planted, scope, depth);
     println!("{states} states");
     assert!(
@@ -67,9 +67,9 @@
 #[test]
 fn without_the_check_of_tokens_a_late_act_is_done() {
     breaks(
-        Planted {
+        PlantedFault {
             no_gate: true,
-            ..Planted::default()
+            ..PlantedFault::default()
         },
         Scope::NARROW,
         "in order",
@@ -80,9 +80,9 @@
 #[test]
 fn where_those_who_agree_forget_one_token_is_given_twice() {
     breaks(
-        Planted {
+        PlantedFault {
             forgets: true,
-            ..Planted::default()
+            ..PlantedFault::default()
         },
         Scope::EARLY,
         "one holder",
@@ -93,9 +93,9 @@
 #[test]
 fn where_a_leader_does_not_wait_itself_there_are_two_holders() {
     breaks(
-        Planted {
+        PlantedFault {
             no_wait: true,
-            ..Planted::default()
+            ..PlantedFault::default()
         },
         Scope::NARROW,
         "one holder",
@@ -106,9 +106,9 @@
 #[test]
 fn a_lease_counted_from_its_answer_outlives_the_duty() {
     breaks(
-        Planted {
+        PlantedFault {
             from_answer: true,
-            ..Planted::default()
+            ..PlantedFault::default()
         },
         Scope::UNHEARD,
         "one holder",
--- a/crates/leases/src/model/scope.rs
+++ b/crates/leases/src/model/scope.rs
@@ -2,7 +2,7 @@
 
 /// Rules that a run may leave out, to see that it would find what they are for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Planted {
+pub(super) struct PlantedFault {
     /// What is acted on checks no token.
     pub(super) no_gate: bool,
     /// Those who agree forget their last event in a crash, as where votes are not kept.
@@ -19,35 +19,35 @@
     /// It begins with the duty held by the first, while the second waits.
     pub(super) held: bool,
     /// The first has heard that it holds the duty.
-    pub(super) heard: bool,
+    pub(super) receive: bool,
     /// A word, answer or act arrives at most once.
     pub(super) once: bool,
     /// Processes crash, are stopped, have slow clocks.
-    pub(super) troubles: bool,
+    pub(super) faults: bool,
 }
 
 impl Scope {
     pub(in crate::model) const ALL: Scope = Scope {
         held: false,
-        heard: false,
+        receive: false,
         once: false,
-        troubles: true,
+        faults: true,
     };
     pub(in crate::model) const HELD: Scope = Scope {
         held: true,
-        heard: true,
+        receive: true,
         once: false,
-        troubles: true,
+        faults: true,
     };
     /// Enough to see a planted fault far from the beginning.
     pub(in crate::model) const NARROW: Scope = Scope {
         held: true,
-        heard: true,
+        receive: true,
         once: true,
-        troubles: false,
+        faults: false,
     };
     pub(in crate::model) const UNHEARD: Scope = Scope {
-        heard: false,
+        receive: false,
         ..Scope::NARROW
     };
     pub(in crate::model) const EARLY: Scope = Scope {
--- a/crates/leases/src/duty.rs
+++ b/crates/leases/src/task.rs
@@ -5,9 +5,9 @@
 
 /// One duty.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Duty {
+pub struct Task {
     /// Who has it.
-    pub held: Option<Held>,
+    pub held: Option<HeldLease>,
     /// Who wants it, first those who go first.
     pub waiting: Vec<Waiting>,
     /// Number of the change by which its holder last changed.
@@ -16,7 +16,7 @@
 
 /// A lease that is given.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Held {
+pub struct HeldLease {
     /// Who holds the duty.
     pub by: Claimant,
     /// The token: no other grant has it, later ones have higher ones.
@@ -34,9 +34,9 @@
     pub asks: u64,
 }
 
-impl Duty {
+impl Task {
     /// Whether the holder is of that name and token.
-    pub(crate) fn held_by(&self, name: &str, token: u64) -> Option<&Held> {
+    pub(crate) fn held_by(&self, name: &str, token: u64) -> Option<&HeldLease> {
         self.held
             .as_ref()
             .filter(|held| held.by.name == name && held.token == token)
--- a/crates/leases/tests/histories.rs
+++ b/crates/leases/tests/histories.rs
@@ -10,15 +10,15 @@
     let mut world = World::new(seed, check);
     world.play(20 * LEASE_MS, 15)?;
     world.play(6 * LEASE_MS, 0)?;
-    let mut held = vec![false; world.duties()];
+    let mut held = vec![false; world.tasks()];
     for _ in 0..20 {
         world.play(LEASE_MS / 10, 0)?;
         held.iter_mut()
             .enumerate()
-            .for_each(|(duty, held)| *held |= !world.holders_of(duty).is_empty());
+            .for_each(|(task, held)| *held |= !world.holders_of(task).is_empty());
     }
-    if let Some(duty) = held.iter().position(|held| !held) {
-        return Err(format!("nobody holds duty {duty} at the end"));
+    if let Some(task) = held.iter().position(|held| !held) {
+        return Err(format!("nobody holds duty {task} at the end"));
     }
     Ok(world)
 }
--- a/crates/leases/tests/world/mod.rs
+++ b/crates/leases/tests/world/mod.rs
@@ -1,9 +1,11 @@
 //! A fleet in simulated time that wants singleton tasks, with message loss, duplication and delay,
 //! stops, kills, leader changes, lost majorities, and clocks one in a hundred apart.
 
-mod troubles;
+mod faults;
 
-use load_balancer_leases::{Claimant, Duties, Event, Gate, Holder, Outcome, Terms, Watch};
+use load_balancer_leases::{
+    Claimant, Event, FencingGate, Holder, HolderMonitor, LeaseTable, LeaseTerms, Outcome,
+};
 use std::collections::BTreeMap;
 
 /// A lease, in milliseconds.
@@ -11,7 +13,7 @@
 /// How often everybody looks, in milliseconds.
 const STEP_MS: u64 = 10;
 /// Clocks' rates differ by one in a hundred at most, counted in whole milliseconds.
-const TERMS: Terms = Terms {
+const TERMS: LeaseTerms = LeaseTerms {
     rate_permille: 12,
     pause_ms: 200,
 };
@@ -19,7 +21,7 @@
 /// One process and its clock.
 pub struct Process {
     pub name: String,
-    pub life: u64,
+    pub incarnation: u64,
     rate: f64,
     pub stopped_until: u64,
     pub dead_until: u64,
@@ -27,23 +29,23 @@
 }
 
 enum Wire {
-    Word {
+    LeaseMessage {
         from: usize,
-        life: u64,
-        duty: usize,
+        incarnation: u64,
+        task: usize,
         number: u64,
         event: Event,
     },
     Answer {
         to: usize,
-        life: u64,
-        duty: usize,
+        incarnation: u64,
+        task: usize,
         number: u64,
         outcome: Outcome,
     },
     Act {
         from: (usize, u64),
-        duty: usize,
+        task: usize,
         token: u64,
     },
 }
@@ -59,15 +61,15 @@
 pub struct World {
     rng: fastrand::Rng,
     now: u64,
-    machine: Duties,
-    watch: Watch,
+    machine: LeaseTable,
+    holder_monitor: HolderMonitor,
     leader_rate: f64,
     /// Nobody agrees on anything until then.
     no_leader_until: u64,
     pub processes: Vec<Process>,
     wire: BTreeMap<(u64, u64), Wire>,
     sent: u64,
-    gates: Vec<Gate>,
+    gates: Vec<FencingGate>,
     /// By duty: the highest token that something was done by, and whose it was.
     done: Vec<(u64, (usize, u64))>,
     check: bool,
@@ -76,22 +78,22 @@
     pub seen: Seen,
 }
 
-fn duty(number: usize) -> String {
+fn task(number: usize) -> String {
     format!("d{number}")
 }
 
-fn holders(name: &str, life: u64, duties: usize) -> Vec<Holder> {
+fn holders(name: &str, incarnation: u64, tasks: usize) -> Vec<Holder> {
     let rank = u32::from(name.ends_with('0'));
     let (name, zone) = (name.to_owned(), String::new());
     let by = Claimant {
         name,
-        life,
+        incarnation,
         zone,
         rank,
         lease_ms: LEASE_MS,
     };
-    (0..duties)
-        .map(|n| Holder::new(&duty(n), by.clone(), TERMS))
+    (0..tasks)
+        .map(|n| Holder::new(&task(n), by.clone(), TERMS))
         .collect()
 }
 
@@ -99,29 +101,29 @@
     /// One by a seed; without `check` what is acted on takes any token.
     pub fn new(seed: u64, check: bool) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let (count, duties) = (rng.usize(2..=4), rng.usize(1..=2));
+        let (count, tasks) = (rng.usize(2..=4), rng.usize(1..=2));
         let rate = |rng: &mut fastrand::Rng| 0.995 + 0.01 * rng.f64();
         let process = |rng: &mut fastrand::Rng, n: usize| Process {
             name: format!("p{n}"),
-            life: 1,
+            incarnation: 1,
             rate: rate(rng),
             stopped_until: 0,
             dead_until: 0,
-            holders: holders(&format!("p{n}"), 1, duties),
+            holders: holders(&format!("p{n}"), 1, tasks),
         };
         let processes = (0..count).map(|n| process(&mut rng, n)).collect();
         Self {
             leader_rate: rate(&mut rng),
             rng,
             now: 0,
-            machine: Duties::default(),
-            watch: Watch::default(),
+            machine: LeaseTable::default(),
+            holder_monitor: HolderMonitor::default(),
             no_leader_until: 0,
             processes,
             wire: BTreeMap::new(),
             sent: 0,
-            gates: vec![Gate::default(); duties],
-            done: vec![(0, (0, 0)); duties],
+            gates: vec![FencingGate::default(); tasks],
+            done: vec![(0, (0, 0)); tasks],
             check,
             late: true,
             seen: Seen::default(),
@@ -154,42 +156,42 @@
 
     fn deliver(&mut self, wire: Wire) -> Result<(), String> {
         match wire {
-            Wire::Word {
+            Wire::LeaseMessage {
                 from,
-                life,
-                duty,
+                incarnation,
+                task,
                 number,
                 event,
             } if self.no_leader_until <= self.now => {
                 let outcome = self.machine.apply(event);
                 let answer = || Wire::Answer {
                     to: from,
-                    life,
-                    duty,
+                    incarnation,
+                    task,
                     number,
                     outcome: outcome.clone(),
                 };
                 self.send(answer, false);
             }
-            Wire::Word { .. } => {}
+            Wire::LeaseMessage { .. } => {}
             Wire::Answer {
                 to,
-                life,
-                duty,
+                incarnation,
+                task,
                 number,
                 outcome,
             } => {
-                if self.processes[to].life == life && self.runs(to) {
+                if self.processes[to].incarnation == incarnation && self.runs(to) {
                     let now = self.clock(to);
-                    self.processes[to].holders[duty].heard(now, number, &outcome);
+                    self.processes[to].holders[task].receive(now, number, &outcome);
                 }
             }
             Wire::Act {
                 from,
-                duty: n,
+                task: n,
                 token,
             } => {
-                if self.check && self.gates[n].pass(&duty(n), token, 1).is_err() {
+                if self.check && self.gates[n].pass(&task(n), token, 1).is_err() {
                     self.seen.refused += 1;
                     return Ok(());
                 }
@@ -210,7 +212,7 @@
     ///
     /// # Errors
     /// A rule is broken.
-    pub fn play(&mut self, lasts_ms: u64, troubles: u32) -> Result<(), String> {
+    pub fn play(&mut self, lasts_ms: u64, faults: u32) -> Result<(), String> {
         let end = self.now + lasts_ms;
         while self.now < end {
             self.now += STEP_MS;
@@ -224,7 +226,7 @@
             }
             if self.no_leader_until <= self.now {
                 let now = (self.now as f64 * self.leader_rate) as u64;
-                for event in self.watch.due(now, &self.machine, 8) {
+                for event in self.holder_monitor.due(now, &self.machine, 8) {
                     self.machine.apply(event);
                 }
             }
@@ -234,7 +236,7 @@
                 }
             }
             self.one_holder()?;
-            if self.rng.u32(0..1000) < troubles {
+            if self.rng.u32(0..1000) < faults {
                 self.trouble();
             }
         }
@@ -242,33 +244,33 @@
     }
 
     fn run(&mut self, who: usize) {
-        let (now, life) = (self.clock(who), self.processes[who].life);
-        for duty in 0..self.gates.len() {
-            if let Some(word) = self.processes[who].holders[duty].beat(now) {
-                let say = || Wire::Word {
+        let (now, incarnation) = (self.clock(who), self.processes[who].incarnation);
+        for task in 0..self.gates.len() {
+            if let Some(message) = self.processes[who].holders[task].tick(now) {
+                let say = || Wire::LeaseMessage {
                     from: who,
-                    life,
-                    duty,
-                    number: word.number,
-                    event: word.event.clone(),
+                    incarnation,
+                    task,
+                    number: message.number,
+                    event: message.event.clone(),
                 };
                 self.send(say, false);
             }
             // Home it goes, where somebody of a higher rank waits.
-            if let Some(heir) = self.processes[who].holders[duty]
+            if let Some(heir) = self.processes[who].holders[task]
                 .wanted_by()
                 .map(str::to_owned)
                 && self.rng.u8(0..50) == 0
             {
-                self.processes[who].holders[duty].give_back(now, Some(&heir), true);
+                self.processes[who].holders[task].release(now, Some(&heir), true);
             }
-            if let Some(right) = self.processes[who].holders[duty].may_act(now)
+            if let Some(right) = self.processes[who].holders[task].may_act(now)
                 && self.rng.u8(0..8) == 0
             {
                 self.send(
                     || Wire::Act {
-                        from: (who, life),
-                        duty,
+                        from: (who, incarnation),
+                        task,
                         token: right.token,
                     },
                     true,
@@ -278,9 +280,9 @@
     }
 
     /// Who may act on a duty, of all that run.
-    pub fn holders_of(&self, duty: usize) -> Vec<usize> {
+    pub fn holders_of(&self, task: usize) -> Vec<usize> {
         let may = |who: &usize| {
-            self.processes[*who].holders[duty]
+            self.processes[*who].holders[task]
                 .may_act(self.clock(*who))
                 .is_some()
         };
@@ -290,12 +292,12 @@
             .collect()
     }
 
-    pub fn duties(&self) -> usize {
+    pub fn tasks(&self) -> usize {
         self.gates.len()
     }
 
     fn one_holder(&self) -> Result<(), String> {
-        for n in 0..self.duties() {
+        for n in 0..self.tasks() {
             let all = self.holders_of(n);
             if all.len() > 1 {
                 return Err(format!("{all:?} hold duty {n} at {} ms", self.now));
--- a/crates/record_store/src/disk.rs
+++ b/crates/record_store/src/disk.rs
@@ -16,13 +16,13 @@
     /// Writes to go until the disk takes no more; none counts while it is `None`.
     budget: Option<u64>,
     writes: u64,
-    broken: Option<Breakdown>,
+    broken: Option<DiskFault>,
     held: bool,
 }
 
 /// What a disk does no more: each such call is answered with an input/output error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Breakdown {
+pub enum DiskFault {
     /// Reading.
     Reads,
     /// Writing, and changing the file's length.
@@ -64,7 +64,7 @@
     }
 
     /// From now on it no longer does this; `None` mends it.
-    pub fn break_down(&self, what: Option<Breakdown>) {
+    pub fn break_down(&self, what: Option<DiskFault>) {
         self.inner().broken = what;
     }
 
@@ -74,7 +74,7 @@
         self.0.1.notify_all();
     }
 
-    fn works(inner: &Inner, call: Breakdown) -> Result<(), Error> {
+    fn works(inner: &Inner, call: DiskFault) -> Result<(), Error> {
         if inner.broken == Some(call) {
             Err(Error::other("input/output error"))
         } else {
@@ -161,7 +161,7 @@
 
     fn read(&self, offset: u64, out: &mut [u8]) -> Result<(), Error> {
         let inner = self.inner();
-        Self::works(&inner, Breakdown::Reads)?;
+        Self::works(&inner, DiskFault::Reads)?;
         let range = place(offset, out.len())?;
         let found = inner
             .cache
@@ -173,7 +173,7 @@
 
     fn set_len(&self, len: u64) -> Result<(), Error> {
         let mut inner = self.inner();
-        Self::works(&inner, Breakdown::Writes)?;
+        Self::works(&inner, DiskFault::Writes)?;
         Self::write_allowed(&mut inner)?;
         let length = place(len, 0)?.start;
         inner.cache.resize(length, 0);
@@ -185,7 +185,7 @@
         while inner.held {
             inner = self.0.1.wait(inner).unwrap_or_else(PoisonError::into_inner);
         }
-        Self::works(&inner, Breakdown::Syncs)?;
+        Self::works(&inner, DiskFault::Syncs)?;
         Self::write_allowed(&mut inner)?;
         inner.durable = inner.cache.clone();
         Ok(())
@@ -193,7 +193,7 @@
 
     fn write(&self, offset: u64, data: &[u8]) -> Result<(), Error> {
         let mut inner = self.inner();
-        Self::works(&inner, Breakdown::Writes)?;
+        Self::works(&inner, DiskFault::Writes)?;
         Self::write_allowed(&mut inner)?;
         let range = place(offset, data.len())?;
         let target = inner
--- a/crates/record_store/src/lib.rs
+++ b/crates/record_store/src/lib.rs
@@ -13,7 +13,7 @@
 mod record;
 mod store;
 
-pub use file::{Aside, Opened, open, set_aside};
-pub use numbers::Numbers;
-pub use record::{Broken, FORMAT, LONGEST_OWNER};
-pub use store::{Change, Refusal, Store, Trouble};
+pub use file::{Opened, Quarantined, open, quarantine};
+pub use numbers::ReservedNumbers;
+pub use record::{Corruption, FORMAT, LONGEST_OWNER};
+pub use store::{Change, OpenError, Store, StoreError};
--- a/crates/record_store/src/record.rs
+++ b/crates/record_store/src/record.rs
@@ -15,7 +15,7 @@
 
 /// Why a record is not believed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub enum Corruption {
     /// It is not a record, or its end is missing.
     Form,
     /// Its format is not one that this program reads.
@@ -28,7 +28,7 @@
     File(String),
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Corruption {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Form => f.write_str("it has no record's form"),
@@ -43,15 +43,15 @@
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for Corruption {}
 
-fn checksum(format: u16, owner: &[u8], room: &str, number: u64, payload: &[u8]) -> u64 {
+fn checksum(format: u16, owner: &[u8], collection: &str, number: u64, payload: &[u8]) -> u64 {
     let mut sum = Xxh3::new();
     // Lengths go in too: no byte can move from one part to the next unseen.
     for part in [
         &format.to_le_bytes()[..],
         owner,
-        room.as_bytes(),
+        collection.as_bytes(),
         &number.to_le_bytes(),
         payload,
     ] {
@@ -63,13 +63,13 @@
 
 /// The record of `payload` at its place. The owner's name is at most [`LONGEST_OWNER`] bytes, which
 /// [`crate::Store`] has seen to.
-pub(crate) fn seal(owner: &str, room: &str, number: u64, payload: &[u8]) -> Vec<u8> {
+pub(crate) fn seal(owner: &str, collection: &str, number: u64, payload: &[u8]) -> Vec<u8> {
     let owner = owner.as_bytes();
     let mut record = Vec::with_capacity(HEAD + owner.len() + payload.len());
     record.extend(MARK);
     record.extend(FORMAT.to_le_bytes());
     record.push(u8::try_from(owner.len()).unwrap_or(u8::MAX));
-    record.extend(checksum(FORMAT, owner, room, number, payload).to_le_bytes());
+    record.extend(checksum(FORMAT, owner, collection, number, payload).to_le_bytes());
     record.extend(owner);
     record.extend(payload);
     record
@@ -78,30 +78,32 @@
 /// The payload of the record at its place.
 pub(crate) fn open<'r>(
     owner: &str,
-    room: &str,
+    collection: &str,
     number: u64,
     record: &'r [u8],
-) -> Result<&'r [u8], Broken> {
-    let (head, rest) = record.split_at_checked(HEAD).ok_or(Broken::Form)?;
+) -> Result<&'r [u8], Corruption> {
+    let (head, rest) = record.split_at_checked(HEAD).ok_or(Corruption::Form)?;
     if head[..2] != MARK {
-        return Err(Broken::Form);
+        return Err(Corruption::Form);
     }
     let format = u16::from_le_bytes([head[2], head[3]]);
     if format != FORMAT {
-        return Err(Broken::Format(format));
+        return Err(Corruption::Format(format));
     }
     let (name, payload) = rest
         .split_at_checked(usize::from(head[4]))
-        .ok_or(Broken::Form)?;
+        .ok_or(Corruption::Form)?;
     let sum = head[5..]
         .try_into()
         .map(u64::from_le_bytes)
-        .map_err(|_| Broken::Form)?;
-    if sum != checksum(format, name, room, number, payload) {
-        return Err(Broken::Checksum);
+        .map_err(|_| Corruption::Form)?;
+    if sum != checksum(format, name, collection, number, payload) {
+        return Err(Corruption::Checksum);
     }
     if name != owner.as_bytes() {
-        return Err(Broken::Owner(String::from_utf8_lossy(name).into_owned()));
+        return Err(Corruption::Owner(
+            String::from_utf8_lossy(name).into_owned(),
+        ));
     }
     Ok(payload)
 }
--- a/crates/record_store/src/record/tests.rs
+++ b/crates/record_store/src/record/tests.rs
@@ -17,11 +17,11 @@
             "{length} bytes"
         );
     }
-    assert_eq!(open("a", "log", 8, &record), Err(Broken::Checksum));
-    assert_eq!(open("a", "hard", 7, &record), Err(Broken::Checksum));
+    assert_eq!(open("a", "log", 8, &record), Err(Corruption::Checksum));
+    assert_eq!(open("a", "hard", 7, &record), Err(Corruption::Checksum));
     assert_eq!(
         open("b", "log", 7, &record),
-        Err(Broken::Owner("a".to_owned()))
+        Err(Corruption::Owner("a".to_owned()))
     );
 }
 
@@ -29,5 +29,5 @@
 fn a_newer_format_is_named() {
     let mut record = seal("a", "log", 7, b"posted");
     record[2] = 2;
-    assert_eq!(open("a", "log", 7, &record), Err(Broken::Format(2)));
+    assert_eq!(open("a", "log", 7, &record), Err(Corruption::Format(2)));
 }
--- a/crates/record_store/src/store.rs
+++ b/crates/record_store/src/store.rs
@@ -1,6 +1,6 @@
 //! Tables of records over one redb database.
 
-use crate::record::{self, Broken, LONGEST_OWNER};
+use crate::record::{self, Corruption, LONGEST_OWNER};
 use redb::{
     Database, DatabaseError, ReadableDatabase, ReadableTable, StorageError, TableDefinition,
 };
@@ -18,45 +18,45 @@
 /// The disk did not do what was asked. What was to be committed may or may not be kept: the caller must not go on
 /// as if it knew.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Trouble(pub String);
+pub struct StoreError(pub String);
 
-impl Trouble {
+impl StoreError {
     pub(crate) fn of(what: impl fmt::Display) -> Self {
         Self(what.to_string())
     }
 }
 
-impl fmt::Display for Trouble {
+impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for Trouble {}
+impl std::error::Error for StoreError {}
 
 /// Why a store was not opened.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum OpenError {
     /// What is kept cannot be believed: set it aside and begin anew.
-    Broken(Broken),
+    Corruption(Corruption),
     /// The disk cannot be used, or another process uses the store: what is kept may be whole.
-    Trouble(Trouble),
+    StoreError(StoreError),
 }
 
-impl fmt::Display for Refusal {
+impl fmt::Display for OpenError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Broken(broken) => broken.fmt(f),
-            Self::Trouble(trouble) => trouble.fmt(f),
+            Self::Corruption(broken) => broken.fmt(f),
+            Self::StoreError(trouble) => trouble.fmt(f),
         }
     }
 }
 
-impl std::error::Error for Refusal {}
+impl std::error::Error for OpenError {}
 
-impl From<DatabaseError> for Refusal {
+impl From<DatabaseError> for OpenError {
     fn from(error: DatabaseError) -> Self {
-        let file = |what: &dyn fmt::Display| Self::Broken(Broken::File(what.to_string()));
+        let file = |what: &dyn fmt::Display| Self::Corruption(Corruption::File(what.to_string()));
         match &error {
             DatabaseError::Storage(StorageError::Corrupted(what)) => file(what),
             DatabaseError::Storage(StorageError::Io(e))
@@ -65,7 +65,7 @@
                 file(e)
             }
             DatabaseError::UpgradeRequired(_) | DatabaseError::RepairAborted => file(&error),
-            _ => Self::Trouble(Trouble::of(error)),
+            _ => Self::StoreError(StoreError::of(error)),
         }
     }
 }
@@ -92,21 +92,21 @@
     /// Opens what a backend holds, or begins in an empty one, for `owner`.
     ///
     /// # Errors
-    /// [`Refusal::Broken`] where a page, a record or the owner's name is not as written; [`Refusal::Trouble`] where
+    /// [`OpenError::Corruption`] where a page, a record or the owner's name is not as written; [`OpenError::StoreError`] where
     /// the backend fails or the owner's name is longer than [`LONGEST_OWNER`] bytes.
-    pub fn on(backend: impl redb::StorageBackend, owner: &str) -> Result<Self, Refusal> {
+    pub fn on(backend: impl redb::StorageBackend, owner: &str) -> Result<Self, OpenError> {
         Self::checked(builder().create_with_backend(backend)?, owner)
     }
 
     /// The same in a file.
-    pub(crate) fn at(path: &Path, owner: &str) -> Result<Self, Refusal> {
+    pub(crate) fn at(path: &Path, owner: &str) -> Result<Self, OpenError> {
         Self::checked(builder().create(path)?, owner)
     }
 
-    fn checked(records: Database, owner: &str) -> Result<Self, Refusal> {
+    fn checked(records: Database, owner: &str) -> Result<Self, OpenError> {
         if owner.len() > LONGEST_OWNER {
             let what = format!("the owner's name is longer than {LONGEST_OWNER} bytes");
-            return Err(Refusal::Trouble(Trouble(what)));
+            return Err(OpenError::StoreError(StoreError(what)));
         }
         let store = Self {
             records,
@@ -116,7 +116,7 @@
             Ok(0) => {
                 store
                     .commit(&[Change::Put(OWNER, 0, &[])])
-                    .map_err(Refusal::Trouble)?;
+                    .map_err(OpenError::StoreError)?;
                 Ok(store)
             }
             Ok(_) => Ok(store),
@@ -125,22 +125,23 @@
     }
 
     /// Checks every record; how many there are.
-    fn check(&self) -> Result<usize, Refusal> {
+    fn check(&self) -> Result<usize, OpenError> {
         let trouble = |e: redb::Error| match e {
-            redb::Error::Corrupted(what) => Refusal::Broken(Broken::File(what)),
-            e => Refusal::Trouble(Trouble::of(e)),
+            redb::Error::Corrupted(what) => OpenError::Corruption(Corruption::File(what)),
+            e => OpenError::StoreError(StoreError::of(e)),
         };
         let read = self.records.begin_read().map_err(|e| trouble(e.into()))?;
         let table = match read.open_table(RECORDS) {
             Ok(table) => table,
             Err(redb::TableError::TableDoesNotExist(_)) => return Ok(0),
-            Err(e) => return Err(Refusal::Broken(Broken::File(e.to_string()))),
+            Err(e) => return Err(OpenError::Corruption(Corruption::File(e.to_string()))),
         };
         let mut count = 0;
         for row in table.iter().map_err(|e| trouble(e.into()))? {
             let (place, record) = row.map_err(|e| trouble(e.into()))?;
-            let (room, number) = place.value();
-            record::open(&self.owner, room, number, record.value()).map_err(Refusal::Broken)?;
+            let (collection, number) = place.value();
+            record::open(&self.owner, collection, number, record.value())
+                .map_err(OpenError::Corruption)?;
             count += 1;
         }
         Ok(count)
@@ -150,32 +151,32 @@
     ///
     /// # Errors
     /// The disk cannot be read, or the record is no longer what was checked at the start.
-    pub fn get(&self, room: &str, number: u64) -> Result<Option<Vec<u8>>, Trouble> {
-        let read = self.records.begin_read().map_err(Trouble::of)?;
-        let table = read.open_table(RECORDS).map_err(Trouble::of)?;
-        let Some(record) = table.get((room, number)).map_err(Trouble::of)? else {
+    pub fn get(&self, collection: &str, number: u64) -> Result<Option<Vec<u8>>, StoreError> {
+        let read = self.records.begin_read().map_err(StoreError::of)?;
+        let table = read.open_table(RECORDS).map_err(StoreError::of)?;
+        let Some(record) = table.get((collection, number)).map_err(StoreError::of)? else {
             return Ok(None);
         };
-        record::open(&self.owner, room, number, record.value())
+        record::open(&self.owner, collection, number, record.value())
             .map(|p| Some(p.to_vec()))
-            .map_err(Trouble::of)
+            .map_err(StoreError::of)
     }
 
     /// All that a room holds, in the order of its numbers.
     ///
     /// # Errors
     /// As [`Store::get`].
-    pub fn room(&self, room: &str) -> Result<Vec<(u64, Vec<u8>)>, Trouble> {
-        let read = self.records.begin_read().map_err(Trouble::of)?;
-        let table = read.open_table(RECORDS).map_err(Trouble::of)?;
+    pub fn collection(&self, collection: &str) -> Result<Vec<(u64, Vec<u8>)>, StoreError> {
+        let read = self.records.begin_read().map_err(StoreError::of)?;
+        let table = read.open_table(RECORDS).map_err(StoreError::of)?;
         let rows = table
-            .range((room, 0)..=(room, u64::MAX))
-            .map_err(Trouble::of)?;
+            .range((collection, 0)..=(collection, u64::MAX))
+            .map_err(StoreError::of)?;
         rows.map(|row| {
-            let (place, record) = row.map_err(Trouble::of)?;
+            let (place, record) = row.map_err(StoreError::of)?;
             let number = place.value().1;
-            let payload =
-                record::open(&self.owner, room, number, record.value()).map_err(Trouble::of)?;
+            let payload = record::open(&self.owner, collection, number, record.value())
+                .map_err(StoreError::of)?;
             Ok((number, payload.to_vec()))
         })
         .collect()
@@ -185,30 +186,30 @@
     ///
     /// # Errors
     /// The disk does not take them; whether it keeps them is not known then.
-    pub fn commit(&self, changes: &[Change<'_>]) -> Result<(), Trouble> {
-        let write = self.records.begin_write().map_err(Trouble::of)?;
+    pub fn commit(&self, changes: &[Change<'_>]) -> Result<(), StoreError> {
+        let write = self.records.begin_write().map_err(StoreError::of)?;
         {
-            let mut table = write.open_table(RECORDS).map_err(Trouble::of)?;
+            let mut table = write.open_table(RECORDS).map_err(StoreError::of)?;
             for change in changes {
                 match *change {
-                    Change::Put(room, number, payload) => {
-                        let record = record::seal(&self.owner, room, number, payload);
+                    Change::Put(collection, number, payload) => {
+                        let record = record::seal(&self.owner, collection, number, payload);
                         table
-                            .insert((room, number), record.as_slice())
-                            .map_err(Trouble::of)?;
+                            .insert((collection, number), record.as_slice())
+                            .map_err(StoreError::of)?;
                     }
-                    Change::RemoveFrom(room, first) => table
-                        .retain_in((room, first)..=(room, u64::MAX), |_, _| false)
-                        .map_err(Trouble::of)?,
-                    Change::RemoveBelow(room, end) => {
+                    Change::RemoveFrom(collection, first) => table
+                        .retain_in((collection, first)..=(collection, u64::MAX), |_, _| false)
+                        .map_err(StoreError::of)?,
+                    Change::RemoveBelow(collection, end) => {
                         table
-                            .retain_in((room, 0)..(room, end), |_, _| false)
-                            .map_err(Trouble::of)?;
+                            .retain_in((collection, 0)..(collection, end), |_, _| false)
+                            .map_err(StoreError::of)?;
                     }
                 }
             }
         }
-        write.commit().map_err(Trouble::of)
+        write.commit().map_err(StoreError::of)
     }
 }
 
--- a/crates/record_store/tests/faults.rs
+++ b/crates/record_store/tests/faults.rs
@@ -4,7 +4,7 @@
 //! was changed by anybody else is never believed.
 
 use load_balancer_record_store::disk::Disk;
-use load_balancer_record_store::{Broken, Change, Numbers, Refusal, Store};
+use load_balancer_record_store::{Change, Corruption, OpenError, ReservedNumbers, Store};
 use std::fs;
 
 fn payload(turn: u64, part: u64) -> Vec<u8> {
@@ -26,7 +26,7 @@
         return 0;
     };
     let turn = u64::from_le_bytes(bytes.try_into().expect("a number"));
-    let held = store.room("log").expect("readable");
+    let held = store.collection("log").expect("readable");
     let meant: Vec<(u64, Vec<u8>)> = (0..3).map(|part| (part, payload(turn, part))).collect();
     assert!(held == meant, "turn {turn} is half there");
     turn
@@ -43,7 +43,7 @@
             let store = match Store::on(disk.clone(), "a") {
                 Ok(store) => store,
                 // Only a disk that died while the file was made may hold nothing to believe.
-                Err(Refusal::Broken(_)) if done == 0 => {
+                Err(OpenError::Corruption(_)) if done == 0 => {
                     disk = Disk::new();
                     continue;
                 }
@@ -85,7 +85,7 @@
         match Store::on(copy, "a") {
             // The bit was in a page that nothing uses.
             Ok(store) => assert_eq!(turn_of(&store), 5),
-            Err(Refusal::Broken(_)) => refused += 1,
+            Err(OpenError::Corruption(_)) => refused += 1,
             Err(refusal) => panic!("{refusal}"),
         }
     }
@@ -99,7 +99,7 @@
     drop(Store::on(disk.clone(), "a").expect("new"));
     for _ in 0..50 {
         let store = Store::on(disk.clone(), "a").expect("whole");
-        let mut numbers = Numbers::of(&store, 0, 8).expect("readable");
+        let mut numbers = ReservedNumbers::of(&store, 0, 8).expect("readable");
         disk.fail_after(random.u64(0..40));
         for _ in 0..random.usize(0..30) {
             let Ok(number) = numbers.next(&store) else {
@@ -119,30 +119,30 @@
     let directory = tempfile::tempdir().expect("a directory");
     let file = directory.path().join("deep").join("a.store");
     let opened = load_balancer_record_store::open(&file, "a").expect("new");
-    assert!(opened.aside.is_none() && turn(&opened.store, 1));
+    assert!(opened.quarantined.is_none() && turn(&opened.store, 1));
     // One process at a time.
     assert!(load_balancer_record_store::open(&file, "a").is_err());
     drop(opened);
     let opened = load_balancer_record_store::open(&file, "a").expect("whole");
-    assert_eq!((turn_of(&opened.store), opened.aside), (1, None));
+    assert_eq!((turn_of(&opened.store), opened.quarantined), (1, None));
     drop(opened.store);
     // Somebody else's, then no store at all.
     let opened = load_balancer_record_store::open(&file, "b").expect("begins anew");
-    let aside = opened.aside.expect("set aside");
-    assert_eq!(aside.why, Broken::Owner("a".to_owned()));
+    let quarantined = opened.quarantined.expect("set aside");
+    assert_eq!(quarantined.why, Corruption::Owner("a".to_owned()));
     assert_eq!(
-        (turn_of(&opened.store), aside.file.extension()),
+        (turn_of(&opened.store), quarantined.file.extension()),
         (0, Some("aside-1".as_ref()))
     );
     drop(opened.store);
     fs::write(&file, b"not a store").expect("written");
-    let aside = load_balancer_record_store::open(&file, "b")
+    let quarantined = load_balancer_record_store::open(&file, "b")
         .expect("begins anew")
-        .aside
+        .quarantined
         .expect("set aside");
-    assert_eq!(fs::read(aside.file).expect("kept"), b"not a store");
+    assert_eq!(fs::read(quarantined.file).expect("kept"), b"not a store");
     // The first is still whole under its new name.
     let kept = load_balancer_record_store::open(&file.with_extension("store.aside-1"), "a")
         .expect("whole");
-    assert_eq!((turn_of(&kept.store), kept.aside), (1, None));
+    assert_eq!((turn_of(&kept.store), kept.quarantined), (1, None));
 }
--- a/crates/snapshot/src/bin/snapshot-inspect.rs
+++ b/crates/snapshot/src/bin/snapshot-inspect.rs
@@ -76,7 +76,7 @@
     });
     json!({
         "directory": dir, "form": SCHEMA, "owner": found.owner, "incarnation": found.incarnation,
-        "list": list, "processes": processes, "life": known.life, "set_aside": asides(dir),
+        "list": list, "processes": processes, "life": known.incarnation_record, "set_aside": quarantined(dir),
         "configuration_bytes": known.configuration.as_ref().map(String::len), "problems": found.problems,
     })
 }
@@ -85,13 +85,13 @@
     let known = &found.known;
     json!({
         "form": SCHEMA, "owner": found.owner, "incarnation": found.incarnation, "list": known.list,
-        "processes": known.processes, "configuration": known.configuration, "life": known.life,
+        "processes": known.processes, "configuration": known.configuration, "life": known.incarnation_record,
         "problems": found.problems,
     })
 }
 
 /// Files that were set aside there.
-fn asides(dir: &Path) -> Vec<String> {
+fn quarantined(dir: &Path) -> Vec<String> {
     let entries = std::fs::read_dir(dir).into_iter().flatten().flatten();
     let names = entries.filter_map(|entry| entry.file_name().into_string().ok());
     let mut names: Vec<String> = names.filter(|name| name.contains(".aside-")).collect();
--- a/crates/snapshot/src/directory.rs
+++ b/crates/snapshot/src/directory.rs
@@ -1,6 +1,6 @@
 //! The files of a state directory, which one process at a time may use.
 
-use load_balancer_record_store::{Opened, Trouble};
+use load_balancer_record_store::{Opened, StoreError};
 use std::fmt;
 use std::fs::{self, File, TryLockError};
 use std::path::{Path, PathBuf};
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileKind {
     /// What is known.
-    Known,
+    Snapshot,
     /// Numbers that are never used again.
     Numbers,
 }
@@ -21,7 +21,7 @@
     /// Its name in the directory.
     pub fn name(self) -> &'static str {
         match self {
-            Self::Known => "known",
+            Self::Snapshot => "known",
             Self::Numbers => "numbers",
         }
     }
@@ -39,37 +39,37 @@
 
 /// Why a directory cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Unusable {
+pub enum DirectoryError {
     /// Another process has it.
     InUse(InUse),
     /// The disk does not do what is asked.
-    Trouble(Trouble),
+    StoreError(StoreError),
 }
 
-impl fmt::Display for Unusable {
+impl fmt::Display for DirectoryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::InUse(used) => used.fmt(f),
-            Self::Trouble(trouble) => trouble.fmt(f),
+            Self::StoreError(trouble) => trouble.fmt(f),
         }
     }
 }
 
-impl std::error::Error for Unusable {}
+impl std::error::Error for DirectoryError {}
 
 /// Where stores lie: a directory, or disks in memory in tests.
-pub trait Place: Send {
+pub trait StateStorage: Send {
     /// Opens a store, setting aside what cannot be believed.
     ///
     /// # Errors
     /// The disk does not do what is asked.
-    fn open(&self, file: FileKind, owner: &str) -> Result<Opened, Trouble>;
+    fn open(&self, file: FileKind, owner: &str) -> Result<Opened, StoreError>;
 
     /// Sets a store aside that nobody has open, and says where it lies now.
     ///
     /// # Errors
     /// The disk does not do what is asked.
-    fn set_aside(&self, file: FileKind) -> Result<PathBuf, Trouble>;
+    fn quarantine(&self, file: FileKind) -> Result<PathBuf, StoreError>;
 }
 
 /// A directory that this process has.
@@ -85,9 +85,10 @@
     ///
     /// # Errors
     /// Another process has it, or it cannot be used.
-    pub fn take(path: &Path) -> Result<Self, Unusable> {
-        let trouble =
-            |e: &dyn fmt::Display| Unusable::Trouble(Trouble(format!("{}: {e}", path.display())));
+    pub fn take(path: &Path) -> Result<Self, DirectoryError> {
+        let trouble = |e: &dyn fmt::Display| {
+            DirectoryError::StoreError(StoreError(format!("{}: {e}", path.display())))
+        };
         fs::create_dir_all(path).map_err(|e| trouble(&e))?;
         let mut options = File::options();
         let lock = options
@@ -101,18 +102,18 @@
                 path: path.to_owned(),
                 _lock: lock,
             }),
-            Err(TryLockError::WouldBlock) => Err(Unusable::InUse(InUse(path.to_owned()))),
+            Err(TryLockError::WouldBlock) => Err(DirectoryError::InUse(InUse(path.to_owned()))),
             Err(TryLockError::Error(e)) => Err(trouble(&e)),
         }
     }
 }
 
-impl Place for Directory {
-    fn open(&self, file: FileKind, owner: &str) -> Result<Opened, Trouble> {
+impl StateStorage for Directory {
+    fn open(&self, file: FileKind, owner: &str) -> Result<Opened, StoreError> {
         load_balancer_record_store::open(&self.path.join(file.name()), owner)
     }
 
-    fn set_aside(&self, file: FileKind) -> Result<PathBuf, Trouble> {
-        load_balancer_record_store::set_aside(&self.path.join(file.name()))
+    fn quarantine(&self, file: FileKind) -> Result<PathBuf, StoreError> {
+        load_balancer_record_store::quarantine(&self.path.join(file.name()))
     }
 }
--- a/crates/snapshot/src/form.rs
+++ b/crates/snapshot/src/encoding.rs
@@ -1,9 +1,9 @@
 //! The encoding of what is stored: the version of the form, then the content. With each change of
 //! the form [`SCHEMA`] grows, and the form before is still read.
 
-use crate::form_before;
-use crate::known::{Changes, Known, Processes};
-use load_balancer_record_store::{Change, Store, Trouble};
+use crate::previous_encoding;
+use crate::snapshot::{Changes, Processes, Snapshot};
+use load_balancer_record_store::{Change, Store, StoreError};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::fmt;
@@ -20,16 +20,16 @@
 
 /// Why what is kept was not read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Unread {
+pub enum ReadError {
     /// It is in a form that this program does not know: likely a newer one's.
     Schema(u16),
     /// It has not the form that it says.
     Form(&'static str),
     /// The disk could not be read.
-    Trouble(Trouble),
+    StoreError(StoreError),
 }
 
-impl fmt::Display for Unread {
+impl fmt::Display for ReadError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Schema(found) => write!(
@@ -37,32 +37,32 @@
                 "it is in form {found}, this program reads up to {SCHEMA}"
             ),
             Self::Form(what) => write!(f, "its {what} has no such form"),
-            Self::Trouble(trouble) => trouble.fmt(f),
+            Self::StoreError(trouble) => trouble.fmt(f),
         }
     }
 }
 
-impl std::error::Error for Unread {}
+impl std::error::Error for ReadError {}
 
 /// Reads all that is kept.
 ///
 /// # Errors
 /// A part of it cannot be read: then none is to be believed.
-pub(crate) fn read(store: &Store) -> Result<Known, Unread> {
-    Ok(Known {
+pub(crate) fn read(store: &Store) -> Result<Snapshot, ReadError> {
+    Ok(Snapshot {
         list: part(store, LIST)?,
         processes: processes(store)?,
         configuration: part(store, CONFIGURATION)?,
-        life: part(store, LIFE)?,
+        incarnation_record: part(store, LIFE)?,
     })
 }
 
 /// The form of a part, and its bytes.
-fn stored(store: &Store, room: &'static str) -> Result<Option<(u16, Vec<u8>)>, Unread> {
-    let Some(mut bytes) = store.get(room, 0).map_err(Unread::Trouble)? else {
+fn stored(store: &Store, room: &'static str) -> Result<Option<(u16, Vec<u8>)>, ReadError> {
+    let Some(mut bytes) = store.get(room, 0).map_err(ReadError::StoreError)? else {
         return Ok(None);
     };
-    let schema = bytes.first_chunk().copied().ok_or(Unread::Form(room))?;
+    let schema = bytes.first_chunk().copied().ok_or(ReadError::Form(room))?;
     Ok(Some((
         u16::from_le_bytes(schema),
         bytes.split_off(schema.len()),
@@ -70,25 +70,25 @@
 }
 
 /// A part that has not changed since the form before.
-fn part<T: DeserializeOwned>(store: &Store, room: &'static str) -> Result<Option<T>, Unread> {
+fn part<T: DeserializeOwned>(store: &Store, room: &'static str) -> Result<Option<T>, ReadError> {
     match stored(store, room)? {
         None => Ok(None),
-        Some((SCHEMA | form_before::SCHEMA, bytes)) => {
-            whole(&bytes).ok_or(Unread::Form(room)).map(Some)
+        Some((SCHEMA | previous_encoding::SCHEMA, bytes)) => {
+            whole(&bytes).ok_or(ReadError::Form(room)).map(Some)
         }
-        Some((other, _)) => Err(Unread::Schema(other)),
+        Some((other, _)) => Err(ReadError::Schema(other)),
     }
 }
 
-fn processes(store: &Store) -> Result<Option<Processes>, Unread> {
-    let form = Unread::Form(PROCESSES);
+fn processes(store: &Store) -> Result<Option<Processes>, ReadError> {
+    let form = ReadError::Form(PROCESSES);
     match stored(store, PROCESSES)? {
         None => Ok(None),
         Some((SCHEMA, bytes)) => whole(&bytes).ok_or(form).map(Some),
-        Some((form_before::SCHEMA, bytes)) => whole::<form_before::Processes>(&bytes)
+        Some((previous_encoding::SCHEMA, bytes)) => whole::<previous_encoding::Processes>(&bytes)
             .ok_or(form)
             .map(|before| Some(before.into())),
-        Some((other, _)) => Err(Unread::Schema(other)),
+        Some((other, _)) => Err(ReadError::Schema(other)),
     }
 }
 
@@ -108,12 +108,12 @@
 ///
 /// # Errors
 /// The disk does not take them.
-pub(crate) fn write(store: &Store, changes: &Changes) -> Result<u64, Trouble> {
+pub(crate) fn write(store: &Store, changes: &Changes) -> Result<u64, StoreError> {
     let parts = [
         changes.list.as_ref().and_then(written),
         changes.processes.as_ref().and_then(written),
         changes.configuration.as_ref().and_then(written),
-        changes.life.as_ref().and_then(written),
+        changes.incarnation_record.as_ref().and_then(written),
     ];
     let all = ROOMS.iter().zip(&parts);
     let puts: Vec<_> = all
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -4,25 +4,25 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod belief;
-mod desk;
 mod directory;
-mod form;
-mod form_before;
-mod keeper;
-mod known;
+mod encoding;
+mod previous_encoding;
 mod reader;
 mod section;
+mod snapshot;
+mod snapshot_store;
+mod validation;
+mod write_queue;
 mod writer;
 
-pub use belief::{Believed, Bounds, SKEW, believe, plausible};
-pub use desk::Counts;
-pub use directory::{Directory, FileKind, InUse, Place, Unusable};
-pub use form::{SCHEMA, Unread};
-pub use keeper::{Aside, Found, Keeper};
-pub use known::{Changes, Entry, Known, Life, List, Process, Processes};
+pub use directory::{Directory, DirectoryError, FileKind, InUse, StateStorage};
+pub use encoding::{ReadError, SCHEMA};
 pub use reader::{Contents, contents};
-pub use section::StateSection;
+pub use section::SnapshotSection;
+pub use snapshot::{Changes, Entry, IncarnationRecord, List, Process, Processes, Snapshot};
+pub use snapshot_store::{Found, QuarantinedFile, SnapshotStore};
+pub use validation::{Bounds, SKEW, ValidSnapshot, check_plausible, validate};
+pub use write_queue::Counts;
 pub use writer::{Begun, Writer};
 
 /// Microseconds of Unix time, or a duration.
--- a/crates/snapshot/src/form_before.rs
+++ b/crates/snapshot/src/previous_encoding.rs
@@ -2,7 +2,7 @@
 //! does: this one then goes.
 
 use crate::Micros;
-use crate::known;
+use crate::snapshot;
 use serde::Deserialize;
 
 /// Its version.
@@ -27,7 +27,7 @@
     cap: f64,
 }
 
-impl From<Processes> for known::Processes {
+impl From<Processes> for snapshot::Processes {
     fn from(before: Processes) -> Self {
         let all = before.all.into_iter().map(|p| {
             let Process {
@@ -38,7 +38,7 @@
                 slow,
                 cap,
             } = p;
-            known::Process {
+            snapshot::Process {
                 name,
                 started,
                 seen,
--- a/crates/snapshot/src/reader.rs
+++ b/crates/snapshot/src/reader.rs
@@ -1,13 +1,13 @@
 //! Reads a state directory without touching it: each file is copied into memory and read there.
 
 use crate::Micros;
-use crate::belief::plausible;
 use crate::directory::FileKind;
-use crate::form;
-use crate::keeper::last_incarnation;
-use crate::known::Known;
+use crate::encoding;
+use crate::snapshot::Snapshot;
+use crate::snapshot_store::last_incarnation;
+use crate::validation::check_plausible;
 use load_balancer_record_store::disk::Disk;
-use load_balancer_record_store::{Broken, Refusal, Store};
+use load_balancer_record_store::{Corruption, OpenError, Store};
 use std::path::Path;
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
     /// The highest incarnation that was given.
     pub incarnation: Option<u64>,
     /// What is kept.
-    pub known: Known,
+    pub known: Snapshot,
     /// What a start would not believe, file by file.
     pub problems: Vec<String>,
 }
@@ -31,9 +31,9 @@
 /// Reads a directory, of a sidecar that runs or a copied one.
 pub fn contents(directory: &Path, now: Micros) -> Contents {
     let mut contents = Contents::default();
-    let known = copied(directory, FileKind::Known, |store| {
-        let known = form::read(store).map_err(|e| e.to_string())?;
-        plausible(&known, now).map(|()| known)
+    let known = copied(directory, FileKind::Snapshot, |store| {
+        let known = encoding::read(store).map_err(|e| e.to_string())?;
+        check_plausible(&known, now).map(|()| known)
     });
     let numbers = copied(directory, FileKind::Numbers, |store| {
         last_incarnation(store).map_err(|e| e.to_string())
@@ -85,7 +85,7 @@
         return Err("it is empty".to_owned());
     }
     let owner = match Store::on(Disk::holding(bytes.to_vec()), "") {
-        Err(Refusal::Broken(Broken::Owner(owner))) => owner,
+        Err(OpenError::Corruption(Corruption::Owner(owner))) => owner,
         Err(refusal) => return Err(refusal.to_string()),
         Ok(_) => String::new(),
     };
--- a/crates/snapshot/src/section.rs
+++ b/crates/snapshot/src/section.rs
@@ -1,7 +1,7 @@
-//! The `[state]` section of a product configuration; docs/configuration.md is its reference.
+//! The `[snapshot]` section of a product configuration; docs/configuration.md is its reference.
 
 use crate::Micros;
-use crate::belief::Bounds;
+use crate::validation::Bounds;
 use load_balancer_common::config::Contradiction;
 use load_balancer_common::units::Time;
 use serde::{Deserialize, Serialize};
@@ -10,33 +10,37 @@
 /// The section.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct StateSection {
+pub struct SnapshotSection {
     /// The directory, this sidecar's own; without one nothing is kept.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub dir: Option<PathBuf>,
     /// How often it is looked for something new to keep.
-    pub every: Time,
+    #[serde(alias = "every")]
+    pub interval: Time,
     /// The age from which the list is not believed.
-    pub list_bound: Time,
+    #[serde(alias = "list_bound")]
+    pub list_max_staleness: Time,
     /// The age from which verdicts and pace are not believed.
-    pub verdicts_bound: Time,
+    #[serde(alias = "verdicts_bound")]
+    pub health_max_staleness: Time,
     /// How long a start waits for the disk.
-    pub wait: Time,
+    #[serde(alias = "wait")]
+    pub start_timeout: Time,
 }
 
-impl Default for StateSection {
+impl Default for SnapshotSection {
     fn default() -> Self {
         Self {
             dir: None,
             // Half of the longest aim: a server that died has cost a request or two by then.
-            every: Time::ms(500),
+            interval: Time::ms(500),
             // An image, a reboot and the checks of a file system lie in it; servers that were replaced meanwhile
             // refuse the connection, and discovery's first answer names them.
-            list_bound: Time::ms(600_000),
+            list_max_staleness: Time::ms(600_000),
             // Four times as long as a circuit stays open at the most (8 s and a quarter).
-            verdicts_bound: Time::ms(60_000),
+            health_max_staleness: Time::ms(60_000),
             // Less than the platform's own look for a sidecar that has started takes.
-            wait: Time::ms(200),
+            start_timeout: Time::ms(200),
         }
     }
 }
@@ -44,7 +48,7 @@
 /// Shortest time between two looks: more often than a disk may take to sync.
 const LEAST_EVERY: Time = Time::ms(50);
 
-impl StateSection {
+impl SnapshotSection {
     /// Finds what nothing could work with.
     ///
     /// # Errors
@@ -56,21 +60,21 @@
             .as_ref()
             .is_some_and(|dir| dir.as_os_str().is_empty())
         {
-            return wrong("state.dir", "a directory's name");
+            return wrong("snapshot.dir", "a directory's name");
         }
-        if self.every < LEAST_EVERY {
-            return wrong("state.every", "at least 50ms");
+        if self.interval < LEAST_EVERY {
+            return wrong("snapshot.interval", "at least 50ms");
         }
-        if self.verdicts_bound.0 < self.every.0 * 2 {
+        if self.health_max_staleness.0 < self.interval.0 * 2 {
             return wrong(
-                "state.verdicts_bound",
-                "at least twice state.every, or none is ever believed",
+                "snapshot.health_max_staleness",
+                "at least twice snapshot.interval, or none is ever believed",
             );
         }
-        if self.list_bound < self.verdicts_bound {
+        if self.list_max_staleness < self.health_max_staleness {
             return wrong(
-                "state.list_bound",
-                "at least state.verdicts_bound: a verdict is on a listed one",
+                "snapshot.list_max_staleness",
+                "at least snapshot.health_max_staleness: a verdict is on a listed one",
             );
         }
         Ok(())
@@ -80,8 +84,8 @@
     pub fn bounds(&self) -> Bounds {
         let micros = |time: Time| Micros::try_from(time.0.as_micros()).unwrap_or(Micros::MAX);
         Bounds {
-            list: micros(self.list_bound),
-            processes: micros(self.verdicts_bound),
+            list: micros(self.list_max_staleness),
+            processes: micros(self.health_max_staleness),
         }
     }
 }
--- a/crates/snapshot/src/section/tests.rs
+++ b/crates/snapshot/src/section/tests.rs
@@ -4,17 +4,20 @@
 
 #[test]
 fn defaults_hold_together_and_contradictions_are_named() {
-    assert_eq!(StateSection::default().check(), Ok(()));
-    let key = |change: fn(&mut StateSection)| {
-        let mut section = StateSection::default();
+    assert_eq!(SnapshotSection::default().check(), Ok(()));
+    let key = |change: fn(&mut SnapshotSection)| {
+        let mut section = SnapshotSection::default();
         change(&mut section);
         section.check().expect_err("it is wrong").key
     };
-    assert_eq!(key(|s| s.dir = Some(PathBuf::new())), "state.dir");
-    assert_eq!(key(|s| s.every = Time::ms(49)), "state.every");
+    assert_eq!(key(|s| s.dir = Some(PathBuf::new())), "snapshot.dir");
+    assert_eq!(key(|s| s.interval = Time::ms(49)), "snapshot.interval");
     assert_eq!(
-        key(|s| s.verdicts_bound = Time::ms(900)),
-        "state.verdicts_bound"
+        key(|s| s.health_max_staleness = Time::ms(900)),
+        "snapshot.health_max_staleness"
+    );
+    assert_eq!(
+        key(|s| s.list_max_staleness = Time::ms(59_000)),
+        "snapshot.list_max_staleness"
     );
-    assert_eq!(key(|s| s.list_bound = Time::ms(59_000)), "state.list_bound");
 }
--- a/crates/snapshot/src/known.rs
+++ b/crates/snapshot/src/snapshot.rs
@@ -68,7 +68,7 @@
 
 /// A life of the sidecar.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Life {
+pub struct IncarnationRecord {
     /// Its incarnation.
     pub incarnation: u64,
     /// When it began.
@@ -79,7 +79,7 @@
 
 /// All that is kept.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Known {
+pub struct Snapshot {
     /// The list as last told.
     pub list: Option<List>,
     /// Verdicts and pace.
@@ -87,21 +87,21 @@
     /// The product configuration that the last life ran with, as it would be written.
     pub configuration: Option<String>,
     /// The last life.
-    pub life: Option<Life>,
+    pub incarnation_record: Option<IncarnationRecord>,
 }
 
 /// What is to be kept anew; nothing leaves what is kept as it is. A later one takes the place of an earlier one,
 /// part by part, so that what waits for a slow disk does not grow.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Changes {
-    /// See [`Known`].
+    /// See [`Snapshot`].
     pub list: Option<List>,
-    /// See [`Known`].
+    /// See [`Snapshot`].
     pub processes: Option<Processes>,
-    /// See [`Known`].
+    /// See [`Snapshot`].
     pub configuration: Option<String>,
-    /// See [`Known`].
-    pub life: Option<Life>,
+    /// See [`Snapshot`].
+    pub incarnation_record: Option<IncarnationRecord>,
 }
 
 impl Changes {
@@ -115,7 +115,7 @@
         over(&mut self.list, later.list);
         over(&mut self.processes, later.processes);
         over(&mut self.configuration, later.configuration);
-        over(&mut self.life, later.life);
+        over(&mut self.incarnation_record, later.incarnation_record);
     }
 
     /// Whether there is nothing to keep.
--- a/crates/snapshot/src/keeper.rs
+++ b/crates/snapshot/src/snapshot_store.rs
@@ -1,11 +1,11 @@
 //! The stored state over two stores: begins an incarnation, and commits changes.
 
 use crate::Micros;
-use crate::belief::plausible;
-use crate::directory::{FileKind, Place};
-use crate::form::{self, Unread};
-use crate::known::{Changes, Known};
-use load_balancer_record_store::{Change, Store, Trouble};
+use crate::directory::{FileKind, StateStorage};
+use crate::encoding::{self, ReadError};
+use crate::snapshot::{Changes, Snapshot};
+use crate::validation::check_plausible;
+use load_balancer_record_store::{Change, Store, StoreError};
 use std::path::PathBuf;
 
 /// Where the highest incarnation that was ever given lies among the numbers.
@@ -13,7 +13,7 @@
 
 /// Something that was set aside.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Aside {
+pub struct QuarantinedFile {
     /// Where it lies now.
     pub file: PathBuf,
     /// Why.
@@ -24,45 +24,49 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Found {
     /// What was kept and is plausible.
-    pub known: Known,
+    pub known: Snapshot,
     /// This life's incarnation: the clock's time in microseconds, or one more than any that was given before where
     /// that is higher. It is on the disk.
     pub incarnation: u64,
     /// What was set aside.
-    pub asides: Vec<Aside>,
+    pub quarantined: Vec<QuarantinedFile>,
 }
 
 /// The stores of one owner, in a life that has begun.
 #[derive(Debug)]
-pub struct Keeper {
+pub struct SnapshotStore {
     store: Store,
 }
 
-impl Keeper {
+impl SnapshotStore {
     /// Begins a life at this time: reads what is kept, sets aside what cannot be, and reserves its incarnation.
     ///
     /// # Errors
     /// The disk does not do what is asked; what it has kept stays.
-    pub fn begin(place: &dyn Place, owner: &str, now: Micros) -> Result<(Self, Found), Trouble> {
-        let mut asides = Vec::new();
-        let incarnation = incarnation(place, owner, now, &mut asides)?;
-        let store = opened(place, FileKind::Known, owner, &mut asides)?;
-        let read = match form::read(&store) {
-            Ok(known) => plausible(&known, now).map(|()| known),
-            Err(Unread::Trouble(trouble)) => return Err(trouble),
+    pub fn begin(
+        storage: &dyn StateStorage,
+        owner: &str,
+        now: Micros,
+    ) -> Result<(Self, Found), StoreError> {
+        let mut quarantined = Vec::new();
+        let incarnation = incarnation(storage, owner, now, &mut quarantined)?;
+        let store = opened(storage, FileKind::Snapshot, owner, &mut quarantined)?;
+        let read = match encoding::read(&store) {
+            Ok(known) => check_plausible(&known, now).map(|()| known),
+            Err(ReadError::StoreError(trouble)) => return Err(trouble),
             Err(unread) => Err(unread.to_string()),
         };
         let (store, known) = match read {
             Ok(known) => (store, known),
             Err(why) => {
                 drop(store);
-                asides.push(Aside {
-                    file: place.set_aside(FileKind::Known)?,
+                quarantined.push(QuarantinedFile {
+                    file: storage.quarantine(FileKind::Snapshot)?,
                     why,
                 });
                 (
-                    opened(place, FileKind::Known, owner, &mut asides)?,
-                    Known::default(),
+                    opened(storage, FileKind::Snapshot, owner, &mut quarantined)?,
+                    Snapshot::default(),
                 )
             }
         };
@@ -71,7 +75,7 @@
             Found {
                 known,
                 incarnation,
-                asides,
+                quarantined,
             },
         ))
     }
@@ -80,47 +84,47 @@
     ///
     /// # Errors
     /// The disk does not take them. Whether they are kept is not known then: begin anew.
-    pub fn keep(&self, changes: &Changes) -> Result<u64, Trouble> {
-        form::write(&self.store, changes)
+    pub fn commit(&self, changes: &Changes) -> Result<u64, StoreError> {
+        encoding::write(&self.store, changes)
     }
 }
 
 fn opened(
-    place: &dyn Place,
+    storage: &dyn StateStorage,
     file: FileKind,
     owner: &str,
-    asides: &mut Vec<Aside>,
-) -> Result<Store, Trouble> {
-    let opened = place.open(file, owner)?;
-    asides.extend(opened.aside.map(|aside| Aside {
-        file: aside.file,
-        why: aside.why.to_string(),
+    quarantined: &mut Vec<QuarantinedFile>,
+) -> Result<Store, StoreError> {
+    let opened = storage.open(file, owner)?;
+    quarantined.extend(opened.quarantined.map(|quarantined| QuarantinedFile {
+        file: quarantined.file,
+        why: quarantined.why.to_string(),
     }));
     Ok(opened.store)
 }
 
 /// One that was never given before, on the disk before anybody hears of it.
 fn incarnation(
-    place: &dyn Place,
+    storage: &dyn StateStorage,
     owner: &str,
     now: Micros,
-    asides: &mut Vec<Aside>,
-) -> Result<u64, Trouble> {
-    let store = opened(place, FileKind::Numbers, owner, asides)?;
+    quarantined: &mut Vec<QuarantinedFile>,
+) -> Result<u64, StoreError> {
+    let store = opened(storage, FileKind::Numbers, owner, quarantined)?;
     let last = last_incarnation(&store)?;
     let next = last
         .checked_add(1)
-        .ok_or_else(|| Trouble("all incarnations are used up".to_owned()))?;
+        .ok_or_else(|| StoreError("all incarnations are used up".to_owned()))?;
     let given = next.max(now.max(0).unsigned_abs());
     store.commit(&[Change::Put(INCARNATION, 0, &given.to_le_bytes())])?;
     Ok(given)
 }
 
 /// The highest that was ever given; 0 before any.
-pub(crate) fn last_incarnation(store: &Store) -> Result<u64, Trouble> {
+pub(crate) fn last_incarnation(store: &Store) -> Result<u64, StoreError> {
     let Some(bytes) = store.get(INCARNATION, 0)? else {
         return Ok(0);
     };
     let number = bytes.try_into().map(u64::from_le_bytes);
-    number.map_err(|_| Trouble("the last incarnation has no number's form".to_owned()))
+    number.map_err(|_| StoreError("the last incarnation has no number's form".to_owned()))
 }
--- a/crates/snapshot/src/belief.rs
+++ b/crates/snapshot/src/validation.rs
@@ -1,7 +1,7 @@
 //! Validates what was stored: implausible records are refused, and stale ones have no effect.
 
 use crate::Micros;
-use crate::known::{Known, List, Process, Processes};
+use crate::snapshot::{List, Process, Processes, Snapshot};
 
 /// How far ahead of the clock a time may lie: what a clock that is set by the network may be put back, 5 s.
 pub const SKEW: Micros = 5_000_000;
@@ -22,7 +22,7 @@
 
 /// What is believed of what was kept.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Believed {
+pub struct ValidSnapshot {
     /// The list.
     pub list: Option<List>,
     /// Verdicts and pace.
@@ -35,7 +35,7 @@
 ///
 /// # Errors
 /// What cannot.
-pub fn plausible(known: &Known, now: Micros) -> Result<(), String> {
+pub fn check_plausible(known: &Snapshot, now: Micros) -> Result<(), String> {
     let latest = now.saturating_add(SKEW);
     if let Some(list) = &known.list {
         let mut names: Vec<&str> = list.entries.iter().map(|e| e.name.as_str()).collect();
@@ -78,7 +78,7 @@
 }
 
 /// What is believed at this time of what is plausible.
-pub fn believe(known: Known, now: Micros, bounds: Bounds) -> Believed {
+pub fn validate(known: Snapshot, now: Micros, bounds: Bounds) -> ValidSnapshot {
     let mut left_out = Vec::new();
     let mut fresh = |what: &str, seen: Micros, bound: Micros| {
         let age = now.saturating_sub(seen).max(0);
@@ -103,7 +103,7 @@
         left_out.push(format!("{open} of {listed} circuits were open"));
         all.retain(|p| !p.open);
     }
-    Believed {
+    ValidSnapshot {
         list,
         processes: all,
         left_out,
--- a/crates/snapshot/src/desk.rs
+++ b/crates/snapshot/src/write_queue.rs
@@ -1,7 +1,7 @@
 //! The coalescing queue between those who store something and the writer thread, with its counts
 //! and log lines.
 
-use crate::known::Changes;
+use crate::snapshot::Changes;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -21,14 +21,14 @@
     /// Times that the disk did not do what was asked.
     pub failures: u64,
     /// Files set aside.
-    pub asides: u64,
+    pub quarantined: u64,
     /// It does not now.
     pub failing: bool,
 }
 
 #[derive(Default)]
-pub(crate) struct Desk {
-    tray: Mutex<Tray>,
+pub(crate) struct WriteQueue {
+    pending: Mutex<PendingChanges>,
     /// Something has come into the tray.
     came: Condvar,
     counts: [AtomicU64; 5],
@@ -37,7 +37,7 @@
 }
 
 #[derive(Default)]
-pub(crate) struct Tray {
+pub(crate) struct PendingChanges {
     pub(crate) changes: Changes,
     /// Nothing comes any more.
     last: bool,
@@ -47,18 +47,18 @@
 pub(crate) const BYTES: usize = 1;
 pub(crate) const COALESCED: usize = 2;
 pub(crate) const FAILURES: usize = 3;
-pub(crate) const ASIDES: usize = 4;
+pub(crate) const QUARANTINED: usize = 4;
 
-impl Desk {
-    pub(crate) fn tray(&self) -> MutexGuard<'_, Tray> {
-        self.tray.lock().unwrap_or_else(PoisonError::into_inner)
+impl WriteQueue {
+    pub(crate) fn pending(&self) -> MutexGuard<'_, PendingChanges> {
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     pub(crate) fn count(&self, what: usize, more: u64) {
         self.counts[what].fetch_add(more, Ordering::Relaxed);
     }
 
-    pub(crate) fn say(&self, line: String) {
+    pub(crate) fn log(&self, line: String) {
         let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
         if lines.len() < MOST_LINES {
             lines.push(line);
@@ -69,49 +69,51 @@
     pub(crate) fn failed(&self, what: &dyn std::fmt::Display) {
         self.count(FAILURES, 1);
         if !self.failing.swap(true, Ordering::Relaxed) {
-            self.say(format!("nothing is kept for now: {what}"));
+            self.log(format!("nothing is kept for now: {what}"));
         }
     }
 
-    pub(crate) fn works(&self) {
+    pub(crate) fn recovered(&self) {
         if self.failing.swap(false, Ordering::Relaxed) {
-            self.say("what is known is kept again".to_owned());
+            self.log("what is known is kept again".to_owned());
         }
     }
 
     /// Takes in changes; the last ones close it.
-    pub(crate) fn hand_over(&self, changes: Changes, last: bool) {
-        let mut tray = self.tray();
-        if tray.last || (changes.is_empty() && !last) {
+    pub(crate) fn enqueue(&self, changes: Changes, last: bool) {
+        let mut pending = self.pending();
+        if pending.last || (changes.is_empty() && !last) {
             return;
         }
-        if !tray.changes.is_empty() {
+        if !pending.changes.is_empty() {
             self.count(COALESCED, 1);
         }
-        tray.changes.then(changes);
-        tray.last = last;
+        pending.changes.then(changes);
+        pending.last = last;
         self.came.notify_one();
     }
 
     /// Waits for changes, and where the disk failed until it is to be tried again; whether they are the last. Nothing
     /// where the last cannot be written.
     pub(crate) fn next(&self, not_before: Option<Instant>) -> Option<(Changes, bool)> {
-        let mut tray = self.tray();
+        let mut pending = self.pending();
         loop {
             let left = not_before.map_or(Duration::ZERO, |at| {
                 at.saturating_duration_since(Instant::now())
             });
-            if tray.last && !left.is_zero() {
+            if pending.last && !left.is_zero() {
                 return None;
             }
-            if left.is_zero() && (tray.last || !tray.changes.is_empty()) {
-                return Some((std::mem::take(&mut tray.changes), tray.last));
+            if left.is_zero() && (pending.last || !pending.changes.is_empty()) {
+                return Some((std::mem::take(&mut pending.changes), pending.last));
             }
-            tray = if left.is_zero() {
-                self.came.wait(tray).unwrap_or_else(PoisonError::into_inner)
+            pending = if left.is_zero() {
+                self.came
+                    .wait(pending)
+                    .unwrap_or_else(PoisonError::into_inner)
             } else {
                 self.came
-                    .wait_timeout(tray, left)
+                    .wait_timeout(pending, left)
                     .unwrap_or_else(PoisonError::into_inner)
                     .0
             };
@@ -120,8 +122,8 @@
 
     /// What it has done.
     pub(crate) fn counts(&self) -> Counts {
-        let [commits, bytes, coalesced, failures, asides] =
-            [COMMITS, BYTES, COALESCED, FAILURES, ASIDES]
+        let [commits, bytes, coalesced, failures, quarantined] =
+            [COMMITS, BYTES, COALESCED, FAILURES, QUARANTINED]
                 .map(|n| self.counts[n].load(Ordering::Relaxed));
         let failing = self.failing.load(Ordering::Relaxed);
         Counts {
@@ -129,7 +131,7 @@
             bytes,
             coalesced,
             failures,
-            asides,
+            quarantined,
             failing,
         }
     }
--- a/crates/snapshot/src/writer.rs
+++ b/crates/snapshot/src/writer.rs
@@ -2,10 +2,10 @@
 //! busy a newer change takes the place of one that waits.
 
 use crate::Micros;
-use crate::desk::{ASIDES, BYTES, COMMITS, Counts, Desk};
-use crate::directory::{Place, Unusable};
-use crate::keeper::{Found, Keeper};
-use crate::known::Changes;
+use crate::directory::{DirectoryError, StateStorage};
+use crate::snapshot::Changes;
+use crate::snapshot_store::{Found, SnapshotStore};
+use crate::write_queue::{BYTES, COMMITS, Counts, QUARANTINED, WriteQueue};
 use std::sync::Arc;
 use std::sync::mpsc::{RecvTimeoutError, SyncSender, sync_channel};
 use std::time::{Duration, Instant};
@@ -23,22 +23,22 @@
 
 /// A handle to the writer's thread, which ends with the process, or once the last was handed over and written.
 #[derive(Clone)]
-pub struct Writer(Arc<Desk>);
+pub struct Writer(Arc<WriteQueue>);
 
 impl Writer {
     /// Starts the thread, which takes the place and begins a life there, and waits for that for so long at the most.
     /// Where it cannot write, it tries again after `again`.
-    pub fn start<P: Place + 'static>(
-        take: impl Fn() -> Result<P, Unusable> + Send + 'static,
+    pub fn start<P: StateStorage + 'static>(
+        take: impl Fn() -> Result<P, DirectoryError> + Send + 'static,
         owner: String,
         now: impl Fn() -> Micros + Send + 'static,
         wait: Duration,
         again: Duration,
     ) -> (Self, Begun) {
-        let desk = Arc::new(Desk::default());
+        let queue = Arc::new(WriteQueue::default());
         let (tell, told) = sync_channel(1);
         let thread = Thread {
-            desk: Arc::clone(&desk),
+            queue: Arc::clone(&queue),
             take,
             owner,
             now,
@@ -50,7 +50,7 @@
         let begun = match started {
             Ok(_) => told.recv_timeout(wait).unwrap_or_else(|e| {
                 if e == RecvTimeoutError::Timeout {
-                    desk.failed(&format!(
+                    queue.failed(&format!(
                         "the disk was not ready within {} ms",
                         wait.as_millis()
                     ));
@@ -58,21 +58,21 @@
                 Begun::Without
             }),
             Err(e) => {
-                desk.failed(&e);
+                queue.failed(&e);
                 Begun::Without
             }
         };
-        (Self(desk), begun)
+        (Self(queue), begun)
     }
 
     /// Hands over changes; what still waits is replaced by them, part by part. Never waits for the disk.
-    pub fn keep(&self, changes: Changes) {
-        self.0.hand_over(changes, false);
+    pub fn commit(&self, changes: Changes) {
+        self.0.enqueue(changes, false);
     }
 
     /// Hands over the last ones: the thread writes them, lets go of the files and ends. Never waits for that.
-    pub fn keep_last(&self, changes: Changes) {
-        self.0.hand_over(changes, true);
+    pub fn commit_last(&self, changes: Changes) {
+        self.0.enqueue(changes, true);
     }
 
     /// What it has done.
@@ -87,58 +87,58 @@
 }
 
 struct Thread<T, N> {
-    desk: Arc<Desk>,
+    queue: Arc<WriteQueue>,
     take: T,
     owner: String,
     now: N,
     again: Duration,
 }
 
-impl<P: Place, T: Fn() -> Result<P, Unusable>, N: Fn() -> Micros> Thread<T, N> {
+impl<P: StateStorage, T: Fn() -> Result<P, DirectoryError>, N: Fn() -> Micros> Thread<T, N> {
     fn run(self, tell: &SyncSender<Begun>) {
-        let desk = &self.desk;
-        let mut place = None;
+        let queue = &self.queue;
+        let mut storage = None;
         let mut keeper = None;
-        match self.begin(&mut place) {
+        match self.begin(&mut storage) {
             Ok((begun, found)) => {
                 keeper = Some(begun);
                 let _ = tell.try_send(Begun::Found(Box::new(found)));
-                desk.works();
+                queue.recovered();
             }
-            Err(Unusable::InUse(used)) => {
+            Err(DirectoryError::InUse(used)) => {
                 let _ = tell.try_send(Begun::InUse(used.to_string()));
-                desk.failed(&used);
+                queue.failed(&used);
             }
-            Err(Unusable::Trouble(trouble)) => {
-                desk.failed(&trouble);
+            Err(DirectoryError::StoreError(trouble)) => {
+                queue.failed(&trouble);
                 let _ = tell.try_send(Begun::Without);
             }
         }
         let mut tried = Instant::now();
-        while let Some((changes, last)) = desk.next(keeper.is_none().then_some(tried + self.again))
+        while let Some((changes, last)) = queue.next(keeper.is_none().then_some(tried + self.again))
         {
             let kept = match &keeper {
-                Some(keeper) => keeper.keep(&changes).map_err(Unusable::Trouble),
-                None => self.begin(&mut place).and_then(|(begun, _)| {
-                    let kept = begun.keep(&changes).map_err(Unusable::Trouble);
+                Some(keeper) => keeper.commit(&changes).map_err(DirectoryError::StoreError),
+                None => self.begin(&mut storage).and_then(|(begun, _)| {
+                    let kept = begun.commit(&changes).map_err(DirectoryError::StoreError);
                     keeper = Some(begun);
                     kept
                 }),
             };
             match kept {
                 Ok(bytes) => {
-                    desk.count(COMMITS, 1);
-                    desk.count(BYTES, bytes);
-                    desk.works();
+                    queue.count(COMMITS, 1);
+                    queue.count(BYTES, bytes);
+                    queue.recovered();
                 }
                 Err(why) => {
                     // Nobody knows what is kept now.
                     keeper = None;
                     tried = Instant::now();
-                    desk.failed(&why);
-                    let mut tray = desk.tray();
-                    let later = std::mem::replace(&mut tray.changes, changes);
-                    tray.changes.then(later);
+                    queue.failed(&why);
+                    let mut pending = queue.pending();
+                    let later = std::mem::replace(&mut pending.changes, changes);
+                    pending.changes.then(later);
                 }
             }
             if last {
@@ -147,19 +147,20 @@
         }
     }
 
-    fn begin(&self, place: &mut Option<P>) -> Result<(Keeper, Found), Unusable> {
-        let taken = match place.take() {
+    fn begin(&self, storage: &mut Option<P>) -> Result<(SnapshotStore, Found), DirectoryError> {
+        let taken = match storage.take() {
             Some(taken) => taken,
             None => (self.take)()?,
         };
-        let begun = Keeper::begin(place.insert(taken), &self.owner, (self.now)())
-            .map_err(Unusable::Trouble)?;
-        self.desk.count(ASIDES, begun.1.asides.len() as u64);
-        for aside in &begun.1.asides {
-            self.desk.say(format!(
+        let begun = SnapshotStore::begin(storage.insert(taken), &self.owner, (self.now)())
+            .map_err(DirectoryError::StoreError)?;
+        self.queue
+            .count(QUARANTINED, begun.1.quarantined.len() as u64);
+        for quarantined in &begun.1.quarantined {
+            self.queue.log(format!(
                 "set aside as {}: {}",
-                aside.file.display(),
-                aside.why
+                quarantined.file.display(),
+                quarantined.why
             ));
         }
         Ok(begun)
--- a/crates/snapshot/tests/common/mod.rs
+++ b/crates/snapshot/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use load_balancer_record_store::disk::Disk;
-use load_balancer_record_store::{Opened, Refusal, Store, Trouble};
+use load_balancer_record_store::{OpenError, Opened, Store, StoreError};
 use load_balancer_snapshot::*;
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -19,7 +19,7 @@
 struct Files {
     known: Disk,
     numbers: Disk,
-    aside: Vec<Disk>,
+    quarantined: Vec<Disk>,
 }
 
 /// The place; clones are the same.
@@ -33,62 +33,68 @@
 
     pub fn disk(&self, file: FileKind) -> Disk {
         self.with(|files| match file {
-            FileKind::Known => files.known.clone(),
+            FileKind::Snapshot => files.known.clone(),
             FileKind::Numbers => files.numbers.clone(),
         })
     }
 
     pub fn put(&self, file: FileKind, disk: Disk) {
         self.with(|files| match file {
-            FileKind::Known => files.known = disk,
+            FileKind::Snapshot => files.known = disk,
             FileKind::Numbers => files.numbers = disk,
         });
     }
 
-    pub fn asides(&self) -> usize {
-        self.with(|files| files.aside.len())
+    pub fn quarantined(&self) -> usize {
+        self.with(|files| files.quarantined.len())
     }
 
     /// Both take so many more writes and syncs.
     pub fn fail_after(&self, writes: u64) {
-        self.disk(FileKind::Known).fail_after(writes);
+        self.disk(FileKind::Snapshot).fail_after(writes);
         self.disk(FileKind::Numbers).fail_after(writes);
     }
 
     /// Power off and on.
     pub fn crash(&self, random: &mut fastrand::Rng) {
-        for file in [FileKind::Known, FileKind::Numbers] {
+        for file in [FileKind::Snapshot, FileKind::Numbers] {
             let left = self.disk(file).crash(|| random.bool());
             self.put(file, left);
         }
     }
 }
 
-impl Place for Disks {
-    fn open(&self, file: FileKind, owner: &str) -> Result<Opened, Trouble> {
+impl StateStorage for Disks {
+    fn open(&self, file: FileKind, owner: &str) -> Result<Opened, StoreError> {
         match Store::on(self.disk(file), owner) {
-            Ok(store) => Ok(Opened { store, aside: None }),
-            Err(Refusal::Trouble(trouble)) => Err(trouble),
-            Err(Refusal::Broken(why)) => {
-                let aside = self.set_aside(file)?;
+            Ok(store) => Ok(Opened {
+                store,
+                quarantined: None,
+            }),
+            Err(OpenError::StoreError(trouble)) => Err(trouble),
+            Err(OpenError::Corruption(why)) => {
+                let quarantined = self.quarantine(file)?;
                 let store =
-                    Store::on(self.disk(file), owner).map_err(|e| Trouble(e.to_string()))?;
+                    Store::on(self.disk(file), owner).map_err(|e| StoreError(e.to_string()))?;
                 Ok(Opened {
                     store,
-                    aside: Some(load_balancer_record_store::Aside { file: aside, why }),
+                    quarantined: Some(load_balancer_record_store::Quarantined {
+                        file: quarantined,
+                        why,
+                    }),
                 })
             }
         }
     }
 
-    fn set_aside(&self, file: FileKind) -> Result<PathBuf, Trouble> {
+    fn quarantine(&self, file: FileKind) -> Result<PathBuf, StoreError> {
         let was = self.disk(file);
         self.put(file, Disk::new());
-        self.with(|files| files.aside.push(was));
+        self.with(|files| files.quarantined.push(was));
         Ok(PathBuf::from(format!(
             "{}.aside-{}",
             file.name(),
-            self.asides()
+            self.quarantined()
         )))
     }
 }
@@ -136,6 +142,6 @@
             all,
         }),
         configuration: Some(format!("# {now}")),
-        life: None,
+        incarnation_record: None,
     }
 }
--- a/crates/snapshot/tests/crashes.rs
+++ b/crates/snapshot/tests/crashes.rs
@@ -22,7 +22,7 @@
             _ => random.i64(0..20 * SECOND),
         };
         disks.fail_after(random.u64(0..70));
-        let begins = Keeper::begin(&disks, OWNER, now);
+        let begins = SnapshotStore::begin(&disks, OWNER, now);
         if let Ok((keeper, found)) = &begins {
             begun += 1;
             assert!(
@@ -31,7 +31,7 @@
                 found.incarnation
             );
             last = found.incarnation;
-            let empty = Known::default();
+            let empty = Snapshot::default();
             let is = |changes: &Changes| {
                 found.known.processes == changes.processes
                     && found.known.list == changes.list
@@ -60,7 +60,7 @@
             }
             for turn in 0..random.usize(0..4) {
                 let changes = changes(3 + turn * 4, now + turn as Micros);
-                if keeper.keep(&changes).is_err() {
+                if keeper.commit(&changes).is_err() {
                     tried.push(changes);
                     break;
                 }
@@ -93,18 +93,19 @@
 fn a_thousand_restarts_keep_what_is_known_and_the_files_do_not_grow() {
     let disks = Disks::default();
     let (mut length, mut last) = (0, 0);
-    for life in 0..1000 {
-        let now = NOW + life * SECOND;
-        let (keeper, found) = Keeper::begin(&disks, OWNER, now).expect("begins");
-        assert!(found.incarnation > last && found.asides.is_empty());
-        assert_eq!(found.known.list.is_some(), life > 0);
+    for incarnation_record in 0..1000 {
+        let now = NOW + incarnation_record * SECOND;
+        let (keeper, found) = SnapshotStore::begin(&disks, OWNER, now).expect("begins");
+        assert!(found.incarnation > last && found.quarantined.is_empty());
+        assert_eq!(found.known.list.is_some(), incarnation_record > 0);
         last = found.incarnation;
-        keeper.keep(&changes(50, now)).expect("kept");
-        if life == 20 {
-            length = disks.disk(FileKind::Known).length() + disks.disk(FileKind::Numbers).length();
+        keeper.commit(&changes(50, now)).expect("kept");
+        if incarnation_record == 20 {
+            length =
+                disks.disk(FileKind::Snapshot).length() + disks.disk(FileKind::Numbers).length();
         }
     }
-    let after = disks.disk(FileKind::Known).length() + disks.disk(FileKind::Numbers).length();
+    let after = disks.disk(FileKind::Snapshot).length() + disks.disk(FileKind::Numbers).length();
     assert!(
         after <= length,
         "{length} bytes after 20 lives, {after} after 1000"
@@ -114,15 +115,24 @@
 #[test]
 fn a_clock_that_was_put_back_a_day_costs_what_was_known_and_no_number() {
     let disks = Disks::default();
-    let (keeper, first) = Keeper::begin(&disks, OWNER, NOW).expect("begins");
-    keeper.keep(&changes(5, NOW)).expect("kept");
+    let (keeper, first) = SnapshotStore::begin(&disks, OWNER, NOW).expect("begins");
+    keeper.commit(&changes(5, NOW)).expect("kept");
     drop(keeper);
-    let (keeper, found) = Keeper::begin(&disks, OWNER, NOW - 86_400 * SECOND).expect("begins");
-    assert_eq!(found.known, Known::default());
+    let (keeper, found) =
+        SnapshotStore::begin(&disks, OWNER, NOW - 86_400 * SECOND).expect("begins");
+    assert_eq!(found.known, Snapshot::default());
     assert_eq!(
-        (found.incarnation, found.asides.len(), disks.asides()),
+        (
+            found.incarnation,
+            found.quarantined.len(),
+            disks.quarantined()
+        ),
         (first.incarnation + 1, 1, 1)
     );
-    assert!(found.asides[0].why.contains("future"), "{:?}", found.asides);
+    assert!(
+        found.quarantined[0].why.contains("future"),
+        "{:?}",
+        found.quarantined
+    );
     drop(keeper);
 }
--- a/crates/snapshot/tests/faults.rs
+++ b/crates/snapshot/tests/faults.rs
@@ -2,24 +2,27 @@
 
 mod common;
 use common::*;
-use load_balancer_record_store::disk::{Breakdown, Disk};
+use load_balancer_record_store::disk::{Disk, DiskFault};
 use load_balancer_snapshot::*;
 use std::time::Duration;
 
 fn written(endpoints: usize) -> Disks {
     let disks = Disks::default();
-    let (keeper, _) = Keeper::begin(&disks, OWNER, NOW).expect("begins");
-    keeper.keep(&changes(endpoints, NOW)).expect("kept");
+    let (keeper, _) = SnapshotStore::begin(&disks, OWNER, NOW).expect("begins");
+    keeper.commit(&changes(endpoints, NOW)).expect("kept");
     disks
 }
 
 #[test]
 fn no_flipped_bit_is_half_believed_and_none_ends_a_start() {
     let disks = written(40);
-    let whole = Keeper::begin(&disks, OWNER, NOW).expect("begins").1.known;
-    let bytes = disks.disk(FileKind::Known).bytes();
+    let whole = SnapshotStore::begin(&disks, OWNER, NOW)
+        .expect("begins")
+        .1
+        .known;
+    let bytes = disks.disk(FileKind::Snapshot).bytes();
     let mut random = fastrand::Rng::with_seed(1);
-    let mut aside = 0;
+    let mut quarantined = 0;
     for _ in 0..800 {
         let disk = Disk::holding(bytes.clone());
         // Most of the file is empty: every second bit falls on a byte that says something.
@@ -30,23 +33,24 @@
             }
         }
         disk.flip(at as u64 * 8 + random.u64(0..8));
-        disks.put(FileKind::Known, disk);
-        let (_, found) = Keeper::begin(&disks, OWNER, NOW).expect("begins all the same");
-        aside += found.asides.len();
+        disks.put(FileKind::Snapshot, disk);
+        let (_, found) = SnapshotStore::begin(&disks, OWNER, NOW).expect("begins all the same");
+        quarantined += found.quarantined.len();
         assert!(
-            found.known == whole || (found.known == Known::default() && found.asides.len() == 1)
+            found.known == whole
+                || (found.known == Snapshot::default() && found.quarantined.len() == 1)
         );
     }
-    assert!(aside > 100, "{aside}");
+    assert!(quarantined > 100, "{quarantined}");
 }
 
 #[test]
 fn a_directory_of_another_member_is_set_aside_and_its_numbers_with_it() {
     let disks = written(5);
-    let (_, found) = Keeper::begin(&disks, "linenproxy/n2", NOW + SECOND).expect("begins");
+    let (_, found) = SnapshotStore::begin(&disks, "linenproxy/n2", NOW + SECOND).expect("begins");
     assert_eq!(
-        (found.known, found.asides.len(), disks.asides()),
-        (Known::default(), 2, 2)
+        (found.known, found.quarantined.len(), disks.quarantined()),
+        (Snapshot::default(), 2, 2)
     );
     assert_eq!(found.incarnation, (NOW + SECOND).unsigned_abs());
 }
@@ -55,15 +59,15 @@
 fn what_nobody_can_have_written_is_refused_and_what_is_old_has_no_effect() {
     let good = || {
         let changes = changes(10, NOW);
-        Known {
+        Snapshot {
             list: changes.list,
             processes: changes.processes,
             configuration: None,
-            life: None,
+            incarnation_record: None,
         }
     };
-    assert_eq!(plausible(&good(), NOW), Ok(()));
-    let wrong: [fn(&mut Known); 6] = [
+    assert_eq!(check_plausible(&good(), NOW), Ok(()));
+    let wrong: [fn(&mut Snapshot); 6] = [
         |k| k.list.as_mut().expect("there").seen = NOW + SKEW + 1,
         |k| k.processes.as_mut().expect("there").all[3].seen = NOW + SKEW + 1,
         |k| k.processes.as_mut().expect("there").listed = 9,
@@ -74,9 +78,9 @@
     for (n, change) in wrong.iter().enumerate() {
         let mut known = good();
         change(&mut known);
-        assert!(plausible(&known, NOW).is_err(), "{n}");
+        assert!(check_plausible(&known, NOW).is_err(), "{n}");
     }
-    let at = |age: Micros| believe(good(), NOW + age, BOUNDS);
+    let at = |age: Micros| validate(good(), NOW + age, BOUNDS);
     let young = at(BOUNDS.processes - SECOND - 1);
     assert!(young.list.is_some() && young.processes.len() == 10 && young.left_out.is_empty());
     let old = at(BOUNDS.processes);
@@ -92,15 +96,15 @@
         .iter_mut()
         .take(6)
         .for_each(|p| p.open = true);
-    let believed = believe(cut, NOW, BOUNDS);
+    let believed = validate(cut, NOW, BOUNDS);
     assert!(believed.processes.iter().all(|p| !p.open) && believed.left_out.len() == 1);
 }
 
 /// Begins a writer; again at once where the disk fails.
 fn writer(disks: &Disks) -> (Writer, Begun) {
-    let place = disks.clone();
+    let storage = disks.clone();
     Writer::start(
-        move || Ok(place.clone()),
+        move || Ok(storage.clone()),
         OWNER.to_owned(),
         || NOW,
         Duration::from_secs(20),
@@ -126,18 +130,18 @@
     let disks = Disks::default();
     let (writer, begun) = writer(&disks);
     assert!(matches!(begun, Begun::Found(_)), "{begun:?}");
-    disks.disk(FileKind::Known).hold(true);
+    disks.disk(FileKind::Snapshot).hold(true);
     for turn in 0..500 {
-        writer.keep(changes(20, NOW + turn));
+        writer.commit(changes(20, NOW + turn));
     }
-    writer.keep_last(changes(20, NOW + 500));
+    writer.commit_last(changes(20, NOW + 500));
     // All of that came back while the first commit still hangs.
     assert_eq!(writer.counts().commits, 0);
-    disks.disk(FileKind::Known).hold(false);
+    disks.disk(FileKind::Snapshot).hold(false);
     let counts = until(&writer, |c| c.commits > 0 && c.commits + c.coalesced >= 501);
     assert!(counts.commits <= 3 && !counts.failing, "{counts:?}");
     until(&writer, |_| {
-        Keeper::begin(&disks, OWNER, NOW).is_ok_and(|(_, f)| {
+        SnapshotStore::begin(&disks, OWNER, NOW).is_ok_and(|(_, f)| {
             f.known
                 .list
                 .is_some_and(|l| l.index == (NOW + 500).unsigned_abs())
@@ -147,24 +151,24 @@
 
 #[test]
 fn a_disk_that_fails_costs_one_line_and_what_is_known_is_kept_once_it_works() {
-    for broken in [Breakdown::Reads, Breakdown::Writes, Breakdown::Syncs] {
+    for broken in [DiskFault::Reads, DiskFault::Writes, DiskFault::Syncs] {
         let disks = Disks::default();
         let (writer, _) = writer(&disks);
-        disks.disk(FileKind::Known).break_down(Some(broken));
+        disks.disk(FileKind::Snapshot).break_down(Some(broken));
         for turn in 0..3 {
-            writer.keep(changes(20, NOW + turn));
+            writer.commit(changes(20, NOW + turn));
         }
-        if broken == Breakdown::Reads {
+        if broken == DiskFault::Reads {
             // Who has it all in memory reads nothing.
-            writer.keep(Changes::default());
+            writer.commit(Changes::default());
         } else {
             until(&writer, |c| c.failing && c.failures > 1);
             assert_eq!(writer.lines().len(), 1, "{broken:?}");
         }
-        disks.disk(FileKind::Known).break_down(None);
-        writer.keep(changes(20, NOW + 9));
+        disks.disk(FileKind::Snapshot).break_down(None);
+        writer.commit(changes(20, NOW + 9));
         until(&writer, |c| c.commits > 0 && !c.failing);
-        if broken != Breakdown::Reads {
+        if broken != DiskFault::Reads {
             assert_eq!(
                 writer.lines(),
                 ["what is known is kept again"],
@@ -176,7 +180,7 @@
 
 #[test]
 fn a_start_on_a_disk_that_fails_goes_on_without() {
-    for broken in [Breakdown::Reads, Breakdown::Writes, Breakdown::Syncs] {
+    for broken in [DiskFault::Reads, DiskFault::Writes, DiskFault::Syncs] {
         let disks = written(5);
         disks.disk(FileKind::Numbers).break_down(Some(broken));
         let (writer, begun) = writer(&disks);
@@ -195,17 +199,17 @@
     let taken = Directory::take(&path).expect("taken");
     assert_eq!(
         Directory::take(&path).err(),
-        Some(Unusable::InUse(InUse(path.clone())))
+        Some(DirectoryError::InUse(InUse(path.clone())))
     );
-    let (keeper, _) = Keeper::begin(&taken, OWNER, NOW).expect("begins");
-    keeper.keep(&changes(5, NOW)).expect("kept");
+    let (keeper, _) = SnapshotStore::begin(&taken, OWNER, NOW).expect("begins");
+    keeper.commit(&changes(5, NOW)).expect("kept");
     drop((keeper, taken));
     let taken = Directory::take(&path).expect("free again");
-    let (_, found) = Keeper::begin(&taken, OWNER, NOW).expect("begins");
+    let (_, found) = SnapshotStore::begin(&taken, OWNER, NOW).expect("begins");
     assert_eq!(
         (
             found.known.list.map(|l| l.entries.len()),
-            found.asides.len()
+            found.quarantined.len()
         ),
         (Some(5), 0)
     );
@@ -213,6 +217,6 @@
     std::fs::write(directory.path().join("file"), b"").expect("written");
     assert!(matches!(
         Directory::take(&directory.path().join("file")),
-        Err(Unusable::Trouble(_))
+        Err(DirectoryError::StoreError(_))
     ));
 }
--- a/crates/snapshot/tests/migration.rs
+++ b/crates/snapshot/tests/migration.rs
@@ -15,44 +15,44 @@
 fn before() -> Disk {
     let mut bytes = vec![0; LENGTH];
     for record in include_bytes!("files/known-form-1.sectors").chunks_exact(4 + SECTOR) {
-        let (place, sector) = record.split_first_chunk().expect("four bytes");
-        let at = u32::from_le_bytes(*place) as usize * SECTOR;
+        let (storage, sector) = record.split_first_chunk().expect("four bytes");
+        let at = u32::from_le_bytes(*storage) as usize * SECTOR;
         bytes[at..at + SECTOR].copy_from_slice(sector);
     }
     Disk::holding(bytes)
 }
 
-fn held(found: &Known) -> Changes {
-    let Known {
+fn held(found: &Snapshot) -> Changes {
+    let Snapshot {
         list,
         processes,
         configuration,
-        life,
+        incarnation_record,
     } = found.clone();
     Changes {
         list,
         processes,
         configuration,
-        life,
+        incarnation_record,
     }
 }
 
 #[test]
 fn the_form_before_is_read_as_if_it_were_this_one() {
     let disks = Disks::default();
-    disks.put(FileKind::Known, before());
-    let (keeper, found) = Keeper::begin(&disks, OWNER, NOW).expect("begins");
-    assert!(found.asides.is_empty(), "{:?}", found.asides);
+    disks.put(FileKind::Snapshot, before());
+    let (keeper, found) = SnapshotStore::begin(&disks, OWNER, NOW).expect("begins");
+    assert!(found.quarantined.is_empty(), "{:?}", found.quarantined);
     assert_eq!(held(&found.known), changes(10, NOW));
     // What is kept from now on is in the new form, part by part.
     keeper
-        .keep(&Changes {
+        .commit(&Changes {
             processes: changes(10, NOW).processes,
             ..Changes::default()
         })
         .expect("kept");
     drop(keeper);
-    let (_, again) = Keeper::begin(&disks, OWNER, NOW).expect("begins");
+    let (_, again) = SnapshotStore::begin(&disks, OWNER, NOW).expect("begins");
     assert_eq!(held(&again.known), changes(10, NOW));
 }
 
@@ -62,39 +62,43 @@
     for writes in 0..60 {
         let disks = Disks::default();
         // Its numbers were there; a file that was never whole may be set aside.
-        drop(Keeper::begin(&disks, OWNER, NOW - SECOND).expect("begins"));
-        disks.put(FileKind::Known, before());
+        drop(SnapshotStore::begin(&disks, OWNER, NOW - SECOND).expect("begins"));
+        disks.put(FileKind::Snapshot, before());
         disks.fail_after(writes);
-        if let Ok((keeper, _)) = Keeper::begin(&disks, OWNER, NOW) {
-            let _ = keeper.keep(&changes(10, NOW + SECOND));
+        if let Ok((keeper, _)) = SnapshotStore::begin(&disks, OWNER, NOW) {
+            let _ = keeper.commit(&changes(10, NOW + SECOND));
         }
         disks.crash(&mut random);
-        let (_, found) = Keeper::begin(&disks, OWNER, NOW + SECOND).expect("begins");
+        let (_, found) = SnapshotStore::begin(&disks, OWNER, NOW + SECOND).expect("begins");
         let known = held(&found.known);
-        let (list, asides) = (known.list.as_ref().map(|l| l.index), &found.asides);
+        let (list, quarantined) = (known.list.as_ref().map(|l| l.index), &found.quarantined);
         assert!(
             known == changes(10, NOW) || known == changes(10, NOW + SECOND),
-            "after {writes}: {list:?} {asides:?}"
+            "after {writes}: {list:?} {quarantined:?}"
         );
-        assert_eq!(disks.asides(), 0);
+        assert_eq!(disks.quarantined(), 0);
     }
 }
 
 #[test]
 fn a_newer_form_is_set_aside_as_it_is() {
     let disks = Disks::default();
-    drop(Keeper::begin(&disks, OWNER, NOW).expect("begins"));
-    let store = Store::on(disks.disk(FileKind::Known), OWNER).expect("whole");
+    drop(SnapshotStore::begin(&disks, OWNER, NOW).expect("begins"));
+    let store = Store::on(disks.disk(FileKind::Snapshot), OWNER).expect("whole");
     let newer = (SCHEMA + 1).to_le_bytes();
     store
         .commit(&[Change::Put("list", 0, &newer)])
         .expect("kept");
     drop(store);
-    let (keeper, found) = Keeper::begin(&disks, OWNER, NOW).expect("begins");
+    let (keeper, found) = SnapshotStore::begin(&disks, OWNER, NOW).expect("begins");
     assert_eq!(
-        (found.known, found.asides.len(), disks.asides()),
-        (Known::default(), 1, 1)
+        (found.known, found.quarantined.len(), disks.quarantined()),
+        (Snapshot::default(), 1, 1)
     );
-    assert!(found.asides[0].why.contains("form 3"), "{:?}", found.asides);
-    keeper.keep(&changes(3, NOW)).expect("serves on");
+    assert!(
+        found.quarantined[0].why.contains("form 3"),
+        "{:?}",
+        found.quarantined
+    );
+    keeper.commit(&changes(3, NOW)).expect("serves on");
 }
--- a/crates/snapshot/tests/tool.rs
+++ b/crates/snapshot/tests/tool.rs
@@ -27,9 +27,10 @@
     let (live, copy) = (directory.path().join("live"), directory.path().join("copy"));
     let taken = Directory::take(&live).expect("taken");
     // A real clock is past this time; nothing in it is from the future.
-    let (keeper, _) = Keeper::begin(&taken, OWNER, NOW - 1_000_000_000 * SECOND).expect("begins");
+    let (keeper, _) =
+        SnapshotStore::begin(&taken, OWNER, NOW - 1_000_000_000 * SECOND).expect("begins");
     keeper
-        .keep(&changes(10, NOW - 1_000_000_000 * SECOND))
+        .commit(&changes(10, NOW - 1_000_000_000 * SECOND))
         .expect("kept");
     std::fs::create_dir(&copy).expect("made");
     for file in ["known", "numbers"] {
@@ -51,14 +52,14 @@
         assert_eq!(bytes(dir), before);
     }
     // The sidecar still has it.
-    keeper.keep(&changes(11, NOW)).expect("kept");
+    keeper.commit(&changes(11, NOW)).expect("kept");
 }
 
 #[test]
 fn what_a_start_would_set_aside_is_named() {
     let directory = tempfile::tempdir().expect("a directory");
     let taken = Directory::take(directory.path()).expect("taken");
-    drop(Keeper::begin(&taken, OWNER, NOW).expect("begins"));
+    drop(SnapshotStore::begin(&taken, OWNER, NOW).expect("begins"));
     let known = directory.path().join("known");
     let mut bytes = std::fs::read(&known).expect("it is there");
     let at = bytes
--- a/src/bin/sidecar/product.rs
+++ b/src/bin/sidecar/product.rs
@@ -18,7 +18,7 @@
 use load_balancer_common::metering::{Figures, MetricsSection};
 use load_balancer_common::pages::{self, Bounds};
 use load_balancer_gossip::section::FleetSection;
-use load_balancer_snapshot::StateSection;
+use load_balancer_snapshot::SnapshotSection;
 use serde::{Deserialize, Serialize};
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -52,7 +52,8 @@
     log: LogSection,
     metrics: MetricsSection,
     fleet: FleetSection,
-    state: StateSection,
+    #[serde(alias = "state")]
+    snapshot: SnapshotSection,
 }
 
 impl Configuration for Sections {
@@ -60,7 +61,7 @@
         self.log.check()?;
         self.metrics.check()?;
         self.fleet.check()?;
-        self.state.check()
+        self.snapshot.check()
     }
 }
 
@@ -139,7 +140,12 @@
         config: &mut Config,
         clock: Clock,
     ) -> Result<Option<SnapshotHost>, (String, ExitCode)> {
-        SnapshotHost::begin(&self.holds.state, &self.holds.fleet.cluster, config, clock)
+        SnapshotHost::begin(
+            &self.holds.snapshot,
+            &self.holds.fleet.cluster,
+            config,
+            clock,
+        )
     }
 
     /// Joins the fleet, where one is configured.
--- a/src/bin/sidecar/snapshot.rs
+++ b/src/bin/sidecar/snapshot.rs
@@ -10,8 +10,8 @@
 use load_balancer_common::cli::Exit;
 use load_balancer_common::metering::Figures;
 use load_balancer_snapshot::{
-    Begun, Believed, Changes, Directory, Found, Life, Micros, Process, Processes, StateSection,
-    Writer, believe,
+    Begun, Changes, Directory, Found, IncarnationRecord, Micros, Process, Processes,
+    SnapshotSection, ValidSnapshot, Writer, validate,
 };
 use std::cell::{Cell, RefCell};
 use std::process::ExitCode;
@@ -35,7 +35,7 @@
     writer: Writer,
     every: Duration,
     clock: Clock,
-    life: Option<Life>,
+    incarnation_record: Option<IncarnationRecord>,
     lists: RefCell<Lists>,
     known: RefCell<Vec<Process>>,
     /// Endpoints whose circuits were open as verdicts were kept last, and when that was.
@@ -47,7 +47,7 @@
     /// Begins a life of `name` in the directory of the section, where it names one; a list that is newer than the
     /// platform's takes its place. Waits for the disk no longer than the section says.
     pub fn begin(
-        section: &StateSection,
+        section: &SnapshotSection,
         cluster: &str,
         config: &mut Config,
         clock: Clock,
@@ -57,34 +57,39 @@
         };
         if config.name.is_empty() || config.name.len() > LONGEST_NAME {
             let what =
-                "state.dir needs a name of 1 to 200 bytes: LB_NAME, or name in the platform's file";
+                "snapshot.dir needs a name of 1 to 200 bytes: LB_NAME, or name in the platform's file";
             return Err((what.to_owned(), Exit::Config.into()));
         }
         let owner = format!("{cluster}/{}", config.name);
         let take = move || Directory::take(&dir);
-        let (writer, begun) =
-            Writer::start(take, owner, move || clock.now(), section.wait.0, AGAIN);
+        let (writer, begun) = Writer::start(
+            take,
+            owner,
+            move || clock.now(),
+            section.start_timeout.0,
+            AGAIN,
+        );
         let now = clock.now();
-        let (life, believed) = match begun {
+        let (incarnation_record, believed) = match begun {
             Begun::InUse(what) => {
-                return Err((format!("state.dir: {what}"), Exit::Unavailable.into()));
+                return Err((format!("snapshot.dir: {what}"), Exit::Unavailable.into()));
             }
-            Begun::Without => (None, Believed::default()),
+            Begun::Without => (None, ValidSnapshot::default()),
             Begun::Found(found) => {
-                let life = Life {
+                let incarnation_record = IncarnationRecord {
                     incarnation: found.incarnation,
                     began: now,
                     ended: None,
                 };
-                (Some(life), told(*found, now, section))
+                (Some(incarnation_record), told(*found, now, section))
             }
         };
         let lists = Lists::begin(believed.list, config);
         let state = Self(Rc::new(Inner {
             writer,
-            every: section.every.0,
+            every: section.interval.0,
             clock,
-            life,
+            incarnation_record,
             lists: RefCell::new(lists),
             known: RefCell::new(believed.processes),
             open: RefCell::default(),
@@ -96,7 +101,9 @@
 
     /// This life's incarnation, where one could be reserved.
     pub fn incarnation(&self) -> Option<u64> {
-        self.0.life.map(|life| life.incarnation)
+        self.0
+            .incarnation_record
+            .map(|incarnation_record| incarnation_record.incarnation)
     }
 
     /// A list, or changes to one.
@@ -115,10 +122,10 @@
         }
         let first = Changes {
             configuration: Some(configuration),
-            life: self.0.life,
+            incarnation_record: self.0.incarnation_record,
             ..Changes::default()
         };
-        self.0.writer.keep(first);
+        self.0.writer.commit(first);
         let (this, inputs) = (self.clone(), inputs.clone());
         spawn_local(async move {
             loop {
@@ -127,7 +134,7 @@
                     return;
                 };
                 let changes = this.changes(exported, false);
-                this.0.writer.keep(changes);
+                this.0.writer.commit(changes);
                 this.say();
             }
         });
@@ -143,8 +150,14 @@
             };
             let mut changes = this.changes(exported, true);
             let ended = Some(this.0.clock.now());
-            changes.life = this.0.life.map(|life| Life { ended, ..life });
-            this.0.writer.keep_last(changes);
+            changes.incarnation_record =
+                this.0
+                    .incarnation_record
+                    .map(|incarnation_record| IncarnationRecord {
+                        ended,
+                        ..incarnation_record
+                    });
+            this.0.writer.commit_last(changes);
         });
     }
 
@@ -214,7 +227,7 @@
             (
                 "sidecar_state_set_aside_total",
                 "Files that were not believed.",
-                counts.asides,
+                counts.quarantined,
             ),
         ] {
             figures.counter(name, what, &[]).absolute(total);
@@ -225,16 +238,16 @@
 }
 
 /// Says what was found; what of it is believed.
-fn told(found: Found, now: Micros, section: &StateSection) -> Believed {
+fn told(found: Found, now: Micros, section: &SnapshotSection) -> ValidSnapshot {
     let Found {
         known, incarnation, ..
     } = found;
-    let end = match known.life {
+    let end = match known.incarnation_record {
         None => "nothing was kept",
-        Some(Life { ended: Some(_), .. }) => "the last life ended cleanly",
+        Some(IncarnationRecord { ended: Some(_), .. }) => "the last life ended cleanly",
         Some(_) => "the last life ended without a word",
     };
-    let believed = believe(known, now, section.bounds());
+    let believed = validate(known, now, section.bounds());
     let endpoints = believed.list.as_ref().map_or(0, |list| list.entries.len());
     let open = believed.processes.iter().filter(|p| p.open).count();
     let rest: String = believed
--- a/tests/product/configuration.rs
+++ b/tests/product/configuration.rs
@@ -118,12 +118,15 @@
     let earlier = "[fleet.verdicts]\nbound = \"11s\"\nwitnesses = 4\nmost_out = 0.4\nrest = \"2s\"\n\
         [fleet.affinity]\nenabled = true\nahead = 3.0\n[fleet.standing]\nenabled = true\n\
         [fleet.bindings]\nenabled = true\nlife_new = \"13s\"\nlife_held = \"37s\"\nspread = \"4s\"\n\
-        moving = \"9s\"\nsilence = \"5s\"\nwords_per_s = 51.0\n";
+        moving = \"9s\"\nsilence = \"5s\"\nwords_per_s = 51.0\n\
+        [state]\nevery = \"600ms\"\nlist_bound = \"11m\"\nverdicts_bound = \"2m\"\nwait = \"300ms\"\n";
     let today = "[fleet.ejection]\nmax_staleness = \"11s\"\nmin_reporters = 4\nmax_ejected = 0.4\n\
         ejection_time = \"2s\"\n[fleet.affinity]\nenabled = true\nmax_ahead = 3.0\n\
         [fleet.connectivity]\nenabled = true\n[fleet.affinity_entries]\nenabled = true\n\
         first_lifetime = \"13s\"\nrenewed_lifetime = \"37s\"\ndissemination_time = \"4s\"\n\
-        migration_time = \"9s\"\ncontact_timeout = \"5s\"\nupdates_per_s = 51.0\n";
+        migration_time = \"9s\"\ncontact_timeout = \"5s\"\nupdates_per_s = 51.0\n\
+        [snapshot]\ninterval = \"600ms\"\nlist_max_staleness = \"11m\"\nhealth_max_staleness = \"2m\"\n\
+        start_timeout = \"300ms\"\n";
     let written = checked(today);
     assert_eq!(checked(earlier), written);
     assert!(written.contains("min_reporters = 4"), "{written}");
--- a/tests/product/main.rs
+++ b/tests/product/main.rs
@@ -8,4 +8,4 @@
 mod harness;
 mod logs;
 mod metrics;
-mod state;
+mod snapshot;
--- a/tests/product/state.rs
+++ b/tests/product/snapshot.rs
@@ -100,7 +100,7 @@
     let [product, platform] = [&file, &platform].map(|f| f.0.to_str().expect("text").to_owned());
     for (name, code, words) in [
         ("n1", 69, "another process uses"),
-        ("", 78, "state.dir needs a name"),
+        ("", 78, "snapshot.dir needs a name"),
     ] {
         let output = run(
             &["--config", &product],
