--- a/crates/coordinator/src/acts.rs
+++ b/crates/coordinator/src/actions.rs
@@ -4,9 +4,9 @@
 use crate::clock::Clock;
 use crate::config::Sections;
 use crate::fetch::fetch;
-use crate::looks::Looks;
+use crate::poller::Poller;
 use load_balancer_coordinator::core::{Input, Order};
-use load_balancer_maintenance::{Act, Answer, Step, Unclear};
+use load_balancer_maintenance::{Action, Answer, Step, Unclear};
 use serde::Deserialize;
 use serde_json::{Value, json};
 use std::cell::RefCell;
@@ -25,67 +25,70 @@
 
 /// Who carries out what the leader orders.
 #[derive(Clone)]
-pub struct Hands {
+pub struct ActionRunner {
     sections: Rc<Sections>,
     clock: Clock,
     calls: Calls,
-    looks: Rc<Looks>,
+    poller: Rc<Poller>,
     free: Rc<Semaphore>,
     /// Processes that sidecars were told to leave, by server, until they are told otherwise.
     left: Rc<RefCell<BTreeMap<String, Unclear>>>,
 }
 
-impl Hands {
-    pub fn new(sections: &Sections, clock: Clock, calls: Calls, looks: Rc<Looks>) -> Self {
+impl ActionRunner {
+    pub fn new(sections: &Sections, clock: Clock, calls: Calls, poller: Rc<Poller>) -> Self {
         let free = Rc::new(Semaphore::new(sections.platform.at_once));
         Self {
             sections: Rc::new(sections.clone()),
             clock,
             calls,
-            looks,
+            poller,
             free,
             left: Rc::default(),
         }
     }
 
     /// Begins an act; what it comes to is told.
-    pub fn act(&self, order: Order<Act>) {
-        let hands = self.clone();
+    pub fn act(&self, order: Order<Action>) {
+        let action_runner = self.clone();
         spawn_local(async move {
-            let _permit = hands.free.acquire().await;
-            let answer = match hands.clock.now().mono_ms < order.until_ms {
-                true => hands.done(&order.what).await,
+            let _permit = action_runner.free.acquire().await;
+            let answer = match action_runner.clock.now().mono_ms < order.until_ms {
+                true => action_runner.done(&order.what).await,
                 false => None,
             };
             let back = matches!(order.what.step, Step::Return | Step::CallBack);
             let left = matches!(answer, Some(Answer::Done { .. })).then_some(&order.what.server);
             let left = left
                 .filter(|_| back)
-                .and_then(|server| hands.left.borrow_mut().remove(server));
-            hands.calls.tell(Input::Acted(order.what, answer));
+                .and_then(|server| action_runner.left.borrow_mut().remove(server));
+            action_runner.calls.tell(Input::Acted(order.what, answer));
             if let Some(left) = left {
-                hands.looks.stays(&left).await;
+                action_runner.poller.stays(&left).await;
             }
         });
     }
 
     /// Asks whether a server is clear; what it comes to is told.
     pub fn question(&self, order: Order<Unclear>) {
-        let hands = self.clone();
+        let action_runner = self.clone();
         spawn_local(async move {
-            let mut clear = hands.looks.idle(&order.what.server, order.what.epoch).await;
-            if clear && hands.sections.clear.ask {
-                hands
+            let mut clear = action_runner
+                .poller
+                .idle(&order.what.server, order.what.epoch)
+                .await;
+            if clear && action_runner.sections.affinity_drain.ask {
+                action_runner
                     .left
                     .borrow_mut()
                     .insert(order.what.server.clone(), order.what.clone());
-                clear = hands.looks.unbound(&order.what).await;
+                clear = action_runner.poller.unbound(&order.what).await;
             }
-            hands.calls.tell(Input::Cleared(order.what, clear));
+            action_runner.calls.tell(Input::Cleared(order.what, clear));
         });
     }
 
-    async fn done(&self, act: &Act) -> Option<Answer> {
+    async fn done(&self, act: &Action) -> Option<Answer> {
         let path = match act.step {
             Step::Drain => "/drain",
             Step::Take => "/take",
@@ -114,7 +117,7 @@
             Ok((status, _)) => format!("it answers {status}"),
             Err(what) => what,
         };
-        tracing::warn!(target: "steward", "{path} of {} failed at the platform: {what}", act.server);
+        tracing::warn!(target: "coordinator", "{path} of {} failed at the platform: {what}", act.server);
         None
     }
 }
--- a/crates/coordinator/src/bindings.rs
+++ b/crates/coordinator/src/affinity_drain.rs
@@ -1,7 +1,7 @@
 //! Asks sidecars whether they are drained of affinity to a server.
 
 use crate::fetch::fetch;
-use crate::looks::Looks;
+use crate::poller::Poller;
 use load_balancer_maintenance::Unclear;
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -10,12 +10,12 @@
 
 /// What a sidecar answers.
 #[derive(Deserialize)]
-struct Said {
+struct SidecarAnswer {
     clear: bool,
     epoch: u64,
 }
 
-impl Looks {
+impl Poller {
     /// Tells sidecars of all zones that a process leaves. Whether it is clear: enough members of each zone say that it is
     /// at this epoch, and none that it is not. A zone in which too few answer cannot tell, so it is not.
     pub async fn unbound(&self, leaving: &Unclear) -> bool {
@@ -28,12 +28,12 @@
         };
         let mut asking = JoinSet::new();
         for (zone, at) in drawn {
-            let (body, within) = (body.clone(), self.evidence().timeout.0);
+            let (body, within) = (body.clone(), self.observations().timeout.0);
             asking.spawn_local(async move {
                 let (status, said) = fetch(at, "POST", "/fleet/leaving", Some(&body), within)
                     .await
                     .ok()?;
-                let said = serde_json::from_value::<Said>(said)
+                let said = serde_json::from_value::<SidecarAnswer>(said)
                     .ok()
                     .filter(|_| status == 200)?;
                 Some((zone, at, said))
@@ -52,10 +52,10 @@
             answered.push((zone, at));
         }
         // In the place of those that did not answer others are asked next time.
-        let evidence = self.evidence();
+        let observations = self.observations();
         for (zone, at) in self.draw() {
             let of_zone = answered.iter().filter(|(z, _)| *z == zone).count();
-            if of_zone < evidence.ask && !answered.iter().any(|(_, one)| *one == at) {
+            if of_zone < observations.ask && !answered.iter().any(|(_, one)| *one == at) {
                 answered.push((zone, at));
             }
         }
@@ -65,14 +65,14 @@
         if against {
             return false;
         }
-        evidence
+        observations
             .sidecars
             .iter()
             .filter(|(_, all)| !all.is_empty())
             .all(|(zone, all)| {
                 clear
                     .get(zone)
-                    .is_some_and(|count| *count >= evidence.agree.min(all.len()))
+                    .is_some_and(|count| *count >= observations.agree.min(all.len()))
             })
     }
 
@@ -81,7 +81,7 @@
         let body: Value = json!({"server": leaving.server, "started_ms": leaving.started, "epoch": leaving.epoch});
         let mut telling = JoinSet::new();
         for (_, at) in self.draw() {
-            let (body, within) = (body.clone(), self.evidence().timeout.0);
+            let (body, within) = (body.clone(), self.observations().timeout.0);
             // Who does not hear it hears it from the others, or goes on without bindings to that process.
             telling.spawn_local(async move {
                 fetch(at, "POST", "/fleet/stays", Some(&body), within)
--- a/crates/coordinator/src/calls.rs
+++ b/crates/coordinator/src/calls.rs
@@ -1,6 +1,6 @@
 //! Callers that wait for their proposal to be agreed.
 
-use crate::keeper::Told;
+use crate::log_thread::ThreadInput;
 use load_balancer_coordinator::core::{Input, Reply};
 use load_balancer_maintenance::Event;
 use std::cell::{Cell, RefCell};
@@ -13,7 +13,7 @@
 /// The way to the agreement, and those who wait.
 #[derive(Clone)]
 pub struct Calls {
-    told: mpsc::Sender<Told>,
+    told: mpsc::Sender<ThreadInput>,
     waiting: Rc<RefCell<BTreeMap<u64, oneshot::Sender<Reply>>>>,
     last: Rc<Cell<u64>>,
     within: Duration,
@@ -21,7 +21,7 @@
 }
 
 impl Calls {
-    pub fn new(told: mpsc::Sender<Told>, within: Duration) -> Self {
+    pub fn new(told: mpsc::Sender<ThreadInput>, within: Duration) -> Self {
         Self {
             told,
             waiting: Rc::default(),
@@ -33,11 +33,11 @@
 
     /// Tells the agreement something, if it takes it now.
     pub fn tell(&self, input: Input) -> bool {
-        self.send(Told::Input(Box::new(input)))
+        self.send(ThreadInput::Input(Box::new(input)))
     }
 
     /// The same for what is not for the steward itself.
-    pub fn send(&self, told: Told) -> bool {
+    pub fn send(&self, told: ThreadInput) -> bool {
         let taken = self.told.try_send(told).is_ok();
         self.missed.set(self.missed.get() + u64::from(!taken));
         taken
--- a/crates/coordinator/src/commands.rs
+++ b/crates/coordinator/src/commands.rs
@@ -34,7 +34,7 @@
     /// Shows the stewards that a steward knows.
     Members(At),
     /// Asks for a window.
-    Ask(Wish),
+    Ask(WindowRequest),
     /// Takes a window back.
     Cancel {
         /// Its number.
@@ -47,7 +47,7 @@
 }
 
 #[derive(Args)]
-pub struct Wish {
+pub struct WindowRequest {
     /// Name of the request; asked again under it, the answer is that of the first.
     name: String,
     /// A server that is to be away; again for each.
@@ -144,7 +144,7 @@
     }
 }
 
-impl Wish {
+impl WindowRequest {
     fn request(&self) -> Value {
         let now = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -214,14 +214,14 @@
 
 fn members(answer: &Value) -> Vec<Vec<String>> {
     let voters = answer["voters"].as_array().into_iter().flatten();
-    let lead = |name: &Value| {
+    let leadership = |name: &Value| {
         if *name == answer["leader"] {
             "leads"
         } else {
             ""
         }
     };
-    let all = voters.map(|name| vec![plain(name), lead(name).to_owned()]);
+    let all = voters.map(|name| vec![plain(name), leadership(name).to_owned()]);
     std::iter::once(head(&["voice", ""])).chain(all).collect()
 }
 
--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -4,7 +4,7 @@
 use load_balancer_common::logging::LogSection;
 use load_balancer_common::metering::MetricsSection;
 use load_balancer_common::units::Time;
-use load_balancer_maintenance::Agreement;
+use load_balancer_maintenance::DisruptionBudget;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -14,26 +14,29 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sections {
-    pub steward: StewardSection,
-    /// Addresses of all stewards by name, this one among them.
-    pub stewards: BTreeMap<String, SocketAddr>,
+    #[serde(alias = "steward")]
+    pub coordinator: CoordinatorSection,
+    /// Addresses of all coordinators by name, this one among them.
+    #[serde(alias = "coordinators")]
+    pub coordinators: BTreeMap<String, SocketAddr>,
     pub platform: PlatformSection,
-    #[serde(default)]
-    pub evidence: EvidenceSection,
-    #[serde(default)]
-    pub clear: ClearSection,
-    pub agreement: Agreement,
+    #[serde(default, alias = "evidence")]
+    pub observations: ObservationSection,
+    #[serde(default, alias = "clear")]
+    pub affinity_drain: AffinityDrainSection,
+    #[serde(rename = "disruption_budget", alias = "agreement")]
+    pub budget: DisruptionBudget,
     #[serde(default)]
     pub log: LogSection,
     #[serde(default)]
     pub metrics: MetricsSection,
 }
 
-/// This steward.
+/// This coordinator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct StewardSection {
-    /// Its name, one of those under `[stewards]`.
+pub struct CoordinatorSection {
+    /// Its name, one of those under `[coordinators]`.
     pub name: String,
     /// Where it listens.
     #[serde(default = "listen")]
@@ -111,7 +114,7 @@
 /// The fleet's evidence.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct EvidenceSection {
+pub struct ObservationSection {
     /// Addresses of sidecars' pages, by zone.
     pub sidecars: BTreeMap<String, Vec<SocketAddr>>,
     /// Time between two rounds.
@@ -127,7 +130,7 @@
     pub warm_after: Time,
 }
 
-impl Default for EvidenceSection {
+impl Default for ObservationSection {
     fn default() -> Self {
         Self {
             sidecars: BTreeMap::new(),
@@ -143,14 +146,14 @@
 /// Whether sidecars' bindings must be clear before a server is taken.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct ClearSection {
+pub struct AffinityDrainSection {
     /// Whether sidecars are asked: they keep bindings.
     pub ask: bool,
     /// For how long nothing must have run at a drained server.
     pub quiet: Time,
 }
 
-impl Default for ClearSection {
+impl Default for AffinityDrainSection {
     fn default() -> Self {
         // As long as a request may be on its way on a slow network, its connection included.
         Self {
@@ -163,73 +166,87 @@
 /// Most stewards: five bear two failures, more only make each agreement slower.
 const MOST_STEWARDS: usize = 7;
 /// Longest name of a steward, in bytes.
-const LONGEST_NAME: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 
 impl Configuration for Sections {
     fn check(&self) -> Result<(), Contradiction> {
         self.log.check()?;
         self.metrics.check()?;
         let wrong = |key: &str, what: String| Err(Contradiction::new(key, what));
-        let name = &self.steward.name;
+        let name = &self.coordinator.name;
         if name.is_empty()
-            || name.len() > LONGEST_NAME
+            || name.len() > MAX_NAME_BYTES
             || !name.bytes().all(|b| b.is_ascii_graphic())
         {
             return wrong(
-                "steward.name",
-                format!("must have 1 to {LONGEST_NAME} characters without spaces"),
+                "coordinator.name",
+                format!("must have 1 to {MAX_NAME_BYTES} characters without spaces"),
             );
         }
-        if !self.stewards.contains_key(name) {
-            return wrong("steward.name", format!("{name:?} is not one of [stewards]"));
+        if !self.coordinators.contains_key(name) {
+            return wrong(
+                "coordinator.name",
+                format!("{name:?} is not one of [coordinators]"),
+            );
         }
-        if self.stewards.len() > MOST_STEWARDS {
-            return wrong("stewards", format!("are more than {MOST_STEWARDS}"));
+        if self.coordinators.len() > MOST_STEWARDS {
+            return wrong("coordinators", format!("are more than {MOST_STEWARDS}"));
         }
-        if self.steward.heartbeat < Time::ms(10) || self.steward.heartbeat > Time::ms(10_000) {
-            return wrong("steward.heartbeat", "must be from 10ms to 10s".to_owned());
+        if self.coordinator.heartbeat < Time::ms(10)
+            || self.coordinator.heartbeat > Time::ms(10_000)
+        {
+            return wrong(
+                "coordinator.heartbeat",
+                "must be from 10ms to 10s".to_owned(),
+            );
         }
-        if !(3..=1_000).contains(&self.steward.patience) {
+        if !(3..=1_000).contains(&self.coordinator.patience) {
             return wrong(
-                "steward.patience",
+                "coordinator.patience",
                 "must be from 3 to 1000 heartbeats".to_owned(),
             );
         }
-        if !(8..=4_096).contains(&self.steward.connections) {
-            return wrong("steward.connections", "must be from 8 to 4096".to_owned());
+        if !(8..=4_096).contains(&self.coordinator.connections) {
+            return wrong(
+                "coordinator.connections",
+                "must be from 8 to 4096".to_owned(),
+            );
         }
         if !(1..=256).contains(&self.platform.at_once) {
             return wrong("platform.at_once", "must be from 1 to 256".to_owned());
         }
         for (key, time) in [
-            ("steward.timeout", self.steward.timeout),
+            ("coordinator.timeout", self.coordinator.timeout),
             ("platform.timeout", self.platform.timeout),
-            ("evidence.period", self.evidence.period),
-            ("evidence.timeout", self.evidence.timeout),
+            ("observations.period", self.observations.period),
+            ("observations.timeout", self.observations.timeout),
         ] {
             if time < Time::ms(10) || time > Time::ms(60_000) {
                 return wrong(key, "must be from 10ms to 1m".to_owned());
             }
         }
-        if self.evidence.agree == 0 || self.evidence.agree > self.evidence.ask {
+        if self.observations.agree == 0 || self.observations.agree > self.observations.ask {
             return wrong(
-                "evidence.agree",
-                format!("must be from 1 to evidence.ask, {}", self.evidence.ask),
+                "observations.agree",
+                format!(
+                    "must be from 1 to observations.ask, {}",
+                    self.observations.ask
+                ),
             );
         }
-        if self.clear.quiet > Time::ms(60_000) {
+        if self.affinity_drain.quiet > Time::ms(60_000) {
             return wrong("clear.quiet", "must be at most 1m".to_owned());
         }
-        let period = i64::try_from(self.evidence.period.0.as_millis()).unwrap_or(i64::MAX);
-        if period >= self.agreement.evidence_bound_ms {
-            let bound = self.agreement.evidence_bound_ms;
+        let period = i64::try_from(self.observations.period.0.as_millis()).unwrap_or(i64::MAX);
+        if period >= self.budget.evidence_bound_ms {
+            let bound = self.budget.evidence_bound_ms;
             return wrong(
-                "evidence.period",
+                "observations.period",
                 format!("evidence would be older than its bound, {bound} ms"),
             );
         }
-        self.agreement
+        self.budget
             .check()
-            .map_err(|e| Contradiction::new(&format!("agreement.{}", e.key), e.reason))
+            .map_err(|e| Contradiction::new(&format!("disruption_budget.{}", e.key), e.reason))
     }
 }
--- a/crates/coordinator/src/core/steward.rs
+++ b/crates/coordinator/src/core/coordinator.rs
@@ -1,47 +1,40 @@
 //! The coordinator's core: takes inputs, returns outputs.
 
-use super::contract::{Input, Now, Output, Reply, Settings, View};
-use super::lead::{Lead, Own};
+use super::interface::{Input, Now, Output, Reply, Settings, View};
+use super::leadership_state::{LeaderProposal, Leadership, Proposer};
 use super::replica::{self, Replica};
-use crate::agreement::{Halt, Message, Node, Options, Refused, Shelf, Standing};
+use crate::replicated_log::{HaltReason, LogStore, Message, Node, Options, Refused, ReplicaStatus};
 use load_balancer_maintenance::Event;
 use std::collections::BTreeMap;
 
 /// One steward.
-pub struct Steward {
+pub struct CoordinatorCore {
     pub(super) node: Node<Replica>,
     pub(super) settings: Settings,
-    pub(super) lead: Lead,
+    pub(super) leadership: Leadership,
     pub(super) output: Output,
     /// Names by disks' numbers, from those who have sent something.
     places: BTreeMap<u64, String>,
-    tickets: BTreeMap<u64, Whose>,
+    tickets: BTreeMap<u64, Proposer>,
     last_ticket: u64,
 }
 
-/// Who waits for an answer.
-#[derive(Clone, Debug)]
-pub(super) enum Whose {
-    Caller(u64),
-    Own(Own),
-}
-
-impl Steward {
+impl CoordinatorCore {
     /// A steward on what its shelf holds; `found` makes a blank one the first of a new agreement, and must be given to
     /// one steward, once, where no other has any part of one.
     ///
     /// # Errors
     /// The disk fails, or holds what this program does not know.
     pub fn new(
-        shelf: Shelf,
+        log_store: LogStore,
         options: Options,
         settings: Settings,
         found: bool,
-    ) -> Result<Self, Halt> {
+    ) -> Result<Self, HaltReason> {
         Ok(Self {
-            node: Node::new(shelf, Replica::default(), options, found)?,
+            node: Node::new(log_store, Replica::default(), options, found)?,
             settings,
-            lead: Lead::default(),
+            leadership: Leadership::default(),
             output: Output::default(),
             places: BTreeMap::new(),
             tickets: BTreeMap::new(),
@@ -49,7 +42,7 @@
         })
     }
 
-    /// Takes something in. What it comes to is given by [`Steward::drive`], which must follow; several may be taken in
+    /// Takes something in. What it comes to is given by [`CoordinatorCore::drive`], which must follow; several may be taken in
     /// before.
     pub fn take(&mut self, now: Now, input: Input) {
         match input {
@@ -60,9 +53,11 @@
             Input::Message(from, message) => self.hear(from, message),
             Input::Bring(caller, event) => {
                 let refused = match &event {
-                    Event::Ask(_) if self.node.acts() && !self.lead.looked => Err(Reply::Looking),
+                    Event::Ask(_) if self.node.acts() && !self.leadership.looked => {
+                        Err(Reply::Looking)
+                    }
                     _ => {
-                        self.propose(now, Whose::Caller(caller), &event)
+                        self.propose(now, Proposer::Caller(caller), &event)
                             .map_err(|why| match why {
                                 Refused::NotLeader => Reply::NotLeader,
                                 Refused::Founding => Reply::Founding,
@@ -84,12 +79,16 @@
                 self.output.replies.push((caller, reply));
             }
             Input::Listed(list) => self.listed(now, list),
-            Input::Evidence(at_ms, mut words) => {
+            Input::Observations(at_ms, mut words) => {
                 let waited_ms = now.mono_ms.saturating_sub(at_ms);
                 words
                     .iter_mut()
                     .for_each(|word| word.age_ms = word.age_ms.saturating_add(waited_ms));
-                self.own(now, Own::Evidence, &Event::Evidence(words));
+                self.own(
+                    now,
+                    LeaderProposal::Observations,
+                    &Event::Observations(words),
+                );
             }
             Input::Acted(act, answer) => self.acted(now, act, answer),
             Input::Cleared(question, clear) => self.cleared(now, question, clear),
@@ -114,7 +113,12 @@
     }
 
     /// Proposes an event; whose the answer is.
-    pub(super) fn propose(&mut self, now: Now, whose: Whose, event: &Event) -> Result<(), Refused> {
+    pub(super) fn propose(
+        &mut self,
+        now: Now,
+        whose: Proposer,
+        event: &Event,
+    ) -> Result<(), Refused> {
         self.last_ticket += 1;
         self.node
             .propose(now.unix_ms, self.last_ticket, replica::event(event))?;
@@ -132,8 +136,8 @@
     /// Keeps and applies what the steps so far came to; what is to be done about it.
     ///
     /// # Errors
-    /// The steward must stop, and nothing of it may be sent. Its callers are not answered: [`Steward::callers`].
-    pub fn drive(&mut self, now: Now) -> Result<Output, Halt> {
+    /// The steward must stop, and nothing of it may be sent. Its callers are not answered: [`CoordinatorCore::callers`].
+    pub fn drive(&mut self, now: Now) -> Result<Output, HaltReason> {
         let effects = self.node.drive()?;
         for message in effects.messages {
             let name = self
@@ -147,18 +151,18 @@
         }
         for (ticket, answer) in effects.answers {
             match (self.tickets.remove(&ticket), replica::outcome(&answer)) {
-                (Some(Whose::Caller(caller)), outcome) => {
+                (Some(Proposer::Caller(caller)), outcome) => {
                     let reply = outcome.map_or(Reply::Lost, Reply::Agreed);
                     self.output.replies.push((caller, reply));
                 }
-                (Some(Whose::Own(own)), outcome) => self.answered(&own, outcome),
+                (Some(Proposer::Leader(own)), outcome) => self.answered(&own, outcome),
                 (None, _) => {}
             }
         }
         for ticket in effects.lost {
             match self.tickets.remove(&ticket) {
-                Some(Whose::Caller(caller)) => self.output.replies.push((caller, Reply::Lost)),
-                Some(Whose::Own(own)) => self.lead.waits.retain(|waits| *waits != own),
+                Some(Proposer::Caller(caller)) => self.output.replies.push((caller, Reply::Lost)),
+                Some(Proposer::Leader(own)) => self.leadership.waits.retain(|waits| *waits != own),
                 None => {}
             }
         }
@@ -171,29 +175,29 @@
     /// Callers who wait for an answer.
     pub fn callers(&self) -> Vec<u64> {
         let callers = self.tickets.values().filter_map(|whose| match whose {
-            Whose::Caller(caller) => Some(*caller),
-            Whose::Own(_) => None,
+            Proposer::Caller(caller) => Some(*caller),
+            Proposer::Leader(_) => None,
         });
         callers.collect()
     }
 
     /// Where it stands in the agreement.
-    pub fn standing(&self) -> Standing {
-        self.node.standing()
+    pub fn replica_status(&self) -> ReplicaStatus {
+        self.node.replica_status()
     }
 
     /// Where it stands and what it knows.
     pub fn view(&self, now: Now) -> View {
         let machine = &self.node.machine().0;
-        let standing = self.node.standing();
+        let replica_status = self.node.replica_status();
         View {
-            looked: standing.acts && self.lead.looked,
+            looked: replica_status.acts && self.leadership.looked,
             windows: machine.windows(),
             capacity: machine.capacity(now.unix_ms),
             servers: machine.servers().len(),
             token: machine.last_token(),
             due: machine.due(now.unix_ms).len(),
-            standing,
+            replica_status,
         }
     }
 
--- a/crates/coordinator/src/core/contract.rs
+++ b/crates/coordinator/src/core/interface.rs
@@ -1,10 +1,10 @@
 //! The inputs and outputs of a coordinator's core.
 
-use crate::agreement::{Admission, Message, Standing};
+use crate::replicated_log::{Admission, Message, ReplicaStatus};
 use load_balancer_maintenance::{
-    Act, Agreement, Answer, CapacityView, Event, Outcome, Server, Unclear,
+    Action, Answer, CapacityView, DisruptionBudget, Event, Outcome, Server, Unclear,
 };
-use load_balancer_maintenance::{WindowView, Word};
+use load_balancer_maintenance::{ServerObservation, WindowView};
 use serde::Serialize;
 
 /// Both clocks of the host.
@@ -22,7 +22,7 @@
     /// Names of all stewards.
     pub names: Vec<String>,
     /// What the operators have agreed on, by this steward's file. The leader's file holds.
-    pub agreement: Agreement,
+    pub budget: DisruptionBudget,
     /// Pause before something that failed is tried again, in milliseconds.
     pub again_ms: u64,
     /// How long an act or a question may take until it counts as lost, in milliseconds.
@@ -47,9 +47,9 @@
     Listed(Vec<Server>),
     /// A round of looks at the fleet is over: what it came to, with ages at this moment of the monotonic clock. What
     /// waits, or is held up with the process, grows older meanwhile.
-    Evidence(u64, Vec<Word>),
+    Observations(u64, Vec<ServerObservation>),
     /// What an act came to; none if nothing was answered.
-    Acted(Act, Option<Answer>),
+    Acted(Action, Option<Answer>),
     /// Whether a server is clear.
     Cleared(Unclear, bool),
     /// The lead is to be handed over.
@@ -73,7 +73,7 @@
     /// Answers by the caller's number.
     pub replies: Vec<(u64, Reply)>,
     /// Acts on servers. Each ends with [`Input::Acted`].
-    pub acts: Vec<Order<Act>>,
+    pub acts: Vec<Order<Action>>,
     /// Servers of which to ask whether they are clear. Each ends with [`Input::Cleared`].
     pub questions: Vec<Order<Unclear>>,
     /// What on-call should read.
@@ -104,7 +104,7 @@
 pub struct View {
     /// Where it stands in the agreement.
     #[serde(flatten)]
-    pub standing: Standing,
+    pub replica_status: ReplicaStatus,
     /// Whether it leads and has looked at servers and fleet.
     pub looked: bool,
     /// All windows.
--- a/crates/coordinator/src/core/replica.rs
+++ b/crates/coordinator/src/core/replica.rs
@@ -3,7 +3,7 @@
 //!
 //! Both are JSON behind a byte with the version: whatever a steward does not know, it stops at.
 
-use crate::agreement::Replicated;
+use crate::replicated_log::Replicated;
 use load_balancer_maintenance::{Event, Machine, Outcome};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
--- a/crates/coordinator/src/joining.rs
+++ b/crates/coordinator/src/joining.rs
@@ -3,7 +3,7 @@
 use crate::calls::Calls;
 use crate::config::Sections;
 use crate::fetch::fetch;
-use crate::keeper::{Seen, Told};
+use crate::log_thread::{Seen, ThreadInput};
 use serde_json::{Value, json};
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,21 +19,26 @@
 
 /// Asks for a voice whenever there is none, until the process ends.
 pub async fn join(sections: Sections, calls: Calls, mut seen: watch::Receiver<Arc<Seen>>) {
-    let own = &sections.steward.name;
+    let own = &sections.coordinator.name;
     loop {
-        let voiceless =
-            |seen: &Arc<Seen>| seen.view.as_ref().is_some_and(|view| !view.standing.voice);
-        let standing = match seen.wait_for(voiceless).await {
-            Ok(seen) => seen.view.as_ref().map(|view| view.standing.clone()),
+        let voiceless = |seen: &Arc<Seen>| {
+            seen.view
+                .as_ref()
+                .is_some_and(|view| !view.replica_status.voice)
+        };
+        let replica_status = match seen.wait_for(voiceless).await {
+            Ok(seen) => seen.view.as_ref().map(|view| view.replica_status.clone()),
             Err(_) => return,
         };
-        let Some(standing) = standing else { continue };
+        let Some(replica_status) = replica_status else {
+            continue;
+        };
         // Only one may found, and only where nobody has any part of an agreement: all others must say so.
-        let first = sections.stewards.keys().next() == Some(own);
-        if standing.blank && first && nobody_has_any(&sections).await {
-            calls.send(Told::Found);
+        let first = sections.coordinators.keys().next() == Some(own);
+        if replica_status.blank && first && nobody_has_any(&sections).await {
+            calls.send(ThreadInput::Found);
         } else {
-            ask(&sections, standing.id).await;
+            ask(&sections, replica_status.id).await;
         }
         sleep(AGAIN.mul_f64(0.5 + fastrand::f64())).await;
     }
@@ -41,9 +46,9 @@
 
 async fn nobody_has_any(sections: &Sections) -> bool {
     for (name, at) in sections
-        .stewards
+        .coordinators
         .iter()
-        .filter(|(name, _)| **name != sections.steward.name)
+        .filter(|(name, _)| **name != sections.coordinator.name)
     {
         let status = fetch(*at, "GET", "/status", None, WITHIN).await;
         let blank = status.is_ok_and(|(code, status)| {
@@ -58,11 +63,11 @@
 
 async fn ask(sections: &Sections, id: u64) {
     // A number of 64 bits is none that every reader of JSON keeps.
-    let body = json!({"name": sections.steward.name, "disk": id.to_string()});
+    let body = json!({"name": sections.coordinator.name, "disk": id.to_string()});
     for (_, at) in sections
-        .stewards
+        .coordinators
         .iter()
-        .filter(|(name, _)| **name != sections.steward.name)
+        .filter(|(name, _)| **name != sections.coordinator.name)
     {
         if let Ok((200, _)) = fetch(*at, "POST", PATH, Some(&body), WITHIN).await {
             return;
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -2,6 +2,6 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod agreement;
 pub mod core;
-pub mod evidence;
+pub mod observations;
+pub mod replicated_log;
--- a/crates/coordinator/src/keeper.rs
+++ b/crates/coordinator/src/log_thread.rs
@@ -2,8 +2,8 @@
 
 use crate::clock::Clock;
 use crate::config::Sections;
-use load_balancer_coordinator::agreement::{Halt, Options, Shelf};
-use load_balancer_coordinator::core::{Input, Output, Reply, Settings, Steward, View};
+use load_balancer_coordinator::core::{CoordinatorCore, Input, Output, Reply, Settings, View};
+use load_balancer_coordinator::replicated_log::{HaltReason, LogStore, Options};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, watch};
@@ -20,7 +20,7 @@
 const SHOW_MS: u64 = 1_000;
 
 /// What the thread is told.
-pub enum Told {
+pub enum ThreadInput {
     /// For the steward.
     Input(Box<Input>),
     /// No other steward has any part of an agreement: found one.
@@ -41,7 +41,7 @@
 }
 
 /// What the thread gives.
-pub enum Given {
+pub enum ThreadOutput {
     /// To be done.
     Output(Output),
     /// To be written to the log: whether it is a warning, and what.
@@ -49,16 +49,16 @@
 }
 
 /// Ends of the thread.
-pub struct Keeper {
-    pub told: mpsc::Sender<Told>,
-    pub given: mpsc::Receiver<Given>,
+pub struct LogThread {
+    pub told: mpsc::Sender<ThreadInput>,
+    pub thread_outputs: mpsc::Receiver<ThreadOutput>,
     pub seen: watch::Receiver<Arc<Seen>>,
 }
 
 /// Starts the thread. It ends when nobody tells it anything any more.
-pub fn start(sections: &Sections, clock: Clock) -> std::io::Result<Keeper> {
+pub fn start(sections: &Sections, clock: Clock) -> std::io::Result<LogThread> {
     let (told, inbox) = mpsc::channel(WAITING);
-    let (outbox, given) = mpsc::channel(WAITING);
+    let (outbox, thread_outputs) = mpsc::channel(WAITING);
     let (published, seen) = watch::channel(Arc::new(Seen::default()));
     let thread = Thread {
         sections: sections.clone(),
@@ -70,14 +70,18 @@
     std::thread::Builder::new()
         .name("agreement".to_owned())
         .spawn(move || thread.run())?;
-    Ok(Keeper { told, given, seen })
+    Ok(LogThread {
+        told,
+        thread_outputs,
+        seen,
+    })
 }
 
 struct Thread {
     sections: Sections,
     clock: Clock,
-    inbox: mpsc::Receiver<Told>,
-    outbox: mpsc::Sender<Given>,
+    inbox: mpsc::Receiver<ThreadInput>,
+    outbox: mpsc::Sender<ThreadOutput>,
     published: watch::Sender<Arc<Seen>>,
 }
 
@@ -86,12 +90,12 @@
         let (mut found, mut said) = (false, String::new());
         loop {
             let halted = match self.open(found) {
-                Ok(steward) => {
+                Ok(coordinator) => {
                     if !said.is_empty() {
                         said.clear();
                         self.line(false, "the disk can be used again".to_owned());
                     }
-                    match self.serve(steward) {
+                    match self.serve(coordinator) {
                         End::Over => return,
                         End::Found => {
                             found = true;
@@ -119,7 +123,7 @@
     }
 
     fn line(&self, warning: bool, what: String) {
-        let _ = self.outbox.blocking_send(Given::Line(warning, what));
+        let _ = self.outbox.blocking_send(ThreadOutput::Line(warning, what));
     }
 
     fn publish(&self, mut seen: Seen) {
@@ -127,8 +131,8 @@
         self.published.send_replace(Arc::new(seen));
     }
 
-    fn open(&self, found: bool) -> Result<Steward, Halt> {
-        let own = &self.sections.steward;
+    fn open(&self, found: bool) -> Result<CoordinatorCore, HaltReason> {
+        let own = &self.sections.coordinator;
         let opened = load_balancer_record_store::open(&own.data, &own.name)?;
         if let Some(quarantined) = opened.quarantined {
             let what = format!(
@@ -144,9 +148,10 @@
                 ),
             );
         }
-        let shelf = Shelf::open(opened.store, fastrand::u64(1..u64::MAX))?.slowed(own.disk_delay.0);
+        let log_store =
+            LogStore::open(opened.store, fastrand::u64(1..u64::MAX))?.slowed(own.disk_delay.0);
         let heartbeat = u64::try_from(own.heartbeat.0.as_millis()).unwrap_or(u64::MAX);
-        let names: Vec<String> = self.sections.stewards.keys().cloned().collect();
+        let names: Vec<String> = self.sections.coordinators.keys().cloned().collect();
         let options = Options {
             name: own.name.clone(),
             run: fastrand::u64(..),
@@ -157,13 +162,13 @@
             u64::try_from(self.sections.platform.timeout.0.as_millis()).unwrap_or(u64::MAX);
         let settings = Settings {
             names,
-            agreement: self.sections.agreement.clone(),
+            budget: self.sections.budget.clone(),
             again_ms: timeout / 2,
             // Its own time-out, one of a page of sidecars, and the way there and back.
             lost_ms: timeout.saturating_mul(4),
             word_ms: heartbeat.saturating_mul(own.patience as u64),
         };
-        Steward::new(shelf, options, settings, found)
+        CoordinatorCore::new(log_store, options, settings, found)
     }
 
     /// Waits until the disk may be tried again, and answers meanwhile; false where nobody is there any more.
@@ -172,26 +177,26 @@
         while Instant::now() < until {
             let mut replies = Vec::new();
             match self.inbox.blocking_recv() {
-                Some(Told::Input(input)) => {
+                Some(ThreadInput::Input(input)) => {
                     if let Input::Bring(caller, _) | Input::Admit(caller, ..) = *input {
                         replies.push((caller, Reply::NotLeader));
                     }
                 }
-                Some(Told::Found) => {}
-                Some(Told::End) | None => return false,
+                Some(ThreadInput::Found) => {}
+                Some(ThreadInput::End) | None => return false,
             }
             if !replies.is_empty() {
                 let output = Output {
                     replies,
                     ..Output::default()
                 };
-                let _ = self.outbox.blocking_send(Given::Output(output));
+                let _ = self.outbox.blocking_send(ThreadOutput::Output(output));
             }
         }
         true
     }
 
-    fn serve(&mut self, mut steward: Steward) -> End {
+    fn serve(&mut self, mut coordinator: CoordinatorCore) -> End {
         let mut shown = None;
         let mut shown_ms = 0;
         while let Some(first) = self.inbox.blocking_recv() {
@@ -199,12 +204,14 @@
             let mut count = 0;
             while let Some(told) = next.take() {
                 match told {
-                    Told::Input(input) => steward.take(self.clock.now(), *input),
-                    Told::Found if steward.view(self.clock.now()).standing.blank => {
+                    ThreadInput::Input(input) => coordinator.take(self.clock.now(), *input),
+                    ThreadInput::Found
+                        if coordinator.view(self.clock.now()).replica_status.blank =>
+                    {
                         return End::Found;
                     }
-                    Told::Found => {}
-                    Told::End => return End::Over,
+                    ThreadInput::Found => {}
+                    ThreadInput::End => return End::Over,
                 }
                 count += 1;
                 if count < AT_ONCE {
@@ -212,14 +219,18 @@
                 }
             }
             let now = self.clock.now();
-            match steward.drive(now) {
+            match coordinator.drive(now) {
                 Ok(output) => {
-                    if self.outbox.blocking_send(Given::Output(output)).is_err() {
+                    if self
+                        .outbox
+                        .blocking_send(ThreadOutput::Output(output))
+                        .is_err()
+                    {
                         return End::Over;
                     }
                 }
                 Err(halt) => {
-                    let replies = steward
+                    let replies = coordinator
                         .callers()
                         .into_iter()
                         .map(|caller| (caller, Reply::Lost))
@@ -228,17 +239,17 @@
                         replies,
                         ..Output::default()
                     };
-                    let _ = self.outbox.blocking_send(Given::Output(output));
+                    let _ = self.outbox.blocking_send(ThreadOutput::Output(output));
                     return End::Halted(halt);
                 }
             }
-            let standing = Some(steward.standing());
-            if shown != standing || now.mono_ms >= shown_ms + SHOW_MS {
+            let replica_status = Some(coordinator.replica_status());
+            if shown != replica_status || now.mono_ms >= shown_ms + SHOW_MS {
                 self.publish(Seen {
-                    view: Some(steward.view(now)),
+                    view: Some(coordinator.view(now)),
                     ..Seen::default()
                 });
-                (shown, shown_ms) = (standing, now.mono_ms);
+                (shown, shown_ms) = (replica_status, now.mono_ms);
             } else {
                 self.published
                     .send_modify(|seen| Arc::make_mut(seen).at_ms = now.mono_ms);
@@ -251,5 +262,5 @@
 enum End {
     Over,
     Found,
-    Halted(Halt),
+    Halted(HaltReason),
 }
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -1,19 +1,19 @@
 //! The program `coordinator`: its command line.
 #![forbid(unsafe_code)]
 
-mod acts;
-mod bindings;
+mod actions;
+mod affinity_drain;
 mod calls;
 mod clock;
 mod commands;
 mod config;
 mod fetch;
-mod figures;
 mod joining;
-mod keeper;
-mod looks;
+mod log_thread;
+mod metrics;
 mod pages;
 mod peers;
+mod poller;
 mod run;
 mod serve;
 
@@ -27,6 +27,8 @@
 
 /// The program's name, in its lines.
 const NAME: &str = "coordinator";
+/// The target of its log lines before it was called coordinator, as older configurations have it.
+const EARLIER_TARGET: &str = "steward";
 
 /// A steward: one of three or five processes that agree on maintenance windows and carry them out.
 #[derive(Parser)]
@@ -60,22 +62,23 @@
         Err(exit) => return exit.into(),
     };
     match (call.command, call.config) {
-        (Some(Command::Run { config, check }), _) => steward(&config, check),
+        (Some(Command::Run { config, check }), _) => coordinator(&config, check),
         (Some(Command::People(command)), _) => commands::run(command).into(),
-        (None, Some(config)) => steward(&config, false),
+        (None, Some(config)) => coordinator(&config, false),
         (None, None) => Exit::Usage.into(),
     }
 }
 
-fn steward(file: &std::path::Path, check: bool) -> ExitCode {
+fn coordinator(file: &std::path::Path, check: bool) -> ExitCode {
     let plain = |what: &dyn std::fmt::Display, exit: Exit| {
         let _ = writeln!(std::io::stderr(), "{NAME}: {what}");
         ExitCode::from(exit)
     };
-    let sections: config::Sections = match files::load(file) {
+    let mut sections: config::Sections = match files::load(file) {
         Ok(sections) => sections,
         Err(problem) => return plain(&problem, Exit::Config),
     };
+    sections.log.rename_targets(EARLIER_TARGET, NAME);
     if check {
         let _ = write!(std::io::stdout(), "{}", files::written(&sections));
         return Exit::Done.into();
@@ -83,7 +86,7 @@
     let log = logging::start(&sections.log, NAME);
     let ended = run::run(sections);
     if let Err((what, _)) = &ended {
-        tracing::error!(target: "steward", "{what}");
+        tracing::error!(target: "coordinator", "{what}");
     }
     log.flush();
     ended.map_or_else(|(_, exit)| exit.into(), |()| ExitCode::SUCCESS)
--- a/crates/coordinator/src/figures.rs
+++ b/crates/coordinator/src/metrics.rs
@@ -1,9 +1,9 @@
 //! The coordinator's metrics.
 
 use crate::calls::Calls;
-use crate::keeper::Seen;
-use crate::looks::Looks;
+use crate::log_thread::Seen;
 use crate::peers::Peers;
+use crate::poller::Poller;
 use load_balancer_common::metering::Figures;
 use load_balancer_common::pages::Page;
 use load_balancer_maintenance::State;
@@ -18,7 +18,7 @@
     pub seen: watch::Receiver<Arc<Seen>>,
     pub calls: Calls,
     pub peers: Peers,
-    pub looks: Rc<Looks>,
+    pub poller: Rc<Poller>,
 }
 
 impl Sources {
@@ -28,32 +28,36 @@
         let gauge = |name, what, value: f64| figures.gauge(name, what, &[]).set(value);
         let seen = Arc::clone(&self.seen.borrow());
         gauge(
-            "steward_stands_back",
+            "coordinator_stands_back",
             "1 while the disk fails or holds what this program does not know.",
             f64::from(u8::from(seen.halted.is_some())),
         );
         if let Some(view) = &seen.view {
-            let standing = &view.standing;
+            let replica_status = &view.replica_status;
             let yes = |it: bool| f64::from(u8::from(it));
-            gauge("steward_acts", "1 while it leads.", yes(standing.acts));
             gauge(
-                "steward_voice",
+                "coordinator_acts",
+                "1 while it leads.",
+                yes(replica_status.acts),
+            );
+            gauge(
+                "coordinator_voice",
                 "1 while its disk has a voice.",
-                yes(standing.voice),
+                yes(replica_status.voice),
             );
             gauge(
-                "steward_term",
+                "coordinator_term",
                 "Term of the agreement.",
-                standing.term as f64,
+                replica_status.term as f64,
             );
             gauge(
-                "steward_applied",
+                "coordinator_applied",
                 "Last agreed entry that it took in.",
-                standing.applied as f64,
+                replica_status.applied as f64,
             );
-            gauge("steward_token", "Last token.", view.token as f64);
+            gauge("coordinator_token", "Last token.", view.token as f64);
             gauge(
-                "steward_servers",
+                "coordinator_servers",
                 "Servers of the list.",
                 view.servers as f64,
             );
@@ -64,43 +68,43 @@
                 State::Clear,
                 State::Away,
             ] {
-                let seats = view.windows.iter().flat_map(|window| &window.seats);
-                let count = seats.filter(|seat| seat.state == state).count();
+                let slots = view.windows.iter().flat_map(|window| &window.slots);
+                let count = slots.filter(|slot| slot.state == state).count();
                 let word = format!("{state:?}").to_lowercase();
-                let name = "steward_seats";
+                let name = "coordinator_seats";
                 figures
                     .gauge(name, "Servers in windows, by state.", &[("state", &word)])
                     .set(count as f64);
             }
             if let Some(capacity) = &view.capacity {
                 gauge(
-                    "steward_holds",
+                    "coordinator_holds",
                     "1 while the agreement holds.",
                     yes(capacity.holds),
                 );
                 gauge(
-                    "steward_away",
+                    "coordinator_away",
                     "Servers away, by grant, dead or unheard of.",
                     f64::from(capacity.away),
                 );
             }
         }
-        let (answered, asked) = self.looks.answered.get();
+        let (answered, asked) = self.poller.answered.get();
         gauge(
-            "steward_sidecars_asked",
+            "coordinator_sidecars_asked",
             "Sidecars asked in the last round.",
             asked as f64,
         );
         gauge(
-            "steward_sidecars_answered",
+            "coordinator_sidecars_answered",
             "Those that answered.",
             answered as f64,
         );
-        let name = "steward_messages_dropped_total";
+        let name = "coordinator_messages_dropped_total";
         figures
-            .counter(name, "Messages not brought to other stewards.", &[])
+            .counter(name, "Messages not brought to other coordinators.", &[])
             .absolute(self.peers.dropped());
-        let name = "steward_inputs_missed_total";
+        let name = "coordinator_inputs_missed_total";
         figures
             .counter(name, "What the agreement's thread had no room for.", &[])
             .absolute(self.calls.missed());
--- a/crates/coordinator/src/evidence.rs
+++ b/crates/coordinator/src/observations.rs
@@ -1,6 +1,6 @@
 //! Weighs the health observations of sidecars into one status of each server.
 
-use load_balancer_maintenance::{Health, Server, Word};
+use load_balancer_maintenance::{Health, Server, ServerObservation};
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,12 +12,12 @@
     /// Whether its standing lets it answer.
     pub answers: bool,
     /// Servers of its list.
-    pub servers: Vec<Said>,
+    pub servers: Vec<SidecarAnswer>,
 }
 
 /// What it says of one server.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Said {
+pub struct SidecarAnswer {
     /// The server's name.
     pub name: String,
     /// When its process started, in milliseconds of Unix time; 0 for long ago.
@@ -36,16 +36,16 @@
 #[serde(rename_all = "lowercase")]
 pub enum State {
     /// It serves.
-    Well,
+    Healthy,
     /// It does not.
-    Sick,
+    Unhealthy,
     /// The member cannot tell.
     Unknown,
 }
 
 /// A page that came.
 #[derive(Clone, Debug)]
-pub struct Heard {
+pub struct ZoneObservations {
     /// The zone under which the sidecar is configured.
     pub zone: String,
     /// How long ago it was asked for, in milliseconds: what it says is older by that.
@@ -65,7 +65,7 @@
 }
 
 /// What was said, and how long ago that was asked for in milliseconds.
-type Aged<'a> = (&'a Said, u64);
+type Aged<'a> = (&'a SidecarAnswer, u64);
 
 /// What one zone's members say of a server.
 struct Opinion {
@@ -78,8 +78,13 @@
 /// The words on all listed servers of which enough was said. Nobody counts twice, nor anybody whose standing does not
 /// let it answer. Enough members of a zone, and more than half of those that can tell, say the same of a process, or the
 /// zone says nothing; zones that contradict each other can't tell.
-pub fn weigh(weights: &Weights, unix_ms: i64, listed: &[Server], heard: &[Heard]) -> Vec<Word> {
-    let mut zones: BTreeMap<&str, Vec<&Heard>> = BTreeMap::new();
+pub fn weigh(
+    weights: &Weights,
+    unix_ms: i64,
+    listed: &[Server],
+    heard: &[ZoneObservations],
+) -> Vec<ServerObservation> {
+    let mut zones: BTreeMap<&str, Vec<&ZoneObservations>> = BTreeMap::new();
     let mut counted: BTreeSet<&str> = BTreeSet::new();
     for one in heard {
         if one.page.answers && counted.insert(&one.page.member) {
@@ -120,21 +125,21 @@
         };
         let of_newest = || opinions.iter().filter(|o| o.started == newest);
         let well = of_newest()
-            .filter(|o| o.state == State::Well)
+            .filter(|o| o.state == State::Healthy)
             .min_by_key(|o| o.age_ms);
         let sick = of_newest()
-            .filter(|o| o.state == State::Sick)
+            .filter(|o| o.state == State::Unhealthy)
             .min_by_key(|o| o.age_ms);
         let (state, of) = match (well, sick) {
-            (Some(well), None) => (Health::Well, well),
-            (None, Some(sick)) => (Health::Sick, sick),
+            (Some(well), None) => (Health::Healthy, well),
+            (None, Some(sick)) => (Health::Unhealthy, sick),
             (Some(well), Some(_)) => (Health::Unknown, well),
             (None, None) => continue,
         };
-        words.push(Word {
+        words.push(ServerObservation {
             server: server.name.clone(),
             state,
-            warm: state == Health::Well && of.warm,
+            warm: state == Health::Healthy && of.warm,
             started: of.started,
             age_ms: of.age_ms,
             enough: true,
--- a/crates/coordinator/src/pages.rs
+++ b/crates/coordinator/src/pages.rs
@@ -3,12 +3,12 @@
 use crate::calls::Calls;
 use crate::clock::Clock;
 use crate::config::Sections;
-use crate::keeper::Seen;
+use crate::log_thread::Seen;
 use crate::peers::{self, Peers};
 use crate::serve::{Answer, Asked};
 use hyper::StatusCode;
-use load_balancer_coordinator::agreement::Admission;
 use load_balancer_coordinator::core::{Input, Reply};
+use load_balancer_coordinator::replicated_log::Admission;
 use load_balancer_maintenance::{Event, Outcome, Refusal, Request};
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
@@ -62,7 +62,7 @@
     }
 
     /// Answers a request.
-    pub async fn answer(self, asked: Asked, steward: Rc<Cell<bool>>) -> Answer {
+    pub async fn answer(self, asked: Asked, coordinator: Rc<Cell<bool>>) -> Answer {
         let parts: Vec<&str> = asked.path.trim_matches('/').split('/').collect();
         let number = |text: &str| text.parse::<u64>().ok();
         if asked.path != peers::PATH && asked.content.len() > LONGEST {
@@ -98,7 +98,7 @@
                 true => Answer::of(StatusCode::ACCEPTED, json!({"outcome": "asked"})),
                 false => self.replied(Reply::Busy),
             },
-            ("POST", ["agreement", "messages"]) => self.messages(&asked, &steward),
+            ("POST", ["agreement", "messages"]) => self.messages(&asked, &coordinator),
             ("POST", ["agreement", "join"]) => match parsed::<Join>(&asked.content) {
                 Ok(Join { name, disk }) => self.join(name, &disk).await,
                 Err(wrong) => wrong,
@@ -120,7 +120,7 @@
             None => Answer::wrong(
                 StatusCode::SERVICE_UNAVAILABLE,
                 None,
-                "this steward stands back",
+                "this coordinator stands back",
             ),
         }
     }
@@ -138,22 +138,22 @@
     pub fn status(&self) -> Value {
         let seen = Arc::clone(&self.seen.borrow());
         let late_ms = self.clock.now().mono_ms.saturating_sub(seen.at_ms);
-        let own = &self.sections.steward;
+        let own = &self.sections.coordinator;
         let bound = own.heartbeat.0.as_millis() * own.patience as u128;
         let mut status = json!({"name": own.name, "halted": seen.halted, "late_ms": late_ms});
         if let Some(view) = &seen.view {
-            let standing = &view.standing;
-            status["disk"] = json!(standing.id.to_string());
-            status["term"] = json!(standing.term);
-            status["leader"] = json!(standing.leader);
+            let replica_status = &view.replica_status;
+            status["disk"] = json!(replica_status.id.to_string());
+            status["term"] = json!(replica_status.term);
+            status["leader"] = json!(replica_status.leader);
             // A thread that the disk holds up acts on nothing.
-            status["acts"] = json!(standing.acts && u128::from(late_ms) < bound);
+            status["acts"] = json!(replica_status.acts && u128::from(late_ms) < bound);
             status["looked"] = json!(view.looked);
-            status["voice"] = json!(standing.voice);
-            status["blank"] = json!(standing.blank);
-            status["voters"] = json!(standing.voters);
-            status["members"] = json!(standing.members);
-            status["applied"] = json!(standing.applied);
+            status["voice"] = json!(replica_status.voice);
+            status["blank"] = json!(replica_status.blank);
+            status["voters"] = json!(replica_status.voters);
+            status["members"] = json!(replica_status.members);
+            status["applied"] = json!(replica_status.applied);
             status["servers"] = json!(view.servers);
             status["token"] = json!(view.token);
             status["due"] = json!(view.due);
@@ -178,32 +178,32 @@
         let Ok(id) = disk.parse::<u64>() else {
             return Answer::wrong(StatusCode::BAD_REQUEST, Some("disk"), "is no number");
         };
-        if !self.sections.stewards.contains_key(&name) {
+        if !self.sections.coordinators.contains_key(&name) {
             return Answer::wrong(
                 StatusCode::BAD_REQUEST,
                 Some("name"),
-                "is not one of [stewards]",
+                "is not one of [coordinators]",
             );
         }
         let reply = self.calls.admit(id, name).await;
         self.replied(reply)
     }
 
-    fn messages(&self, asked: &Asked, steward: &Cell<bool>) -> Answer {
+    fn messages(&self, asked: &Asked, coordinator: &Cell<bool>) -> Answer {
         let known = asked
             .from
             .as_ref()
-            .filter(|name| self.sections.stewards.contains_key(*name));
+            .filter(|name| self.sections.coordinators.contains_key(*name));
         let Some(from) = known else {
             return Answer::wrong(
                 StatusCode::BAD_REQUEST,
                 Some(peers::FROM),
-                "is not one of [stewards]",
+                "is not one of [coordinators]",
             );
         };
         match peers::read(&asked.content) {
             Ok(messages) => {
-                steward.set(true);
+                coordinator.set(true);
                 for message in messages {
                     // What is not taken is lost, as on any network.
                     self.calls.tell(Input::Message(from.clone(), message));
@@ -230,10 +230,10 @@
             Reply::Admission(Admission::NameTaken) => Answer::wrong(
                 StatusCode::CONFLICT,
                 Some("name"),
-                "a living steward has it",
+                "a living coordinator has it",
             ),
             Reply::Admission(Admission::NotLeader) | Reply::NotLeader => self.elsewhere(),
-            Reply::Founding => later("too few stewards have a voice yet"),
+            Reply::Founding => later("too few coordinators have a vote yet"),
             Reply::Looking => later("the leader has not looked at servers and fleet yet"),
             Reply::Busy => later("too much waits"),
             Reply::Lost => later("whether it is agreed on is not known; ask again"),
@@ -245,13 +245,13 @@
         let leader = seen
             .view
             .as_ref()
-            .and_then(|view| view.standing.leader.clone());
-        let leader = leader.filter(|leader| *leader != self.sections.steward.name);
+            .and_then(|view| view.replica_status.leader.clone());
+        let leader = leader.filter(|leader| *leader != self.sections.coordinator.name);
         let at = leader
             .as_ref()
-            .and_then(|name| self.sections.stewards.get(name));
+            .and_then(|name| self.sections.coordinators.get(name));
         let content =
-            json!({"error": "this steward does not lead", "leader": leader, "address": at});
+            json!({"error": "this coordinator does not lead", "leader": leader, "address": at});
         Answer::of(StatusCode::SERVICE_UNAVAILABLE, content)
     }
 }
--- a/crates/coordinator/src/peers.rs
+++ b/crates/coordinator/src/peers.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
-use load_balancer_coordinator::agreement::{Message, decode, encode};
+use load_balancer_coordinator::replicated_log::{Message, decode, encode};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
--- a/crates/coordinator/src/looks.rs
+++ b/crates/coordinator/src/poller.rs
@@ -3,11 +3,11 @@
 
 use crate::calls::Calls;
 use crate::clock::Clock;
-use crate::config::{EvidenceSection, Sections};
+use crate::config::{ObservationSection, Sections};
 use crate::fetch::fetch;
-use crate::keeper::Seen;
+use crate::log_thread::Seen;
 use load_balancer_coordinator::core::Input;
-use load_balancer_coordinator::evidence::{Heard, Page, Weights, weigh};
+use load_balancer_coordinator::observations::{Page, Weights, ZoneObservations, weigh};
 use load_balancer_maintenance::Server;
 use serde::{Deserialize, Deserializer};
 use std::cell::{Cell, RefCell};
@@ -48,7 +48,7 @@
 pub type Drawn = Vec<(String, SocketAddr)>;
 
 /// The looks.
-pub struct Looks {
+pub struct Poller {
     sections: Sections,
     clock: Clock,
     seen: watch::Receiver<Arc<Seen>>,
@@ -64,7 +64,7 @@
     pub answered: Cell<(usize, usize)>,
 }
 
-impl Looks {
+impl Poller {
     pub fn new(
         sections: &Sections,
         clock: Clock,
@@ -86,12 +86,15 @@
 
     /// Looks until the process ends.
     pub async fn run(self: Rc<Self>) {
-        let mut rounds = interval(self.sections.evidence.period.0);
+        let mut rounds = interval(self.sections.observations.period.0);
         rounds.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut seen = self.seen.clone();
         loop {
-            let leads =
-                |seen: &Arc<Seen>| seen.view.as_ref().is_some_and(|view| view.standing.acts);
+            let leads = |seen: &Arc<Seen>| {
+                seen.view
+                    .as_ref()
+                    .is_some_and(|view| view.replica_status.acts)
+            };
             if seen.wait_for(leads).await.is_err() {
                 return;
             }
@@ -111,7 +114,7 @@
             Err(_) => self.known(),
         };
         let heard = self.pages().await;
-        let evidence = &self.sections.evidence;
+        let evidence = &self.sections.observations;
         let agree = evidence.sidecars.iter();
         let agree = agree
             .map(|(zone, all)| (zone.clone(), evidence.agree.min(all.len())))
@@ -119,9 +122,9 @@
         let warm_after_ms = i64::try_from(evidence.warm_after.0.as_millis()).unwrap_or(i64::MAX);
         // Before the ages are read: a process that is held up in between makes them older, not younger.
         let now = self.clock.now();
-        let heard: Vec<Heard> = heard
+        let heard: Vec<ZoneObservations> = heard
             .into_iter()
-            .map(|(zone, begun, page)| Heard {
+            .map(|(zone, begun, page)| ZoneObservations {
                 zone,
                 asked_ago_ms: now.mono_ms.saturating_sub(begun),
                 page,
@@ -136,7 +139,7 @@
             &servers,
             &heard,
         );
-        self.calls.tell(Input::Evidence(now.mono_ms, words));
+        self.calls.tell(Input::Observations(now.mono_ms, words));
     }
 
     fn known(&self) -> Vec<Server> {
@@ -173,13 +176,13 @@
         match &list {
             Ok(list) => {
                 if !self.failure.take().is_empty() {
-                    tracing::info!(target: "steward", "the platform lists its servers again");
+                    tracing::info!(target: "coordinator", "the platform lists its servers again");
                 }
                 self.list.replace(Some((asked, list.clone())));
             }
             Err(what) => {
                 if *self.failure.borrow() != *what {
-                    tracing::warn!(target: "steward", "no list from the platform {}: {what}", platform.address);
+                    tracing::warn!(target: "coordinator", "no list from the platform {}: {what}", platform.address);
                 }
                 self.failure.replace(what.clone());
             }
@@ -210,12 +213,12 @@
         if since.0 != epoch {
             *since = now;
         }
-        since.1.elapsed() >= self.sections.clear.quiet.0
+        since.1.elapsed() >= self.sections.affinity_drain.quiet.0
     }
 
     /// Addresses of so many sidecars of each zone, drawn anew.
     pub fn draw(&self) -> Drawn {
-        let evidence = &self.sections.evidence;
+        let evidence = &self.sections.observations;
         let mut drawn = Vec::new();
         for (zone, all) in &evidence.sidecars {
             let mut all = all.clone();
@@ -230,14 +233,14 @@
     }
 
     /// How the fleet is asked.
-    pub fn evidence(&self) -> &EvidenceSection {
-        &self.sections.evidence
+    pub fn observations(&self) -> &ObservationSection {
+        &self.sections.observations
     }
 
     /// Pages with their zone and the moment at which they were asked for.
     async fn pages(&self) -> Vec<(String, u64, Page)> {
         let (within, bound) = (
-            self.sections.evidence.timeout.0,
+            self.sections.observations.timeout.0,
             Rc::new(Semaphore::new(AT_ONCE)),
         );
         let mut asking = JoinSet::new();
--- a/crates/coordinator/src/agreement/admission.rs
+++ b/crates/coordinator/src/replicated_log/admission.rs
@@ -4,8 +4,8 @@
 //! never taken for kept. It listens first; once it has what the leader has, one agreed step gives it the voice of
 //! the old number of its name and takes that one's away.
 
-use super::contract::Replicated;
 use super::entry::{self, Newcomer};
+use super::interface::Replicated;
 use super::node::Node;
 use raft::eraftpb::{ConfChangeSingle, ConfChangeType, ConfChangeV2};
 
--- a/crates/coordinator/src/agreement/drive.rs
+++ b/crates/coordinator/src/replicated_log/drive.rs
@@ -1,7 +1,7 @@
 //! Carries out the ready state of the consensus engine: persist, apply, answer, send.
 
-use super::contract::{Effects, Halt, Replicated};
 use super::entry::{self, Newcomer, Stamped};
+use super::interface::{Effects, HaltReason, Replicated};
 use super::node::Node;
 use protobuf::Message as _;
 use raft::StateRole;
@@ -16,7 +16,7 @@
     ///
     /// # Errors
     /// The node must stop, and nothing of it may be sent.
-    pub fn drive(&mut self) -> Result<Effects, Halt> {
+    pub fn drive(&mut self) -> Result<Effects, HaltReason> {
         let mut effects = Effects::default();
         while self.raw.has_ready() {
             let mut ready = self.raw.ready();
@@ -70,23 +70,25 @@
         });
     }
 
-    fn restore(&mut self, metadata: &SnapshotMetadata) -> Result<(), Halt> {
+    fn restore(&mut self, metadata: &SnapshotMetadata) -> Result<(), HaltReason> {
         let kept = self
             .raw
             .store()
             .kept()
-            .map_err(Halt::Unknown)?
+            .map_err(HaltReason::Unknown)?
             .unwrap_or_default();
-        self.machine.restore(&kept.machine).map_err(Halt::Unknown)?;
+        self.machine
+            .restore(&kept.machine)
+            .map_err(HaltReason::Unknown)?;
         (self.kept, self.applied) = (kept, metadata.index);
         self.members_now = metadata.get_conf_state().clone();
         Ok(())
     }
 
-    fn apply(&mut self, entries: Vec<Entry>, effects: &mut Effects) -> Result<(), Halt> {
+    fn apply(&mut self, entries: Vec<Entry>, effects: &mut Effects) -> Result<(), HaltReason> {
         let mut changed = false;
         for entry in entries {
-            let unknown = |e: String| Halt::Unknown(format!("entry {}: {e}", entry.index));
+            let unknown = |e: String| HaltReason::Unknown(format!("entry {}: {e}", entry.index));
             match entry.entry_type {
                 // The mark of a new leader.
                 EntryType::EntryNormal if entry.data.is_empty() => {}
@@ -141,7 +143,7 @@
         Ok(())
     }
 
-    fn compact(&mut self) -> Result<(), Halt> {
+    fn compact(&mut self) -> Result<(), HaltReason> {
         self.kept.machine = self.machine.snapshot();
         let (applied, members) = (self.applied, self.members_now.clone());
         self.raw.mut_store().compact(applied, members, &self.kept)?;
--- a/crates/coordinator/src/agreement/entry.rs
+++ b/crates/coordinator/src/replicated_log/entry.rs
@@ -22,7 +22,7 @@
 
 /// What a snapshot holds beside the engine's own data.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Kept {
+pub(crate) struct PersistedState {
     /// Names by the numbers of disks.
     pub members: BTreeMap<u64, String>,
     /// Time of the last event, in milliseconds of Unix time.
--- a/crates/coordinator/src/agreement/contract.rs
+++ b/crates/coordinator/src/replicated_log/interface.rs
@@ -38,14 +38,14 @@
 
 /// Why a node must stop. It may be started again.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Halt {
+pub enum HaltReason {
     /// The disk failed: what is kept is not known.
     Disk(StoreError),
     /// The agreement holds what this program does not know.
     Unknown(String),
 }
 
-impl fmt::Display for Halt {
+impl fmt::Display for HaltReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Disk(trouble) => trouble.fmt(f),
@@ -57,9 +57,9 @@
     }
 }
 
-impl std::error::Error for Halt {}
+impl std::error::Error for HaltReason {}
 
-impl From<StoreError> for Halt {
+impl From<StoreError> for HaltReason {
     fn from(trouble: StoreError) -> Self {
         Self::Disk(trouble)
     }
@@ -91,7 +91,7 @@
 
 /// Where a node stands.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Standing {
+pub struct ReplicaStatus {
     /// The number of its disk.
     pub id: u64,
     /// The term it knows.
--- a/crates/coordinator/src/agreement/shelf.rs
+++ b/crates/coordinator/src/replicated_log/log_store.rs
@@ -2,7 +2,7 @@
 //!
 //! All of it is in memory too: it is read, and checked, once. Every write is one commit, synced before it returns.
 
-use super::entry::{self, Kept};
+use super::entry::{self, PersistedState};
 use load_balancer_record_store::{Change, Store, StoreError};
 use protobuf::Message as _;
 use raft::eraftpb::{ConfState, Entry, HardState, Snapshot};
@@ -20,7 +20,7 @@
 
 /// What a steward keeps of the agreement.
 #[derive(Debug)]
-pub struct Shelf {
+pub struct LogStore {
     store: Store,
     id: u64,
     hard: HardState,
@@ -30,7 +30,7 @@
     delay: Duration,
 }
 
-impl Shelf {
+impl LogStore {
     /// Reads what the store keeps. An empty one becomes that of a steward that has no part in the agreement yet;
     /// `id` is the number of its disk from then on, and must be like no other.
     ///
@@ -48,7 +48,7 @@
                 id
             }
         };
-        let mut shelf = Self {
+        let mut log_store = Self {
             id,
             hard: HardState::default(),
             snapshot: Snapshot::default(),
@@ -56,19 +56,19 @@
             delay: Duration::ZERO,
             store,
         };
-        if let Some(bytes) = shelf.store.get(HARD, 0)? {
-            shelf.hard = HardState::parse_from_bytes(&bytes).map_err(unreadable)?;
+        if let Some(bytes) = log_store.store.get(HARD, 0)? {
+            log_store.hard = HardState::parse_from_bytes(&bytes).map_err(unreadable)?;
         }
-        if let Some(bytes) = shelf.store.get(SNAPSHOT, 0)? {
-            shelf.snapshot = Snapshot::parse_from_bytes(&bytes).map_err(unreadable)?;
+        if let Some(bytes) = log_store.store.get(SNAPSHOT, 0)? {
+            log_store.snapshot = Snapshot::parse_from_bytes(&bytes).map_err(unreadable)?;
         }
-        for (_, bytes) in shelf.store.collection(LOG)? {
-            shelf
+        for (_, bytes) in log_store.store.collection(LOG)? {
+            log_store
                 .entries
                 .push(Entry::parse_from_bytes(&bytes).map_err(unreadable)?);
         }
-        let mut before = (shelf.start(), shelf.snapshot.get_metadata().term);
-        for entry in &shelf.entries {
+        let mut before = (log_store.start(), log_store.snapshot.get_metadata().term);
+        for entry in &log_store.entries {
             if entry.index != before.0 + 1 || entry.term < before.1 {
                 return Err(StoreError(format!(
                     "the log has a gap after entry {}",
@@ -77,13 +77,13 @@
             }
             before = (entry.index, entry.term);
         }
-        if !(shelf.start()..=before.0).contains(&shelf.hard.commit) {
+        if !(log_store.start()..=before.0).contains(&log_store.hard.commit) {
             return Err(StoreError(format!(
                 "entry {} is agreed on and not there",
-                shelf.hard.commit
+                log_store.hard.commit
             )));
         }
-        Ok(shelf)
+        Ok(log_store)
     }
 
     /// The same on a disk that takes so much longer for each commit.
@@ -117,7 +117,7 @@
 
     /// Begins an agreement of which this steward is the only member, over a machine in this state.
     pub(crate) fn found(&mut self, name: &str, machine: Vec<u8>) -> Result<(), StoreError> {
-        let kept = Kept {
+        let kept = PersistedState {
             members: [(self.id, name.to_owned())].into(),
             at_ms: 0,
             machine,
@@ -136,7 +136,7 @@
     }
 
     /// What the snapshot holds beside the engine's data; none while there is none.
-    pub(crate) fn kept(&self) -> Result<Option<Kept>, String> {
+    pub(crate) fn kept(&self) -> Result<Option<PersistedState>, String> {
         if self.is_blank() {
             Ok(None)
         } else {
@@ -168,7 +168,7 @@
         &mut self,
         applied: u64,
         members: ConfState,
-        kept: &Kept,
+        kept: &PersistedState,
     ) -> Result<(), StoreError> {
         let term = Storage::term(self, applied).map_err(|e| StoreError(e.to_string()))?;
         let mut snapshot = Snapshot::default();
@@ -241,7 +241,7 @@
         .map_err(|e| StoreError(e.to_string()))
 }
 
-impl Storage for Shelf {
+impl Storage for LogStore {
     fn initial_state(&self) -> raft::Result<RaftState> {
         let members = self.snapshot.get_metadata().get_conf_state().clone();
         Ok(RaftState::new(self.hard.clone(), members))
--- a/crates/coordinator/src/agreement/mod.rs
+++ b/crates/coordinator/src/replicated_log/mod.rs
@@ -4,16 +4,16 @@
 //! replicated machine, time, the admission of stewards that lost their disk, and the sieve for what others send.
 
 mod admission;
-mod contract;
 mod drive;
 mod entry;
+mod interface;
+mod log_store;
+mod message_filter;
 mod node;
-mod shelf;
-mod sieve;
 
 pub use admission::Admission;
-pub use contract::{Effects, Halt, Options, Refused, Replicated, Standing};
+pub use interface::{Effects, HaltReason, Options, Refused, ReplicaStatus, Replicated};
+pub use log_store::LogStore;
+pub use message_filter::{decode, encode};
 pub use node::Node;
 pub use raft::eraftpb::Message;
-pub use shelf::Shelf;
-pub use sieve::{decode, encode};
--- a/crates/coordinator/src/agreement/node.rs
+++ b/crates/coordinator/src/replicated_log/node.rs
@@ -1,8 +1,8 @@
 //! One replica of the log.
 
-use super::contract::{Halt, Options, Refused, Replicated, Standing};
-use super::entry::{self, Kept, Stamped};
-use super::{shelf::Shelf, sieve};
+use super::entry::{self, PersistedState, Stamped};
+use super::interface::{HaltReason, Options, Refused, ReplicaStatus, Replicated};
+use super::{log_store::LogStore, message_filter};
 use raft::eraftpb::{ConfChangeV2, ConfState, Message};
 use raft::{Config, ProgressState, RawNode, SnapshotStatus, StateRole};
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,10 +15,10 @@
 
 /// A node.
 pub struct Node<M> {
-    pub(crate) raw: RawNode<Shelf>,
+    pub(crate) raw: RawNode<LogStore>,
     pub(crate) machine: M,
     pub(crate) options: Options,
-    pub(crate) kept: Kept,
+    pub(crate) kept: PersistedState,
     pub(crate) applied: u64,
     pub(crate) applied_term: u64,
     pub(crate) members_now: ConfState,
@@ -37,21 +37,23 @@
     /// # Errors
     /// The disk fails, or holds what this program does not know.
     pub fn new(
-        mut shelf: Shelf,
+        mut log_store: LogStore,
         mut machine: M,
         options: Options,
         found: bool,
-    ) -> Result<Self, Halt> {
-        if found && shelf.is_blank() {
-            shelf.found(&options.name, machine.snapshot())?;
+    ) -> Result<Self, HaltReason> {
+        if found && log_store.is_blank() {
+            log_store.found(&options.name, machine.snapshot())?;
         }
-        let kept = shelf.kept().map_err(Halt::Unknown)?;
+        let kept = log_store.kept().map_err(HaltReason::Unknown)?;
         if let Some(kept) = &kept {
-            machine.restore(&kept.machine).map_err(Halt::Unknown)?;
+            machine
+                .restore(&kept.machine)
+                .map_err(HaltReason::Unknown)?;
         }
-        let applied = shelf.start();
+        let applied = log_store.start();
         let config = Config {
-            id: shelf.id(),
+            id: log_store.id(),
             election_tick: options.patience,
             heartbeat_tick: 1,
             applied,
@@ -62,11 +64,11 @@
             max_uncommitted_size: MOST_BYTES,
             ..Config::default()
         };
-        let state =
-            raft::Storage::initial_state(&shelf).map_err(|e| Halt::Unknown(e.to_string()))?;
+        let state = raft::Storage::initial_state(&log_store)
+            .map_err(|e| HaltReason::Unknown(e.to_string()))?;
         let silent = slog::Logger::root(slog::Discard, slog::o!());
-        let raw =
-            RawNode::new(&config, shelf, &silent).map_err(|e| Halt::Unknown(e.to_string()))?;
+        let raw = RawNode::new(&config, log_store, &silent)
+            .map_err(|e| HaltReason::Unknown(e.to_string()))?;
         let mut node = Self {
             raw,
             machine,
@@ -125,7 +127,7 @@
     /// A message came; whether it was let in.
     pub fn step(&mut self, message: Message) -> bool {
         let raft = &self.raw.raft;
-        let passes = sieve::passes(&message, raft.id, raft.leader_id, &raft.raft_log);
+        let passes = message_filter::passes(&message, raft.id, raft.leader_id, &raft.raft_log);
         let passes = passes && self.raw.step(message).is_ok();
         self.draw();
         passes
@@ -205,7 +207,7 @@
     }
 
     /// The engine.
-    pub(crate) fn raw(&self) -> &RawNode<Shelf> {
+    pub(crate) fn raw(&self) -> &RawNode<LogStore> {
         &self.raw
     }
 
@@ -220,14 +222,14 @@
     }
 
     /// Where it stands.
-    pub fn standing(&self) -> Standing {
+    pub fn replica_status(&self) -> ReplicaStatus {
         let raft = &self.raw.raft;
         let name = |id: &u64| self.kept.members.get(id).cloned();
         let mut voters: Vec<String> = self.members_now.voters.iter().filter_map(name).collect();
         voters.sort();
         let mut members: Vec<String> = self.kept.members.values().cloned().collect();
         members.sort();
-        Standing {
+        ReplicaStatus {
             id: raft.id,
             term: raft.term,
             leader: name(&raft.leader_id),
--- a/crates/coordinator/src/serve.rs
+++ b/crates/coordinator/src/serve.rs
@@ -66,7 +66,7 @@
 /// A connection: how to end it, and whether a steward's messages came on it.
 struct Open {
     handle: AbortHandle,
-    steward: Rc<Cell<bool>>,
+    coordinator: Rc<Cell<bool>>,
 }
 
 /// Serves until the process ends. Beyond `most` connections the oldest makes room, but none of a steward's: readers who
@@ -91,15 +91,15 @@
         let mut all = open.borrow_mut();
         all.retain(|one| !one.handle.is_finished());
         if all.len() >= most {
-            let Some(oldest) = all.iter().position(|one| !one.steward.get()) else {
+            let Some(oldest) = all.iter().position(|one| !one.coordinator.get()) else {
                 continue;
             };
             if let Some(oldest) = all.remove(oldest) {
                 oldest.handle.abort();
             }
         }
-        let steward = Rc::new(Cell::new(false));
-        let (pages, mark) = (pages.clone(), Rc::clone(&steward));
+        let coordinator = Rc::new(Cell::new(false));
+        let (pages, mark) = (pages.clone(), Rc::clone(&coordinator));
         let service = service_fn(move |request| {
             answer(request, within, longest, pages.clone(), Rc::clone(&mark))
         });
@@ -113,7 +113,7 @@
         });
         all.push_back(Open {
             handle: task.abort_handle(),
-            steward,
+            coordinator,
         });
     }
 }
@@ -123,7 +123,7 @@
     within: Duration,
     longest: usize,
     pages: P,
-    steward: Rc<Cell<bool>>,
+    coordinator: Rc<Cell<bool>>,
 ) -> Result<Response<Full<Bytes>>, Infallible>
 where
     P: Fn(Asked, Rc<Cell<bool>>) -> F,
@@ -159,7 +159,7 @@
         from: from.map(str::to_owned),
         content,
     };
-    Ok(written(pages(asked, steward).await))
+    Ok(written(pages(asked, coordinator).await))
 }
 
 fn written(answer: Answer) -> Response<Full<Bytes>> {
--- a/crates/coordinator/tests/core/main.rs
+++ b/crates/coordinator/tests/core/main.rs
@@ -3,8 +3,8 @@
 //! The platform checks every act that it accepts: capacity, clear, no drain twice by one token. The world checks who
 //! orders, and that a request has one window. Here stands what happens, and that nothing is forgotten in the end.
 
-mod carry;
 mod platform;
+mod transit;
 mod world;
 
 use load_balancer_maintenance::Event;
@@ -15,7 +15,7 @@
 fn settled(world: &mut World, windows: u64) {
     for _ in 0..6_000 {
         world.pass();
-        for place in 0..world.seats.len() {
+        for place in 0..world.slots.len() {
             world.start(place, false);
         }
         if world.now.is_multiple_of(10) && world.over() && world.booked.len() as u64 >= windows {
@@ -27,10 +27,10 @@
             return;
         }
     }
-    let views = world.seats.iter().map(|s| {
-        s.steward
+    let views = world.slots.iter().map(|s| {
+        s.coordinator
             .as_ref()
-            .map(|s| (s.standing(), s.machine().windows()))
+            .map(|s| (s.replica_status(), s.machine().windows()))
     });
     panic!(
         "not over: {:#?} {:#?}",
@@ -45,16 +45,16 @@
         if world.booked.contains_key(name) {
             return;
         }
-        for place in 0..world.seats.len() {
+        for place in 0..world.slots.len() {
             world.ask(name, servers, place);
         }
         world.pass();
     }
-    let standing = world
-        .seats
+    let replica_status = world
+        .slots
         .iter()
-        .map(|s| s.steward.as_ref().map(|s| s.standing()));
-    panic!("never booked: {:#?}", standing.collect::<Vec<_>>());
+        .map(|s| s.coordinator.as_ref().map(|s| s.replica_status()));
+    panic!("never booked: {:#?}", replica_status.collect::<Vec<_>>());
 }
 
 /// One window over two servers of one zone, with the leader killed at a moment.
@@ -161,10 +161,10 @@
         let place = world.random.usize(0..size);
         match world.random.u64(0..1_000) {
             0..4 => world.crash(place),
-            4..8 => world.seats[place].stopped_until = world.now + world.random.u64(5..80),
+            4..8 => world.slots[place].stopped_until = world.now + world.random.u64(5..80),
             8..10 if world.agreed() => world.empty(place),
-            10..14 => (0..size).for_each(|n| world.seats[n].side = world.random.u8(0..2)),
-            14..24 => world.seats.iter_mut().for_each(|seat| seat.side = 0),
+            10..14 => (0..size).for_each(|n| world.slots[n].side = world.random.u8(0..2)),
+            14..24 => world.slots.iter_mut().for_each(|slot| slot.side = 0),
             24..26 => {
                 let server = world.random.usize(0..9);
                 world.platform.all[server].dead = Some(world.now);
@@ -194,9 +194,9 @@
     }
     world.net = CALM;
     world
-        .seats
+        .slots
         .iter_mut()
-        .for_each(|seat| (seat.side, seat.stopped_until) = (0, 0));
+        .for_each(|slot| (slot.side, slot.stopped_until) = (0, 0));
     world.platform.all.iter_mut().for_each(|h| h.dead = None);
     (0..size).for_each(|place| world.start(place, false));
     booked(&mut world, "last", &[0]);
--- a/crates/coordinator/tests/core/platform.rs
+++ b/crates/coordinator/tests/core/platform.rs
@@ -1,6 +1,8 @@
 //! A platform with its servers, and the invariants of every action that it accepts.
 
-use load_balancer_maintenance::{Act, Agreement, Answer, Health, Server, Step, Unclear, Word};
+use load_balancer_maintenance::{
+    Action, Answer, DisruptionBudget, Health, Server, ServerObservation, Step, Unclear,
+};
 use std::collections::BTreeMap;
 
 /// Time is counted in heartbeats.
@@ -37,14 +39,14 @@
 pub struct Platform {
     pub all: Vec<Held>,
     pub now: u64,
-    agreement: Agreement,
+    budget: DisruptionBudget,
     pub accepted: u64,
     pub refused: u64,
     pub taken: BTreeMap<String, u64>,
 }
 
 impl Platform {
-    pub fn new(servers: usize, agreement: Agreement) -> Self {
+    pub fn new(servers: usize, budget: DisruptionBudget) -> Self {
         let held = |n: usize| Held {
             name: format!("a{n}"),
             zone: format!("z{}", n % 3),
@@ -60,7 +62,7 @@
         Self {
             all,
             now: 0,
-            agreement,
+            budget,
             accepted: 0,
             refused: 0,
             taken: BTreeMap::new(),
@@ -83,12 +85,12 @@
     }
 
     /// What enough members of the fleet see.
-    pub fn words(&self) -> Vec<Word> {
-        let word = |h: &Held| Word {
+    pub fn words(&self) -> Vec<ServerObservation> {
+        let word = |h: &Held| ServerObservation {
             server: h.name.clone(),
             state: match h.dead.is_none() && matches!(h.place, Place::Serving | Place::Draining) {
-                true => Health::Well,
-                false => Health::Sick,
+                true => Health::Healthy,
+                false => Health::Unhealthy,
             },
             warm: self.warm(h),
             started: h.started,
@@ -120,7 +122,7 @@
         clear
     }
 
-    pub fn act(&mut self, act: &Act) -> Answer {
+    pub fn act(&mut self, act: &Action) -> Answer {
         let now = self.now;
         let Some(h) = self.all.iter_mut().find(|h| h.name == act.server) else {
             return Answer::Failed;
@@ -168,7 +170,7 @@
     }
 
     /// What is there bears what was just drained; a death that cannot be known yet is nobody's fault.
-    fn capacity(&self, act: &Act) {
+    fn capacity(&self, act: &Action) {
         let there = |h: &&Held| {
             let dead = h.dead.is_some_and(|since| self.now > since + UNKNOWN);
             h.place == Place::Serving && !dead && self.warm(h)
@@ -176,15 +178,15 @@
         let there: Vec<&Held> = self.all.iter().filter(there).collect();
         let away = self.all.len() - there.len();
         assert!(
-            there.len() as u64 * 10 >= self.agreement.keep,
+            there.len() as u64 * 10 >= self.budget.keep,
             "capacity breached by {act:?}: {:#?}",
             self.all
         );
         assert!(
-            away <= self.agreement.most_away as usize,
+            away <= self.budget.most_away as usize,
             "{away} away by {act:?}"
         );
-        for (zone, keep) in &self.agreement.keep_zone {
+        for (zone, keep) in &self.budget.keep_zone {
             let of_zone = there.iter().filter(|h| h.zone == *zone).count();
             assert!(
                 of_zone as u64 * 10 >= *keep,
--- a/crates/coordinator/tests/core/carry.rs
+++ b/crates/coordinator/tests/core/transit.rs
@@ -2,14 +2,14 @@
 
 use crate::world::{PATIENCE, World};
 use load_balancer_coordinator::core::{Input, Output, Reply};
-use load_balancer_maintenance::{Act, Answer, Outcome, Unclear};
+use load_balancer_maintenance::{Action, Answer, Outcome, Unclear};
 
 /// What is on its way.
 pub enum Parcel {
     /// For a seat.
     Input(usize, Input),
     /// For the platform, by a seat.
-    Act(usize, Act),
+    Action(usize, Action),
     Question(usize, Unclear),
 }
 
@@ -27,18 +27,18 @@
     /// Gives a steward something, and does what it says.
     pub fn give(&mut self, place: usize, input: Input) {
         let now = self.clock(place);
-        if self.now < self.seats[place].stopped_until {
+        if self.now < self.slots[place].stopped_until {
             // It is given once the process goes on.
             let parcel = Parcel::Input(place, input);
             self.sent += 1;
-            let at = self.seats[place].stopped_until;
+            let at = self.slots[place].stopped_until;
             return drop(self.wire.insert((at, self.sent), parcel));
         }
-        let Some(steward) = &mut self.seats[place].steward else {
+        let Some(coordinator) = &mut self.slots[place].coordinator else {
             return;
         };
-        steward.take(now, input);
-        match steward.drive(now) {
+        coordinator.take(now, input);
+        match coordinator.drive(now) {
             Ok(output) => self.perform(place, output),
             Err(_) => self.crash(place),
         }
@@ -46,11 +46,11 @@
 
     fn perform(&mut self, place: usize, output: Output) {
         for (to, message) in output.messages {
-            let Some(to) = self.seats.iter().position(|seat| seat.name == to) else {
+            let Some(to) = self.slots.iter().position(|slot| slot.name == to) else {
                 continue;
             };
-            if self.seats[to].side == self.seats[place].side && !self.lost() {
-                let from = self.seats[place].name.clone();
+            if self.slots[to].side == self.slots[place].side && !self.lost() {
+                let from = self.slots[place].name.clone();
                 self.put(Parcel::Input(to, Input::Message(from, message)));
             }
         }
@@ -64,9 +64,9 @@
                 self.sent += 1;
                 let at = self.now + self.random.u64(20..200);
                 self.wire
-                    .insert((at, self.sent), Parcel::Act(place, order.what));
+                    .insert((at, self.sent), Parcel::Action(place, order.what));
             } else {
-                self.put(Parcel::Act(place, order.what));
+                self.put(Parcel::Action(place, order.what));
             }
         }
         for order in output.questions {
@@ -89,10 +89,10 @@
 
     /// Whoever orders leads, or has been deposed for no longer than a majority's word lasts.
     fn may_order(&mut self, place: usize) {
-        let Some(steward) = &self.seats[place].steward else {
+        let Some(coordinator) = &self.slots[place].coordinator else {
             return;
         };
-        let own = steward.standing().term;
+        let own = coordinator.replica_status().term;
         let later = self.terms.iter().find(|(term, _)| **term > own);
         let late = later.is_some_and(|(_, since)| self.now > since + PATIENCE as u64);
         assert!(!late, "s{place} orders in term {own}, and {later:?} leads");
@@ -118,7 +118,7 @@
                     }
                     self.give(place, input);
                 }
-                Parcel::Act(place, act) => {
+                Parcel::Action(place, act) => {
                     // It gets there or not, and is heard of or not, whether who sent it lives or not.
                     let answer = if self.lost() {
                         None
--- a/crates/coordinator/tests/core/world.rs
+++ b/crates/coordinator/tests/core/world.rs
@@ -1,10 +1,10 @@
 //! Coordinators in simulated time with their network, disks, clocks and platform.
 
-use crate::carry::Parcel;
 use crate::platform::{Place, Platform, TICK_MS};
-use load_balancer_coordinator::agreement::{Options, Shelf};
-use load_balancer_coordinator::core::{Input, Now, Settings, Steward};
-use load_balancer_maintenance::{Agreement, Event, Request, Target};
+use crate::transit::Parcel;
+use load_balancer_coordinator::core::{CoordinatorCore, Input, Now, Settings};
+use load_balancer_coordinator::replicated_log::{LogStore, Options};
+use load_balancer_maintenance::{DisruptionBudget, Event, Request, Target};
 use load_balancer_record_store::disk::Disk;
 use load_balancer_record_store::{OpenError, Store};
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,7 +17,7 @@
 pub struct Seat {
     pub name: String,
     disk: Disk,
-    pub steward: Option<Steward>,
+    pub coordinator: Option<CoordinatorCore>,
     /// Does nothing until then (SIGSTOP).
     pub stopped_until: u64,
     skew_ms: i64,
@@ -34,10 +34,10 @@
 pub struct World {
     pub random: fastrand::Rng,
     pub now: u64,
-    pub seats: Vec<Seat>,
+    pub slots: Vec<Seat>,
     pub platform: Platform,
     pub net: Net,
-    agreement: Agreement,
+    budget: DisruptionBudget,
     pub wire: BTreeMap<(u64, u64), Parcel>,
     pub sent: u64,
     /// Callers' requests by number, until they are answered.
@@ -53,7 +53,7 @@
     pub kills: u64,
 }
 
-pub fn agreement() -> Agreement {
+pub fn budget() -> DisruptionBudget {
     let text = r#"{"keep": 60, "keep_zone": {"z0": 20, "z1": 10}, "most_away": 3, "evidence_bound_ms": 5000,
         "clear_most_ms": 20000, "repair_ms": 10000, "patience_ms": 60000}"#;
     serde_json::from_str(text).expect("an agreement")
@@ -62,22 +62,22 @@
 impl World {
     pub fn new(seed: u64, size: usize, net: Net) -> Self {
         let mut random = fastrand::Rng::with_seed(seed);
-        let seat = |n: usize, random: &mut fastrand::Rng| Seat {
+        let slot = |n: usize, random: &mut fastrand::Rng| Seat {
             name: format!("s{n}"),
             disk: Disk::new(),
-            steward: None,
+            coordinator: None,
             stopped_until: 0,
             skew_ms: random.i64(-1_000..1_000),
             side: 0,
         };
-        let seats = (0..size).map(|n| seat(n, &mut random)).collect();
+        let slots = (0..size).map(|n| slot(n, &mut random)).collect();
         let mut world = Self {
             random,
             now: 0,
-            seats,
-            platform: Platform::new(9, agreement()),
+            slots,
+            platform: Platform::new(9, budget()),
             net,
-            agreement: agreement(),
+            budget: budget(),
             wire: BTreeMap::new(),
             sent: 0,
             asked: BTreeMap::new(),
@@ -93,23 +93,23 @@
     }
 
     pub fn start(&mut self, place: usize, found: bool) {
-        if self.seats[place].steward.is_some() {
+        if self.slots[place].coordinator.is_some() {
             return;
         }
         let (id, run) = (self.random.u64(1..), self.random.u64(..));
-        let names: Vec<String> = self.seats.iter().map(|seat| seat.name.clone()).collect();
-        let seat = &mut self.seats[place];
-        let store = match Store::on(seat.disk.clone(), &seat.name) {
+        let names: Vec<String> = self.slots.iter().map(|slot| slot.name.clone()).collect();
+        let slot = &mut self.slots[place];
+        let store = match Store::on(slot.disk.clone(), &slot.name) {
             Ok(store) => store,
             Err(OpenError::Corruption(_)) => {
-                seat.disk = Disk::new();
-                Store::on(seat.disk.clone(), &seat.name).expect("a new disk")
+                slot.disk = Disk::new();
+                Store::on(slot.disk.clone(), &slot.name).expect("a new disk")
             }
             Err(refusal) => panic!("{refusal}"),
         };
-        let shelf = Shelf::open(store, id).expect("what is kept belongs together");
+        let log_store = LogStore::open(store, id).expect("what is kept belongs together");
         let options = Options {
-            name: seat.name.clone(),
+            name: slot.name.clone(),
             run,
             patience: PATIENCE,
             least: names.len().min(3),
@@ -117,60 +117,61 @@
         let word_ms = TICK_MS * PATIENCE as u64;
         let settings = Settings {
             names,
-            agreement: self.agreement.clone(),
+            budget: self.budget.clone(),
             again_ms: 500,
             lost_ms: 4_000,
             word_ms,
         };
-        seat.steward = Some(Steward::new(shelf, options, settings, found).expect("starts"));
+        slot.coordinator =
+            Some(CoordinatorCore::new(log_store, options, settings, found).expect("starts"));
     }
 
     pub fn crash(&mut self, place: usize) {
         let random = &mut self.random;
-        let seat = &mut self.seats[place];
-        seat.steward = None;
-        seat.disk = seat.disk.crash(|| random.bool());
+        let slot = &mut self.slots[place];
+        slot.coordinator = None;
+        slot.disk = slot.disk.crash(|| random.bool());
         self.kills += 1;
     }
 
     /// Takes the disk away with all that is on it.
     pub fn empty(&mut self, place: usize) {
         self.crash(place);
-        self.seats[place].disk = Disk::new();
+        self.slots[place].disk = Disk::new();
     }
 
     pub fn voices(&self) -> usize {
-        let standing = self
-            .seats
+        let replica_status = self
+            .slots
             .iter()
-            .filter_map(|s| s.steward.as_ref())
-            .map(Steward::standing);
-        standing.filter(|s| s.voice).count()
+            .filter_map(|s| s.coordinator.as_ref())
+            .map(CoordinatorCore::replica_status);
+        replica_status.filter(|s| s.voice).count()
     }
 
     /// Whether all run, have a voice and know the same: one disk may be lost then, by the promise.
     pub fn agreed(&self) -> bool {
-        let size = self.seats.len();
-        let standing = self
-            .seats
+        let size = self.slots.len();
+        let replica_status = self
+            .slots
             .iter()
-            .filter_map(|s| s.steward.as_ref())
-            .map(Steward::standing);
+            .filter_map(|s| s.coordinator.as_ref())
+            .map(CoordinatorCore::replica_status);
         // While an old disk still counts beside its new one, the loss of another is one too many.
-        let whole = standing.filter(|s| s.voice && s.members.len() == size);
+        let whole = replica_status.filter(|s| s.voice && s.members.len() == size);
         let applied: Vec<u64> = whole.map(|s| s.applied).collect();
         applied.len() == size && applied.iter().all(|one| *one == applied[0])
     }
 
     pub fn leader(&self) -> Option<usize> {
         let acts = |s: &Seat| {
-            s.steward
+            s.coordinator
                 .as_ref()
-                .filter(|s| s.standing().acts)
-                .map(|s| s.standing().term)
+                .filter(|s| s.replica_status().acts)
+                .map(|s| s.replica_status().term)
         };
         let leaders = self
-            .seats
+            .slots
             .iter()
             .enumerate()
             .filter_map(|(n, s)| Some((acts(s)?, n)));
@@ -180,7 +181,7 @@
     pub fn clock(&self, place: usize) -> Now {
         let mono_ms = self.now * TICK_MS;
         Now {
-            unix_ms: START_MS + mono_ms as i64 + self.seats[place].skew_ms,
+            unix_ms: START_MS + mono_ms as i64 + self.slots[place].skew_ms,
             mono_ms,
         }
     }
@@ -214,30 +215,34 @@
         self.now += 1;
         self.platform.pass();
         self.deliver();
-        for place in 0..self.seats.len() {
-            if self.now < self.seats[place].stopped_until {
+        for place in 0..self.slots.len() {
+            if self.now < self.slots[place].stopped_until {
                 continue;
             }
             self.give(place, Input::Tick);
-            let Some(standing) = self.seats[place].steward.as_ref().map(Steward::standing) else {
+            let Some(replica_status) = self.slots[place]
+                .coordinator
+                .as_ref()
+                .map(CoordinatorCore::replica_status)
+            else {
                 continue;
             };
-            if standing.acts {
-                self.terms.entry(standing.term).or_insert(self.now);
+            if replica_status.acts {
+                self.terms.entry(replica_status.term).or_insert(self.now);
                 if self.now.is_multiple_of(ROUND) && !self.lost() {
                     let (list, words) = (self.platform.list(), self.platform.words());
                     self.give(place, Input::Listed(list));
-                    self.give(place, Input::Evidence(self.now * TICK_MS, words));
+                    self.give(place, Input::Observations(self.now * TICK_MS, words));
                 }
             }
-            if !standing.voice && self.now.is_multiple_of(3) {
+            if !replica_status.voice && self.now.is_multiple_of(3) {
                 let (name, host) = (
-                    self.seats[place].name.clone(),
-                    self.random.usize(0..self.seats.len()),
+                    self.slots[place].name.clone(),
+                    self.random.usize(0..self.slots.len()),
                 );
-                if self.seats[host].side == self.seats[place].side {
+                if self.slots[host].side == self.slots[place].side {
                     self.callers += 1;
-                    self.give(host, Input::Admit(self.callers, standing.id, name));
+                    self.give(host, Input::Admit(self.callers, replica_status.id, name));
                 }
             }
         }
@@ -247,13 +252,13 @@
     pub fn over(&self) -> bool {
         let leader = self
             .leader()
-            .and_then(|place| self.seats[place].steward.as_ref());
+            .and_then(|place| self.slots[place].coordinator.as_ref());
         let Some(leader) = leader else { return false };
         let closed = leader
             .view(self.clock(0))
             .windows
             .iter()
-            .all(|w| w.seats.iter().all(closed));
+            .all(|w| w.slots.iter().all(closed));
         closed && self.platform.all.iter().all(|h| h.place == Place::Serving)
     }
 
@@ -261,7 +266,7 @@
     pub fn windows(&self) -> BTreeSet<u64> {
         let leader = self
             .leader()
-            .and_then(|place| self.seats[place].steward.as_ref());
+            .and_then(|place| self.slots[place].coordinator.as_ref());
         let windows = leader
             .map(|leader| leader.machine().windows())
             .unwrap_or_default();
@@ -269,6 +274,6 @@
     }
 }
 
-fn closed(seat: &load_balancer_maintenance::SeatView) -> bool {
-    seat.state == load_balancer_maintenance::State::Closed
+fn closed(slot: &load_balancer_maintenance::ServerSlotView) -> bool {
+    slot.state == load_balancer_maintenance::State::Closed
 }
--- a/crates/coordinator/tests/evidence.rs
+++ b/crates/coordinator/tests/observations.rs
@@ -1,22 +1,22 @@
 //! How health observations are weighed: who counts, how many must agree, how old and warm they are.
 
-use load_balancer_coordinator::evidence::{Heard, Page, Weights, weigh};
-use load_balancer_maintenance::{Health, Server, Word};
+use load_balancer_coordinator::observations::{Page, Weights, ZoneObservations, weigh};
+use load_balancer_maintenance::{Health, Server, ServerObservation};
 use serde_json::json;
 
 const NOW_MS: i64 = 1_000_000;
 
-fn page(zone: &str, member: &str, state: &str, age_ms: i64, started_ms: i64) -> Heard {
+fn page(zone: &str, member: &str, state: &str, age_ms: i64, started_ms: i64) -> ZoneObservations {
     let page = json!({"member": member, "incarnation": 1, "zone": "says-what-it-likes", "standing": "whole",
         "answers": true, "servers": [{"name": "a", "started_ms": started_ms, "state": state, "age_ms": age_ms}]});
-    Heard {
+    ZoneObservations {
         zone: zone.to_owned(),
         asked_ago_ms: 7,
         page: serde_json::from_value::<Page>(page).expect("a page"),
     }
 }
 
-fn words(heard: &[Heard]) -> Option<Word> {
+fn words(heard: &[ZoneObservations]) -> Option<ServerObservation> {
     let listed = |name: &str| Server {
         name: name.to_owned(),
         zone: "z".to_owned(),
@@ -39,7 +39,7 @@
     words.pop()
 }
 
-fn state(heard: &[Heard]) -> Option<Health> {
+fn state(heard: &[ZoneObservations]) -> Option<Health> {
     words(heard).map(|word| word.state)
 }
 
@@ -66,17 +66,20 @@
     );
     assert_eq!(
         state(&[well("alone", "1")]),
-        Some(Health::Well),
+        Some(Health::Healthy),
         "the only one of its zone"
     );
-    assert_eq!(state(&[well("x", "1"), well("x", "2")]), Some(Health::Well));
+    assert_eq!(
+        state(&[well("x", "1"), well("x", "2")]),
+        Some(Health::Healthy)
+    );
     assert_eq!(
         state(&[well("x", "1"), well("x", "2"), sick("x", "liar")]),
-        Some(Health::Well)
+        Some(Health::Healthy)
     );
     assert_eq!(
         state(&[sick("x", "1"), sick("x", "2"), well("x", "liar")]),
-        Some(Health::Sick)
+        Some(Health::Unhealthy)
     );
     assert_eq!(
         state(&[well("x", "1"), page("x", "2", "unknown", 0, 0)]),
@@ -93,11 +96,11 @@
         vec![well("x", "5"), sick("x", "3"), sick("x", "4")],
     ]
     .concat();
-    assert_eq!(state(&three), Some(Health::Well), "three of five");
+    assert_eq!(state(&three), Some(Health::Healthy), "three of five");
     let known = page("x", "6", "unknown", 0, 0);
     assert_eq!(
         state(&[two.to_vec(), vec![known.clone(), known]].concat()),
-        Some(Health::Well),
+        Some(Health::Healthy),
         "who can't tell"
     );
 }
@@ -119,7 +122,7 @@
     );
     assert_eq!(
         state(&[pair("x", "well").to_vec(), silent.to_vec()].concat()),
-        Some(Health::Well)
+        Some(Health::Healthy)
     );
     // A process that took another's place is another one.
     let mut newer = pair("y", "sick");
@@ -127,7 +130,7 @@
         .iter_mut()
         .for_each(|heard| heard.page.servers[0].started_ms = 500);
     let word = words(&[pair("x", "well"), newer].concat()).expect("a word");
-    assert_eq!((word.state, word.started), (Health::Sick, 500));
+    assert_eq!((word.state, word.started), (Health::Unhealthy, 500));
 }
 
 #[test]
--- a/crates/coordinator/tests/process/crew.rs
+++ b/crates/coordinator/tests/process/cluster.rs
@@ -13,7 +13,7 @@
 /// A machine under load takes its time; a verdict never rests on how long.
 const PATIENCE: Duration = Duration::from_secs(60);
 
-pub struct Crew {
+pub struct Cluster {
     pub at: Vec<SocketAddr>,
     /// Their addresses, which stay their own while they are down.
     _kept: Vec<TcpSocket>,
@@ -90,20 +90,20 @@
 pub fn text(folder: &Path, own: usize, at: &[SocketAddr], platform: u16) -> String {
     let data = folder.join(format!("s{own}.data"));
     let mut text = format!(
-        "[steward]\nname = \"s{own}\"\nlisten = \"{}\"\ndata = {data:?}\n\n",
+        "[coordinator]\nname = \"s{own}\"\nlisten = \"{}\"\ndata = {data:?}\n\n",
         at[own]
     );
-    text += "[stewards]\n";
+    text += "[coordinators]\n";
     for (number, at) in at.iter().enumerate() {
         text += &format!("s{number} = \"{at}\"\n");
     }
     text += &format!(
-        "\n[platform]\naddress = \"127.0.0.1:{platform}\"\n\n[evidence]\nperiod = \"100ms\"\n"
+        "\n[platform]\naddress = \"127.0.0.1:{platform}\"\n\n[observations]\nperiod = \"100ms\"\n"
     );
-    text + "\n[agreement]\nkeep = 10\nmost_away = 1\n"
+    text + "\n[disruption_budget]\nkeep = 10\nmost_away = 1\n"
 }
 
-impl Crew {
+impl Cluster {
     pub fn start(size: usize) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
         let kept: Vec<TcpSocket> = (0..size).map(|_| keep()).collect();
@@ -133,35 +133,36 @@
         crew
     }
 
-    fn file(&self, steward: usize, kind: &str) -> PathBuf {
-        self.folder.path().join(format!("s{steward}.{kind}"))
+    fn file(&self, coordinator: usize, kind: &str) -> PathBuf {
+        self.folder.path().join(format!("s{coordinator}.{kind}"))
     }
 
-    pub fn run(&mut self, steward: usize) {
+    pub fn run(&mut self, coordinator: usize) {
         let log = OpenOptions::new()
             .create(true)
             .append(true)
-            .open(self.file(steward, "log"));
+            .open(self.file(coordinator, "log"));
         let mut command = Command::new(PROGRAM);
         command
             .arg("--config")
-            .arg(self.file(steward, "toml"))
+            .arg(self.file(coordinator, "toml"))
             .stdin(Stdio::null())
             .stdout(Stdio::null());
         command.stderr(log.expect("a log"));
-        self.running[steward] = Some(command.spawn().expect("it starts"));
+        self.running[coordinator] = Some(command.spawn().expect("it starts"));
     }
 
-    pub fn status(&self, steward: usize) -> Value {
-        let content = exchange(self.at[steward], "GET", "/status", "").map(|(_, content)| content);
+    pub fn status(&self, coordinator: usize) -> Value {
+        let content =
+            exchange(self.at[coordinator], "GET", "/status", "").map(|(_, content)| content);
         content
             .and_then(|text| serde_json::from_str(&text).ok())
             .unwrap_or(Value::Null)
     }
 
     /// Whether it has looked at servers and fleet, and the agreement is taken in: until then it says "not yet" to asks.
-    fn ready(&self, steward: usize) -> bool {
-        let status = self.status(steward);
+    fn ready(&self, coordinator: usize) -> bool {
+        let status = self.status(coordinator);
         status["looked"] == true && status["holds"].is_boolean()
     }
 
@@ -174,20 +175,20 @@
         self.leads().expect("it still does")
     }
 
-    pub fn said(&self, steward: usize) -> String {
-        fs::read_to_string(self.file(steward, "log")).unwrap_or_default()
+    pub fn said(&self, coordinator: usize) -> String {
+        fs::read_to_string(self.file(coordinator, "log")).unwrap_or_default()
     }
 
-    pub fn kill(&mut self, steward: usize) {
-        if let Some(mut child) = self.running[steward].take() {
+    pub fn kill(&mut self, coordinator: usize) {
+        if let Some(mut child) = self.running[coordinator].take() {
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
     /// Tells it to stop; whether it ended well.
-    pub fn stop(&mut self, steward: usize) -> bool {
-        let Some(mut child) = self.running[steward].take() else {
+    pub fn stop(&mut self, coordinator: usize) -> bool {
+        let Some(mut child) = self.running[coordinator].take() else {
             return false;
         };
         let told = Command::new("kill")
@@ -203,40 +204,48 @@
         ended.and_then(|ended| ended.code()) == Some(0)
     }
 
-    pub fn empty(&self, steward: usize) {
-        fs::remove_file(self.file(steward, "data")).expect("it is there");
+    pub fn empty(&self, coordinator: usize) {
+        fs::remove_file(self.file(coordinator, "data")).expect("it is there");
     }
 
-    pub fn tear(&self, steward: usize) {
+    pub fn tear(&self, coordinator: usize) {
         let file = OpenOptions::new()
             .write(true)
-            .open(self.file(steward, "data"))
+            .open(self.file(coordinator, "data"))
             .expect("it is there");
         let length = file.metadata().expect("its length").len();
         file.set_len(length / 2).expect("it is torn");
     }
 
     /// Puts something in the place of its file that no program can open as one, and back.
-    pub fn block(&self, steward: usize) {
-        fs::rename(self.file(steward, "data"), self.file(steward, "kept")).expect("it is moved");
-        fs::create_dir(self.file(steward, "data")).expect("a folder in its place");
-        File::create(self.file(steward, "data").join("x")).expect("which is not empty");
-    }
-
-    pub fn free(&self, steward: usize) {
-        fs::remove_dir_all(self.file(steward, "data")).expect("it is there");
-        fs::rename(self.file(steward, "kept"), self.file(steward, "data")).expect("it is moved");
+    pub fn block(&self, coordinator: usize) {
+        fs::rename(
+            self.file(coordinator, "data"),
+            self.file(coordinator, "kept"),
+        )
+        .expect("it is moved");
+        fs::create_dir(self.file(coordinator, "data")).expect("a folder in its place");
+        File::create(self.file(coordinator, "data").join("x")).expect("which is not empty");
+    }
+
+    pub fn free(&self, coordinator: usize) {
+        fs::remove_dir_all(self.file(coordinator, "data")).expect("it is there");
+        fs::rename(
+            self.file(coordinator, "kept"),
+            self.file(coordinator, "data"),
+        )
+        .expect("it is moved");
     }
 }
 
-impl Drop for Crew {
+impl Drop for Cluster {
     fn drop(&mut self) {
         (0..self.running.len()).for_each(|n| self.kill(n));
     }
 }
 
 /// Whether a window of a server that nobody lists is refused by the leader.
-pub fn refused(crew: &Crew, name: &str) -> bool {
+pub fn refused(crew: &Cluster, name: &str) -> bool {
     let latest: i64 = soon().parse().expect("a number");
     let ask = json!({"name": name, "target": {"servers": ["b"]}, "earliest_ms": 0, "latest_ms": latest,
         "length_ms": 5});
--- a/crates/coordinator/tests/process/main.rs
+++ b/crates/coordinator/tests/process/main.rs
@@ -1,16 +1,47 @@
 //! Coordinators as real processes: wrong calls, shutdown, and the return of a lost disk.
 
-mod crew;
+mod cluster;
 
-use crew::{Crew, exchange, refused, wait_for};
+use cluster::{Cluster, exchange, refused, wait_for};
 use serde_json::json;
 use std::net::TcpStream;
 use std::process::Command;
 
+// Configurations that were written before the sections had the field's terms.
+#[test]
+fn earlier_sections_mean_the_same_as_todays() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let today = cluster::text(
+        folder.path(),
+        0,
+        &["127.0.0.1:1".parse().expect("an address")],
+        1,
+    );
+    let earlier = today
+        .replace("[coordinator]", "[steward]")
+        .replace("[coordinators]", "[stewards]")
+        .replace("[observations", "[evidence")
+        .replace("[disruption_budget]", "[agreement]")
+        + "\n[clear]\nask = true\n[log.targets]\nsteward = \"warn\"\n";
+    let today = today + "\n[affinity_drain]\nask = true\n[log.targets]\ncoordinator = \"warn\"\n";
+    let checked = |text: &str| {
+        let file = folder.path().join("a.toml");
+        std::fs::write(&file, text).expect("it is written");
+        let mut command = Command::new(cluster::PROGRAM);
+        command.args(["run", "--check", "--config"]).arg(&file);
+        let done = command.output().expect("it runs");
+        assert_eq!(done.status.code(), Some(0), "{done:?}");
+        String::from_utf8(done.stdout).expect("text")
+    };
+    let written = checked(&today);
+    assert_eq!(checked(&earlier), written);
+    assert!(written.contains("[affinity_drain]"), "{written}");
+}
+
 #[test]
 fn a_bad_configuration_is_one_line_with_file_line_and_key() {
     let folder = tempfile::tempdir().expect("a folder");
-    let good = crew::text(
+    let good = cluster::text(
         folder.path(),
         0,
         &["127.0.0.1:1".parse().expect("an address")],
@@ -21,31 +52,31 @@
             "most_away",
             "most_awya",
             78,
-            ": agreement.most_awya: unknown field",
+            ": disruption_budget.most_awya: unknown field",
         ),
         (
             "name = \"s0\"",
             "name = \"s9\"",
             78,
-            "a.toml:2: steward.name: \"s9\" is not one of [stewards]",
+            "a.toml:2: coordinator.name: \"s9\" is not one of [coordinators]",
         ),
         (
             "keep = 10",
             "keep = \"10\"",
             78,
-            ": agreement.keep: invalid type",
+            ": disruption_budget.keep: invalid type",
         ),
         (
             "period = \"100ms\"",
             "period = \"7s\"",
             78,
-            ": evidence.period: evidence would be older",
+            ": observations.period: evidence would be older",
         ),
-        ("[agreement]", "[agreement", 78, "a.toml:"),
+        ("[disruption_budget]", "[disruption_budget", 78, "a.toml:"),
     ] {
         let file = folder.path().join("a.toml");
         std::fs::write(&file, good.replace(from, to)).expect("it is written");
-        let done = Command::new(crew::PROGRAM)
+        let done = Command::new(cluster::PROGRAM)
             .arg("--config")
             .arg(&file)
             .output()
@@ -64,8 +95,8 @@
     let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = taken.local_addr().expect("an address");
     let file = folder.path().join("a.toml");
-    std::fs::write(&file, crew::text(folder.path(), 0, &[at], 1)).expect("it is written");
-    let done = Command::new(crew::PROGRAM)
+    std::fs::write(&file, cluster::text(folder.path(), 0, &[at], 1)).expect("it is written");
+    let done = Command::new(cluster::PROGRAM)
         .arg("--config")
         .arg(&file)
         .output()
@@ -77,7 +108,7 @@
 
 #[test]
 fn wrong_requests_are_refused_with_key_and_reason_and_readers_keep_nobody_out() {
-    let crew = Crew::start(3);
+    let crew = Cluster::start(3);
     let leader = crew.leader();
     let at = crew.at[leader];
     // More who say nothing than may be connected.
@@ -108,7 +139,9 @@
         (
             "POST",
             "/windows",
-            unlisted.to_string().replace("4000000000000", &crew::soon()),
+            unlisted
+                .to_string()
+                .replace("4000000000000", &cluster::soon()),
             422,
             "b",
         ),
@@ -153,7 +186,7 @@
 
 #[test]
 fn a_leader_that_is_told_to_stop_hands_over_and_a_lost_disk_comes_in_anew() {
-    let mut crew = Crew::start(3);
+    let mut crew = Cluster::start(3);
     let first = crew.leader();
     let term = crew.status(first)["term"].as_u64();
     assert!(crew.stop(first), "it ends by itself");
@@ -203,7 +236,7 @@
 
 #[test]
 fn a_steward_whose_disk_fails_stands_back_and_says_so() {
-    let mut crew = Crew::start(3);
+    let mut crew = Cluster::start(3);
     let follower = (0..3)
         .find(|n| *n != crew.leader())
         .expect("one that follows");
--- a/crates/coordinator/tests/agreement/book.rs
+++ b/crates/coordinator/tests/replicated_log/book.rs
@@ -1,6 +1,6 @@
 //! The replicated state machine of these tests, and the one history that all replicas must share.
 
-use load_balancer_coordinator::agreement::Replicated;
+use load_balancer_coordinator::replicated_log::Replicated;
 use std::cell::RefCell;
 use std::rc::Rc;
 
--- a/crates/coordinator/tests/agreement/faults.rs
+++ b/crates/coordinator/tests/replicated_log/faults.rs
@@ -2,7 +2,7 @@
 
 use crate::book::Book;
 use crate::world::World;
-use load_balancer_coordinator::agreement::Node;
+use load_balancer_coordinator::replicated_log::Node;
 use load_balancer_record_store::disk::Disk;
 use std::collections::BTreeSet;
 
@@ -35,15 +35,15 @@
 
 impl World {
     pub fn fault(&mut self) {
-        let place = self.random.usize(0..self.seats.len());
+        let place = self.random.usize(0..self.slots.len());
         // One disk at a time is lost, once all know that the last loss is made good.
         let voiced = |world: &Self| {
-            let nodes: Vec<_> = world.seats.iter().filter_map(|s| s.node.as_ref()).collect();
+            let nodes: Vec<_> = world.slots.iter().filter_map(|s| s.node.as_ref()).collect();
             let whole = |n: &&Node<Book>| {
                 n.members().len() == nodes.len() && n.members() == nodes[0].members()
             };
-            let voices = |n: &&Node<Book>| n.standing().voters.len() == nodes.len();
-            nodes.len() == world.seats.len() && nodes.iter().all(|n| whole(n) && voices(n))
+            let voices = |n: &&Node<Book>| n.replica_status().voters.len() == nodes.len();
+            nodes.len() == world.slots.len() && nodes.iter().all(|n| whole(n) && voices(n))
         };
         match self.random.u64(0..40) {
             0..12 => {
@@ -54,32 +54,32 @@
                     .for_each(|side| *side = u8::from(random.bool()));
             }
             12..20 => self.side.fill(0),
-            20..26 if self.seats[place].node.is_some() => self.crash(place),
-            26..30 if self.seats[place].node.is_some() => {
+            20..26 if self.slots[place].node.is_some() => self.crash(place),
+            26..30 if self.slots[place].node.is_some() => {
                 let writes = self.random.u64(0..200);
-                self.seats[place].disk.fail_after(writes);
+                self.slots[place].disk.fail_after(writes);
             }
             30 | 31 if self.voiceless.is_none() && voiced(self) => {
                 self.crash(place);
                 self.counts.emptied += 1;
-                self.seats[place].disk = Disk::new();
+                self.slots[place].disk = Disk::new();
                 self.voiceless = Some(place);
             }
             32..36 if self.voiceless.is_none() && voiced(self) => {
                 self.crash(place);
                 let bit = self.random.u64(..);
-                self.seats[place].disk.flip(bit);
+                self.slots[place].disk.flip(bit);
                 self.voiceless = Some(place);
                 self.start(place, false);
                 // The bit may have been where nothing is.
-                let blank = self.seats[place]
+                let blank = self.slots[place]
                     .node
                     .as_ref()
                     .is_some_and(|n| n.members().is_empty());
                 self.voiceless = blank.then_some(place);
             }
-            _ => (0..self.seats.len()).for_each(|place| {
-                if self.seats[place].node.is_none() {
+            _ => (0..self.slots.len()).for_each(|place| {
+                if self.slots[place].node.is_none() {
                     self.start(place, false);
                 }
             }),
@@ -87,10 +87,11 @@
     }
 
     fn describe(&self) -> String {
-        let nodes = self
-            .seats
-            .iter()
-            .map(|s| s.node.as_ref().map(|n| (n.standing(), n.members().clone())));
+        let nodes = self.slots.iter().map(|s| {
+            s.node
+                .as_ref()
+                .map(|n| (n.replica_status(), n.members().clone()))
+        });
         format!(
             "{:?}, voiceless {:?}",
             nodes.collect::<Vec<_>>(),
@@ -107,8 +108,8 @@
             harsh: false,
         };
         self.side.fill(0);
-        for place in 0..self.seats.len() {
-            if self.seats[place].node.is_some() {
+        for place in 0..self.slots.len() {
+            if self.slots[place].node.is_some() {
                 self.crash(place);
             }
             self.start(place, false);
@@ -126,15 +127,15 @@
             assert!(known.insert(*order), "order {order} agreed on twice");
         }
         assert!(self.answered.is_subset(&known), "an answered order is lost");
-        for seat in &self.seats {
-            let node = seat.node.as_ref().expect("it runs");
+        for slot in &self.slots {
+            let node = slot.node.as_ref().expect("it runs");
             let behind = agreed.len() - node.machine().lines.len();
-            assert!(behind <= 4, "{} lags by {behind}", seat.name);
+            assert!(behind <= 4, "{} lags by {behind}", slot.name);
             assert_eq!(
-                node.standing().voters.len(),
-                self.seats.len(),
+                node.replica_status().voters.len(),
+                self.slots.len(),
                 "{}",
-                seat.name
+                slot.name
             );
         }
         self.counts.answered = self.answered.len();
--- a/crates/coordinator/tests/agreement/main.rs
+++ b/crates/coordinator/tests/replicated_log/main.rs
@@ -5,7 +5,7 @@
 
 mod book;
 mod faults;
-mod sieve;
+mod message_filter;
 mod world;
 
 use faults::{Counts, Faults};
--- a/crates/coordinator/tests/agreement/sieve.rs
+++ b/crates/coordinator/tests/replicated_log/message_filter.rs
@@ -3,7 +3,7 @@
 
 use crate::faults::Faults;
 use crate::world::World;
-use load_balancer_coordinator::agreement::{Message, decode, encode};
+use load_balancer_coordinator::replicated_log::{Message, decode, encode};
 use raft::eraftpb::MessageType;
 
 fn bent(random: &mut fastrand::Rng, message: &Message, ids: &[u64]) -> Message {
--- a/crates/coordinator/tests/agreement/world.rs
+++ b/crates/coordinator/tests/replicated_log/world.rs
@@ -3,8 +3,8 @@
 
 use crate::book::{Book, History};
 use crate::faults::{Counts, Faults};
-use load_balancer_coordinator::agreement::{
-    Admission, Message, Node, Options, Shelf, decode, encode,
+use load_balancer_coordinator::replicated_log::{
+    Admission, LogStore, Message, Node, Options, decode, encode,
 };
 use load_balancer_record_store::disk::Disk;
 use load_balancer_record_store::{OpenError, Store};
@@ -24,7 +24,7 @@
 pub struct World {
     pub random: fastrand::Rng,
     pub now: u64,
-    pub seats: Vec<Seat>,
+    pub slots: Vec<Seat>,
     pub history: Rc<RefCell<History>>,
     wire: BTreeMap<(u64, u64), Vec<u8>>,
     sent: u64,
@@ -48,17 +48,17 @@
 impl World {
     pub fn new(seed: u64, size: usize, faults: Faults) -> Self {
         let mut random = fastrand::Rng::with_seed(seed);
-        let seat = |n: usize, random: &mut fastrand::Rng| Seat {
+        let slot = |n: usize, random: &mut fastrand::Rng| Seat {
             name: format!("steward-{n}"),
             disk: Disk::new(),
             node: None,
             skew: random.i64(-2_000..2_000),
         };
-        let seats = (0..size).map(|n| seat(n, &mut random)).collect();
+        let slots = (0..size).map(|n| slot(n, &mut random)).collect();
         let mut world = Self {
             random,
             now: 0,
-            seats,
+            slots,
             history: Rc::default(),
             wire: BTreeMap::new(),
             sent: 0,
@@ -78,19 +78,19 @@
 
     pub fn start(&mut self, place: usize, found: bool) {
         let (id, run) = (self.random.u64(1..), self.random.u64(..));
-        let seat = &mut self.seats[place];
-        let store = match Store::on(seat.disk.clone(), &seat.name) {
+        let slot = &mut self.slots[place];
+        let store = match Store::on(slot.disk.clone(), &slot.name) {
             Ok(store) => store,
             Err(OpenError::Corruption(_)) => {
                 // Set aside, as the file's opening does.
                 self.counts.refused_disks += 1;
-                seat.disk = Disk::new();
-                Store::on(seat.disk.clone(), &seat.name).expect("a new disk")
+                slot.disk = Disk::new();
+                Store::on(slot.disk.clone(), &slot.name).expect("a new disk")
             }
             Err(refusal) => panic!("{refusal}"),
         };
-        let shelf = Shelf::open(store, id).expect("what is kept belongs together");
-        if shelf.is_blank() && self.now > 0 && self.voiceless.is_none() {
+        let log_store = LogStore::open(store, id).expect("what is kept belongs together");
+        if log_store.is_blank() && self.now > 0 && self.voiceless.is_none() {
             self.voiceless = Some(place);
         }
         let book = Book {
@@ -99,27 +99,27 @@
         };
         let least = self.side.len().min(3);
         let options = Options {
-            name: seat.name.clone(),
+            name: slot.name.clone(),
             run,
             patience: PATIENCE,
             least,
         };
-        let node = Node::new(shelf, book, options, found).expect("starts");
+        let node = Node::new(log_store, book, options, found).expect("starts");
         self.places.insert(node.id(), place);
-        seat.node = Some(node);
+        slot.node = Some(node);
     }
 
     pub fn crash(&mut self, place: usize) {
         let random = &mut self.random;
-        let seat = &mut self.seats[place];
-        seat.node = None;
-        seat.disk = seat.disk.crash(|| random.bool());
+        let slot = &mut self.slots[place];
+        slot.node = None;
+        slot.disk = slot.disk.crash(|| random.bool());
         self.counts.crashes += 1;
     }
 
     /// Sends what a node has to say, and takes its answers.
     fn drive(&mut self, place: usize) {
-        let Some(node) = &mut self.seats[place].node else {
+        let Some(node) = &mut self.slots[place].node else {
             return;
         };
         let effects = match node.drive() {
@@ -134,9 +134,16 @@
                 .for_each(|message| self.send(message));
         }
         if node.acts() {
-            let standing = node.standing();
-            let leader = *self.leaders.entry(standing.term).or_insert(standing.id);
-            assert_eq!(leader, standing.id, "two leaders of term {}", standing.term);
+            let replica_status = node.replica_status();
+            let leader = *self
+                .leaders
+                .entry(replica_status.term)
+                .or_insert(replica_status.id);
+            assert_eq!(
+                leader, replica_status.id,
+                "two leaders of term {}",
+                replica_status.term
+            );
         }
         for (ticket, answer) in effects.answers {
             let order = self.asked[&ticket];
@@ -150,7 +157,7 @@
         }
         for ticket in effects.confirmed {
             // Whatever was answered to anyone before the asking is applied here.
-            let lines = &self.seats[place]
+            let lines = &self.slots[place]
                 .node
                 .as_ref()
                 .expect("it runs")
@@ -190,7 +197,7 @@
                 continue;
             };
             if self.side[from] == self.side[to]
-                && let Some(node) = &mut self.seats[to].node
+                && let Some(node) = &mut self.slots[to].node
             {
                 node.step(message);
                 self.drive(to);
@@ -200,11 +207,11 @@
 
     /// Some seat asks for an order, and a reader for confirmation; a seat without a voice asks for one.
     fn ask(&mut self) {
-        let place = self.random.usize(0..self.seats.len());
+        let place = self.random.usize(0..self.slots.len());
         let order = self.next_order;
-        let clock = START_MS + (self.now * TICK_MS) as i64 + self.seats[place].skew;
+        let clock = START_MS + (self.now * TICK_MS) as i64 + self.slots[place].skew;
         let answered = self.answered.len() as u64;
-        if let Some(node) = &mut self.seats[place].node {
+        if let Some(node) = &mut self.slots[place].node {
             if node
                 .propose(clock, order * 2, order.to_le_bytes().to_vec())
                 .is_ok()
@@ -216,17 +223,17 @@
             self.next_order += 1;
         }
         self.drive(place);
-        for guest in 0..self.seats.len() {
-            let Some(node) = &self.seats[guest].node else {
+        for guest in 0..self.slots.len() {
+            let Some(node) = &self.slots[guest].node else {
                 continue;
             };
-            let (id, name) = (node.id(), self.seats[guest].name.clone());
-            let member = node.standing().voters.contains(&name);
-            for host in 0..self.seats.len() {
+            let (id, name) = (node.id(), self.slots[guest].name.clone());
+            let member = node.replica_status().voters.contains(&name);
+            for host in 0..self.slots.len() {
                 if member || self.side[host] != self.side[guest] {
                     continue;
                 }
-                if let Some(node) = &mut self.seats[host].node
+                if let Some(node) = &mut self.slots[host].node
                     && node.admit(id, &name) == Admission::Member
                     && self.voiceless == Some(guest)
                 {
@@ -242,8 +249,8 @@
         for _ in 0..ticks {
             self.now += 1;
             self.deliver();
-            for place in 0..self.seats.len() {
-                if let Some(node) = &mut self.seats[place].node {
+            for place in 0..self.slots.len() {
+                if let Some(node) = &mut self.slots[place].node {
                     node.tick();
                     self.drive(place);
                 }
@@ -265,12 +272,12 @@
     /// Gives a steward a message past the network, from anybody.
     pub fn whisper(&mut self, place: usize, message: Message) -> bool {
         self.history.borrow_mut().lied = true;
-        let let_in = self.seats[place]
+        let let_in = self.slots[place]
             .node
             .as_mut()
             .is_some_and(|node| node.step(message));
         if let_in
-            && self.seats[place]
+            && self.slots[place]
                 .node
                 .as_mut()
                 .is_some_and(|node| node.drive().is_err())
@@ -283,7 +290,7 @@
 
     /// Numbers of the disks of all, by place.
     pub fn ids(&self) -> Vec<u64> {
-        self.seats
+        self.slots
             .iter()
             .filter_map(|s| s.node.as_ref())
             .map(Node::id)
--- a/crates/emulator/src/pairs/coordinator_interface.rs
+++ b/crates/emulator/src/pairs/coordinator_interface.rs
@@ -1,7 +1,7 @@
 //! Today's coordinator interface, under the names that `pairs/recorder/coordinator.rs` uses.
 
-pub use load_balancer_coordinator::agreement::{
-    Admission, Node, Options, Replicated, Shelf, decode, encode,
+pub use load_balancer_coordinator::replicated_log::{
+    Admission, LogStore as Shelf, Node, Options, Replicated, decode, encode,
 };
 use load_balancer_record_store::Store;
 use std::path::Path;
--- a/crates/maintenance/src/act.rs
+++ b/crates/maintenance/src/action.rs
@@ -12,7 +12,7 @@
 /// call-back) a higher one, so a late word of the way out undoes no way back. A step that is done already is answered
 /// with `Done`; a call-back of a server that was taken with `Taken`, its token kept all the same.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Act {
+pub struct Action {
     /// The window's number.
     pub window: u64,
     /// The server's name.
--- a/crates/maintenance/src/acted.rs
+++ b/crates/maintenance/src/action_results.rs
@@ -10,11 +10,11 @@
 
 impl Machine {
     /// The window's and the seat's place.
-    fn seat(&self, window: u64, server: &str) -> Result<usize, Outcome> {
+    fn slot(&self, window: u64, server: &str) -> Result<usize, Outcome> {
         let found = self
             .windows
             .get(&window)
-            .and_then(|w| w.seats.iter().position(|s| s.server == server));
+            .and_then(|w| w.slots.iter().position(|s| s.server == server));
         found.ok_or_else(|| {
             Outcome::Refused(Refusal::Unknown(format!(
                 "window {window} with server {server:?}"
@@ -36,13 +36,13 @@
 
     /// A clear counts for the drain whose token it names, once that drain is confirmed.
     pub(crate) fn clear(&mut self, window: u64, server: &str, epoch: u64) -> Outcome {
-        let index = match self.seat(window, server) {
+        let index = match self.slot(window, server) {
             Ok(index) => index,
             Err(refused) => return refused,
         };
-        match self.windows.get_mut(&window).map(|w| &mut w.seats[index]) {
-            Some(seat) if seat.state == State::Draining && seat.drained && seat.token == epoch => {
-                seat.state = State::Clear;
+        match self.windows.get_mut(&window).map(|w| &mut w.slots[index]) {
+            Some(slot) if slot.state == State::Draining && slot.drained && slot.token == epoch => {
+                slot.state = State::Clear;
                 Outcome::Taken
             }
             _ => Outcome::Ignored,
@@ -51,14 +51,14 @@
 
     /// The work on a server is finished.
     pub(crate) fn finished(&mut self, window: u64, server: &str) -> Outcome {
-        let index = match self.seat(window, server) {
+        let index = match self.slot(window, server) {
             Ok(index) => index,
             Err(refused) => return refused,
         };
         if self
             .windows
             .get(&window)
-            .is_none_or(|w| w.seats[index].state != State::Away)
+            .is_none_or(|w| w.slots[index].state != State::Away)
         {
             return Outcome::Ignored;
         }
@@ -67,7 +67,7 @@
     }
 
     /// Takes the answer to an act. One that belongs to another token or step than the seat's own changes nothing.
-    pub(crate) fn acted(
+    pub(crate) fn record_result(
         &mut self,
         window: u64,
         server: &str,
@@ -75,44 +75,44 @@
         token: u64,
         answer: Answer,
     ) -> Outcome {
-        let index = match self.seat(window, server) {
+        let index = match self.slot(window, server) {
             Ok(index) => index,
             Err(refused) => return refused,
         };
         let (at_ms, waits_for_clear) = (self.at_ms, self.waits_for_clear());
-        let Some(seat) = self.windows.get_mut(&window).map(|w| &mut w.seats[index]) else {
+        let Some(slot) = self.windows.get_mut(&window).map(|w| &mut w.slots[index]) else {
             return Outcome::Ignored;
         };
         let takeable =
-            seat.state == State::Clear || (!waits_for_clear && seat.state == State::Draining);
+            slot.state == State::Clear || (!waits_for_clear && slot.state == State::Draining);
         let expected = match step {
-            Step::Drain => seat.state == State::Draining && !seat.drained,
+            Step::Drain => slot.state == State::Draining && !slot.drained,
             Step::Take => takeable,
-            Step::Return => seat.state == State::Returning && seat.returned_ms.is_none(),
-            Step::CallBack => seat.state == State::CalledBack && seat.returned_ms.is_none(),
+            Step::Return => slot.state == State::Returning && slot.returned_ms.is_none(),
+            Step::CallBack => slot.state == State::CalledBack && slot.returned_ms.is_none(),
         };
-        if seat.token != token || !expected {
+        if slot.token != token || !expected {
             return Outcome::Ignored;
         }
         match (step, answer) {
             (_, Answer::Refused { seen }) => return self.overtaken(window, index, step, seen),
-            (Step::Drain, Answer::Done { .. }) => seat.drained = true,
+            (Step::Drain, Answer::Done { .. }) => slot.drained = true,
             (Step::Take, Answer::Done { .. }) => {
-                seat.state = State::Away;
-                seat.least_start = seat.least_start.saturating_add(1);
+                slot.state = State::Away;
+                slot.least_start = slot.least_start.saturating_add(1);
             }
             (Step::CallBack, Answer::Taken) => {
-                seat.state = State::Away;
-                seat.least_start = seat.least_start.saturating_add(1);
-                seat.reason.clear();
+                slot.state = State::Away;
+                slot.least_start = slot.least_start.saturating_add(1);
+                slot.reason.clear();
             }
             (Step::Return, Answer::Done { started }) => {
-                seat.returned_ms = Some(at_ms);
+                slot.returned_ms = Some(at_ms);
                 // The platform knows whether the process is a new one; it can't be older than the one that went.
-                let before = seat.least_start.saturating_sub(1);
-                seat.least_start = started.map_or(seat.least_start, |started| started.max(before));
+                let before = slot.least_start.saturating_sub(1);
+                slot.least_start = started.map_or(slot.least_start, |started| started.max(before));
             }
-            (Step::CallBack, Answer::Done { .. }) => seat.returned_ms = Some(at_ms),
+            (Step::CallBack, Answer::Done { .. }) => slot.returned_ms = Some(at_ms),
             (_, Answer::Failed | Answer::Taken) => return Outcome::Ignored,
         }
         Outcome::Taken
@@ -136,8 +136,8 @@
         }
         self.token += 1;
         let token = self.token;
-        if let Some(seat) = self.windows.get_mut(&window).map(|w| &mut w.seats[index]) {
-            seat.token = token;
+        if let Some(slot) = self.windows.get_mut(&window).map(|w| &mut w.slots[index]) {
+            slot.token = token;
         }
         Outcome::Taken
     }
--- a/crates/maintenance/src/advance.rs
+++ b/crates/maintenance/src/advance.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeSet;
 
-use crate::agreement::Agreement;
+use crate::disruption_budget::DisruptionBudget;
 use crate::machine::Machine;
-use crate::window::{Seat, State, Window};
+use crate::window::{ServerSlot, State, Window};
 
 /// Closed windows that are kept for people and for repeated requests; the oldest go first.
 const MOST_CLOSED: usize = 256;
@@ -12,30 +12,28 @@
 impl Machine {
     /// Credits what is back, ends what is over, calls back what must not go on, plans anew what waits, and grants.
     pub(crate) fn advance(&mut self) {
-        let Some(agreement) = self.agreement.clone() else {
+        let Some(budget) = self.budget.clone() else {
             return;
         };
-        self.settle(&agreement);
-        self.time(&agreement);
-        self.call_back(&agreement);
-        self.look(&agreement);
+        self.settle(&budget);
+        self.time(&budget);
+        self.cancel_for_capacity(&budget);
+        self.look(&budget);
         if self.changed {
             self.changed = false;
-            self.replan(&agreement);
+            self.replan(&budget);
         }
-        self.grant(&agreement);
+        self.admit(&budget);
         self.forget();
     }
 
     /// Closes seats whose server is back, and books again those that were called back.
-    fn settle(&mut self, agreement: &Agreement) {
+    fn settle(&mut self, budget: &DisruptionBudget) {
         let mut back: Vec<(u64, usize)> = Vec::new();
         for window in self.windows.values() {
-            for (index, seat) in window.seats.iter().enumerate() {
-                let coming = matches!(seat.state, State::Returning | State::CalledBack);
-                if coming
-                    && (self.is_back(agreement, seat) || self.is_lost(agreement, window, seat))
-                {
+            for (index, slot) in window.slots.iter().enumerate() {
+                let coming = matches!(slot.state, State::Returning | State::CalledBack);
+                if coming && (self.is_back(budget, slot) || self.is_lost(budget, window, slot)) {
                     back.push((window.id, index));
                 }
             }
@@ -45,58 +43,57 @@
                 continue;
             };
             let cancelled = window.cancelled;
-            let seat = &mut window.seats[index];
-            let again = seat.state == State::CalledBack
+            let slot = &mut window.slots[index];
+            let again = slot.state == State::CalledBack
                 && !cancelled
-                && self.servers.contains_key(&seat.server);
+                && self.servers.contains_key(&slot.server);
             if again {
-                seat.state = State::Asked;
-                seat.start_ms = None;
+                slot.state = State::Asked;
+                slot.start_ms = None;
             } else {
-                seat.state = State::Closed;
+                slot.state = State::Closed;
             }
-            seat.late = false;
+            slot.late = false;
             self.changed = true;
         }
     }
 
     /// Whether a late server has not been listed for the time of a repair: nothing of it counts any more, and should
     /// it come back, then only by fresh evidence.
-    fn is_lost(&self, agreement: &Agreement, window: &Window, seat: &Seat) -> bool {
-        let end = seat
+    fn is_lost(&self, budget: &DisruptionBudget, window: &Window, slot: &ServerSlot) -> bool {
+        let end = slot
             .start_ms
             .unwrap_or(0)
             .saturating_add(window.request.span_ms());
-        let given_up = |since: i64| self.at_ms.saturating_sub(since.max(end)) > agreement.repair_ms;
-        seat.late && seat.unlisted_ms.is_some_and(given_up)
+        let given_up = |since: i64| self.at_ms.saturating_sub(since.max(end)) > budget.repair_ms;
+        slot.late && slot.unlisted_ms.is_some_and(given_up)
     }
 
     /// What has run out: the time of windows, of the wait for a clear, of a request that found no place.
-    fn time(&mut self, agreement: &Agreement) {
+    fn time(&mut self, budget: &DisruptionBudget) {
         let at_ms = self.at_ms;
         let (mut returns, mut calls) = (Vec::new(), Vec::new());
         for window in self.windows.values_mut() {
             let (length, span) = (window.request.length_ms, window.request.span_ms());
             let last_start = window.request.latest_ms.saturating_sub(span);
-            for (index, seat) in window.seats.iter_mut().enumerate() {
-                let start = seat.start_ms.unwrap_or(at_ms);
-                if seat.state.granted() && !seat.late && at_ms >= start.saturating_add(span) {
-                    seat.late = true;
+            for (index, slot) in window.slots.iter_mut().enumerate() {
+                let start = slot.start_ms.unwrap_or(at_ms);
+                if slot.state.is_admitted() && !slot.late && at_ms >= start.saturating_add(span) {
+                    slot.late = true;
                     self.changed = true;
                 }
-                let drained_long =
-                    at_ms >= start.saturating_add(agreement.clear_most_ms.min(length));
-                match seat.state {
+                let drained_long = at_ms >= start.saturating_add(budget.clear_most_ms.min(length));
+                match slot.state {
                     State::Asked | State::Booked if at_ms > last_start || window.cancelled => {
-                        seat.state = State::Closed;
-                        seat.start_ms = None;
-                        if seat.reason.is_empty() {
+                        slot.state = State::Closed;
+                        slot.start_ms = None;
+                        if slot.reason.is_empty() {
                             let why = if window.cancelled {
                                 "cancelled"
                             } else {
                                 "found no time before its end"
                             };
-                            seat.reason = why.into();
+                            slot.reason = why.into();
                         }
                         self.changed = true;
                     }
@@ -127,8 +124,8 @@
     }
 
     /// Notes whether other servers than before are missing.
-    fn look(&mut self, agreement: &Agreement) {
-        let bound = agreement.evidence_bound_ms;
+    fn look(&mut self, budget: &DisruptionBudget) {
+        let bound = budget.evidence_bound_ms;
         let down: BTreeSet<String> = self
             .servers
             .iter()
--- a/crates/maintenance/src/booking.rs
+++ b/crates/maintenance/src/booking.rs
@@ -2,21 +2,22 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::agreement::{Agreement, Invalid};
+use crate::disruption_budget::DisruptionBudget;
 use crate::event::{Booking, Outcome, Refusal};
+use crate::invalid::Invalid;
 use crate::machine::Machine;
 use crate::plan::{OPEN_END_MS, Times, end_of};
-use crate::request::{MOST_NAMED, Request, Target};
+use crate::request::{MAX_NAMED_SERVERS, Request, Target};
 use crate::timeline::Piece;
-use crate::window::{Seat, State, Window};
+use crate::window::{ServerSlot, State, Window};
 
 /// Most seats of open windows together: every server in one window, by the longest list.
-pub(crate) const MOST_SEATS: usize = 4_096;
+pub(crate) const MAX_SLOTS: usize = 4_096;
 
 impl Machine {
     /// Answers a request. It is accepted only with a plan in which no window that had a time loses it.
     pub(crate) fn ask(&mut self, request: Request) -> Outcome {
-        let Some(agreement) = self.agreement.clone() else {
+        let Some(budget) = self.budget.clone() else {
             return Outcome::Refused(Refusal::NoAgreement);
         };
         if let Some(window) = self
@@ -30,7 +31,7 @@
             let reason = "is the name of another request";
             return Outcome::Refused(Refusal::Invalid(Invalid::new("name", reason)));
         }
-        if let Err(invalid) = request.check(&agreement, self.at_ms) {
+        if let Err(invalid) = request.check(&budget, self.at_ms) {
             return Outcome::Refused(Refusal::Invalid(invalid));
         }
         let names = match self.resolve(&request.target) {
@@ -38,14 +39,14 @@
             Err(refusal) => return Outcome::Refused(refusal),
         };
         let open = self.windows.values().filter(|w| !w.closed());
-        let (count, seats) = open.fold((0u32, 0usize), |(n, s), w| (n + 1, s + w.seats.len()));
-        if count >= agreement.most_open {
-            let reason = format!("{} requests are open (most_open)", agreement.most_open);
+        let (count, slots) = open.fold((0u32, 0usize), |(n, s), w| (n + 1, s + w.slots.len()));
+        if count >= budget.most_open {
+            let reason = format!("{} requests are open (most_open)", budget.most_open);
             return Outcome::Refused(Refusal::Full(reason));
         }
-        if seats + names.len() > MOST_SEATS {
+        if slots + names.len() > MAX_SLOTS {
             return Outcome::Refused(Refusal::Full(format!(
-                "{MOST_SEATS} servers are in open windows"
+                "{MAX_SLOTS} servers are in open windows"
             )));
         }
         let id = self.last_window + 1;
@@ -53,11 +54,11 @@
             id,
             request,
             asked_ms: self.at_ms,
-            seats: names.into_iter().map(Seat::new).collect(),
+            slots: names.into_iter().map(ServerSlot::new).collect(),
             cancelled: false,
         };
         self.windows.insert(id, window);
-        match self.fit(&agreement, id) {
+        match self.fit(&budget, id) {
             Ok(()) => {
                 self.last_window = id;
                 self.windows.get(&id).map_or(Outcome::Ignored, booked)
@@ -74,9 +75,9 @@
         let taken: BTreeSet<&str> = self
             .windows
             .values()
-            .flat_map(|w| &w.seats)
-            .filter(|seat| seat.state != State::Closed)
-            .map(|seat| seat.server.as_str())
+            .flat_map(|w| &w.slots)
+            .filter(|slot| slot.state != State::Closed)
+            .map(|slot| slot.server.as_str())
             .collect();
         let names: BTreeSet<String> = match target {
             Target::Servers(names) => {
@@ -110,24 +111,24 @@
         };
         match names.len() {
             0 => Err(Refusal::Unknown("the list names no such server".into())),
-            1..=MOST_NAMED => Ok(names.into_iter().collect()),
+            1..=MAX_NAMED_SERVERS => Ok(names.into_iter().collect()),
             _ => Err(Refusal::Full(format!(
-                "the target has more than {MOST_NAMED} servers"
+                "the target has more than {MAX_NAMED_SERVERS} servers"
             ))),
         }
     }
 
     /// Finds a plan with a new window in it: all planned anew, or else the new one around the times that were given.
-    fn fit(&mut self, agreement: &Agreement, id: u64) -> Result<(), Outcome> {
-        let ledger = self.ledger(agreement, self.at_ms);
-        let base = self.timeline(agreement, &ledger);
+    fn fit(&mut self, budget: &DisruptionBudget, id: u64) -> Result<(), Outcome> {
+        let ledger = self.ledger(budget, self.at_ms);
+        let base = self.timeline(budget, &ledger);
         let pieces: Vec<Piece> = self
             .windows
             .values()
-            .flat_map(|w| self.pieces(agreement, &ledger, w))
+            .flat_map(|w| self.pieces(budget, &ledger, w))
             .collect();
         let had: Times = pieces.iter().map(|piece| self.start_of(piece)).collect();
-        let times = self.best(&base, agreement, &pieces, &had);
+        let times = self.best(&base, budget, &pieces, &had);
         let kept = |(index, piece): (usize, &Piece)| {
             times[index].is_some() || (piece.window != id && had[index].is_none())
         };
@@ -181,9 +182,9 @@
     fn start_of(&self, piece: &Piece) -> Option<i64> {
         let window = self.windows.get(&piece.window)?;
         let starts = piece
-            .seats
+            .slots
             .iter()
-            .map(|index| window.seats.get(*index).and_then(|seat| seat.start_ms));
+            .map(|index| window.slots.get(*index).and_then(|slot| slot.start_ms));
         let start = starts.max().flatten()?;
         // A time that has passed is not kept for ever: whoever could not go then is planned anew.
         (start >= self.at_ms).then_some(start)
@@ -194,10 +195,10 @@
             let Some(window) = self.windows.get_mut(&piece.window) else {
                 continue;
             };
-            for index in &piece.seats {
-                let seat = &mut window.seats[*index];
-                seat.start_ms = *time;
-                seat.state = if time.is_some() {
+            for index in &piece.slots {
+                let slot = &mut window.slots[*index];
+                slot.start_ms = *time;
+                slot.state = if time.is_some() {
                     State::Booked
                 } else {
                     State::Asked
@@ -207,18 +208,18 @@
     }
 
     /// Plans all that waits anew.
-    pub(crate) fn replan(&mut self, agreement: &Agreement) {
-        let ledger = self.ledger(agreement, self.at_ms);
+    pub(crate) fn replan(&mut self, budget: &DisruptionBudget) {
+        let ledger = self.ledger(budget, self.at_ms);
         let pieces: Vec<Piece> = self
             .windows
             .values()
-            .flat_map(|w| self.pieces(agreement, &ledger, w))
+            .flat_map(|w| self.pieces(budget, &ledger, w))
             .collect();
         if pieces.is_empty() {
             return;
         }
         let had: Times = pieces.iter().map(|piece| self.start_of(piece)).collect();
-        let times = self.best(&self.timeline(agreement, &ledger), agreement, &pieces, &had);
+        let times = self.best(&self.timeline(budget, &ledger), budget, &pieces, &had);
         self.book(&pieces, &times);
     }
 }
@@ -226,14 +227,14 @@
 /// The answer for an accepted window.
 fn booked(window: &Window) -> Outcome {
     let waves = waves(window);
-    let times = window.seats.iter().map(|seat| Booking {
-        server: seat.server.clone(),
-        wave: seat
+    let times = window.slots.iter().map(|slot| Booking {
+        server: slot.server.clone(),
+        wave: slot
             .start_ms
             .and_then(|start| waves.get(&start).copied())
             .unwrap_or(0),
-        start_ms: seat.start_ms,
-        end_ms: end_of(window, seat),
+        start_ms: slot.start_ms,
+        end_ms: end_of(window, slot),
     });
     Outcome::Booked {
         window: window.id,
@@ -244,9 +245,9 @@
 /// Numbers of a window's waves, by their start.
 fn waves(window: &Window) -> BTreeMap<i64, u32> {
     let starts: BTreeSet<i64> = window
-        .seats
+        .slots
         .iter()
-        .filter_map(|seat| seat.start_ms)
+        .filter_map(|slot| slot.start_ms)
         .collect();
     starts.into_iter().zip(0u32..).collect()
 }
--- a/crates/maintenance/src/calendar.rs
+++ b/crates/maintenance/src/calendar.rs
@@ -5,7 +5,7 @@
 use jiff::{Span as Delta, ToSpan};
 use serde::{Deserialize, Serialize};
 
-use crate::agreement::Invalid;
+use crate::invalid::Invalid;
 
 /// A time in which nothing may be away by grant, in the clocks of one time zone.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
--- a/crates/maintenance/src/agreement.rs
+++ b/crates/maintenance/src/disruption_budget.rs
@@ -5,9 +5,10 @@
 use serde::{Deserialize, Serialize};
 
 use crate::calendar::Blackout;
+use crate::invalid::Invalid;
 
 /// Most blackouts, zones and groups that one agreement may name, so that a calendar and a plan stay small.
-pub const MOST_RULES: usize = 64;
+pub const MAX_RULES: usize = 64;
 
 /// What the operators have agreed on. Capacity is counted in the servers' weights.
 ///
@@ -15,7 +16,7 @@
 /// there never falls below `keep`, `keep_zone` and `keep_group` by an act of the machine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Agreement {
+pub struct DisruptionBudget {
     /// Least weight that must stay of all servers together.
     pub keep: u64,
     /// Least weight that must stay in a zone, by its name. A zone that is not named has no limit of its own.
@@ -84,33 +85,7 @@
     7_200_000
 }
 
-/// A setting that can't be taken, by the name of its key.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Invalid {
-    /// The key, as in the configuration or request, with its index where it is one of several.
-    pub key: String,
-    /// Why it can't be taken, in words for the operator.
-    pub reason: String,
-}
-
-impl Invalid {
-    pub(crate) fn new(key: impl Into<String>, reason: impl Into<String>) -> Self {
-        Invalid {
-            key: key.into(),
-            reason: reason.into(),
-        }
-    }
-}
-
-impl std::fmt::Display for Invalid {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{}: {}", self.key, self.reason)
-    }
-}
-
-impl std::error::Error for Invalid {}
-
-impl Agreement {
+impl DisruptionBudget {
     /// Checks every key.
     ///
     /// # Errors
@@ -147,17 +122,17 @@
             ("keep_zone", &self.keep_zone),
             ("keep_group", &self.keep_group),
         ] {
-            if names.len() > MOST_RULES {
-                return Err(Invalid::new(key, format!("names more than {MOST_RULES}")));
+            if names.len() > MAX_RULES {
+                return Err(Invalid::new(key, format!("names more than {MAX_RULES}")));
             }
             if names.keys().any(|name| name.is_empty()) {
                 return Err(Invalid::new(key, "has an empty name"));
             }
         }
-        if self.blackouts.len() > MOST_RULES {
+        if self.blackouts.len() > MAX_RULES {
             return Err(Invalid::new(
                 "blackouts",
-                format!("are more than {MOST_RULES}"),
+                format!("are more than {MAX_RULES}"),
             ));
         }
         for (index, blackout) in self.blackouts.iter().enumerate() {
--- a/crates/maintenance/src/due.rs
+++ b/crates/maintenance/src/due.rs
@@ -1,8 +1,8 @@
 //! The actions that are due, and when the leader has to look again.
 
-use crate::act::{Act, Unclear};
+use crate::action::{Action, Unclear};
+use crate::admission::hard_end;
 use crate::event::Step;
-use crate::grant::hard_end;
 use crate::machine::Machine;
 use crate::window::State;
 
@@ -10,40 +10,39 @@
     /// What the leader is to do now, ways back first, then by window and server. `now_ms` is its own clock: a drain or
     /// take is named only while evidence of that moment holds the agreement and no blackout is on, so a leader that
     /// was deposed unknowing, or stopped, does neither for longer than evidence lives.
-    pub fn due(&self, now_ms: i64) -> Vec<Act> {
-        let Some(agreement) = &self.agreement else {
+    pub fn due(&self, now_ms: i64) -> Vec<Action> {
+        let Some(budget) = &self.budget else {
             return Vec::new();
         };
         let now_ms = now_ms.max(self.at_ms);
-        let ledger = self.ledger(agreement, now_ms);
+        let ledger = self.ledger(budget, now_ms);
         let mut acts = Vec::new();
         for window in self.windows.values() {
-            for seat in &window.seats {
-                let step = match seat.state {
-                    State::CalledBack if seat.returned_ms.is_none() => Step::CallBack,
-                    State::Returning if seat.returned_ms.is_none() => Step::Return,
+            for slot in &window.slots {
+                let step = match slot.state {
+                    State::CalledBack if slot.returned_ms.is_none() => Step::CallBack,
+                    State::Returning if slot.returned_ms.is_none() => Step::Return,
                     State::Clear => Step::Take,
-                    State::Draining if !seat.drained => Step::Drain,
+                    State::Draining if !slot.drained => Step::Drain,
                     State::Draining if !self.waits_for_clear() => Step::Take,
                     _ => continue,
                 };
                 let bears = match step {
                     Step::Drain => ledger.holds(),
-                    Step::Take => self.holds_for(&ledger, &seat.server),
+                    Step::Take => self.holds_for(&ledger, &slot.server),
                     Step::Return | Step::CallBack => true,
                 };
-                let until_ms = hard_end(agreement, window, seat).max(now_ms.saturating_add(1));
+                let until_ms = hard_end(budget, window, slot).max(now_ms.saturating_add(1));
                 let out = matches!(step, Step::Drain | Step::Take);
-                if !bears
-                    || out && (window.cancelled || self.blacked_out(agreement, now_ms, until_ms))
+                if !bears || out && (window.cancelled || self.blacked_out(budget, now_ms, until_ms))
                 {
                     continue;
                 }
-                acts.push(Act {
+                acts.push(Action {
                     window: window.id,
-                    server: seat.server.clone(),
+                    server: slot.server.clone(),
                     step,
-                    token: seat.token,
+                    token: slot.token,
                 });
             }
         }
@@ -53,11 +52,11 @@
 
     /// Servers whose drain is confirmed and of which a clear is waited for, by window.
     pub fn unclear(&self) -> Vec<Unclear> {
-        let seats = self
+        let slots = self
             .windows
             .values()
-            .flat_map(|w| w.seats.iter().map(move |seat| (w, seat)));
-        let waits = seats.filter(|(w, s)| s.state == State::Draining && s.drained && !w.cancelled);
+            .flat_map(|w| w.slots.iter().map(move |slot| (w, slot)));
+        let waits = slots.filter(|(w, s)| s.state == State::Draining && s.drained && !w.cancelled);
         waits
             .map(|(w, s)| Unclear {
                 window: w.id,
@@ -72,17 +71,17 @@
     /// none if nothing waits for time to pass. Acts that are due are no reason to wake: they are repeated by whoever
     /// performs them.
     pub fn next_wake(&self, now_ms: i64) -> Option<i64> {
-        let agreement = self.agreement.as_ref()?;
+        let budget = self.budget.as_ref()?;
         let now_ms = now_ms.max(self.at_ms);
         let mut moments: Vec<i64> = Vec::new();
         let mut open = false;
         for window in self.windows.values().filter(|w| !w.closed()) {
             let (length, span) = (window.request.length_ms, window.request.span_ms());
-            for seat in &window.seats {
-                let start = seat.start_ms.unwrap_or(now_ms);
-                match seat.state {
+            for slot in &window.slots {
+                let start = slot.start_ms.unwrap_or(now_ms);
+                match slot.state {
                     State::Asked | State::Booked => {
-                        moments.extend(seat.start_ms);
+                        moments.extend(slot.start_ms);
                         moments.push(
                             window
                                 .request
@@ -93,12 +92,12 @@
                     }
                     State::Draining | State::Clear => {
                         open = true;
-                        moments.push(start.saturating_add(agreement.clear_most_ms.min(length)));
+                        moments.push(start.saturating_add(budget.clear_most_ms.min(length)));
                     }
                     State::Away => moments.push(start.saturating_add(length)),
                     State::Returning | State::CalledBack | State::Closed => {}
                 }
-                if seat.state.granted() {
+                if slot.state.is_admitted() {
                     moments.push(start.saturating_add(span));
                 }
             }
@@ -113,7 +112,7 @@
                     .find(|from| *from > now_ms),
             );
             let seen = self.servers.values().filter_map(|known| known.seen);
-            moments.extend(seen.map(|s| s.seen_ms.saturating_add(agreement.evidence_bound_ms)));
+            moments.extend(seen.map(|s| s.seen_ms.saturating_add(budget.evidence_bound_ms)));
         }
         moments
             .into_iter()
--- a/crates/maintenance/src/event.rs
+++ b/crates/maintenance/src/event.rs
@@ -2,8 +2,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::agreement::{Agreement, Invalid};
 use crate::calendar::Span;
+use crate::disruption_budget::DisruptionBudget;
+use crate::invalid::Invalid;
 use crate::request::Request;
 
 /// One agreed event. The time it happened is given beside it, by the leader that proposed it.
@@ -20,7 +21,8 @@
     /// What the list or platform names now: all servers, in place of the last list.
     Servers(Vec<Server>),
     /// What the fleet knows of servers; of those not named the last word stays, and ages.
-    Evidence(Vec<Word>),
+    #[serde(rename = "evidence")]
+    Observations(Vec<ServerObservation>),
     /// No replica picks by a binding to this server any more, and none will before it has started anew.
     Clear {
         /// The window's number.
@@ -37,7 +39,7 @@
         /// The server's name.
         server: String,
     },
-    /// What the thing acted on answered to an [`Act`](crate::Act).
+    /// What the thing acted on answered to an [`Action`](crate::Act).
     Acted {
         /// The window's number.
         window: u64,
@@ -54,14 +56,16 @@
     Tick,
     /// A new agreement takes the place of the last. Blackouts count once a [`Event::Calendar`] gives their times;
     /// until then everything is blacked out.
-    Agreement(Agreement),
+    #[serde(rename = "agreement")]
+    DisruptionBudget(DisruptionBudget),
     /// The agreement's blackouts as times, worked out by the leader (see [`Machine::calendar_due`]): replicas with
     /// another time zone database decide the same.
     ///
     /// [`Machine::calendar_due`]: crate::Machine::calendar_due
     Calendar {
         /// The agreement that they belong to, counted from the first one: for another one they say nothing.
-        agreement: u64,
+        #[serde(rename = "agreement")]
+        budget: u64,
         /// The time to which the spans are known, in milliseconds of Unix time. What lies beyond is blacked out.
         until_ms: i64,
         /// The blackouts' times, in order.
@@ -88,7 +92,7 @@
 /// What the fleet knows of one server.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Word {
+pub struct ServerObservation {
     /// The server's name.
     pub server: String,
     /// Whether it serves.
@@ -108,9 +112,11 @@
 #[serde(rename_all = "snake_case")]
 pub enum Health {
     /// It serves.
-    Well,
+    #[serde(rename = "well")]
+    Healthy,
     /// It is dead, or fails what it is asked.
-    Sick,
+    #[serde(rename = "sick")]
+    Unhealthy,
     /// The members can't tell.
     Unknown,
 }
--- a/crates/maintenance/src/ledger.rs
+++ b/crates/maintenance/src/ledger.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeMap;
 
-use crate::agreement::Agreement;
+use crate::capacity::{CapacityView, Debit, DebitReason, Room};
+use crate::disruption_budget::DisruptionBudget;
+use crate::known_server::Known;
 use crate::machine::Machine;
-use crate::servers::Known;
-use crate::view::{CapacityView, Debit, Room, Why};
-use crate::window::Seat;
+use crate::window::ServerSlot;
 
 /// The limits in weights, each under a number: all servers together first, then zones and groups that have one.
 pub(crate) struct Shape<'a> {
@@ -17,19 +17,19 @@
 }
 
 impl<'a> Shape<'a> {
-    pub(crate) fn new(agreement: &'a Agreement) -> Self {
+    pub(crate) fn new(budget: &'a DisruptionBudget) -> Self {
         let mut shape = Shape {
-            keep: vec![agreement.keep],
+            keep: vec![budget.keep],
             names: vec!["all".into()],
             zones: BTreeMap::new(),
             groups: BTreeMap::new(),
         };
-        for (zone, keep) in &agreement.keep_zone {
+        for (zone, keep) in &budget.keep_zone {
             shape.zones.insert(zone, shape.keep.len());
             shape.keep.push(*keep);
             shape.names.push(format!("zone {zone}"));
         }
-        for (group, keep) in &agreement.keep_group {
+        for (group, keep) in &budget.keep_group {
             shape.groups.insert(group, shape.keep.len());
             shape.keep.push(*keep);
             shape.names.push(format!("group {group}"));
@@ -56,7 +56,7 @@
     pub(crate) present: Vec<u64>,
     pub(crate) away: u32,
     most_away: u32,
-    pub(crate) debits: BTreeMap<&'a str, (u32, Why, Option<u64>)>,
+    pub(crate) debits: BTreeMap<&'a str, (u32, DebitReason, Option<u64>)>,
 }
 
 impl<'a> Ledger<'a> {
@@ -82,7 +82,7 @@
     pub(crate) fn debit(&mut self, name: &'a str, known: &Known, window: u64) {
         if self
             .debits
-            .insert(name, (known.weight, Why::Granted, Some(window)))
+            .insert(name, (known.weight, DebitReason::Granted, Some(window)))
             .is_none()
         {
             self.away += 1;
@@ -130,34 +130,38 @@
 
 impl Machine {
     /// Seats with an open grant, by server, with their window's number.
-    pub(crate) fn grants(&self) -> BTreeMap<&str, (u64, &Seat)> {
-        let seats = self
+    pub(crate) fn admissions(&self) -> BTreeMap<&str, (u64, &ServerSlot)> {
+        let slots = self
             .windows
             .values()
-            .flat_map(|w| w.seats.iter().map(move |seat| (w.id, seat)));
-        seats
-            .filter(|(_, s)| s.state.granted())
+            .flat_map(|w| w.slots.iter().map(move |slot| (w.id, slot)));
+        slots
+            .filter(|(_, s)| s.state.is_admitted())
             .map(|(id, s)| (s.server.as_str(), (id, s)))
             .collect()
     }
 
     /// Capacity at `now_ms`, from evidence of that age and the grants that are open.
-    pub(crate) fn ledger<'a>(&'a self, agreement: &'a Agreement, now_ms: i64) -> Ledger<'a> {
-        let shape = Shape::new(agreement);
+    pub(crate) fn ledger<'a>(&'a self, budget: &'a DisruptionBudget, now_ms: i64) -> Ledger<'a> {
+        let shape = Shape::new(budget);
         let zero = vec![0u64; shape.keep.len()];
         let mut ledger = Ledger {
             listed: zero.clone(),
             present: zero,
             away: 0,
-            most_away: agreement.most_away,
+            most_away: budget.most_away,
             debits: BTreeMap::new(),
             shape,
         };
-        let grants = self.grants();
-        for (name, (window, seat)) in &grants {
-            if self.debits_grants() {
+        let admissions = self.admissions();
+        for (name, (window, slot)) in &admissions {
+            if self.debits_admissions() {
                 let weight = self.servers.get(*name).map_or(0, |known| known.weight);
-                let why = if seat.late { Why::Late } else { Why::Granted };
+                let why = if slot.late {
+                    DebitReason::Late
+                } else {
+                    DebitReason::Granted
+                };
                 ledger.debits.insert(name, (weight, why, Some(*window)));
             }
         }
@@ -168,7 +172,7 @@
             if ledger.debits.contains_key(name.as_str()) {
                 continue;
             }
-            match known.missing(now_ms, agreement.evidence_bound_ms) {
+            match known.missing(now_ms, budget.evidence_bound_ms) {
                 Some(why) => {
                     ledger.debits.insert(name, (known.weight, why, None));
                 }
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -4,35 +4,42 @@
 //! knows nothing of how agreement is reached, does no I/O and reads no clock. What the leader has to do follows from
 //! the state alone ([`Machine::due`]), so a successor goes on at the very step.
 
-mod act;
-mod acted;
+mod action;
+mod action_results;
+mod admission;
 mod advance;
-mod agreement;
 mod booking;
 mod calendar;
-mod callback;
+mod cancellation;
+mod capacity;
+mod disruption_budget;
 mod due;
 mod event;
-mod grant;
+mod invalid;
+mod known_server;
 mod ledger;
 mod machine;
 #[cfg(test)]
 mod model;
 mod order;
 mod plan;
-mod planted;
+mod planted_faults;
 mod request;
 mod servers;
 mod timeline;
 mod view;
 mod window;
 
-pub use act::{Act, Unclear};
-pub use agreement::{Agreement, Invalid, MOST_RULES};
+pub use action::{Action, Unclear};
 pub use calendar::{Blackout, Every, Span};
-pub use event::{Answer, Booking, Event, Health, Outcome, Refusal, Server, Step, Word};
+pub use capacity::{CapacityView, Debit, DebitReason, Room};
+pub use disruption_budget::{DisruptionBudget, MAX_RULES};
+pub use event::{
+    Answer, Booking, Event, Health, Outcome, Refusal, Server, ServerObservation, Step,
+};
+pub use invalid::Invalid;
 pub use machine::Machine;
-pub use request::{FARTHEST_MS, LONGEST_NAME, MOST_NAMED, Request, Target};
-pub use servers::MOST_SERVERS;
-pub use view::{CapacityView, Debit, Room, SeatView, Why, WindowView};
-pub use window::{Seat, State, Window};
+pub use request::{MAX_HORIZON_MS, MAX_NAME_BYTES, MAX_NAMED_SERVERS, Request, Target};
+pub use servers::MAX_SERVERS;
+pub use view::{ServerSlotView, WindowView};
+pub use window::{ServerSlot, State, Window};
--- a/crates/maintenance/src/machine.rs
+++ b/crates/maintenance/src/machine.rs
@@ -4,11 +4,12 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::agreement::{Agreement, Invalid, MOST_RULES};
 use crate::calendar::{Span, merged};
+use crate::disruption_budget::{DisruptionBudget, MAX_RULES};
 use crate::event::{Event, Outcome, Refusal};
-use crate::request::FARTHEST_MS;
-use crate::servers::Known;
+use crate::invalid::Invalid;
+use crate::known_server::Known;
+use crate::request::MAX_HORIZON_MS;
 use crate::window::Window;
 
 /// The windows, what is known of the servers, and the last token. Serialized, it is the snapshot of all that.
@@ -20,9 +21,11 @@
     pub(crate) token: u64,
     /// The last window's number.
     pub(crate) last_window: u64,
-    pub(crate) agreement: Option<Agreement>,
+    #[serde(rename = "agreement")]
+    pub(crate) budget: Option<DisruptionBudget>,
     /// How many agreements there have been.
-    pub(crate) agreements: u64,
+    #[serde(rename = "agreements")]
+    pub(crate) budgets: u64,
     pub(crate) calendar: Calendar,
     pub(crate) servers: BTreeMap<String, Known>,
     pub(crate) windows: BTreeMap<u64, Window>,
@@ -33,7 +36,7 @@
     /// Whether something happened since the last plan that may change it.
     pub(crate) changed: bool,
     #[cfg(test)]
-    pub(crate) planted: crate::planted::Planted,
+    pub(crate) planted: crate::planted_faults::PlantedFault,
 }
 
 /// The blackouts' times, as far as they are known.
@@ -54,14 +57,14 @@
     /// clocks was wrong, and no evidence is believed before time goes on.
     pub fn apply(&mut self, at_ms: i64, event: Event) -> Outcome {
         let bound_ms = self
-            .agreement
+            .budget
             .as_ref()
-            .map_or(i64::MAX, |agreement| agreement.evidence_bound_ms);
+            .map_or(i64::MAX, |budget| budget.evidence_bound_ms);
         let event = if self.at_ms.saturating_sub(at_ms) > bound_ms {
             self.servers
                 .values_mut()
                 .for_each(|known| known.seen = None);
-            if let Event::Evidence(_) = event {
+            if let Event::Observations(_) = event {
                 Event::Tick
             } else {
                 event
@@ -74,7 +77,7 @@
             Event::Ask(request) => self.ask(request),
             Event::Cancel { window } => self.cancel(window),
             Event::Servers(list) => self.list(list),
-            Event::Evidence(words) => self.hear(words),
+            Event::Observations(observations) => self.observe(observations),
             Event::Clear {
                 window,
                 server,
@@ -87,52 +90,52 @@
                 step,
                 token,
                 result,
-            } => self.acted(window, &server, step, token, result),
+            } => self.record_result(window, &server, step, token, result),
             Event::Tick => Outcome::Taken,
-            Event::Agreement(agreement) => self.agree(agreement),
+            Event::DisruptionBudget(budget) => self.agree(budget),
             Event::Calendar {
-                agreement,
+                budget,
                 until_ms,
                 spans,
-            } => self.dates(agreement, until_ms, spans),
+            } => self.dates(budget, until_ms, spans),
         };
         self.advance();
         outcome
     }
 
-    fn agree(&mut self, agreement: Agreement) -> Outcome {
-        if let Err(invalid) = agreement.check() {
+    fn agree(&mut self, budget: DisruptionBudget) -> Outcome {
+        if let Err(invalid) = budget.check() {
             return Outcome::Refused(Refusal::Invalid(invalid));
         }
-        if self.agreement.as_ref() == Some(&agreement) {
+        if self.budget.as_ref() == Some(&budget) {
             return Outcome::Ignored;
         }
         if self
-            .agreement
+            .budget
             .as_ref()
-            .is_none_or(|last| last.blackouts != agreement.blackouts)
+            .is_none_or(|last| last.blackouts != budget.blackouts)
         {
             self.calendar = Calendar::default();
         }
-        self.agreement = Some(agreement);
-        self.agreements += 1;
+        self.budget = Some(budget);
+        self.budgets += 1;
         self.changed = true;
         Outcome::Taken
     }
 
-    fn dates(&mut self, agreement: u64, until_ms: i64, spans: Vec<Span>) -> Outcome {
+    fn dates(&mut self, budget: u64, until_ms: i64, spans: Vec<Span>) -> Outcome {
         // Proposed before another agreement was agreed on.
-        if agreement != self.agreements {
+        if budget != self.budgets {
             return Outcome::Ignored;
         }
         let ordered = spans
             .windows(2)
             .all(|pair| pair[0].until_ms <= pair[1].from_ms);
-        if spans.len() > MOST_SPANS
+        if spans.len() > MAX_SPANS
             || !ordered
             || spans.iter().any(|span| span.until_ms <= span.from_ms)
         {
-            let reason = format!("must be in order, apart, and at most {MOST_SPANS}");
+            let reason = format!("must be in order, apart, and at most {MAX_SPANS}");
             return Outcome::Refused(Refusal::Invalid(Invalid::new("spans", reason)));
         }
         self.calendar = Calendar { until_ms, spans };
@@ -142,24 +145,24 @@
 
     /// The calendar that the leader should propose, if the one it has ends too soon.
     pub fn calendar_due(&self, now_ms: i64) -> Option<Event> {
-        let agreement = self
-            .agreement
+        let budget = self
+            .budget
             .as_ref()
-            .filter(|agreement| !agreement.blackouts.is_empty())?;
+            .filter(|budget| !budget.blackouts.is_empty())?;
         let now = now_ms.max(self.at_ms);
-        if self.calendar.until_ms >= now.saturating_add(FARTHEST_MS) {
+        if self.calendar.until_ms >= now.saturating_add(MAX_HORIZON_MS) {
             return None;
         }
-        let until_ms = now.saturating_add(FARTHEST_MS).saturating_add(RENEW_MS);
+        let until_ms = now.saturating_add(MAX_HORIZON_MS).saturating_add(RENEW_MS);
         let spans = merged(
-            &agreement.blackouts,
+            &budget.blackouts,
             Span {
                 from_ms: now,
                 until_ms,
             },
         );
         Some(Event::Calendar {
-            agreement: self.agreements,
+            budget: self.budgets,
             until_ms,
             spans,
         })
@@ -171,4 +174,4 @@
 /// The last moment that an event may have, in milliseconds of Unix time: the end of the year 9999.
 const LAST_MS: i64 = 253_402_300_799_999;
 /// Most times in a calendar: each blackout of an agreement once a month, in the time that a calendar reaches.
-const MOST_SPANS: usize = 16 * MOST_RULES;
+const MAX_SPANS: usize = 16 * MAX_RULES;
--- a/crates/maintenance/src/model.rs
+++ b/crates/maintenance/src/model.rs
@@ -7,16 +7,19 @@
 
 use stateright::{Model, Property};
 
-use crate::planted::Planted;
+use crate::planted_faults::PlantedFault;
 use crate::window::{State as Where, Window};
-use crate::{Act, Agreement, Answer, Event, Health, Machine, Request, Server, Step, Target, Word};
+use crate::{
+    Action, Answer, DisruptionBudget, Event, Health, Machine, Request, Server, ServerObservation,
+    Step, Target,
+};
 
 const NAMES: [&str; 2] = ["s0", "s1"];
 /// Time that one passing takes, in milliseconds; evidence lives two of them, a window four.
 const STEP_MS: i64 = 1_000;
 
 struct Maintenance {
-    planted: Planted,
+    planted: PlantedFault,
     /// Whether the thing acted on checks tokens.
     checks: bool,
 }
@@ -65,31 +68,34 @@
         self.machine.apply(self.now, event);
     }
 
-    fn hear(&mut self) {
-        let words = NAMES.iter().zip(self.real).map(|(name, real)| Word {
-            server: (*name).into(),
-            state: if real.dead || real.taken {
-                Health::Sick
-            } else {
-                Health::Well
-            },
-            warm: true,
-            started: real.started,
-            age_ms: 0,
-            enough: true,
-        });
-        let words = words.collect();
-        self.apply(Event::Evidence(words));
+    fn observe(&mut self) {
+        let observations = NAMES
+            .iter()
+            .zip(self.real)
+            .map(|(name, real)| ServerObservation {
+                server: (*name).into(),
+                state: if real.dead || real.taken {
+                    Health::Unhealthy
+                } else {
+                    Health::Healthy
+                },
+                warm: true,
+                started: real.started,
+                age_ms: 0,
+                enough: true,
+            });
+        let observations = observations.collect();
+        self.apply(Event::Observations(observations));
     }
 
     fn window_of(&self, server: usize, state: Where) -> Option<(u64, u64)> {
-        let seats = self
+        let slots = self
             .machine
             .windows
             .values()
-            .flat_map(|w| w.seats.iter().map(move |s| (w.id, s)));
-        let mut found = seats.filter(|(_, s)| s.server == NAMES[server] && s.state == state);
-        found.next().map(|(id, seat)| (id, seat.token))
+            .flat_map(|w| w.slots.iter().map(move |s| (w.id, s)));
+        let mut found = slots.filter(|(_, s)| s.server == NAMES[server] && s.state == state);
+        found.next().map(|(id, slot)| (id, slot.token))
     }
 
     fn deliver(&mut self, server: usize, step: Step, token: u64, checks: bool) -> Answer {
@@ -140,11 +146,11 @@
             soup: BTreeSet::new(),
             unclear: false,
         };
-        let agreement: Agreement = serde_json::from_str(
+        let budget: DisruptionBudget = serde_json::from_str(
             r#"{"keep": 1, "most_away": 1, "evidence_bound_ms": 2000, "clear_most_ms": 3000, "repair_ms": 3000}"#,
         )
         .expect("an agreement");
-        moment.apply(Event::Agreement(agreement));
+        moment.apply(Event::DisruptionBudget(budget));
         let server = |name: &str| Server {
             name: name.into(),
             zone: name.into(),
@@ -165,7 +171,7 @@
                 split: true,
             }));
         }
-        moment.hear();
+        moment.observe();
         vec![moment]
     }
 
@@ -195,7 +201,7 @@
         let mut moment = last.clone();
         match action {
             Move::Send => {
-                for Act {
+                for Action {
                     window,
                     server,
                     step,
@@ -221,7 +227,7 @@
                 moment.now += STEP_MS;
                 moment.apply(Event::Tick);
                 if heard {
-                    moment.hear();
+                    moment.observe();
                 }
             }
             Move::Die(server) => moment.real[server].dead = true,
@@ -253,7 +259,7 @@
                 !m.real.iter().all(|r| r.drained || r.taken)
             }),
             Property::always("granted", |_, m: &Moment| {
-                let open = m.machine.grants();
+                let open = m.machine.admissions();
                 let away = (0..2).filter(|i| m.real[*i].drained || m.real[*i].taken);
                 away.into_iter().all(|i| open.contains_key(NAMES[i]))
             }),
@@ -262,12 +268,12 @@
                 m.machine
                     .windows
                     .values()
-                    .any(|w| w.seats[0].called_back > 0)
+                    .any(|w| w.slots[0].called_back > 0)
             }),
             Property::sometimes("taken", |_, m: &Moment| m.real.iter().any(|r| r.taken)),
             Property::sometimes("second granted", |_, m: &Moment| {
                 let mut windows = m.machine.windows.values();
-                windows.any(Window::closed) && !m.machine.grants().is_empty()
+                windows.any(Window::closed) && !m.machine.admissions().is_empty()
             }),
         ]
     }
--- a/crates/maintenance/src/model/explore.rs
+++ b/crates/maintenance/src/model/explore.rs
@@ -3,13 +3,13 @@
 use stateright::{Checker, Model};
 
 use super::Maintenance;
-use crate::planted::Planted;
+use crate::planted_faults::PlantedFault;
 
 /// Actions in a row that each run explores: one window comes and goes in ten, and the next is granted in the eleventh.
 const DEPTH: usize = 13;
 
 /// The properties that were seen broken to that depth, and how many states there are.
-fn explore(planted: Planted, checks: bool, depth: usize) -> (Vec<&'static str>, usize) {
+fn explore(planted: PlantedFault, checks: bool, depth: usize) -> (Vec<&'static str>, usize) {
     let checker = Maintenance { planted, checks }
         .checker()
         .threads(4)
@@ -19,7 +19,7 @@
     for name in ["called back", "taken", "second granted"] {
         let seen = checker.discovery(name).is_some();
         assert!(
-            seen || planted != Planted::default() || !checks || depth < DEPTH,
+            seen || planted != PlantedFault::default() || !checks || depth < DEPTH,
             "{name:?} is never reached"
         );
     }
@@ -31,7 +31,7 @@
 
 #[test]
 fn no_order_of_words_breaks_a_rule() {
-    let (broken, states) = explore(Planted::default(), true, DEPTH);
+    let (broken, states) = explore(PlantedFault::default(), true, DEPTH);
     println!("{states} states");
     assert!(broken.is_empty(), "{broken:?}");
     assert!(states > 50_000, "{states} states are no exploration");
@@ -44,7 +44,7 @@
         .ok()
         .and_then(|text| text.parse().ok())
         .unwrap_or(18);
-    let (broken, states) = explore(Planted::default(), true, depth);
+    let (broken, states) = explore(PlantedFault::default(), true, depth);
     println!("depth {depth}: {states} states");
     assert!(broken.is_empty(), "{broken:?}");
 }
@@ -52,9 +52,9 @@
 #[test]
 fn without_the_debit_the_capacity_breaks() {
     let (broken, _) = explore(
-        Planted {
+        PlantedFault {
             no_debit: true,
-            ..Planted::default()
+            ..PlantedFault::default()
         },
         true,
         6,
@@ -64,16 +64,16 @@
 
 #[test]
 fn without_the_token_check_a_late_drain_has_no_grant() {
-    let (broken, _) = explore(Planted::default(), false, 10);
+    let (broken, _) = explore(PlantedFault::default(), false, 10);
     assert!(broken.contains(&"granted"), "{broken:?}");
 }
 
 #[test]
 fn without_the_wait_for_the_clear_a_server_is_taken_too_soon() {
     let (broken, _) = explore(
-        Planted {
+        PlantedFault {
             no_clear: true,
-            ..Planted::default()
+            ..PlantedFault::default()
         },
         true,
         7,
--- a/crates/maintenance/src/order.rs
+++ b/crates/maintenance/src/order.rs
@@ -2,16 +2,16 @@
 
 use std::collections::BTreeMap;
 
-use crate::agreement::Agreement;
+use crate::disruption_budget::DisruptionBudget;
 use crate::machine::Machine;
 use crate::timeline::Piece;
 use crate::window::Window;
 
 impl Machine {
     /// Priority with what a window has gained by waiting.
-    pub(crate) fn class(&self, agreement: &Agreement, window: &Window) -> i64 {
+    pub(crate) fn class(&self, budget: &DisruptionBudget, window: &Window) -> i64 {
         let waited = self.at_ms.saturating_sub(window.asked_ms).max(0);
-        i64::from(window.request.priority).saturating_add(waited / agreement.patience_ms.max(1))
+        i64::from(window.request.priority).saturating_add(waited / budget.patience_ms.max(1))
     }
 
     /// Indexes of the pieces in the order of that number, the same for all replicas. Class goes before all; within
@@ -19,7 +19,7 @@
     /// ones are shuffled.
     pub(crate) fn order(
         &self,
-        agreement: &Agreement,
+        budget: &DisruptionBudget,
         pieces: &[Piece],
         number: usize,
     ) -> Vec<usize> {
@@ -27,7 +27,7 @@
         let class = |piece: &Piece| {
             self.windows
                 .get(&piece.window)
-                .map_or(0, |w| self.class(agreement, w))
+                .map_or(0, |w| self.class(budget, w))
         };
         let mut order: Vec<(i64, i128, usize, usize)> = pieces
             .iter()
@@ -57,9 +57,9 @@
         let start = |piece: &Piece| {
             let window = self.windows.get(&piece.window)?;
             piece
-                .seats
+                .slots
                 .iter()
-                .filter_map(|index| window.seats.get(*index)?.start_ms)
+                .filter_map(|index| window.slots.get(*index)?.start_ms)
                 .max()
         };
         let mut order: Vec<usize> = (0..pieces.len()).collect();
--- a/crates/maintenance/src/plan.rs
+++ b/crates/maintenance/src/plan.rs
@@ -3,13 +3,13 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-use crate::agreement::Agreement;
+use crate::admission::hard_ms;
 use crate::calendar::Span;
-use crate::grant::hard_ms;
+use crate::disruption_budget::DisruptionBudget;
 use crate::ledger::Ledger;
 use crate::machine::Machine;
 use crate::timeline::{Block, Load, Piece, Timeline};
-use crate::window::{Seat, Window};
+use crate::window::{ServerSlot, Window};
 
 /// Placements that one plan may try in all its orders together; keeps a plan of a thousand pieces under a second.
 const MOST_PLACEMENTS: usize = 8_192;
@@ -29,13 +29,13 @@
     /// Loads by what is away now: by grant to its end, dead or unheard of for the time of a repair.
     pub(crate) fn timeline<'a>(
         &'a self,
-        agreement: &Agreement,
+        budget: &DisruptionBudget,
         ledger: &Ledger<'_>,
     ) -> Timeline<'a> {
         let now = self.at_ms;
-        let repaired = now.saturating_add(agreement.repair_ms);
+        let repaired = now.saturating_add(budget.repair_ms);
         let most = Load {
-            away: i64::from(agreement.most_away),
+            away: i64::from(budget.most_away),
             weights: ledger
                 .listed
                 .iter()
@@ -43,13 +43,13 @@
                 .map(|(l, k)| gap(*l, *k))
                 .collect(),
         };
-        let known_until = if agreement.blackouts.is_empty() {
+        let known_until = if budget.blackouts.is_empty() {
             i64::MAX
         } else {
             self.calendar.until_ms
         };
         let mut timeline = Timeline::new(now, most, repaired, &self.calendar.spans, known_until);
-        let grants = self.grants();
+        let admissions = self.admissions();
         for name in ledger.debits.keys() {
             let mut load = Load::zero(ledger.listed.len());
             load.away = 1;
@@ -59,10 +59,10 @@
                     .of(known)
                     .for_each(|number| load.weights[number] = i64::from(known.weight));
             }
-            let end = match grants.get(name) {
-                Some((id, seat)) if !seat.late => {
+            let end = match admissions.get(name) {
+                Some((id, slot)) if !slot.late => {
                     let span = self.windows.get(id).map_or(0, |w| w.request.span_ms());
-                    seat.start_ms
+                    slot.start_ms
                         .unwrap_or(now)
                         .saturating_add(span)
                         .max(now + 1)
@@ -74,7 +74,7 @@
                 until_ms: end,
             };
             timeline.load(span, &load);
-            if grants.contains_key(name) {
+            if admissions.contains_key(name) {
                 timeline.occupy(name, span);
             }
         }
@@ -84,12 +84,12 @@
     /// The pieces of a window that wait: its waves' single servers, or all together if it can't be split.
     pub(crate) fn pieces(
         &self,
-        agreement: &Agreement,
+        budget: &DisruptionBudget,
         ledger: &Ledger<'_>,
         window: &Window,
     ) -> Vec<Piece> {
-        let waiting: Vec<usize> = (0..window.seats.len())
-            .filter(|i| window.seats[*i].state.waits())
+        let waiting: Vec<usize> = (0..window.slots.len())
+            .filter(|i| window.slots[*i].state.waits())
             .collect();
         let groups: Vec<Vec<usize>> = match (window.request.split, waiting.is_empty()) {
             (_, true) => Vec::new(),
@@ -99,20 +99,20 @@
         let request = &window.request;
         groups
             .into_iter()
-            .map(|seats| {
+            .map(|slots| {
                 let mut piece = Piece {
                     window: window.id,
-                    servers: seats
+                    servers: slots
                         .iter()
-                        .map(|i| window.seats[*i].server.clone())
+                        .map(|i| window.slots[*i].server.clone())
                         .collect(),
-                    seats,
+                    slots,
                     live: Load::zero(ledger.listed.len()),
                     full: Load::zero(ledger.listed.len()),
                     lower_ms: request.earliest_ms.max(self.at_ms),
                     upper_ms: request.latest_ms.saturating_sub(request.span_ms()),
                     span_ms: request.span_ms(),
-                    hard_ms: hard_ms(agreement, window),
+                    hard_ms: hard_ms(budget, window),
                     listed: true,
                 };
                 for name in &piece.servers {
@@ -142,12 +142,12 @@
     pub(crate) fn best(
         &self,
         base: &Timeline<'_>,
-        agreement: &Agreement,
+        budget: &DisruptionBudget,
         pieces: &[Piece],
         had: &Times,
     ) -> Times {
         let count = (MOST_PLACEMENTS / pieces.len().max(1)).clamp(1, MOST_ORDERS);
-        let orders = (0..count).map(|number| self.order(agreement, pieces, number));
+        let orders = (0..count).map(|number| self.order(budget, pieces, number));
         let mut best: Option<(Rank, Times)> = None;
         for order in orders.chain(std::iter::once(self.kept_order(pieces))) {
             let mut timeline = base.clone();
@@ -158,7 +158,7 @@
                     times[index] = Some(start);
                 }
             }
-            let rank = self.rank(agreement, pieces, had, &times);
+            let rank = self.rank(budget, pieces, had, &times);
             if best.as_ref().is_none_or(|(least, _)| rank < *least) {
                 best = Some((rank, times));
             }
@@ -166,13 +166,19 @@
         best.map_or_else(Vec::new, |(_, times)| times)
     }
 
-    fn rank(&self, agreement: &Agreement, pieces: &[Piece], had: &Times, times: &Times) -> Rank {
+    fn rank(
+        &self,
+        budget: &DisruptionBudget,
+        pieces: &[Piece],
+        had: &Times,
+        times: &Times,
+    ) -> Rank {
         let mut unplaced: BTreeMap<Reverse<i64>, usize> = BTreeMap::new();
         for (piece, time) in pieces.iter().zip(times) {
             let class = self
                 .windows
                 .get(&piece.window)
-                .map_or(0, |w| self.class(agreement, w));
+                .map_or(0, |w| self.class(budget, w));
             *unplaced.entry(Reverse(class)).or_default() += usize::from(time.is_none());
         }
         let lost = had
@@ -228,6 +234,6 @@
 }
 
 /// Real or planned end of a seat with overrun, in milliseconds of Unix time.
-pub(crate) fn end_of(window: &Window, seat: &Seat) -> Option<i64> {
-    Some(seat.start_ms?.saturating_add(window.request.span_ms()))
+pub(crate) fn end_of(window: &Window, slot: &ServerSlot) -> Option<i64> {
+    Some(slot.start_ms?.saturating_add(window.request.span_ms()))
 }
--- a/crates/maintenance/src/planted.rs
+++ b/crates/maintenance/src/planted_faults.rs
@@ -7,7 +7,7 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize,
 )]
-pub(crate) struct Planted {
+pub(crate) struct PlantedFault {
     /// A grant is not debited.
     pub(crate) no_debit: bool,
     /// A server is taken before it is clear.
@@ -17,7 +17,7 @@
 impl Machine {
     /// Whether an open grant is debited.
     #[cfg(not(test))]
-    pub(crate) fn debits_grants(&self) -> bool {
+    pub(crate) fn debits_admissions(&self) -> bool {
         true
     }
 
@@ -28,7 +28,7 @@
     }
 
     #[cfg(test)]
-    pub(crate) fn debits_grants(&self) -> bool {
+    pub(crate) fn debits_admissions(&self) -> bool {
         !self.planted.no_debit
     }
 
