--- a/crates/maintenance/src/request.rs
+++ b/crates/maintenance/src/request.rs
@@ -2,14 +2,15 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::agreement::{Agreement, Invalid};
+use crate::disruption_budget::DisruptionBudget;
+use crate::invalid::Invalid;
 
 /// Most servers that one request may name.
-pub const MOST_NAMED: usize = 1_024;
+pub const MAX_NAMED_SERVERS: usize = 1_024;
 /// Longest name of anything, in bytes.
-pub const LONGEST_NAME: usize = 128;
+pub const MAX_NAME_BYTES: usize = 128;
 /// Longest length, and farthest latest end, in milliseconds: 400 days, a year and a month.
-pub const FARTHEST_MS: i64 = 400 * 86_400_000;
+pub const MAX_HORIZON_MS: i64 = 400 * 86_400_000;
 
 /// A wish for a window.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -64,21 +65,21 @@
     /// # Errors
     ///
     /// The first key that can't be taken, with the reason.
-    pub fn check(&self, agreement: &Agreement, now_ms: i64) -> Result<(), Invalid> {
+    pub fn check(&self, budget: &DisruptionBudget, now_ms: i64) -> Result<(), Invalid> {
         let named = |key: &str, name: &str| match name.len() {
-            1..=LONGEST_NAME => Ok(()),
+            1..=MAX_NAME_BYTES => Ok(()),
             _ => Err(Invalid::new(
                 key,
-                format!("must have from 1 to {LONGEST_NAME} bytes"),
+                format!("must have from 1 to {MAX_NAME_BYTES} bytes"),
             )),
         };
         named("name", &self.name)?;
         match &self.target {
             Target::Servers(names) => {
-                if names.is_empty() || names.len() > MOST_NAMED {
+                if names.is_empty() || names.len() > MAX_NAMED_SERVERS {
                     return Err(Invalid::new(
                         "target.servers",
-                        format!("must be from 1 to {MOST_NAMED}"),
+                        format!("must be from 1 to {MAX_NAMED_SERVERS}"),
                     ));
                 }
                 names
@@ -99,15 +100,15 @@
                 }
             }
         }
-        if !(1..=FARTHEST_MS).contains(&self.length_ms) {
+        if !(1..=MAX_HORIZON_MS).contains(&self.length_ms) {
             return Err(Invalid::new(
                 "length_ms",
-                format!("must be from 1 to {FARTHEST_MS}"),
+                format!("must be from 1 to {MAX_HORIZON_MS}"),
             ));
         }
         let most = self
             .length_ms
-            .saturating_mul(i64::from(agreement.overrun_most_permille))
+            .saturating_mul(i64::from(budget.overrun_most_permille))
             / 1_000;
         if !(0..=most).contains(&self.overrun_ms) {
             return Err(Invalid::new(
@@ -115,7 +116,7 @@
                 format!("must be from 0 to {most} by the agreement"),
             ));
         }
-        if self.latest_ms > now_ms.saturating_add(FARTHEST_MS) {
+        if self.latest_ms > now_ms.saturating_add(MAX_HORIZON_MS) {
             return Err(Invalid::new("latest_ms", "is more than 400 days ahead"));
         }
         if self.earliest_ms < 0 {
--- a/crates/maintenance/src/timeline.rs
+++ b/crates/maintenance/src/timeline.rs
@@ -58,7 +58,7 @@
 pub(crate) struct Piece {
     pub(crate) window: u64,
     /// Indexes of the seats within the window.
-    pub(crate) seats: Vec<usize>,
+    pub(crate) slots: Vec<usize>,
     pub(crate) servers: Vec<String>,
     /// What it takes away while those that are down now are counted as such.
     pub(crate) live: Load,
--- a/crates/maintenance/src/view.rs
+++ b/crates/maintenance/src/view.rs
@@ -2,6 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
+use crate::capacity::CapacityView;
 use crate::machine::Machine;
 use crate::plan::end_of;
 use crate::window::{State, Window};
@@ -20,12 +21,13 @@
     /// Whether the asker took it back.
     pub cancelled: bool,
     /// Its seats.
-    pub seats: Vec<SeatView>,
+    #[serde(rename = "seats")]
+    pub slots: Vec<ServerSlotView>,
 }
 
 /// A seat as people see it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SeatView {
+pub struct ServerSlotView {
     /// The server's name.
     pub server: String,
     /// Where it is.
@@ -44,63 +46,6 @@
     pub reason: String,
 }
 
-/// Capacity at a moment.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CapacityView {
-    /// For all, then by each zone and group that the agreement names.
-    pub rooms: Vec<Room>,
-    /// Servers away, by grant, dead or unheard of.
-    pub away: u32,
-    /// Most that may be.
-    pub most_away: u32,
-    /// Whether every limit holds.
-    pub holds: bool,
-    /// What is debited, and why.
-    pub debits: Vec<Debit>,
-}
-
-/// Capacity under one limit, in weights.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Room {
-    /// `all`, `zone NAME` or `group NAME`.
-    pub name: String,
-    /// What the list names.
-    pub listed: u64,
-    /// What is there.
-    pub present: u64,
-    /// What must stay.
-    pub keep: u64,
-}
-
-/// One server that does not count as there.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Debit {
-    /// The server's name.
-    pub server: String,
-    /// Its weight.
-    pub weight: u32,
-    /// Why.
-    pub why: Why,
-    /// The window that has it, if one does.
-    pub window: Option<u64>,
-}
-
-/// Why a server is debited.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum Why {
-    /// A grant is open for it.
-    Granted,
-    /// A grant is open for it, and it is over its time.
-    Late,
-    /// Evidence says that it doesn't serve.
-    Sick,
-    /// There is no evidence, or it is too old, or of too few members.
-    Unheard,
-    /// It serves and was not yet seen warm.
-    Cold,
-}
-
 impl Machine {
     /// All windows by number; closed ones as long as they are kept.
     pub fn windows(&self) -> Vec<WindowView> {
@@ -109,13 +54,13 @@
 
     /// What is there at a moment, and what is debited and why; none before there is an agreement.
     pub fn capacity(&self, now_ms: i64) -> Option<CapacityView> {
-        let agreement = self.agreement.as_ref()?;
-        Some(self.ledger(agreement, now_ms.max(self.at_ms)).view())
+        let budget = self.budget.as_ref()?;
+        Some(self.ledger(budget, now_ms.max(self.at_ms)).view())
     }
 
     /// The servers of the last list, in the order of their names.
     pub fn servers(&self) -> Vec<crate::Server> {
-        let server = |(name, known): (&String, &crate::servers::Known)| crate::Server {
+        let server = |(name, known): (&String, &crate::known_server::Known)| crate::Server {
             name: name.clone(),
             zone: known.zone.clone(),
             group: known.group.clone(),
@@ -126,8 +71,8 @@
     }
 
     /// The agreement that is in force.
-    pub fn agreement(&self) -> Option<&crate::Agreement> {
-        self.agreement.as_ref()
+    pub fn budget(&self) -> Option<&crate::DisruptionBudget> {
+        self.budget.as_ref()
     }
 
     /// The last token that was given.
@@ -138,32 +83,32 @@
 
 impl WindowView {
     fn new(window: &Window) -> Self {
-        let seats: Vec<SeatView> = window
-            .seats
+        let slots: Vec<ServerSlotView> = window
+            .slots
             .iter()
-            .map(|seat| SeatView {
-                server: seat.server.clone(),
-                state: seat.state,
-                late: seat.late,
-                start_ms: seat.start_ms,
-                end_ms: end_of(window, seat),
-                token: seat.token,
-                called_back: seat.called_back,
-                reason: seat.reason.clone(),
+            .map(|slot| ServerSlotView {
+                server: slot.server.clone(),
+                state: slot.state,
+                late: slot.late,
+                start_ms: slot.start_ms,
+                end_ms: end_of(window, slot),
+                token: slot.token,
+                called_back: slot.called_back,
+                reason: slot.reason.clone(),
             })
             .collect();
-        let state = seats
+        let state = slots
             .iter()
-            .map(|seat| seat.state)
+            .map(|slot| slot.state)
             .min()
             .unwrap_or(State::Closed);
         WindowView {
             window: window.id,
             name: window.request.name.clone(),
             state,
-            late: seats.iter().any(|seat| seat.late),
+            late: slots.iter().any(|slot| slot.late),
             cancelled: window.cancelled,
-            seats,
+            slots,
         }
     }
 }
--- a/crates/maintenance/src/window.rs
+++ b/crates/maintenance/src/window.rs
@@ -14,14 +14,15 @@
     /// When it was asked, in milliseconds of Unix time.
     pub asked_ms: i64,
     /// One seat a server.
-    pub seats: Vec<Seat>,
+    #[serde(rename = "seats")]
+    pub slots: Vec<ServerSlot>,
     /// Whether the asker took it back.
     pub cancelled: bool,
 }
 
 /// One server's part in a window.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Seat {
+pub struct ServerSlot {
     /// The server's name.
     pub server: String,
     /// Where it is.
@@ -70,7 +71,7 @@
 
 impl State {
     /// Whether a grant is open: the server is debited whatever evidence says.
-    pub fn granted(self) -> bool {
+    pub fn is_admitted(self) -> bool {
         matches!(
             self,
             State::Draining | State::Clear | State::Away | State::Returning | State::CalledBack
@@ -83,10 +84,10 @@
     }
 }
 
-impl Seat {
+impl ServerSlot {
     /// A seat that waits.
     pub(crate) fn new(server: String) -> Self {
-        Seat {
+        ServerSlot {
             server,
             state: State::Asked,
             start_ms: None,
@@ -105,6 +106,6 @@
 impl Window {
     /// Whether every seat is closed.
     pub fn closed(&self) -> bool {
-        self.seats.iter().all(|seat| seat.state == State::Closed)
+        self.slots.iter().all(|slot| slot.state == State::Closed)
     }
 }
--- a/crates/maintenance/tests/play/mod.rs
+++ b/crates/maintenance/tests/play/mod.rs
@@ -4,17 +4,17 @@
 mod moves;
 
 use load_balancer_maintenance::{
-    Act, Agreement, Event, Health, Machine, Outcome, Span, State, Step, WindowView,
+    Action, DisruptionBudget, Event, Health, Machine, Outcome, Span, State, Step, WindowView,
 };
 
 use std::collections::BTreeMap;
 
-use crate::world::{World, agreement};
+use crate::world::{World, budget};
 
 /// Delayed words between the leader, the thing acted on, and back.
 #[derive(Clone)]
 pub enum Wire {
-    Act(Act),
+    Action(Action),
     Event(Event),
 }
 
@@ -24,7 +24,7 @@
 pub struct Play {
     pub rng: fastrand::Rng,
     pub world: World,
-    pub agreement: Agreement,
+    pub budget: DisruptionBudget,
     pub machine: Machine,
     /// Leaders of before that may still act, with what they knew.
     pub old: Vec<Machine>,
@@ -72,7 +72,7 @@
             .values()
             .map(|real| u64::from(real.weight))
             .sum();
-        let mut agreement = agreement(total * rng.u64(40..85) / 100, &[], rng.u32(1..5));
+        let mut budget = budget(total * rng.u64(40..85) / 100, &[], rng.u32(1..5));
         if rng.bool() {
             let a = world
                 .servers
@@ -80,7 +80,7 @@
                 .filter(|r| r.zone == "a")
                 .map(|r| u64::from(r.weight))
                 .sum::<u64>();
-            agreement.keep_zone.insert("a".into(), a / 2);
+            budget.keep_zone.insert("a".into(), a / 2);
         }
         if rng.bool() {
             let g = world
@@ -89,12 +89,12 @@
                 .filter(|r| r.group == "g")
                 .map(|r| u64::from(r.weight))
                 .sum::<u64>();
-            agreement.keep_group.insert("g".into(), g / 2);
+            budget.keep_group.insert("g".into(), g / 2);
         }
         let mut play = Play {
             rng,
             world,
-            agreement,
+            budget,
             machine: Machine::new(),
             old: Vec::new(),
             wires: Vec::new(),
@@ -106,27 +106,27 @@
             planned: None,
             figures: Figures::default(),
         };
-        play.apply(Event::Agreement(play.agreement.clone()));
+        play.apply(Event::DisruptionBudget(play.budget.clone()));
         play.apply(play.world.list());
         play
     }
 
     /// Seats with an open grant: server and token of each.
     pub fn open(&self) -> Vec<(String, u64, State)> {
-        let seats = self.machine.windows().into_iter().flat_map(|w| w.seats);
-        seats
-            .filter(|s| s.state.granted())
+        let slots = self.machine.windows().into_iter().flat_map(|w| w.slots);
+        slots
+            .filter(|s| s.state.is_admitted())
             .map(|s| (s.server, s.token, s.state))
             .collect()
     }
 
     /// Applies an agreed event and audits what it did.
     pub fn apply(&mut self, event: Event) -> Outcome {
-        if let Event::Evidence(words) = &event {
-            for word in words.iter().filter(|word| word.enough) {
-                let well = word.state == Health::Well && word.warm;
+        if let Event::Observations(observations) = &event {
+            for observation in observations.iter().filter(|observation| observation.enough) {
+                let well = observation.state == Health::Healthy && observation.warm;
                 self.heard
-                    .insert(word.server.clone(), (self.world.now, well));
+                    .insert(observation.server.clone(), (self.world.now, well));
             }
         }
         if let Event::Servers(list) = &event {
@@ -142,14 +142,14 @@
         let outcome = self.machine.apply(self.world.now + skew, event);
         let after = self.open();
         assert!(self.machine.last_token() >= token, "a token went back");
-        let granted: Vec<String> = after.iter().map(|(server, _, _)| server.clone()).collect();
+        let is_admitted: Vec<String> = after.iter().map(|(server, _, _)| server.clone()).collect();
         for (server, new, state) in &after {
             let had = before.iter().find(|(name, _, _)| name == server);
             if *state == State::Draining && had.is_none_or(|(_, old, _)| old != new) {
                 assert!(*new > token, "a grant without a token of its own");
                 let fresh = had.is_none();
-                let bound = self.agreement.evidence_bound_ms + SKEW_MS;
-                let held = self.world.holds(&self.agreement, &granted, bound);
+                let bound = self.budget.evidence_bound_ms + SKEW_MS;
+                let held = self.world.holds(&self.budget, &is_admitted, bound);
                 assert!(!fresh || held, "a grant of {server} breached the agreement");
                 assert!(
                     !fresh || !self.meets_blackout(server),
@@ -158,13 +158,13 @@
             }
         }
         for (server, _, state) in &before {
-            if !granted.contains(server) {
+            if !is_admitted.contains(server) {
                 assert!(
                     matches!(state, State::Returning | State::CalledBack),
                     "{server} left from {state:?}"
                 );
                 let real = &self.world.servers[server];
-                let bound = self.agreement.evidence_bound_ms + SKEW_MS;
+                let bound = self.budget.evidence_bound_ms + SKEW_MS;
                 assert!(
                     real.bad_since.is_none_or(|at| self.world.now - at < bound),
                     "{server} credited, not there"
@@ -192,9 +192,9 @@
     fn meets_blackout(&self, server: &str) -> bool {
         let windows = self.machine.windows();
         let of = |w: &&WindowView| {
-            w.seats
+            w.slots
                 .iter()
-                .any(|s| s.server == server && s.state.granted())
+                .any(|s| s.server == server && s.state.is_admitted())
         };
         let asked = windows
             .iter()
@@ -204,7 +204,7 @@
             return false;
         };
         let hard = length
-            + if self.agreement.overrun_may_enter_blackout {
+            + if self.budget.overrun_may_enter_blackout {
                 0
             } else {
                 *overrun
@@ -244,7 +244,7 @@
             return;
         };
         let (all, open) = (&capacity.rooms[0], self.open());
-        let live_ms = self.agreement.evidence_bound_ms - 2 * SKEW_MS;
+        let live_ms = self.budget.evidence_bound_ms - 2 * SKEW_MS;
         let heard = |server: &String| {
             self.heard
                 .get(server)
--- a/crates/maintenance/tests/play/moves.rs
+++ b/crates/maintenance/tests/play/moves.rs
@@ -3,7 +3,7 @@
 use jiff::Timestamp;
 use jiff::tz::TimeZone;
 use load_balancer_maintenance::{
-    Act, Answer, Blackout, Event, Every, Machine, Outcome, Request, Span, State, Step, Target,
+    Action, Answer, Blackout, Event, Every, Machine, Outcome, Request, Span, State, Step, Target,
 };
 
 use super::{Figures, Play, Wire};
@@ -28,13 +28,13 @@
                 Wire::Event(event) => {
                     self.apply(event);
                 }
-                Wire::Act(act) => {
+                Wire::Action(act) => {
                     let warm = self.rng.i64(0..4_000);
                     let result = match self.rng.u8(0..12) {
                         0 => Answer::Failed,
                         _ => self.world.act(&act, warm, self.checks),
                     };
-                    let Act {
+                    let Action {
                         window,
                         server,
                         step,
@@ -138,10 +138,10 @@
             }
             8 => {
                 let windows = self.machine.windows();
-                let seats = windows
+                let slots = windows
                     .iter()
-                    .flat_map(|w| w.seats.iter().map(|s| (w.window, s.server.clone())));
-                if let Some((window, server)) = self.rng.choice(seats.collect::<Vec<_>>()) {
+                    .flat_map(|w| w.slots.iter().map(|s| (w.window, s.server.clone())));
+                if let Some((window, server)) = self.rng.choice(slots.collect::<Vec<_>>()) {
                     self.apply(Event::Finished { window, server });
                 }
             }
@@ -162,13 +162,13 @@
             until: moment(until_ms),
             every: Every::Once,
         };
-        self.agreement.blackouts = if self.rng.u8(0..3) > 0 {
+        self.budget.blackouts = if self.rng.u8(0..3) > 0 {
             vec![blackout]
         } else {
             Vec::new()
         };
-        self.agreement.overrun_may_enter_blackout = self.rng.bool();
-        self.agreement.most_away = self.rng.u32(1..5);
+        self.budget.overrun_may_enter_blackout = self.rng.bool();
+        self.budget.most_away = self.rng.u32(1..5);
         self.blackout = None;
         // A calendar of before may come after it.
         let before = self
@@ -177,8 +177,8 @@
         before
             .into_iter()
             .for_each(|event| self.send(Wire::Event(event)));
-        self.apply(Event::Agreement(self.agreement.clone()));
-        self.planned = (!self.agreement.blackouts.is_empty()).then_some(Span { from_ms, until_ms });
+        self.apply(Event::DisruptionBudget(self.budget.clone()));
+        self.planned = (!self.budget.blackouts.is_empty()).then_some(Span { from_ms, until_ms });
     }
 
     /// The leader tells the blackouts' times, in a while.
@@ -205,16 +205,16 @@
             self.ask();
         }
         if self.rng.u8(0..10) > 0 {
-            let mut words = Vec::new();
+            let mut observations = Vec::new();
             for name in self.world.servers.keys() {
                 if self.rng.u8(0..12) > 0 {
-                    let mut word = self.world.word(name, 0);
-                    word.enough = self.rng.u8(0..20) > 0;
-                    words.push(word);
+                    let mut observation = self.world.observation(name, 0);
+                    observation.enough = self.rng.u8(0..20) > 0;
+                    observations.push(observation);
                 }
             }
-            self.send(Wire::Event(Event::Evidence(Vec::new())));
-            self.apply(Event::Evidence(words));
+            self.send(Wire::Event(Event::Observations(Vec::new())));
+            self.apply(Event::Observations(observations));
         }
         for (name, real) in &self.world.servers {
             // Every member's bindings have run out a while after the drain.
@@ -222,9 +222,9 @@
                 self.world.cleared.push(real.drain_token);
                 let windows = self.machine.windows();
                 let window = windows.iter().find(|w| {
-                    w.seats
+                    w.slots
                         .iter()
-                        .any(|s| s.server == *name && s.state.granted())
+                        .any(|s| s.server == *name && s.state.is_admitted())
                 });
                 if let Some(window) = window {
                     let (window, server, epoch) = (window.window, name.clone(), real.drain_token);
@@ -245,7 +245,8 @@
                 acts.extend(old.due(self.world.now));
             }
         }
-        acts.into_iter().for_each(|act| self.send(Wire::Act(act)));
+        acts.into_iter()
+            .for_each(|act| self.send(Wire::Action(act)));
         self.apply(Event::Tick);
         self.audit();
         self.audit_call_back();
@@ -274,16 +275,16 @@
                 .into_iter()
                 .for_each(|event| drop(self.apply(event)));
             self.apply(self.world.list());
-            let words = self
+            let observations = self
                 .world
                 .servers
                 .keys()
-                .map(|name| self.world.word(name, 0))
+                .map(|name| self.world.observation(name, 0))
                 .collect();
-            self.apply(Event::Evidence(words));
+            self.apply(Event::Observations(observations));
             for act in self.machine.due(self.world.now) {
                 let result = self.world.act(&act, 500, self.checks);
-                let Act {
+                let Action {
                     window,
                     server,
                     step,
--- a/crates/maintenance/tests/promises.rs
+++ b/crates/maintenance/tests/promises.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use load_balancer_maintenance::{Event, Machine, Outcome, Request, State, Target};
-use world::{World, agreement};
+use world::{World, budget};
 
 /// Requests far ahead that all fit only just; a plan that is made anew for no cause must not lose any of them.
 fn lost(seed: u64) -> usize {
@@ -20,14 +20,19 @@
         .values()
         .map(|real| u64::from(real.weight))
         .sum();
-    let mut agreed = agreement(total * rng.u64(40..70) / 100, &[], rng.u32(1..4));
+    let mut agreed = budget(total * rng.u64(40..70) / 100, &[], rng.u32(1..4));
     let mut machine = Machine::new();
-    machine.apply(world.now, Event::Agreement(agreed.clone()));
+    machine.apply(world.now, Event::DisruptionBudget(agreed.clone()));
     machine.apply(world.now, world.list());
     let names: Vec<String> = world.servers.keys().cloned().collect();
     machine.apply(
         world.now,
-        Event::Evidence(names.iter().map(|name| world.word(name, 0)).collect()),
+        Event::Observations(
+            names
+                .iter()
+                .map(|name| world.observation(name, 0))
+                .collect(),
+        ),
     );
     for number in 0..12 {
         let length_ms = rng.i64(10..60) * 60_000;
@@ -51,14 +56,14 @@
     let waiting = |m: &Machine| {
         m.windows()
             .iter()
-            .flat_map(|w| w.seats.clone())
+            .flat_map(|w| w.slots.clone())
             .filter(|s| s.state == State::Booked)
             .count()
     };
     let before = waiting(&machine);
     agreed.repair_ms += 1;
     assert_eq!(
-        machine.apply(world.now, Event::Agreement(agreed)),
+        machine.apply(world.now, Event::DisruptionBudget(agreed)),
         Outcome::Taken
     );
     before - waiting(&machine).min(before)
--- a/crates/maintenance/tests/rules.rs
+++ b/crates/maintenance/tests/rules.rs
@@ -2,27 +2,29 @@
 
 mod world;
 
-use load_balancer_maintenance::{Blackout, Event, Every, Machine, Outcome, State, Step, Why};
-use world::agreement;
+use load_balancer_maintenance::{
+    Blackout, DebitReason, Event, Every, Machine, Outcome, State, Step,
+};
+use world::budget;
 use world::stage::{START_MS, Stage};
 
 #[test]
 fn a_death_stops_the_booked_and_calls_back_the_lowest_and_latest_first() {
-    let mut stage = Stage::new(agreement(1, &[], 3));
+    let mut stage = Stage::new(budget(1, &[], 3));
     stage.ask("high", &["s0"], |r| r.priority = 2);
     stage.ask("low", &["s1"], |r| r.priority = 1);
     stage.ask("late", &["s2"], |r| r.priority = 1);
     stage.act(&[]);
     assert_eq!(
-        ["s0", "s1", "s2"].map(|name| stage.seat(name).state),
+        ["s0", "s1", "s2"].map(|name| stage.slot(name).state),
         [State::Draining; 3]
     );
     stage.world.kill("s3");
     stage.pass(1_000);
     // The latest grant of the lowest priority; the others may go on, as its server still serves.
-    assert_eq!(stage.seat("s2").state, State::CalledBack);
+    assert_eq!(stage.slot("s2").state, State::CalledBack);
     assert_eq!(
-        ["s0", "s1"].map(|name| stage.seat(name).state),
+        ["s0", "s1"].map(|name| stage.slot(name).state),
         [State::Draining; 2]
     );
     // While the floor is not seen to hold, nothing further is drained or taken; only ways back are due.
@@ -37,7 +39,7 @@
     stage.act(&[]);
     stage.pass(1_000);
     assert_eq!(
-        stage.seat("s2").state,
+        stage.slot("s2").state,
         State::Booked,
         "it goes when there is room again"
     );
@@ -52,47 +54,47 @@
 
 #[test]
 fn a_server_that_is_late_or_back_under_an_old_start_stays_debited() {
-    let mut stage = Stage::new(agreement(3, &[], 1));
+    let mut stage = Stage::new(budget(3, &[], 1));
     stage.ask("one", &["s0"], |_| ());
     stage.ask("two", &["s1"], |_| ());
     stage.act(&[]);
     stage.clear("s0");
     stage.act(&[]);
-    assert_eq!(stage.seat("s0").state, State::Away);
+    assert_eq!(stage.slot("s0").state, State::Away);
     stage.pass(60_000);
-    assert_eq!(stage.seat("s0").state, State::Returning);
+    assert_eq!(stage.slot("s0").state, State::Returning);
     stage.act(&[]);
     // What was seen under the start of before is no evidence of the return.
-    let mut word = stage.world.word("s0", 0);
-    word.started -= 1;
-    stage.apply(Event::Evidence(vec![word]));
+    let mut observation = stage.world.observation("s0", 0);
+    observation.started -= 1;
+    stage.apply(Event::Observations(vec![observation]));
     stage.world.now += 31_000;
     stage.apply(Event::Tick);
-    assert!(stage.seat("s0").late);
+    assert!(stage.slot("s0").late);
     let capacity = stage.machine.capacity(0).expect("an agreement");
     assert!(
         capacity
             .debits
             .iter()
-            .any(|debit| debit.server == "s0" && debit.why == Why::Late)
+            .any(|debit| debit.server == "s0" && debit.why == DebitReason::Late)
     );
-    assert_eq!(stage.seat("s1").state, State::Booked);
-    stage.hear();
+    assert_eq!(stage.slot("s1").state, State::Booked);
+    stage.observe();
     assert_eq!(
-        (stage.seat("s0").state, stage.seat("s1").state),
+        (stage.slot("s0").state, stage.slot("s1").state),
         (State::Closed, State::Draining)
     );
 }
 
 #[test]
 fn nothing_is_granted_without_fresh_evidence() {
-    let mut stage = Stage::new(agreement(2, &[], 2));
+    let mut stage = Stage::new(budget(2, &[], 2));
     stage.world.now += 5_000;
     let outcome = stage.ask("one", &["s0"], |_| ());
     assert!(matches!(outcome, Outcome::Booked { .. }), "{outcome:?}");
-    assert_eq!(stage.seat("s0").token, 0);
-    stage.hear();
-    assert_eq!(stage.seat("s0").state, State::Draining);
+    assert_eq!(stage.slot("s0").token, 0);
+    stage.observe();
+    assert_eq!(stage.slot("s0").state, State::Draining);
     // A leader that hears nothing more drains nothing, also by the state of before.
     assert_eq!(stage.machine.due(stage.world.now).len(), 1);
     assert_eq!(stage.machine.due(stage.world.now + 5_000).len(), 0);
@@ -100,7 +102,7 @@
 
 #[test]
 fn what_is_not_feasible_is_told_with_the_earliest_start_that_is() {
-    let mut stage = Stage::new(agreement(3, &[], 1));
+    let mut stage = Stage::new(budget(3, &[], 1));
     stage.ask("one", &["s0"], |_| ());
     let outcome = stage.ask("two", &["s1"], |r| r.latest_ms = START_MS + 100_000);
     let Outcome::Infeasible {
@@ -139,7 +141,7 @@
 #[test]
 fn a_blackout_inside_the_overrun_moves_a_window_and_calls_back_what_drains() {
     // START_MS is 2027-01-15T08:00Z, 09:00 in Ljubljana.
-    let mut agreed = agreement(3, &[], 1);
+    let mut agreed = budget(3, &[], 1);
     agreed.blackouts = vec![blackout(
         "2026-12-15T09:01:15",
         "2026-12-15T10:00",
@@ -159,16 +161,16 @@
     let mut stage = Stage::new(agreed);
     stage.ask("one", &["s0"], |_| ());
     stage.act(&[]);
-    assert_eq!(stage.seat("s0").state, State::Draining);
+    assert_eq!(stage.slot("s0").state, State::Draining);
     stage.pass(59_000);
-    assert_eq!(stage.seat("s0").state, State::Draining);
+    assert_eq!(stage.slot("s0").state, State::Draining);
     stage.pass(16_000);
-    assert_eq!(stage.seat("s0").state, State::CalledBack);
+    assert_eq!(stage.slot("s0").state, State::CalledBack);
 }
 
 #[test]
 fn blackouts_follow_the_clocks_of_their_zone() {
-    let mut agreed = agreement(3, &[], 1);
+    let mut agreed = budget(3, &[], 1);
     agreed.blackouts = vec![blackout(
         "2026-03-13T00:00",
         "2026-03-21T00:00",
@@ -176,7 +178,7 @@
     )];
     assert_eq!(agreed.check(), Ok(()));
     let mut machine = Machine::new();
-    machine.apply(START_MS, Event::Agreement(agreed.clone()));
+    machine.apply(START_MS, Event::DisruptionBudget(agreed.clone()));
     let Some(Event::Calendar { spans, .. }) = machine.calendar_due(START_MS) else {
         panic!("no calendar")
     };
@@ -192,7 +194,7 @@
 
 #[test]
 fn who_has_waited_gains_priority() {
-    let mut agreed = agreement(3, &[], 1);
+    let mut agreed = budget(3, &[], 1);
     agreed.patience_ms = 60_000;
     let mut stage = Stage::new(agreed);
     stage.ask("first", &["s0"], |r| r.priority = 3);
@@ -202,14 +204,14 @@
         stage.ask(&name, &["s2"], |r| r.priority = 1);
         stage.pass(61_000);
     }
-    let started = |stage: &Stage, server| stage.seat(server).start_ms.expect("a time");
+    let started = |stage: &Stage, server| stage.slot(server).start_ms.expect("a time");
     stage.apply(stage.world.list());
     assert!(started(&stage, "s1") < started(&stage, "s2"));
 }
 
 #[test]
 fn a_blackout_that_is_agreed_on_later_calls_back_what_would_be_away_in_it() {
-    let mut agreed = agreement(2, &[], 2);
+    let mut agreed = budget(2, &[], 2);
     agreed.blackouts = vec![blackout(
         "2027-02-15T00:00",
         "2027-02-16T00:00",
@@ -231,8 +233,8 @@
         "2027-01-15T09:10",
         Every::Once,
     )];
-    stage.apply(Event::Agreement(agreed));
-    let (window, epoch) = (stage.machine.windows()[1].window, stage.seat("s1").token);
+    stage.apply(Event::DisruptionBudget(agreed));
+    let (window, epoch) = (stage.machine.windows()[1].window, stage.slot("s1").token);
     stage.apply(Event::Clear {
         window,
         server: "s1".into(),
@@ -251,28 +253,28 @@
     );
     stage.apply(calendar);
     assert_eq!(
-        (stage.seat("s0").state, stage.seat("s1").state),
+        (stage.slot("s0").state, stage.slot("s1").state),
         (State::Away, State::CalledBack)
     );
     stage.act(&[]);
     stage.pass(1_000);
-    assert_eq!(stage.seat("s1").start_ms, Some(START_MS + 600_000));
+    assert_eq!(stage.slot("s1").start_ms, Some(START_MS + 600_000));
 }
 
 #[test]
 fn a_list_that_is_empty_for_a_moment_gives_up_no_server() {
-    let mut stage = Stage::new(agreement(3, &[], 1));
+    let mut stage = Stage::new(budget(3, &[], 1));
     stage.ask("one", &["s0"], |_| ());
     stage.act(&[]);
     stage.clear("s0");
     stage.act(&[]);
     // Nobody answers to the return for longer than its time and a repair.
     stage.pass(200_000);
-    assert!(stage.seat("s0").late);
+    assert!(stage.slot("s0").late);
     stage.apply(Event::Servers(Vec::new()));
-    assert_eq!(stage.seat("s0").state, State::Returning);
+    assert_eq!(stage.slot("s0").state, State::Returning);
     stage.apply(stage.world.list());
-    stage.hear();
+    stage.observe();
     let due: Vec<Step> = stage
         .machine
         .due(stage.world.now)
@@ -289,7 +291,7 @@
     };
     stage.apply(rest(&stage));
     stage.pass(60_000);
-    assert_eq!(stage.seat("s0").state, State::Returning);
+    assert_eq!(stage.slot("s0").state, State::Returning);
     stage.pass(1_000);
-    assert_eq!(stage.seat("s0").state, State::Closed);
+    assert_eq!(stage.slot("s0").state, State::Closed);
 }
--- a/crates/maintenance/tests/size.rs
+++ b/crates/maintenance/tests/size.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use load_balancer_maintenance::{Event, Machine, Outcome, Request, State, Target};
-use world::{World, agreement};
+use world::{World, budget};
 
 /// A fleet in three zones of which an eighth may be away, and what it hears.
 fn fleet(servers: usize) -> (World, Machine) {
@@ -17,23 +17,23 @@
     let mut machine = Machine::new();
     machine.apply(
         world.now,
-        Event::Agreement(agreement(
+        Event::DisruptionBudget(budget(
             total - total / 8,
             &[("a", total / 4)],
             servers as u32 / 8,
         )),
     );
     machine.apply(world.now, world.list());
-    machine.apply(world.now, hear(&world));
+    machine.apply(world.now, observe(&world));
     (world, machine)
 }
 
-fn hear(world: &World) -> Event {
-    Event::Evidence(
+fn observe(world: &World) -> Event {
+    Event::Observations(
         world
             .servers
             .keys()
-            .map(|name| world.word(name, 0))
+            .map(|name| world.observation(name, 0))
             .collect(),
     )
 }
@@ -70,9 +70,9 @@
     let open: Vec<String> = machine
         .windows()
         .into_iter()
-        .flat_map(|window| window.seats)
-        .filter(|seat| seat.state == State::Draining)
-        .map(|seat| seat.server)
+        .flat_map(|window| window.slots)
+        .filter(|slot| slot.state == State::Draining)
+        .map(|slot| slot.server)
         .collect();
     // As many as may be away drain at once, and every zone has its part of them.
     assert_eq!(open.len(), 25);
@@ -126,7 +126,7 @@
         let start = std::time::Instant::now();
         for _ in 0..10 {
             world.pass(1_000);
-            machine.apply(world.now, hear(&world));
+            machine.apply(world.now, observe(&world));
         }
         println!(
             "{servers} servers: {:?} for a round of evidence",
@@ -134,7 +134,7 @@
         );
         let start = std::time::Instant::now();
         world.kill("s0000");
-        machine.apply(world.now, hear(&world));
+        machine.apply(world.now, observe(&world));
         println!("{servers} servers: {:?} for a death", start.elapsed());
         println!(
             "snapshot {} bytes",
--- a/crates/maintenance/tests/solver.rs
+++ b/crates/maintenance/tests/solver.rs
@@ -3,9 +3,9 @@
 mod world;
 
 use load_balancer_maintenance::{
-    Act, Agreement, Event, Machine, Outcome, Request, State, Step, Target,
+    Action, DisruptionBudget, Event, Machine, Outcome, Request, State, Step, Target,
 };
-use world::{World, agreement};
+use world::{World, budget};
 
 const MINUTE_MS: i64 = 60_000;
 /// Instances that are compared.
@@ -22,7 +22,7 @@
 
 struct Instance {
     world: World,
-    agreement: Agreement,
+    budget: DisruptionBudget,
     requests: Vec<Request>,
     jobs: Vec<Job>,
     names: Vec<String>,
@@ -60,7 +60,7 @@
         .max()
         .unwrap_or(1);
     let keep = total - (total * rng.u64(20..60) / 100).max(heaviest);
-    let mut agreement = agreement(keep, &[], rng.u32(1..5));
+    let mut budget = budget(keep, &[], rng.u32(1..5));
     for zone in zones.iter().filter(|_| rng.bool()) {
         let of_zone = || {
             world
@@ -70,13 +70,13 @@
                 .map(|r| u64::from(r.weight))
         };
         let slack = of_zone().max().unwrap_or(0);
-        agreement
+        budget
             .keep_zone
             .insert(zone.to_string(), of_zone().sum::<u64>() - slack);
     }
-    agreement.evidence_bound_ms = 20_000;
-    agreement.repair_ms = 10 * MINUTE_MS;
-    agreement.patience_ms = 30 * 86_400_000;
+    budget.evidence_bound_ms = 20_000;
+    budget.repair_ms = 10 * MINUTE_MS;
+    budget.patience_ms = 30 * 86_400_000;
     let mut servers = names.clone();
     rng.shuffle(&mut servers);
     servers.truncate(MOST);
@@ -111,7 +111,7 @@
     }
     Instance {
         world,
-        agreement,
+        budget,
         requests,
         jobs,
         names,
@@ -128,7 +128,7 @@
                 .enumerate()
                 .filter(|(index, _)| bits >> index & 1 == 1);
             let gone: Vec<String> = away.map(|(_, name)| name.clone()).collect();
-            self.world.holds(&self.agreement, &gone, i64::MAX)
+            self.world.holds(&self.budget, &gone, i64::MAX)
         };
         (0..1 << self.names.len()).map(bears).collect()
     }
@@ -229,10 +229,10 @@
             .find(|job| self.names[job.server] == server)
             .expect("a job");
         let windows = machine.windows();
-        let mut seats = windows.iter().flat_map(|window| &window.seats);
-        let began = seats
-            .find(|seat| seat.server == server)
-            .and_then(|seat| seat.start_ms);
+        let mut slots = windows.iter().flat_map(|window| &window.slots);
+        let began = slots
+            .find(|slot| slot.server == server)
+            .and_then(|slot| slot.start_ms);
         now - began.expect("away has a start") >= job.real_ms
     }
 
@@ -242,14 +242,14 @@
         let mut world = self.world.clone();
         let mut machine = Machine::new();
         let start = world.now;
-        machine.apply(world.now, Event::Agreement(self.agreement.clone()));
+        machine.apply(world.now, Event::DisruptionBudget(self.budget.clone()));
         machine.apply(world.now, world.list());
         let all = |world: &World| {
-            Event::Evidence(
+            Event::Observations(
                 world
                     .servers
                     .keys()
-                    .map(|name| world.word(name, 0))
+                    .map(|name| world.observation(name, 0))
                     .collect(),
             )
         };
@@ -276,7 +276,7 @@
                 }
                 for act in acts {
                     let result = world.act(&act, 0, true);
-                    let Act {
+                    let Action {
                         window,
                         server,
                         step,
@@ -308,9 +308,9 @@
             }
             world.pass(STEP_MS);
             for view in machine.windows() {
-                for seat in view.seats.iter().filter(|seat| seat.state == State::Away) {
-                    if self.done(&machine, &seat.server, world.now) {
-                        let (window, server) = (view.window, seat.server.clone());
+                for slot in view.slots.iter().filter(|slot| slot.state == State::Away) {
+                    if self.done(&machine, &slot.server, world.now) {
+                        let (window, server) = (view.window, slot.server.clone());
                         machine.apply(world.now, Event::Finished { window, server });
                     }
                 }
--- a/crates/maintenance/tests/world/mod.rs
+++ b/crates/maintenance/tests/world/mod.rs
@@ -5,7 +5,9 @@
 
 use std::collections::BTreeMap;
 
-use load_balancer_maintenance::{Act, Agreement, Answer, Event, Health, Server, Step, Word};
+use load_balancer_maintenance::{
+    Action, Answer, DisruptionBudget, Event, Health, Server, ServerObservation, Step,
+};
 
 /// A server as it really is.
 #[derive(Clone, Debug)]
@@ -91,14 +93,14 @@
         }
     }
 
-    pub fn word(&self, name: &str, age_ms: u64) -> Word {
+    pub fn observation(&self, name: &str, age_ms: u64) -> ServerObservation {
         let real = &self.servers[name];
-        Word {
+        ServerObservation {
             server: name.into(),
             state: if real.alive && !real.taken {
-                Health::Well
+                Health::Healthy
             } else {
-                Health::Sick
+                Health::Unhealthy
             },
             warm: self.now >= real.warm_at,
             started: real.started,
@@ -126,7 +128,7 @@
     }
 
     /// What the thing acted on does, as the crate's page asks of it. `checks` tokens or not.
-    pub fn act(&mut self, act: &Act, warm_ms: i64, checks: bool) -> Answer {
+    pub fn act(&mut self, act: &Action, warm_ms: i64, checks: bool) -> Answer {
         let now = self.now;
         let Some(real) = self.servers.get_mut(&act.server) else {
             return Answer::Failed;
@@ -189,9 +191,9 @@
 
     /// Whether every limit holds with the given servers away by grant, counting as away what has been bad for
     /// `bound_ms`.
-    pub fn holds(&self, agreement: &Agreement, granted: &[String], bound_ms: i64) -> bool {
+    pub fn holds(&self, budget: &DisruptionBudget, is_admitted: &[String], bound_ms: i64) -> bool {
         let there = |name: &String, real: &Real| {
-            !granted.contains(name)
+            !is_admitted.contains(name)
                 && real
                     .bad_since
                     .is_none_or(|since| self.now - since < bound_ms)
@@ -203,28 +205,28 @@
                 .filter(|(name, real)| there(name, real) && pick(real));
             all.map(|(_, real)| u64::from(real.weight)).sum()
         };
-        let counts = |name: &String| granted.contains(name) || !self.unlisted.contains(name);
+        let counts = |name: &String| is_admitted.contains(name) || !self.unlisted.contains(name);
         let away = self
             .servers
             .iter()
             .filter(|(name, real)| !there(name, real) && counts(name))
             .count();
-        sum(&|_| true) >= agreement.keep
-            && agreement
+        sum(&|_| true) >= budget.keep
+            && budget
                 .keep_zone
                 .iter()
                 .all(|(zone, keep)| sum(&|r| r.zone == *zone) >= *keep)
-            && agreement
+            && budget
                 .keep_group
                 .iter()
                 .all(|(group, keep)| sum(&|r| r.group == *group) >= *keep)
-            && away <= agreement.most_away as usize
+            && away <= budget.most_away as usize
     }
 }
 
 /// An agreement with the given limits, and short times.
-pub fn agreement(keep: u64, keep_zone: &[(&str, u64)], most_away: u32) -> Agreement {
-    Agreement {
+pub fn budget(keep: u64, keep_zone: &[(&str, u64)], most_away: u32) -> DisruptionBudget {
+    DisruptionBudget {
         keep,
         keep_zone: keep_zone
             .iter()
--- a/crates/maintenance/tests/world/stage.rs
+++ b/crates/maintenance/tests/world/stage.rs
@@ -1,7 +1,7 @@
 //! A few servers that a test drives by hand.
 
 use load_balancer_maintenance::{
-    Act, Agreement, Event, Machine, Outcome, Request, SeatView, Step, Target,
+    Action, DisruptionBudget, Event, Machine, Outcome, Request, ServerSlotView, Step, Target,
 };
 
 use super::World;
@@ -16,7 +16,7 @@
 
 impl Stage {
     /// Four servers of weight 1 in zones a and b.
-    pub fn new(agreement: Agreement) -> Self {
+    pub fn new(budget: DisruptionBudget) -> Self {
         let mut world = World {
             now: START_MS,
             ..World::default()
@@ -28,12 +28,12 @@
             machine: Machine::new(),
             world,
         };
-        assert_eq!(stage.apply(Event::Agreement(agreement)), Outcome::Taken);
+        assert_eq!(stage.apply(Event::DisruptionBudget(budget)), Outcome::Taken);
         if let Some(calendar) = stage.machine.calendar_due(START_MS) {
             stage.apply(calendar);
         }
         stage.apply(stage.world.list());
-        stage.hear();
+        stage.observe();
         stage
     }
 
@@ -41,19 +41,19 @@
         self.machine.apply(self.world.now, event)
     }
 
-    pub fn hear(&mut self) {
-        let words = self
+    pub fn observe(&mut self) {
+        let observations = self
             .world
             .servers
             .keys()
-            .map(|name| self.world.word(name, 0))
+            .map(|name| self.world.observation(name, 0))
             .collect();
-        self.apply(Event::Evidence(words));
+        self.apply(Event::Observations(observations));
     }
 
     pub fn pass(&mut self, ms: i64) {
         self.world.pass(ms);
-        self.hear();
+        self.observe();
     }
 
     pub fn ask(
@@ -76,10 +76,10 @@
         self.apply(Event::Ask(request))
     }
 
-    pub fn seat(&self, server: &str) -> SeatView {
-        let mut seats = self.machine.windows().into_iter().flat_map(|w| w.seats);
-        seats
-            .rfind(|seat| seat.server == server)
+    pub fn slot(&self, server: &str) -> ServerSlotView {
+        let mut slots = self.machine.windows().into_iter().flat_map(|w| w.slots);
+        slots
+            .rfind(|slot| slot.server == server)
             .expect("a seat of that server")
     }
 
@@ -90,7 +90,7 @@
                 continue;
             }
             let result = self.world.act(&act, 0, true);
-            let Act {
+            let Action {
                 window,
                 server,
                 step,
@@ -110,7 +110,7 @@
     }
 
     pub fn clear(&mut self, server: &str) {
-        let (window, epoch) = (self.machine.windows()[0].window, self.seat(server).token);
+        let (window, epoch) = (self.machine.windows()[0].window, self.slot(server).token);
         self.apply(Event::Clear {
             window,
             server: server.into(),
--- a/src/bin/sidecar/snapshot.rs
+++ b/src/bin/sidecar/snapshot.rs
@@ -56,8 +56,7 @@
             return Ok(None);
         };
         if config.name.is_empty() || config.name.len() > LONGEST_NAME {
-            let what =
-                "snapshot.dir needs a name of 1 to 200 bytes: LB_NAME, or name in the platform's file";
+            let what = "snapshot.dir needs a name of 1 to 200 bytes: LB_NAME, or name in the platform's file";
             return Err((what.to_owned(), Exit::Config.into()));
         }
         let owner = format!("{cluster}/{}", config.name);
