--- a/benches/overhead.rs
+++ b/benches/overhead.rs
@@ -1,5 +1,6 @@
-//! What counting costs against what deciding costs: the same requests through the module, alone and with the
-//! operations that the sidecar's observer does for each. Prints the ratio of several pairs; judges nothing.
+//! What counting costs against what deciding costs: the same requests through the module, alone and
+//! with the operations that the sidecar's observer does for each. Prints the ratio of several
+//! pairs; judges nothing.
 //!
 //! `cargo bench --features product --profile product --bench overhead`
 
--- a/crates/affinity/src/contact.rs
+++ b/crates/affinity/src/contact.rs
@@ -1,10 +1,11 @@
 //! Tracks whom this member has heard, directly or through others, and since when it is in contact
 //! with a quorum.
 //!
-//! Some members stand for all: the *beacons*, drawn by their names, the same at every member that knows the same ones. Each
-//! pulse tells how long ago its sender heard of each of them, by itself or by pulses of others; as every pulse says all that
-//! its sender knows of who left, whoever heard of a beacon knows what that beacon knew. A member is in contact as of the
-//! instant since which it has heard of a quorum: any two quorums have a beacon in common, also where the two members know
+//! Some members stand for all: the *beacons*, drawn by their names, the same at every member that
+//! knows the same ones. Each pulse tells how long ago its sender heard of each of them, by itself
+//! or by pulses of others; as every pulse says all that its sender knows of who left, whoever heard
+//! of a beacon knows what that beacon knew. A member is in contact as of the instant since which it
+//! has heard of a quorum: any two quorums have a beacon in common, also where the two members know
 //! beacons that differ by a few.
 
 use crate::{Micros, mix};
@@ -13,8 +14,8 @@
 
 /// Members that stand for all, where there are as many.
 pub const MOST_BEACONS: usize = 16;
-/// Eighths of the beacons that a quorum has, rounded up: 10 of 16, so that two members whose beacons differ by three still
-/// have one in common.
+/// Eighths of the beacons that a quorum has, rounded up: 10 of 16, so that two members whose
+/// beacons differ by three still have one in common.
 const QUORUM_EIGHTHS: usize = 5;
 /// Ages are told in steps of so much, rounded up, and not at all from the longest on.
 const STEP: Micros = 10_000;
@@ -22,7 +23,8 @@
 /// Draws the beacons.
 const DRAW: u64 = 0x6265_6163;
 
-/// What a pulse tells of a beacon: the lower half of its number, twice its age in steps, plus 1 where it knew who left.
+/// What a pulse tells of a beacon: the lower half of its number, twice its age in steps, plus 1
+/// where it knew who left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BeaconAge([u8; 4], u32);
 
--- a/crates/affinity/src/contact/tests.rs
+++ b/crates/affinity/src/contact/tests.rs
@@ -18,7 +18,8 @@
     (0..members).map(contact).collect()
 }
 
-/// Pulses each half second from all to four drawn anew, some lost; gives since when all are in contact after.
+/// Pulses each half second from all to four drawn anew, some lost; gives since when all are in
+/// contact after.
 fn oldest(members: u64, lost: f64, cut: impl Fn(u64) -> bool) -> Vec<Option<Micros>> {
     let (mut all, mut rng, mut now) = (fleet(members), fastrand::Rng::with_seed(7), 0);
     for _ in 0..24 {
--- a/crates/affinity/src/contact_lease.rs
+++ b/crates/affinity/src/contact_lease.rs
@@ -1,7 +1,8 @@
 //! Decides whether this member may still be hearing the others, and so may use its entries.
 //!
-//! The host says when this member is in contact: by its standing in the fleet, and never on what came late. From then on
-//! its bindings hold for the silence, on its own monotonic clock, which runs on while the process is stopped.
+//! The host says when this member is in contact: by its connectivity state in the fleet, and never
+//! on what came late. From then on its affinity entries hold for the silence, on its own monotonic
+//! clock, which runs on while the process is stopped.
 
 use crate::Micros;
 
@@ -14,8 +15,8 @@
 }
 
 impl ContactLease {
-    /// One that starts. It is `sound` where it founds the fleet; else only after its first contact, as it does not know
-    /// which processes left before it came.
+    /// One that starts. It is `sound` where it founds the fleet; else only after its first contact,
+    /// as it does not know which processes left before it came.
     pub fn new(contact_timeout: Micros, sound: bool) -> Self {
         Self {
             contact_timeout,
@@ -30,7 +31,8 @@
         self.sound = true;
     }
 
-    /// Most of those that it met know as little as it does who left, as all have just started: together they found the fleet.
+    /// Most of those that it met know as little as it does who left, as all have just started:
+    /// together they found the fleet.
     pub fn founds(&mut self, they_do: bool) {
         self.sound |= they_do;
     }
@@ -40,7 +42,7 @@
         self.until = None;
     }
 
-    /// Whether bindings may be used at that instant.
+    /// Whether affinity entries may be used at that instant.
     pub fn hears(&self, mono: Micros) -> bool {
         self.sound && self.until.is_some_and(|until| mono < until)
     }
--- a/crates/affinity/src/drain_phase.rs
+++ b/crates/affinity/src/drain_phase.rs
@@ -1,7 +1,8 @@
 //! Endpoint processes that drain or have come back, and who is drained of affinity to them.
 //!
-//! Each process has an epoch, 0 at first. `begin_drain` ends its epoch for good; where its leave is called off, the next one
-//! opens. Bindings belong to the epoch in which they were made and end with it.
+//! Each process has an epoch, 0 at first. `begin_drain` ends its epoch for good; where its leave is
+//! called off, the next one opens. Affinity entries belong to the epoch in which they were made and
+//! end with it.
 
 use crate::Micros;
 use crate::entry::Process;
@@ -10,7 +11,8 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Processes of which phases are known at the most: all of them, and what else must be, fits into each pulse.
+/// Processes of which phases are known at the most: all of them, and what else must be, fits into
+/// each pulse.
 pub const MOST_PHASES: usize = 12;
 /// Members whose reports are kept for each of them: all of the largest fleet.
 const MOST_REPORTS: usize = 10_240;
@@ -98,9 +100,9 @@
             .is_some_and(|s| epoch < s.phase.epoch || epoch == s.phase.epoch && s.phase.leaves)
     }
 
-    /// From that slot on a key bound at that process in that epoch binds elsewhere; none where the process stays. Keys
-    /// are parted evenly over the time, the same at every member: few move at a time. Those of epochs before, too, as an epoch
-    /// may be skipped.
+    /// From that slot on a key bound at that process in that epoch binds elsewhere; none where the
+    /// process stays. Keys are parted evenly over the time, the same at every member: few move at a
+    /// time. Those of epochs before, too, as an epoch may be skipped.
     pub fn moves(&self, key: u64, process: Process, epoch: u64, times: &Times) -> Option<Slot> {
         let phase = self.known.get(&process)?.phase;
         if epoch > phase.epoch || epoch == phase.epoch && !phase.leaves {
@@ -121,7 +123,8 @@
             .map(|(process, state)| (*process, state.phase))
     }
 
-    /// A member is clear of a process at an epoch. What is said of another epoch, or goes beyond the bound, is dropped.
+    /// A member is clear of a process at an epoch. What is said of another epoch, or goes beyond
+    /// the bound, is dropped.
     pub fn report(&mut self, process: Process, epoch: u64, member: u64) {
         if let Some(state) = self.known.get_mut(&process)
             && state.phase.leaves
@@ -140,7 +143,8 @@
             .flat_map(|s| s.reported.iter().copied())
     }
 
-    /// Since when all these members are known to be clear of it at that epoch. Once all were, it stays so.
+    /// Since when all these members are known to be clear of it at that epoch. Once all were, it
+    /// stays so.
     pub fn complete(
         &mut self,
         process: Process,
@@ -159,12 +163,14 @@
         state.complete
     }
 
-    /// Whether what another tells of it is to be taken in: what all may have forgotten by now is not learnt anew.
+    /// Whether what another tells of it is to be taken in: what all may have forgotten by now is
+    /// not learnt anew.
     pub fn takes(&self, process: Process, phase: Phase, slot: Slot, times: &Times) -> bool {
         slot < phase.since.0.saturating_add(times.remembered()) || self.known.contains_key(&process)
     }
 
-    /// Forgets processes that have come back, or are not listed any more, once no word of before can be alive anywhere.
+    /// Forgets processes that have come back, or are not listed any more, once no word of before
+    /// can be alive anywhere.
     pub fn forget(&mut self, slot: Slot, times: &Times, listed: impl Fn(Process) -> bool) {
         let long = times.remembered();
         let recent = |phase: &Phase| slot < phase.since.0.saturating_add(long);
--- a/crates/affinity/src/entry.rs
+++ b/crates/affinity/src/entry.rs
@@ -12,12 +12,12 @@
     pub started: i64,
 }
 
-/// The last use of a key at a process that all members were told of. Of two words on the same key and process the greater
-/// one holds: fields are compared in this order.
+/// The last use of a key at a process that all members were told of. Of two words on the same key
+/// and process the greater one holds: fields are compared in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AffinityEntry {
-    /// The first slot in which that use is past its life: then it counts as never made. The word that lives longest holds,
-    /// so that what it replaces cannot outlive it.
+    /// The first slot in which that use is past its incarnation: then it counts as never made. The
+    /// word that lives longest holds, so that what it replaces cannot outlive it.
     pub ends: Slot,
     /// The epoch of the process in which it was used; see [`crate::phase`].
     pub epoch: u64,
@@ -44,8 +44,9 @@
 /// Processes at which one key is remembered: where two are bound at once, both until one ages out.
 pub const MAX_ENTRIES_PER_KEY: usize = 2;
 
-/// Words on one key. The merge takes the greater word of each process and keeps the greatest ones: idempotent,
-/// commutative and associative, as a process that is left out has no part in what is kept.
+/// Words on one key. The merge takes the greater word of each process and keeps the greatest ones:
+/// idempotent, commutative and associative, as a process that is left out has no part in what is
+/// kept.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KeyEntries(Vec<(AffinityEntry, Process)>);
 
@@ -57,7 +58,8 @@
             Some((held, _)) => *held = entry,
             None => self.0.push((entry, process)),
         }
-        // By the same order as the words of one process: else one that was left out would have a part in what is kept.
+        // By the same order as the words of one process: else one that was left out would have a
+        // part in what is kept.
         self.0.sort_by_key(|place| std::cmp::Reverse(*place));
         let dropped = self.0.len() > MAX_ENTRIES_PER_KEY
             && self.0[MAX_ENTRIES_PER_KEY..].contains(&(entry, process));
@@ -88,8 +90,8 @@
         self.0.first().map(|(entry, _)| entry.ends)
     }
 
-    /// The places at which the key is bound, of those that may be used: first one that it was met at again, then one drawn by
-    /// the key, the same at every member.
+    /// The places at which the key is bound, of those that may be used: first one that it was met
+    /// at again, then one drawn by the key, the same at every member.
     pub fn cached_at(
         &self,
         key: u64,
--- a/crates/affinity/src/exchange.rs
+++ b/crates/affinity/src/exchange.rs
@@ -10,7 +10,8 @@
 pub const TICK: Micros = 100_000;
 /// Time from one pulse to the next.
 const PULSE: Micros = 500_000;
-/// Members that are answered at a time, and keys in one turn of an answer: they fit into one piece or two.
+/// Members that are answered at a time, and keys in one turn of an answer: they fit into one
+/// fragment or two.
 const MOST_ASKED: usize = 4;
 const ANSWER: usize = 32;
 /// Words that wait from which on there is a pulse between: as many as fit into one.
@@ -19,7 +20,7 @@
 const REPORT_ROOM: usize = 48;
 
 impl AffinityMember {
-    /// A piece came from a member.
+    /// A fragment came from a member.
     ///
     /// # Errors
     /// Why it was refused; nothing of it was taken in.
@@ -36,7 +37,7 @@
             .phases()
             .filter(|(_, phase)| phase.since.0 <= newest)
         {
-            // One that finds no room stops all bindings here until it does.
+            // One that finds no room stops all affinity entries here until it does.
             if self.phases.takes(process, phase, oldest, &self.times) {
                 let _ = self.phases.merge(process, phase);
             }
@@ -91,8 +92,9 @@
         Ok(())
     }
 
-    /// Says at an instant of both clocks since when it is in contact. One that starts is so only by what was said after it
-    /// began; where a quorum was heard and most of it has just started too, nobody there knows more.
+    /// Says at an instant of both clocks since when it is in contact. One that starts is so only by
+    /// what was said after it began; where a quorum was heard and most of it has just started too,
+    /// nobody there knows more.
     fn follow(&mut self, now: Micros, mono: Micros) {
         let sound = self.contact_lease.sound();
         if let Some(at) = self
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Every [`TICK`]: ages out what is past its life and says what is to be sent.
+    /// Every [`TICK`]: ages out what is past its incarnation and says what is to be sent.
     pub fn tick(&mut self, now: Micros, mono: Micros) -> Outgoing {
         self.follow(now, mono);
         let slot = self.times.slot(now);
--- a/crates/affinity/src/histories.rs
+++ b/crates/affinity/src/histories.rs
@@ -20,8 +20,8 @@
 const EPOCH: Micros = 1_900_000_000_000_000;
 const KEYS: u64 = 24;
 const PROCESSES: u64 = 3;
-/// Sends of a pulse, for those by members that pass its words on: a word goes with three of them, so that at 30 % loss one
-/// in 10^14 is not reached.
+/// Sends of a pulse, for those by members that pass its words on: a word goes with three of them,
+/// so that at 30 % loss one in 10^14 is not reached.
 const SENDS: usize = 9;
 
 /// Lives as short as they can be beside the spread, so that much ages out in a history.
@@ -53,7 +53,7 @@
     under_way: Vec<(Micros, Process)>,
 }
 
-/// When it arrives, its number, from whom, to whom, and the piece.
+/// When it arrives, its number, from whom, to whom, and the fragment.
 type Datagram = (Micros, u64, usize, usize, Vec<u8>);
 
 struct World {
@@ -98,7 +98,8 @@
             rng,
         };
         for i in 0..members {
-            // Two clocks differ by the skew at the most; one history in eight has one that is off by two seconds.
+            // Two clocks differ by the skew at the most; one history in eight has one that is off
+            // by two seconds.
             let half = times.skew / 2;
             let off = i == 0 && world.rng.u8(..8) == 0;
             let way = if world.rng.bool() {
@@ -241,7 +242,8 @@
         }
     }
 
-    /// Requests come in: each goes where its key is bound, or else where all would send it, or elsewhere.
+    /// Requests come in: each goes where its key is bound, or else where all would send it, or
+    /// elsewhere.
     fn use_keys(&mut self) {
         for i in 0..self.nodes.len() {
             if self.nodes[i].stopped || self.rng.u8(..4) > 0 {
@@ -261,7 +263,8 @@
                 self.nodes[i].bindings.under_way(at, true);
             }
             self.nodes[i].bindings.record_use(now, key, at);
-            // A use by a binding that is about to end is told too late: the spread, two clocks and a slot before.
+            // A use by an affinity entry that is about to end is told too late: the spread, two
+            // clocks and a slot before.
             let late =
                 self.times.slot(now + 2 * self.times.skew) + self.times.dissemination_time + 2;
             let in_time = self.nodes[i]
--- a/crates/affinity/src/histories/checks.rs
+++ b/crates/affinity/src/histories/checks.rs
@@ -13,9 +13,9 @@
 pub(super) struct Truth {
     /// The last use of each, in the slot of who used it.
     last: HashMap<Binding, Slot>,
-    /// The last use by way of a binding: when, and by whom.
+    /// The last use by way of an affinity entry: when, and by whom.
     cached_at: HashMap<Binding, (Micros, usize)>,
-    /// Bindings that a member held and then no more, and the word that it knew.
+    /// Affinity entries that a member held and then no more, and the word that it knew.
     held: HashMap<(usize, u64, Binding), (AffinityEntry, bool)>,
     /// Processes that left, or were about to.
     pub(super) left: Vec<Process>,
@@ -126,21 +126,24 @@
         }
     }
 
-    /// All clocks are as they are to be. What one that is off tells may come to count at some and not at others.
+    /// All clocks are as they are to be. What one that is off tells may come to count at some and
+    /// not at others.
     fn in_time(&self) -> bool {
         self.nodes
             .iter()
             .all(|node| node.offset.abs() <= self.times.skew)
     }
 
-    /// Property b: what was used by its binding lives on with all that hear who used it, but for what skew and slots take.
+    /// Property b: what was used by its affinity entry lives on with all that hear who used it, but
+    /// for what skew and slots take.
     fn nothing_goes_early(&self, truth: &mut Truth, i: usize) {
         if self.capacity < KEYS as usize || !self.in_time() {
             return;
         }
         let slots = |n: Slot| n * self.times.slot;
         let (now, t) = (self.now(i), self.t);
-        // A word may reach one of two alone where a third is cut off from the other: nobody passes it on here.
+        // A word may reach one of two alone where a third is cut off from the other: nobody passes
+        // it on here.
         let pairs = (0..self.nodes.len()).flat_map(|j| (0..j).map(move |k| (j, k)));
         let since = pairs
             .map(|(j, k)| self.steady_since(j, k))
@@ -201,7 +204,8 @@
         }
     }
 
-    /// Property c: who heard each other for long enough holds the same, but for what ends within skew and a slot.
+    /// Property c: who heard each other for long enough holds the same, but for what ends within
+    /// skew and a slot.
     pub(super) fn compare(&mut self) {
         let mut truth = std::mem::take(&mut self.truth);
         let long = (self.times.renewed_lifetime
--- a/crates/affinity/src/histories/events.rs
+++ b/crates/affinity/src/histories/events.rs
@@ -63,7 +63,8 @@
         }
     }
 
-    /// A member dies and starts again, knowing nothing: of most members at a time one that knows who left is up.
+    /// A member dies and starts again, knowing nothing: of most members at a time one that knows
+    /// who left is up.
     fn crash(&mut self, i: usize) {
         let fresh = (0..self.nodes.len())
             .filter(|j| *j != i && !self.nodes[*j].bindings.contact_lease.sound());
@@ -88,7 +89,8 @@
         }
     }
 
-    /// No more uses and faults, then nothing more is told: what is on its way arrives, and members are compared.
+    /// No more uses and faults, then nothing more is told: what is on its way arrives, and members
+    /// are compared.
     pub(super) fn settle(&mut self) {
         let dissemination_time = self.times.dissemination_time * self.times.slot;
         let (quiet, end) = (self.t + SECOND, self.t + 2 * SECOND + dissemination_time);
--- a/crates/affinity/src/lib.rs
+++ b/crates/affinity/src/lib.rs
@@ -1,9 +1,10 @@
 //! Key affinity: which key is cached at which endpoint process, alike at every member, and how that
 //! expires.
 //!
-//! A *binding* is the note that a key is warm at one process of an endpoint. Members tell each other of uses in words that
-//! form a join semilattice: whatever is lost, repeated or reordered, the same words make the same table. What is gone
-//! follows from a word and the hour alone, so that a late word revives nothing. docs/affinity.md states the rules.
+//! A *affinity entry* is the note that a key is warm at one process of an endpoint. Members tell
+//! each other of uses in words that form a join semilattice: whatever is lost, repeated or
+//! reordered, the same words make the same table. What is gone follows from a word and the hour
+//! alone, so that a late word revives nothing. docs/affinity.md states the rules.
 //!
 //! - [`section`]: the `[fleet.bindings]` section of a product configuration.
 //! - [`time`]: slots that all members count alike.
@@ -13,7 +14,7 @@
 //! - [`contact`]: whom this member has heard, itself or through others.
 //! - [`contact_lease`]: whether this member may still hear the others.
 //! - [`publishing`]: what is told, and when.
-//! - [`pending_updates`]: words that are passed on.
+//! - [`pending_updates`]: words that are forwarded.
 //! - [`message`]: what goes from member to member.
 //! - [`exchange`]: what members send each other and make of it.
 //! - [`report`]: what a member gives out.
@@ -44,7 +45,8 @@
 /// Microseconds of Unix time on a member's own clock, of its monotonic clock, or a duration.
 pub type Micros = i64;
 
-/// The hash by which names, members and keys go over the wire: 64 bits of XXH3 (github.com/Cyan4973/xxHash, "XXH3").
+/// The hash by which names, members and keys go over the wire: 64 bits of XXH3
+/// (github.com/Cyan4973/xxHash, "XXH3").
 pub fn hash(name: &[u8]) -> u64 {
     xxhash_rust::xxh3::xxh3_64(name)
 }
--- a/crates/affinity/src/member.rs
+++ b/crates/affinity/src/member.rs
@@ -14,10 +14,10 @@
 use std::cmp::Reverse;
 use std::collections::{HashMap, HashSet, VecDeque};
 
-/// Pulses in which a member that starts asks for all bindings, until it is answered.
+/// Pulses in which a member that starts asks for all affinity entries, until it is answered.
 const ASKS: u32 = 8;
 
-/// All that one member knows of bindings.
+/// All that one member knows of affinity entries.
 #[derive(Clone, Debug)]
 pub struct AffinityMember {
     pub(crate) times: Times,
@@ -28,11 +28,12 @@
     pub(crate) phases: Phases,
     pub(crate) contact: Contact,
     pub(crate) contact_lease: ContactLease,
-    /// Processes that the own list has named and that take nothing any more: nothing is bound there.
+    /// Processes that the own list has named and that take nothing any more: nothing is bound
+    /// there.
     pub(crate) closed: HashSet<Process>,
-    /// Requests under way that may go by a binding, by process.
+    /// Requests under way that may go by an affinity entry, by process.
     pub(crate) under_way: HashMap<Process, u32>,
-    /// Members that asked for all bindings, and how far their answers have come.
+    /// Members that asked for all affinity entries, and how far their answers have come.
     pub(crate) asked: VecDeque<(u64, Option<Rank>)>,
     /// From then on what others sent is sure to be said after this member began.
     pub(crate) begun: Micros,
@@ -45,7 +46,8 @@
 }
 
 impl AffinityMember {
-    /// Those of a member by that number, the same in all its lives, that begins now. One that `founds` the fleet asks nobody.
+    /// Those of a member by that number, the same in all its lives, that begins now. One that
+    /// `founds` the fleet asks nobody.
     pub fn new(
         now: Micros,
         times: Times,
@@ -87,8 +89,8 @@
         self.contact_lease.lose_contact();
     }
 
-    /// Where a key is bound, of the processes that may be used, the best first. None where this member may not hear the
-    /// others.
+    /// Where a key is bound, of the processes that may be used, the best first. None where this
+    /// member may not hear the others.
     pub fn picks(
         &self,
         now: Micros,
@@ -109,7 +111,7 @@
         }
     }
 
-    /// A request that was given a binding to that process begins, or ends for good.
+    /// A request that was given an affinity entry to that process begins, or ends for good.
     pub fn under_way(&mut self, process: Process, begins: bool) {
         let requests = self.under_way.entry(process).or_default();
         *requests = if begins {
@@ -141,7 +143,8 @@
         }
     }
 
-    /// The own list says that those take nothing any more: what was bound there is dropped here, and nothing is taken in.
+    /// The own list says that those take nothing any more: what was bound there is dropped here,
+    /// and nothing is taken in.
     pub fn closes(&mut self, closed: HashSet<Process>) {
         if closed.iter().any(|process| !self.closed.contains(process)) {
             self.table
@@ -198,8 +201,9 @@
         )
     }
 
-    /// How far it is clear, where `running` are all members that are known to run. It is once all of them, this one and all
-    /// beacons that were heard of are clear of it and whoever is not heard has fallen silent by its own clock.
+    /// How far it is clear, where `running` are all members that are known to run. It is once all
+    /// of them, this one and all beacons that were heard of are clear of it and whoever is not
+    /// heard has fallen silent by its own clock.
     pub fn clear(
         &mut self,
         now: Micros,
@@ -213,7 +217,7 @@
             .iter()
             .find(|(p, phase)| *p == process && phase.epoch == epoch && phase.leaves);
         let known = phase.is_some();
-        // Whoever knows that it leaves uses no binding from then on.
+        // Whoever knows that it leaves uses no affinity entry from then on.
         let moved = phase.is_some_and(|(_, phase)| now >= self.times.moved(phase.since.0));
         let moved = moved || !self.rules.waits_for_silence;
         let reported = self.phases.reported(process).filter(|_| known);
@@ -257,7 +261,7 @@
             .map(|(process, phase)| (process, phase, self.phases.reported(process).count()))
     }
 
-    /// All bindings, for whoever audits them: key, process, word.
+    /// All affinity entries, for whoever audits them: key, process, word.
     pub fn dump(&self) -> impl Iterator<Item = (u64, Process, AffinityEntry)> {
         let entries = |key| {
             self.table
--- a/crates/affinity/src/message.rs
+++ b/crates/affinity/src/message.rs
@@ -10,13 +10,14 @@
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
 
-/// Longest piece in bytes: what is left of a datagram of 1,200 beside heads and some evidence.
+/// Longest fragment in bytes: what is left of a datagram of 1,200 beside heads and some
+/// observations.
 pub const LONGEST: usize = 1024;
 const VERSION: u8 = 1;
-/// Longest slots back from a piece's own that a word may lie: a day of slots of a millisecond.
+/// Longest slots back from a fragment's own that a word may lie: a day of slots of a millisecond.
 const FARTHEST: u64 = 86_400_000;
 
-/// Why a piece was refused.
+/// Why a fragment was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MessageRefused {
     /// Not of this form.
@@ -33,19 +34,20 @@
 type EncodedPhase = (EncodedProcess, u64, bool, Slot);
 /// Members that are clear of a process at an epoch.
 type EncodedReport = (EncodedProcess, u64, Vec<[u8; 8]>);
-/// Words on one process in one epoch: the key, then twice the slots back of its end from the piece's own, plus 1 where it is held.
+/// Words on one process in one epoch: the key, then twice the slots back of its end from the
+/// fragment's own, plus 1 where it is held.
 type EncodedEntries = (EncodedProcess, u64, Vec<([u8; 8], u64)>);
 
-/// A piece.
+/// A fragment.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AffinityMessage {
     /// When it was written, by the sender's clock.
     pub stamp: Micros,
-    /// The sender asks for all bindings.
+    /// The sender asks for all affinity entries.
     pub asks: bool,
     /// The last one of an answer.
     pub ends: bool,
-    /// Its words are news, to be passed on.
+    /// Its words are news, to be forwarded.
     pub news: bool,
     /// Entries up to that rank were dropped somewhere: they are everywhere.
     pub floor: Option<(Slot, u64)>,
--- a/crates/affinity/src/pending_updates.rs
+++ b/crates/affinity/src/pending_updates.rs
@@ -1,19 +1,20 @@
 //! Updates that are disseminated until enough members have them.
 //!
-//! What is told here, or was new here, goes along with pulses to members drawn anew each time (Demers et al., PODC 1987,
-//! p. 1, "rumor mongering" by counter): what went least often first, each time as the table has it by then.
+//! What is told here, or was new here, goes along with pulses to members drawn anew each time
+//! (Demers et al., PODC 1987, p. 1, "rumor mongering" by counter): what went least often first,
+//! each time as the table has it by then.
 
 use crate::entry::Process;
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
-/// Pulses with which a word goes: of four sends each, 12. With three in ten lost, one member in 4,000 is missed by all who
-/// pass a word on.
+/// Pulses with which a word goes: of four sends each, 12. With three in ten lost, one member in
+/// 4,000 is missed by all who pass a word on.
 pub const ROUNDS: u8 = 3;
 /// Words that wait; what went most often makes room.
 const MOST: usize = 1024;
 
-/// Words that are to be passed on.
+/// Words that are to be forwarded.
 #[derive(Clone, Debug, Default)]
 pub struct PendingUpdates {
     left: HashMap<(u64, Process), u8>,
--- a/crates/affinity/src/publishing.rs
+++ b/crates/affinity/src/publishing.rs
@@ -1,9 +1,10 @@
 //! Decides which uses of a key are published, and when.
 //!
-//! A use of what is bound is told only where the others would else age it out, by one of those that know of such a use. As
-//! nobody knows who else does, each waits a drawn time, exponentially so that few come first whatever their number (as for
-//! feedback of multicast: Nonnenmacher and Biersack, IEEE/ACM Transactions on Networking 7, 1999, p. 375); who hears the
-//! word meanwhile says nothing.
+//! A use of what is bound is told only where the others would else age it out, by one of those that
+//! know of such a use. As nobody knows who else does, each waits a drawn time, exponentially so
+//! that few come first whatever their number (as for feedback of multicast: Nonnenmacher and
+//! Biersack, IEEE/ACM Transactions on Networking 7, 1999, p. 375); who hears the word meanwhile
+//! says nothing.
 
 use crate::entry::{AffinityEntry, Process};
 use crate::safety_rules::SafetyRules;
@@ -97,7 +98,8 @@
         latest * times.slot - over + (waits * over as f64) as Micros
     }
 
-    /// What is to be told at this instant, so that nothing is late until the next one, `every` from now.
+    /// What is to be told at this instant, so that nothing is late until the next one, `every` from
+    /// now.
     pub fn due_now(
         &mut self,
         now: Micros,
--- a/crates/affinity/src/section.rs
+++ b/crates/affinity/src/section.rs
@@ -1,4 +1,5 @@
-//! The `[fleet.affinity_entries]` section of a product configuration; docs/affinity.md is its reference.
+//! The `[fleet.affinity_entries]` section of a product configuration; docs/affinity.md is its
+//! reference.
 
 use crate::Micros;
 use crate::publishing::PublishRates;
@@ -47,13 +48,15 @@
             enabled: false,
             // A fifth of the shortest life that divides: lives are exact to one slot.
             slot: Time::ms(500),
-            // Servers remember a key for 2.3 to 12 s from its last use there. The longest of these for what was met once; what
-            // is met again lives three times as long, as each renewal costs words, and a cold pick no more than any other.
+            // Servers remember a key for 2.3 to 12 s from its last use there. The longest of these
+            // for what was met once; what is met again lives three times as long, as each renewal
+            // costs words, and a cold pick no more than any other.
             first_lifetime: Time::ms(12_000),
             renewed_lifetime: Time::ms(36_000),
             // Twice the five pulses that reach 60 members; with three in ten lost, the rest too.
             dissemination_time: Time::ms(3000),
-            // As long as a fresh server takes to be warm (7.4 s): the others then get a twentieth more a second.
+            // As long as a fresh server takes to be warm (7.4 s): the others then get a twentieth
+            // more a second.
             migration_time: Time::ms(8000),
             contact_timeout: Time::ms(4000),
             late: Time::ms(1000),
@@ -122,7 +125,8 @@
         i64::try_from(time.0.as_micros()).unwrap_or(i64::MAX)
     }
 
-    /// Its times, with clocks that are off by no more than half a second; see [`AffinityEntriesSection::times_with`].
+    /// Its times, with clocks that are off by no more than half a second; see
+    /// [`AffinityEntriesSection::times_with`].
     pub fn times(&self) -> Times {
         self.times_with(500_000)
     }
--- a/crates/affinity/src/table.rs
+++ b/crates/affinity/src/table.rs
@@ -6,9 +6,9 @@
 use crate::time::Slot;
 use std::collections::{BTreeSet, HashMap};
 
-/// The order in which entries are dropped, the least first: by the slot in which the last use that all were told of
-/// ends, then by a
-/// number drawn from the key. Nothing that only one member knows has a part in it.
+/// The order in which entries are dropped, the least first: by the slot in which the last use that
+/// all were told of ends, then by a number drawn from the key. Nothing that only one member knows
+/// has a part in it.
 pub type Rank = (Slot, u64, u64);
 
 /// Words on keys, at most so many of them.
@@ -17,8 +17,8 @@
     most: usize,
     key_entries: HashMap<u64, KeyEntries>,
     ranks: BTreeSet<Rank>,
-    /// The greatest rank that was dropped anywhere: nothing up to it is kept, so that what was dropped at one member
-    /// finds no room at another where something has just aged out.
+    /// The greatest rank that was dropped anywhere: nothing up to it is kept, so that what was
+    /// dropped at one member finds no room at another where something has just aged out.
     floor: Option<(Slot, u64)>,
     /// Entries dropped as the table was full.
     pub dropped: u64,
@@ -116,9 +116,10 @@
         }
     }
 
-    /// Drops what is past its life in that slot.
+    /// Drops what is past its incarnation in that slot.
     pub fn age(&mut self, slot: Slot) {
-        // A key's other place may end before the one that gives its rank: it is passed over where it is read.
+        // A key's other place may end before the one that gives its rank: it is passed over where
+        // it is read.
         while let Some((.., key)) = self.ranks.first().copied().filter(|rank| rank.0 <= slot) {
             self.ranks.pop_first();
             self.key_entries.remove(&key);
@@ -128,7 +129,8 @@
         }
     }
 
-    /// Whether a word lies above all that was dropped anywhere; one that does not counts as never told.
+    /// Whether a word lies above all that was dropped anywhere; one that does not counts as never
+    /// told.
     fn stands(&self, key: u64, entry: &AffinityEntry) -> bool {
         self.floor
             .is_none_or(|floor| (entry.ends, mix(key, 0)) > floor)
--- a/crates/affinity/src/time.rs
+++ b/crates/affinity/src/time.rs
@@ -5,7 +5,7 @@
 /// The how-manieth slot of Unix time.
 pub type Slot = i64;
 
-/// Times of a binding, in slots of wall-clock time and in microseconds.
+/// Times of an affinity entry, in slots of wall-clock time and in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Times {
     /// Length of a slot in microseconds.
@@ -20,11 +20,12 @@
     pub migration_time: Slot,
     /// How far members' clocks may be off from each other, in microseconds.
     pub skew: Micros,
-    /// Time on the own monotonic clock after which a member that heard nobody uses no binding.
+    /// Time on the own monotonic clock after which a member that heard nobody uses no affinity
+    /// entry.
     pub contact_timeout: Micros,
     /// Age from which what came is no sign that its sender is heard.
     pub late: Micros,
-    /// Longest time from the pick of a binding to the end of its request.
+    /// Longest time from the pick of an affinity entry to the end of its request.
     pub longest_use: Micros,
 }
 
@@ -39,7 +40,7 @@
         time.div_euclid(self.slot) + i64::from(time.rem_euclid(self.slot) != 0)
     }
 
-    /// How long a binding lives from its last use.
+    /// How long an affinity entry lives from its last use.
     pub fn life(&self, held: bool) -> Slot {
         if held {
             self.renewed_lifetime
@@ -48,15 +49,15 @@
         }
     }
 
-    /// Time on the asked member's monotonic clock from when it knew that everybody heard is clear to when whoever is not
-    /// heard is silent, its last request ended: the silence, the age of what was last heard, two clocks that are off
-    /// either way, the longest use.
+    /// Time on the asked member's monotonic clock from when it knew that everybody heard is clear
+    /// to when whoever is not heard is silent, its last request ended: the silence, the age of what
+    /// was last heard, two clocks that are off either way, the longest use.
     pub fn clear_after(&self) -> Micros {
         self.contact_timeout + self.late + 2 * self.skew + self.longest_use
     }
 
-    /// When all keys of a process that leaves since that slot have moved by everybody's clock, and the last request that went by a
-    /// binding has ended.
+    /// When all keys of a process that leaves since that slot have moved by everybody's clock, and
+    /// the last request that went by a affinity entry has ended.
     pub fn moved(&self, since: Slot) -> Micros {
         since
             .saturating_add(self.migration_time + 1)
@@ -65,7 +66,8 @@
             + self.longest_use
     }
 
-    /// Slots for which it is remembered that a process left: until no word on it can be alive at any member.
+    /// Slots for which it is remembered that a process left: until no word on it can be alive at
+    /// any member.
     pub fn remembered(&self) -> Slot {
         let longest = self.slots(self.clear_after())
             + self.migration_time
--- a/crates/common/build.rs
+++ b/crates/common/build.rs
@@ -5,7 +5,8 @@
 
 fn main() {
     println!("cargo::rerun-if-env-changed=LOAD_BALANCER_COMMIT");
-    // The log of HEAD changes with each commit and checkout; without it there is no commit to tell either.
+    // The log of HEAD changes with each commit and checkout; without it there is no commit to tell
+    // either.
     let log = Path::new("../../.git/logs/HEAD");
     if log.exists() {
         println!("cargo::rerun-if-changed={}", log.display());
--- a/crates/common/src/cli.rs
+++ b/crates/common/src/cli.rs
@@ -2,8 +2,8 @@
 
 use std::process::ExitCode;
 
-/// How a program ends. The numbers are those of `sysexits.h` (4.3BSD), so that supervisors and scripts can tell a
-/// wrong call from a wrong file and both from trouble that may pass.
+/// How a program ends. The numbers are those of `sysexits.h` (4.3BSD), so that supervisors and
+/// scripts can tell a wrong call from a wrong file and both from trouble that may pass.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Exit {
@@ -15,7 +15,8 @@
     Usage = 64,
     /// Data that it was given is not in the form it needs.
     Data = 65,
-    /// Something that it needs cannot be had now: an address in use, a service that does not answer.
+    /// Something that it needs cannot be had now: an address in use, a service that does not
+    /// answer.
     Unavailable = 69,
     /// A fault of its own.
     Software = 70,
@@ -47,8 +48,9 @@
 /// The commit they were built from, where that was known.
 pub const COMMIT: Option<&str> = option_env!("LOAD_BALANCER_COMMIT");
 
-/// Reads the command line. Where the program is not to go on, the code to end with comes back: help and version
-/// have then been printed to standard output, or what is wrong with the call to standard error.
+/// Reads the command line. Where the program is not to go on, the code to end with comes back: help
+/// and version have then been printed to standard output, or what is wrong with the call to
+/// standard error.
 pub fn parse<T: clap::Parser>() -> Result<T, Exit> {
     parse_from(std::env::args_os())
 }
--- a/crates/common/src/config.rs
+++ b/crates/common/src/config.rs
@@ -69,8 +69,8 @@
 /// Reads a file as a configuration.
 ///
 /// # Errors
-/// The file cannot be read, is not TOML, has keys that nobody knows, values of a wrong kind or unit, or values that
-/// contradict each other.
+/// The file cannot be read, is not TOML, has keys that nobody knows, values of a wrong kind or
+/// unit, or values that contradict each other.
 pub fn load<T: Configuration>(path: &Path) -> Result<T, Problem> {
     let unreadable = |what: String| Problem {
         file: path.to_owned(),
--- a/crates/common/src/lib.rs
+++ b/crates/common/src/lib.rs
@@ -1,5 +1,6 @@
-//! What every program of the project shares: conventions of the command line, product configuration, structured
-//! logs and metrics. Knows no subsystem: sections of the configuration belong to whom they configure.
+//! What every program of the project shares: conventions of the command line, product
+//! configuration, structured logs and metrics. Knows no subsystem: sections of the configuration
+//! belong to whom they configure.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/common/src/logging.rs
+++ b/crates/common/src/logging.rs
@@ -24,7 +24,8 @@
     pub format: Format,
     /// The least level that is written.
     pub level: Level,
-    /// The same for single targets, which are named in the reference, such as `"sidecar::request" = "debug"`.
+    /// The same for single targets, which are named in the reference, such as `"sidecar::request" =
+    /// "debug"`.
     pub targets: BTreeMap<String, Level>,
     /// How much may wait for a standard error that takes nothing.
     pub buffer: Size,
@@ -34,7 +35,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Format {
-    /// `program: words`, as people on call know it.
+    /// `program: words`, as on-call engineers know it.
     Text,
     /// One JSON object a line.
     Json,
@@ -85,8 +86,8 @@
         Ok(())
     }
 
-    /// Takes targets under a program's earlier name as those under its name of today. One that is named both ways keeps
-    /// today's level.
+    /// Takes targets under a program's earlier name as those under its name of today. One that is
+    /// named both ways keeps today's level.
     pub fn rename_targets(&mut self, earlier: &str, today: &str) {
         for (target, level) in std::mem::take(&mut self.targets) {
             match target.strip_prefix(earlier) {
@@ -149,7 +150,8 @@
     }
 }
 
-/// Starts the log of the process; `program` stands before each line of text. Called once, first of all.
+/// Starts the log of the process; `program` stands before each line of text. Called once, first of
+/// all.
 pub fn start(section: &LogSection, program: &'static str) -> Log {
     let most = usize::try_from(section.buffer.0).unwrap_or(usize::MAX);
     let lines = Shared::new(Lines::new(Stderr, program, most));
--- a/crates/common/src/metering.rs
+++ b/crates/common/src/metering.rs
@@ -61,12 +61,13 @@
     }
 }
 
-/// Bounds of the histograms' buckets, in seconds: from a fast answer on one machine to the longest deadline that
-/// the platform's settings know (4 s), each about twice the one before.
+/// Bounds of the histograms' buckets, in seconds: from a fast answer on one machine to the longest
+/// deadline that the platform's settings know (4 s), each about twice the one before.
 const BUCKETS: [f64; 13] = [
     0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.35, 0.5, 0.8, 1.0, 2.0, 4.0,
 ];
-/// How often samples of histograms are taken out of their queue where nobody reads them, so that it stays short.
+/// How often samples of histograms are taken out of their queue where nobody reads them, so that it
+/// stays short.
 const UPKEEP: Duration = Duration::from_secs(5);
 
 /// All figures of one process.
@@ -136,7 +137,8 @@
             .register_histogram(&key(name, labels), &METADATA)
     }
 
-    /// All of them in Prometheus text form, version 0.0.4, with the process's own brought up to date.
+    /// All of them in Prometheus text form, version 0.0.4, with the process's own brought up to
+    /// date.
     pub fn text(&self) -> String {
         let usage = process::usage();
         for (name, what, value) in [
--- a/crates/common/src/pages.rs
+++ b/crates/common/src/pages.rs
@@ -97,8 +97,9 @@
     }
 }
 
-/// Hands out pages by their path until the process ends. A reader costs its connection at most: it is closed once
-/// it is answered, or its time is up, and one beyond the bound at once. Runs inside a `LocalSet`.
+/// Hands out pages by their path until the process ends. A reader costs its connection at most: it
+/// is closed once it is answered, or its time is up, and one beyond the bound at once. Runs inside
+/// a `LocalSet`.
 pub async fn serve<F, P>(listener: TcpListener, bounds: Bounds, pages: P)
 where
     P: Fn(Ask) -> F + Clone + 'static,
--- a/crates/common/src/process.rs
+++ b/crates/common/src/process.rs
@@ -15,8 +15,8 @@
     pub processor: Option<f64>,
 }
 
-/// Clock ticks a second in the system's accounts: fixed at 100 on every Linux that programs can run on (`USER_HZ`,
-/// proc(5)).
+/// Clock ticks a second in the system's accounts: fixed at 100 on every Linux that programs can run
+/// on (`USER_HZ`, proc(5)).
 const TICKS: f64 = 100.0;
 
 /// Reads them anew.
@@ -60,7 +60,8 @@
 }
 
 fn processor(stat: &str) -> Option<f64> {
-    // The name, in brackets, may hold anything; user and system time are the 12th and 13th field behind it.
+    // The name, in brackets, may hold anything; user and system time are the 12th and 13th field
+    // behind it.
     let mut fields = stat.rsplit_once(')')?.1.split_whitespace().skip(11);
     let mut next = || fields.next()?.parse::<f64>().ok();
     Some((next()? + next()?) / TICKS)
--- a/crates/common/src/stderr.rs
+++ b/crates/common/src/stderr.rs
@@ -32,8 +32,9 @@
     }
 }
 
-/// Lines on their way to a sink: written at once where it takes them, else kept up to a bound and tried again with
-/// the next line. What does not fit is dropped, newest first, and counted; the count is written in their place.
+/// Lines on their way to a sink: written at once where it takes them, else kept up to a bound and
+/// tried again with the next line. What does not fit is dropped, newest first, and counted; the
+/// count is written in their place.
 pub struct Lines<S> {
     sink: S,
     program: &'static str,
--- a/crates/coordinator/src/affinity_drain.rs
+++ b/crates/coordinator/src/affinity_drain.rs
@@ -16,8 +16,9 @@
 }
 
 impl Poller {
-    /// Tells sidecars of all zones that a process leaves. Whether it is clear: enough members of each zone say that it is
-    /// at this epoch, and none that it is not. A zone in which too few answer cannot tell, so it is not.
+    /// Tells sidecars of all zones that a process leaves. Whether it is clear: enough members of
+    /// each zone say that it is at this epoch, and none that it is not. A zone in which too few
+    /// answer cannot tell, so it is not.
     pub async fn unbound(&self, leaving: &Unclear) -> bool {
         let body = json!({"server": leaving.server, "started_ms": leaving.started, "epoch": leaving.epoch});
         // The same sidecars again: each counts by its own clock since when the process leaves.
@@ -76,13 +77,15 @@
             })
     }
 
-    /// Tells sidecars of all zones that a process stays: it was called back, or another one takes its place.
+    /// Tells sidecars of all zones that a process stays: it was cancelled, or another one takes its
+    /// place.
     pub async fn stays(&self, leaving: &Unclear) {
         let body: Value = json!({"server": leaving.server, "started_ms": leaving.started, "epoch": leaving.epoch});
         let mut telling = JoinSet::new();
         for (_, at) in self.draw() {
             let (body, within) = (body.clone(), self.observations().timeout.0);
-            // Who does not hear it hears it from the others, or goes on without bindings to that process.
+            // Who does not hear it hears it from the others, or goes on without affinity entries to
+            // that process.
             telling.spawn_local(async move {
                 fetch(at, "POST", "/fleet/stays", Some(&body), within)
                     .await
--- a/crates/coordinator/src/calls.rs
+++ b/crates/coordinator/src/calls.rs
@@ -36,7 +36,7 @@
         self.send(ThreadInput::Input(Box::new(input)))
     }
 
-    /// The same for what is not for the steward itself.
+    /// The same for what is not for the coordinator itself.
     pub fn send(&self, told: ThreadInput) -> bool {
         let taken = self.told.try_send(told).is_ok();
         self.missed.set(self.missed.get() + u64::from(!taken));
--- a/crates/coordinator/src/commands.rs
+++ b/crates/coordinator/src/commands.rs
@@ -10,12 +10,12 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::task::LocalSet;
 
-/// How long an answer may take: a steward's own time and as much again.
+/// How long an answer may take: a coordinator's own time and as much again.
 const WITHIN: Duration = Duration::from_secs(10);
 
 #[derive(Args)]
 pub struct At {
-    /// Where a steward listens.
+    /// Where a coordinator listens.
     #[arg(long, value_name = "ADDRESS", default_value = "127.0.0.1:9480")]
     at: SocketAddr,
     /// Print the answer as it came, JSON.
@@ -25,13 +25,13 @@
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Shows where a steward stands.
+    /// Shows where a coordinator stands.
     Status(At),
     /// Shows all windows, server by server.
     Windows(At),
     /// Shows what capacity is there, and what is not and why.
     Capacity(At),
-    /// Shows the stewards that a steward knows.
+    /// Shows the coordinators that a coordinator knows.
     Members(At),
     /// Asks for a window.
     Ask(WindowRequest),
--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -52,7 +52,7 @@
     /// Connections at once.
     #[serde(default = "connections")]
     pub connections: usize,
-    /// How long one reader, caller or steward may take.
+    /// How long one reader, caller or coordinator may take.
     #[serde(default = "timeout")]
     pub timeout: Time,
     /// For experiments: by how much its clock is taken to be off, in milliseconds.
@@ -111,7 +111,7 @@
     16
 }
 
-/// The fleet's evidence.
+/// The fleet's observations.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ObservationSection {
@@ -119,14 +119,16 @@
     pub sidecars: BTreeMap<String, Vec<SocketAddr>>,
     /// Time between two rounds.
     pub period: Time,
-    /// Sidecars of a zone that are asked in a round, drawn anew each time. At two requests a second over 30 servers one of
-    /// them sees a server each 15 s: the more are asked, the younger is what some of them know.
+    /// Sidecars of a zone that are asked in a round, drawn anew each time. At two requests a second
+    /// over 30 servers one of them sees a server each 15 s: the more are asked, the younger is what
+    /// some of them know.
     pub ask: usize,
     /// How many of them must say the same at least, and more than half of those that can tell.
     pub agree: usize,
     /// How long one may take to answer.
     pub timeout: Time,
-    /// Age from which a process counts as warm, unless sidecars say that it is not; the skew of clocks included.
+    /// Age from which a process counts as warm, unless sidecars say that it is not; the skew of
+    /// clocks included.
     pub warm_after: Time,
 }
 
@@ -143,11 +145,11 @@
     }
 }
 
-/// Whether sidecars' bindings must be clear before a server is taken.
+/// Whether sidecars' affinity entries must be clear before a server is taken.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct AffinityDrainSection {
-    /// Whether sidecars are asked: they keep bindings.
+    /// Whether sidecars are asked: they keep affinity entries.
     pub ask: bool,
     /// For how long nothing must have run at a drained server.
     pub quiet: Time,
@@ -163,9 +165,9 @@
     }
 }
 
-/// Most stewards: five bear two failures, more only make each agreement slower.
+/// Most coordinators: five bear two failures, more only make each agreement slower.
 const MOST_STEWARDS: usize = 7;
-/// Longest name of a steward, in bytes.
+/// Longest name of a coordinator, in bytes.
 const MAX_NAME_BYTES: usize = 64;
 
 impl Configuration for Sections {
--- a/crates/coordinator/src/core/coordinator.rs
+++ b/crates/coordinator/src/core/coordinator.rs
@@ -7,7 +7,7 @@
 use load_balancer_maintenance::Event;
 use std::collections::BTreeMap;
 
-/// One steward.
+/// One coordinator.
 pub struct CoordinatorCore {
     pub(super) node: Node<Replica>,
     pub(super) settings: Settings,
@@ -20,8 +20,8 @@
 }
 
 impl CoordinatorCore {
-    /// A steward on what its shelf holds; `found` makes a blank one the first of a new agreement, and must be given to
-    /// one steward, once, where no other has any part of one.
+    /// A coordinator on what its shelf holds; `found` makes a blank one the first of a new
+    /// agreement, and must be given to one coordinator, once, where no other has any part of one.
     ///
     /// # Errors
     /// The disk fails, or holds what this program does not know.
@@ -42,8 +42,8 @@
         })
     }
 
-    /// Takes something in. What it comes to is given by [`CoordinatorCore::drive`], which must follow; several may be taken in
-    /// before.
+    /// Takes something in. What it comes to is given by [`CoordinatorCore::drive`], which must
+    /// follow; several may be taken in before.
     pub fn take(&mut self, now: Now, input: Input) {
         match input {
             Input::Tick => {
@@ -126,7 +126,7 @@
         Ok(())
     }
 
-    /// Asks a majority whether this steward leads.
+    /// Asks a majority whether this coordinator leads.
     pub(super) fn ask_majority(&mut self) -> u64 {
         self.last_ticket += 1;
         self.node.confirm(self.last_ticket);
@@ -136,7 +136,8 @@
     /// Keeps and applies what the steps so far came to; what is to be done about it.
     ///
     /// # Errors
-    /// The steward must stop, and nothing of it may be sent. Its callers are not answered: [`CoordinatorCore::callers`].
+    /// The coordinator must stop, and nothing of it may be sent. Its callers are not answered:
+    /// [`CoordinatorCore::callers`].
     pub fn drive(&mut self, now: Now) -> Result<Output, HaltReason> {
         let effects = self.node.drive()?;
         for message in effects.messages {
--- a/crates/coordinator/src/core/interface.rs
+++ b/crates/coordinator/src/core/interface.rs
@@ -16,19 +16,19 @@
     pub mono_ms: u64,
 }
 
-/// What a steward is made with.
+/// What a coordinator is made with.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Names of all stewards.
+    /// Names of all coordinators.
     pub names: Vec<String>,
-    /// What the operators have agreed on, by this steward's file. The leader's file holds.
+    /// What the operators have agreed on, by this coordinator's file. The leader's file holds.
     pub budget: DisruptionBudget,
     /// Pause before something that failed is tried again, in milliseconds.
     pub again_ms: u64,
     /// How long an act or a question may take until it counts as lost, in milliseconds.
     pub lost_ms: u64,
-    /// For how long after it was asked for a majority's word that this steward leads may be acted on, in milliseconds:
-    /// no longer than others wait before they stand for election.
+    /// For how long after it was asked for a majority's word that this coordinator leads may be
+    /// acted on, in milliseconds: no longer than others wait before they stand for election.
     pub word_ms: u64,
 }
 
@@ -37,16 +37,16 @@
 pub enum Input {
     /// A heartbeat's time passed.
     Tick,
-    /// Another steward's message, and its name.
+    /// Another coordinator's message, and its name.
     Message(String, Message),
     /// Somebody brings an event, and waits under this number for the answer.
     Bring(u64, Event),
-    /// A steward asks for a voice: the caller's number, the disk's number, its name.
+    /// A coordinator asks for a voice: the caller's number, the disk's number, its name.
     Admit(u64, u64, String),
     /// What the platform lists.
     Listed(Vec<Server>),
-    /// A round of looks at the fleet is over: what it came to, with ages at this moment of the monotonic clock. What
-    /// waits, or is held up with the process, grows older meanwhile.
+    /// A round of looks at the fleet is over: what it came to, with ages at this moment of the
+    /// monotonic clock. What waits, or is held up with the process, grows older meanwhile.
     Observations(u64, Vec<ServerObservation>),
     /// What an act came to; none if nothing was answered.
     Acted(Action, Option<Answer>),
@@ -68,7 +68,7 @@
 /// What is to be done after a step.
 #[derive(Debug, Default)]
 pub struct Output {
-    /// Messages for other stewards, by their name, best effort.
+    /// Messages for other coordinators, by their name, best effort.
     pub messages: Vec<(String, Message)>,
     /// Answers by the caller's number.
     pub replies: Vec<(u64, Reply)>,
@@ -87,9 +87,9 @@
     Agreed(Outcome),
     /// Where the asking for a voice stands.
     Admission(Admission),
-    /// This steward does not lead.
+    /// This coordinator does not lead.
     NotLeader,
-    /// Too few stewards have a voice yet.
+    /// Too few coordinators have a voice yet.
     Founding,
     /// The leader has not looked at servers and fleet yet.
     Looking,
@@ -99,7 +99,7 @@
     Lost,
 }
 
-/// Where a steward stands and what it knows, for people.
+/// Where a coordinator stands and what it knows, for people.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct View {
     /// Where it stands in the agreement.
--- a/crates/coordinator/src/core/leadership.rs
+++ b/crates/coordinator/src/core/leadership.rs
@@ -1,7 +1,8 @@
 //! The work of the leader: it proposes policy, calendar and time, and orders actions on servers.
 //!
-//! All of it follows from what is agreed, so a successor goes on at the very step. Nothing is done before an entry of
-//! the leader's own term is applied, and no act is begun but on a majority's word, asked for just before, that it leads.
+//! All of it follows from what is agreed, so a successor goes on at the very step. Nothing is done
+//! before an entry of the leader's own term is applied, and no act is begun but on a majority's
+//! word, asked for just before, that it leads.
 
 use super::coordinator::CoordinatorCore;
 use super::interface::{Input, Now, Order};
@@ -84,7 +85,7 @@
         acts.chain(questions).filter(free).collect()
     }
 
-    /// A majority says that this steward leads.
+    /// A majority says that this coordinator leads.
     pub(super) fn confirmed(&mut self, now: Now, ticket: u64) {
         let Some((_, at)) = self.leadership.asked.filter(|(asked, _)| *asked == ticket) else {
             return;
--- a/crates/coordinator/src/core/replica.rs
+++ b/crates/coordinator/src/core/replica.rs
@@ -1,7 +1,7 @@
 //! The maintenance state machine as the replicated log applies it, with its event and snapshot
 //! encoding.
 //!
-//! Both are JSON behind a byte with the version: whatever a steward does not know, it stops at.
+//! Both are JSON behind a byte with the version: whatever a coordinator does not know, it stops at.
 
 use crate::replicated_log::Replicated;
 use load_balancer_maintenance::{Event, Machine, Outcome};
--- a/crates/coordinator/src/log_thread.rs
+++ b/crates/coordinator/src/log_thread.rs
@@ -8,22 +8,23 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, watch};
 
-/// What waits to be taken in. A disk that holds the thread up for longer fills it: then messages are dropped, as a
-/// network would, and callers are told to come again.
+/// What waits to be taken in. A disk that holds the thread up for longer fills it: then messages
+/// are dropped, as a network would, and callers are told to come again.
 const WAITING: usize = 1_024;
 /// What is taken in before the next commit, at most.
 const AT_ONCE: usize = 128;
 /// Pause before a disk that failed is tried again.
 const REOPEN: Duration = Duration::from_secs(2);
 
-/// What is seen from outside is renewed as often, though nothing was agreed on: evidence grows old. In milliseconds.
+/// What is seen from outside is renewed as often, though nothing was agreed on: observations grows
+/// old. In milliseconds.
 const SHOW_MS: u64 = 1_000;
 
 /// What the thread is told.
 pub enum ThreadInput {
-    /// For the steward.
+    /// For the coordinator.
     Input(Box<Input>),
-    /// No other steward has any part of an agreement: found one.
+    /// No other coordinator has any part of an agreement: found one.
     Found,
     /// The process ends.
     End,
@@ -32,7 +33,7 @@
 /// What can be seen from outside.
 #[derive(Clone, Debug, Default)]
 pub struct Seen {
-    /// The steward; none before the disk was read, and while it fails.
+    /// The coordinator; none before the disk was read, and while it fails.
     pub view: Option<View>,
     /// Why it stands back.
     pub halted: Option<String>,
@@ -171,7 +172,8 @@
         CoordinatorCore::new(log_store, options, settings, found)
     }
 
-    /// Waits until the disk may be tried again, and answers meanwhile; false where nobody is there any more.
+    /// Waits until the disk may be tried again, and answers meanwhile; false where nobody is there
+    /// any more.
     fn wait(&mut self) -> bool {
         let until = Instant::now() + REOPEN;
         while Instant::now() < until {
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -30,11 +30,12 @@
 /// The target of its log lines before it was called coordinator, as older configurations have it.
 const EARLIER_TARGET: &str = "steward";
 
-/// A steward: one of three or five processes that agree on maintenance windows and carry them out.
+/// A coordinator: one of three or five processes that agree on maintenance windows and carry them
+/// out.
 #[derive(Parser)]
 #[command(name = "coordinator", subcommand_negates_reqs = true)]
 struct Call {
-    /// Runs a steward with this configuration: a TOML file, see docs/coordinator.md.
+    /// Runs a coordinator with this configuration: a TOML file, see docs/coordinator.md.
     #[arg(long, value_name = "FILE", required = true)]
     config: Option<PathBuf>,
     #[command(subcommand)]
@@ -43,7 +44,7 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs a steward.
+    /// Runs a coordinator.
     Run {
         /// Its configuration: a TOML file, see docs/coordinator.md.
         #[arg(long, value_name = "FILE")]
--- a/crates/coordinator/src/observations.rs
+++ b/crates/coordinator/src/observations.rs
@@ -9,7 +9,7 @@
 pub struct Page {
     /// Its name.
     pub member: String,
-    /// Whether its standing lets it answer.
+    /// Whether its connectivity state lets it answer.
     pub answers: bool,
     /// Servers of its list.
     pub servers: Vec<SidecarAnswer>,
@@ -59,8 +59,8 @@
 pub struct Weights {
     /// Members of each zone that must say the same.
     pub agree: BTreeMap<String, usize>,
-    /// No process counts as warm before this age, in milliseconds; from it on one does unless members say that it is
-    /// not.
+    /// No process counts as warm before this age, in milliseconds; from it on one does unless
+    /// members say that it is not.
     pub warm_after_ms: i64,
 }
 
@@ -75,9 +75,10 @@
     warm: bool,
 }
 
-/// The words on all listed servers of which enough was said. Nobody counts twice, nor anybody whose standing does not
-/// let it answer. Enough members of a zone, and more than half of those that can tell, say the same of a process, or the
-/// zone says nothing; zones that contradict each other can't tell.
+/// The words on all listed servers of which enough was said. Nobody counts twice, nor anybody whose
+/// connectivity state does not let it answer. Enough members of a zone, and more than half of those
+/// that can tell, say the same of a process, or the zone says nothing; zones that contradict each
+/// other can't tell.
 pub fn weigh(
     weights: &Weights,
     unix_ms: i64,
--- a/crates/coordinator/src/pages.rs
+++ b/crates/coordinator/src/pages.rs
@@ -134,7 +134,7 @@
         found.map_or_else(missing, |window| Answer::of(StatusCode::OK, json!(window)))
     }
 
-    /// What on-call wants to see of this steward.
+    /// What on-call wants to see of this coordinator.
     pub fn status(&self) -> Value {
         let seen = Arc::clone(&self.seen.borrow());
         let late_ms = self.clock.now().mono_ms.saturating_sub(seen.at_ms);
--- a/crates/coordinator/src/peers.rs
+++ b/crates/coordinator/src/peers.rs
@@ -18,7 +18,8 @@
 pub const PATH: &str = "/agreement/messages";
 /// The header that says whose they are.
 pub const FROM: &str = "x-steward";
-/// Messages that wait for one steward; the oldest go first, as the engine says again what is still true.
+/// Messages that wait for one coordinator; the oldest go first, as the engine says again what is
+/// still true.
 const WAITING: usize = 256;
 /// Bytes of messages in one request, unless a single one is longer.
 const TOGETHER: usize = 1 << 20;
@@ -28,7 +29,7 @@
 const PAUSE: Duration = Duration::from_millis(50);
 const LONGEST_PAUSE: Duration = Duration::from_secs(1);
 
-/// What waits for one steward.
+/// What waits for one coordinator.
 #[derive(Default)]
 struct Queue {
     waiting: RefCell<VecDeque<Vec<u8>>>,
--- a/crates/coordinator/src/poller.rs
+++ b/crates/coordinator/src/poller.rs
@@ -35,7 +35,8 @@
     weight: u32,
     started_ms: u64,
     state: String,
-    /// Requests that run there; null where the platform can't tell yet, left out where it never can.
+    /// Requests that run there; null where the platform can't tell yet, left out where it never
+    /// can.
     #[serde(default, deserialize_with = "present")]
     in_flight: Option<Option<u64>>,
 }
@@ -110,7 +111,7 @@
                 self.calls.tell(Input::Listed(servers.clone()));
                 servers
             }
-            // Evidence is of use without a new list, on those of the last one.
+            // Observations is of use without a new list, on those of the last one.
             Err(_) => self.known(),
         };
         let heard = self.pages().await;
@@ -120,7 +121,8 @@
             .map(|(zone, all)| (zone.clone(), evidence.agree.min(all.len())))
             .collect();
         let warm_after_ms = i64::try_from(evidence.warm_after.0.as_millis()).unwrap_or(i64::MAX);
-        // Before the ages are read: a process that is held up in between makes them older, not younger.
+        // Before the ages are read: a process that is held up in between makes them older, not
+        // younger.
         let now = self.clock.now();
         let heard: Vec<ZoneObservations> = heard
             .into_iter()
@@ -190,8 +192,8 @@
         list
     }
 
-    /// Whether nothing ran at a server that drains in all looks of `[clear] quiet`, by the platform's word of after
-    /// the drain: a request may have been on its way to it in one of them.
+    /// Whether nothing ran at a server that drains in all looks of `[clear] quiet`, by the
+    /// platform's word of after the drain: a request may have been on its way to it in one of them.
     pub async fn idle(&self, name: &str, epoch: u64) -> bool {
         let Ok(list) = self.listed(FRESH).await else {
             return false;
--- a/crates/coordinator/src/replicated_log/admission.rs
+++ b/crates/coordinator/src/replicated_log/admission.rs
@@ -1,8 +1,8 @@
 //! Membership of the replicated log: how a replica with a new or an emptied disk joins.
 //!
-//! A voice belongs to a disk, not to a name: an emptied disk gets a new number, so what its old number promised is
-//! never taken for kept. It listens first; once it has what the leader has, one agreed step gives it the voice of
-//! the old number of its name and takes that one's away.
+//! A voice belongs to a disk, not to a name: an emptied disk gets a new number, so what its old
+//! number promised is never taken for kept. It listens first; once it has what the leader has, one
+//! agreed step gives it the voice of the old number of its name and takes that one's away.
 
 use super::entry::{self, Newcomer};
 use super::interface::Replicated;
@@ -18,12 +18,12 @@
     UnderWay,
     /// Only the leader admits, once an entry of its own time is applied.
     NotLeader,
-    /// A living steward has that name.
+    /// A living coordinator has that name.
     NameTaken,
 }
 
 impl<M: Replicated> Node<M> {
-    /// A steward with this name and disk asks to come in. To be repeated until it is a member.
+    /// A coordinator with this name and disk asks to come in. To be repeated until it is a member.
     pub fn admit(&mut self, id: u64, name: &str) -> Admission {
         if !self.acts() {
             return Admission::NotLeader;
--- a/crates/coordinator/src/replicated_log/drive.rs
+++ b/crates/coordinator/src/replicated_log/drive.rs
@@ -8,8 +8,8 @@
 use raft::eraftpb::{ConfChange, ConfChangeV2, Entry, EntryType, SnapshotMetadata};
 use std::collections::BTreeSet;
 
-/// Entries after which a snapshot takes their place: enough that ordinary lag is bridged by entries, and so few
-/// that a start reads them at once.
+/// Entries after which a snapshot takes their place: enough that ordinary lag is bridged by
+/// entries, and so few that a start reads them at once.
 const MOST_ENTRIES: u64 = 512;
 impl<M: Replicated> Node<M> {
     /// Keeps and applies what the steps so far came to.
--- a/crates/coordinator/src/replicated_log/entry.rs
+++ b/crates/coordinator/src/replicated_log/entry.rs
@@ -3,8 +3,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The version of the forms that is written. A steward that meets a newer one stops: going on without it would
-/// make its machine another one than that of the others.
+/// The version of the forms that is written. A coordinator that meets a newer one stops: going on
+/// without it would make its machine another one than that of the others.
 pub(crate) const FORMAT: u8 = 1;
 
 /// What the leader puts around an event: its time, and whom to answer.
@@ -12,7 +12,7 @@
 pub(crate) struct Stamped {
     /// The leader's clock, in milliseconds of Unix time.
     pub at_ms: i64,
-    /// The run of the steward that waits for the answer.
+    /// The run of the coordinator that waits for the answer.
     pub run: u64,
     /// What that run calls the question.
     pub ticket: u64,
--- a/crates/coordinator/src/replicated_log/interface.rs
+++ b/crates/coordinator/src/replicated_log/interface.rs
@@ -7,8 +7,8 @@
 
 /// What is replicated: the same events in the same order make the same machine everywhere.
 pub trait Replicated {
-    /// Takes the next agreed event, with its proposer's time in milliseconds of Unix time, which never goes back;
-    /// what to answer the proposer.
+    /// Takes the next agreed event, with its proposer's time in milliseconds of Unix time, which
+    /// never goes back; what to answer the proposer.
     ///
     /// # Errors
     /// The event is of a kind that this program does not know: it must stop.
@@ -29,10 +29,11 @@
     pub name: String,
     /// A number for this run, like no other.
     pub run: u64,
-    /// Heartbeats that a leader may miss before others stand for election: from here to twice as many, by a draw
-    /// over disk and term.
+    /// Heartbeats that a leader may miss before others stand for election: from here to twice as
+    /// many, by a draw over disk and term.
     pub patience: usize,
-    /// Voices below which nothing is proposed: what a founder alone agrees to would hang on one disk.
+    /// Voices below which nothing is proposed: what a founder alone agrees to would hang on one
+    /// disk.
     pub least: usize,
 }
 
@@ -70,7 +71,7 @@
 pub enum Refused {
     /// This node does not lead, or has not applied an entry of its own time.
     NotLeader,
-    /// Fewer stewards than [`Options::least`] have a voice yet.
+    /// Fewer coordinators than [`Options::least`] have a voice yet.
     Founding,
     /// Too much waits for agreement.
     Busy,
@@ -104,8 +105,8 @@
     pub applied: u64,
     /// Names of those with a voice.
     pub voters: Vec<String>,
-    /// Names of all whose disks count or listen, one a disk: more than stewards, while one's new disk takes the place of
-    /// its old one.
+    /// Names of all whose disks count or listen, one a disk: more than coordinators, while one's
+    /// new disk takes the place of its old one.
     pub members: Vec<String>,
     /// Whether this disk has a voice.
     pub voice: bool,
--- a/crates/coordinator/src/replicated_log/log_store.rs
+++ b/crates/coordinator/src/replicated_log/log_store.rs
@@ -1,6 +1,7 @@
 //! The log, votes and snapshot of the consensus engine on a checked record store.
 //!
-//! All of it is in memory too: it is read, and checked, once. Every write is one commit, synced before it returns.
+//! All of it is in memory too: it is read, and checked, once. Every write is one commit, synced
+//! before it returns.
 
 use super::entry::{self, PersistedState};
 use load_balancer_record_store::{Change, Store, StoreError};
@@ -14,11 +15,11 @@
 const LOG: &str = "log";
 const HARD: &str = "hard";
 const SNAPSHOT: &str = "snapshot";
-/// Where the first steward's log begins: later than that of a steward that has nothing, so that everyone else is
-/// given the snapshot, and with it the members.
+/// Where the first coordinator's log begins: later than that of a coordinator that has nothing, so
+/// that everyone else is given the snapshot, and with it the members.
 const FOUNDED: u64 = 1;
 
-/// What a steward keeps of the agreement.
+/// What a coordinator keeps of the agreement.
 #[derive(Debug)]
 pub struct LogStore {
     store: Store,
@@ -31,8 +32,8 @@
 }
 
 impl LogStore {
-    /// Reads what the store keeps. An empty one becomes that of a steward that has no part in the agreement yet;
-    /// `id` is the number of its disk from then on, and must be like no other.
+    /// Reads what the store keeps. An empty one becomes that of a coordinator that has no part in
+    /// the agreement yet; `id` is the number of its disk from then on, and must be like no other.
     ///
     /// # Errors
     /// The store cannot be read or written, or what it keeps does not belong together.
@@ -115,7 +116,8 @@
         self.id
     }
 
-    /// Begins an agreement of which this steward is the only member, over a machine in this state.
+    /// Begins an agreement of which this coordinator is the only member, over a machine in this
+    /// state.
     pub(crate) fn found(&mut self, name: &str, machine: Vec<u8>) -> Result<(), StoreError> {
         let kept = PersistedState {
             members: [(self.id, name.to_owned())].into(),
@@ -158,7 +160,8 @@
         Ok(())
     }
 
-    /// Notes how far is agreed; it is written with the next thing that must be, as it can be found again.
+    /// Notes how far is agreed; it is written with the next thing that must be, as it can be found
+    /// again.
     pub(crate) fn note_commit(&mut self, commit: u64) {
         self.hard.commit = self.hard.commit.max(commit);
     }
--- a/crates/coordinator/src/replicated_log/message_filter.rs
+++ b/crates/coordinator/src/replicated_log/message_filter.rs
@@ -30,13 +30,15 @@
     if message.to != id || message.from == id || message.from == 0 {
         return false;
     }
-    // A term of 0 would make it one of the engine's own; those near the end of the numbers are nobody's.
+    // A term of 0 would make it one of the engine's own; those near the end of the numbers are
+    // nobody's.
     if message.term == 0 || message.term > u64::MAX / 2 {
         return false;
     }
     match message.msg_type {
         MsgAppend => appends(message, log),
-        // A leader never says more than what this disk once confirmed: the disk it means was another one.
+        // A leader never says more than what this disk once confirmed: the disk it means was
+        // another one.
         MsgHeartbeat => message.commit <= log.last_index(),
         MsgSnapshot => {
             let metadata = message.get_snapshot().get_metadata();
--- a/crates/coordinator/src/replicated_log/mod.rs
+++ b/crates/coordinator/src/replicated_log/mod.rs
@@ -1,7 +1,8 @@
 //! The replicated log: consensus on one order of entries, without I/O and clock.
 //!
-//! The engine is the `raft` crate. This module adds what it leaves to its user: a log on a checked store, the
-//! replicated machine, time, the admission of stewards that lost their disk, and the sieve for what others send.
+//! The engine is the `raft` crate. This module adds what it leaves to its user: a log on a checked
+//! store, the replicated machine, time, the admission of coordinators that lost their disk, and the
+//! sieve for what others send.
 
 mod admission;
 mod drive;
--- a/crates/coordinator/src/replicated_log/node.rs
+++ b/crates/coordinator/src/replicated_log/node.rs
@@ -10,7 +10,7 @@
 
 /// Most bytes of entries in one message, and of entries that wait for agreement.
 const MOST_BYTES: u64 = 1 << 20;
-/// Messages on their way to one steward.
+/// Messages on their way to one coordinator.
 const MOST_INFLIGHT: usize = 64;
 
 /// A node.
@@ -26,13 +26,13 @@
     /// Confirmed by a majority, to be given out when this index is applied.
     pub(crate) readable: Vec<(u64, u64)>,
     pub(crate) asked: BTreeSet<u64>,
-    /// Heartbeats for which a steward has had a snapshot on its way to it.
+    /// Heartbeats for which a coordinator has had a snapshot on its way to it.
     sending: BTreeMap<u64, usize>,
 }
 
 impl<M: Replicated> Node<M> {
-    /// A node on what its shelf holds. `found` makes a blank one the first member of a new agreement; it must be
-    /// given once, to one steward, where no other has any part of it.
+    /// A node on what its shelf holds. `found` makes a blank one the first member of a new
+    /// agreement; it must be given once, to one coordinator, where no other has any part of it.
     ///
     /// # Errors
     /// The disk fails, or holds what this program does not know.
@@ -86,7 +86,8 @@
         Ok(node)
     }
 
-    /// The engine draws its patience from the machine's own chance; here disk and term draw it, so a seed replays it.
+    /// The engine draws its patience from the machine's own chance; here disk and term draw it, so
+    /// a seed replays it.
     pub(crate) fn draw(&mut self) {
         let raft = &mut self.raw.raft;
         let mut seed = [0; 16];
@@ -104,7 +105,8 @@
         self.give_up_snapshots();
     }
 
-    /// The engine waits for word of a snapshot for ever; one that is not answered in the time of an election is lost.
+    /// The engine waits for word of a snapshot for ever; one that is not answered in the time of an
+    /// election is lost.
     fn give_up_snapshots(&mut self) {
         let under_way = self
             .raw
@@ -133,8 +135,8 @@
         passes
     }
 
-    /// Proposes an event at the host's time, in milliseconds of Unix time. The answer comes with the effects under
-    /// `ticket`, which the host gives once a run.
+    /// Proposes an event at the host's time, in milliseconds of Unix time. The answer comes with
+    /// the effects under `ticket`, which the host gives once a run.
     ///
     /// # Errors
     /// Nothing was proposed.
@@ -158,8 +160,8 @@
         Ok(())
     }
 
-    /// Asks a majority whether this node still leads; `ticket` comes back as confirmed if it does, and what was agreed
-    /// before the asking is applied then. Otherwise it never comes back.
+    /// Asks a majority whether this node still leads; `ticket` comes back as confirmed if it does,
+    /// and what was agreed before the asking is applied then. Otherwise it never comes back.
     pub fn confirm(&mut self, ticket: u64) {
         if self.acts() {
             self.asked.insert(ticket);
@@ -168,8 +170,8 @@
         }
     }
 
-    /// Hands the lead over to the steward that has most of the log, if another one with a voice was heard lately.
-    /// Whether it was asked to.
+    /// Hands the lead over to the coordinator that has most of the log, if another one with a voice
+    /// was heard lately. Whether it was asked to.
     pub fn hand_over(&mut self) -> bool {
         let raft = &self.raw.raft;
         let prs = raft.prs();
--- a/crates/coordinator/src/serve.rs
+++ b/crates/coordinator/src/serve.rs
@@ -63,14 +63,14 @@
     }
 }
 
-/// A connection: how to end it, and whether a steward's messages came on it.
+/// A connection: how to end it, and whether a coordinator's messages came on it.
 struct Open {
     handle: AbortHandle,
     coordinator: Rc<Cell<bool>>,
 }
 
-/// Serves until the process ends. Beyond `most` connections the oldest makes room, but none of a steward's: readers who
-/// say nothing keep nobody out.
+/// Serves until the process ends. Beyond `most` connections the oldest makes room, but none of a
+/// coordinator's: readers who say nothing keep nobody out.
 pub async fn serve<F, P>(
     listener: TcpListener,
     most: usize,
--- a/crates/coordinator/tests/core/main.rs
+++ b/crates/coordinator/tests/core/main.rs
@@ -1,7 +1,8 @@
 //! Whole coordinators in simulated time: windows are carried out whatever fails.
 //!
-//! The platform checks every act that it accepts: capacity, clear, no drain twice by one token. The world checks who
-//! orders, and that a request has one window. Here stands what happens, and that nothing is forgotten in the end.
+//! The platform checks every act that it accepts: capacity, clear, no drain twice by one token. The
+//! world checks who orders, and that a request has one window. Here stands what happens, and that
+//! nothing is forgotten in the end.
 
 mod platform;
 mod transit;
@@ -85,7 +86,7 @@
         for moment in 1..=calm.moments {
             let world = window(size, Some(moment));
             assert_eq!(world.kills, 1, "at {moment}");
-            // A window that was called back meanwhile may have gone once more; none was left out.
+            // A window that was cancelled meanwhile may have gone once more; none was left out.
             assert!(
                 world.platform.taken.len() == 2,
                 "{:?} at {moment}",
@@ -115,7 +116,8 @@
     sweep(0..12);
 }
 
-/// The larger sweep whose figures stand in docs/coordinator.md: `STEWARD_SEEDS` says how many seeds.
+/// The larger sweep whose figures stand in docs/coordinator.md: `STEWARD_SEEDS` says how many
+/// seeds.
 #[test]
 #[ignore = "takes minutes"]
 fn capacity_holds_and_nothing_is_forgotten_in_many_histories() {
--- a/crates/coordinator/tests/core/platform.rs
+++ b/crates/coordinator/tests/core/platform.rs
@@ -7,9 +7,11 @@
 
 /// Time is counted in heartbeats.
 pub const TICK_MS: u64 = 100;
-/// A drained server is idle after this, one that returns runs after as much, and is warm after as much again.
+/// A drained server is idle after this, one that returns runs after as much, and is warm after as
+/// much again.
 const IDLE: u64 = 8;
-/// How long a death may be unknown: the bound on evidence, a round of looks, and what an order may be on its way.
+/// How long a death may be unknown: the bound on observations, a round of looks, and what an order
+/// may be on its way.
 const UNKNOWN: u64 = 90;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -169,7 +171,8 @@
         Answer::Done { started: None }
     }
 
-    /// What is there bears what was just drained; a death that cannot be known yet is nobody's fault.
+    /// What is there bears what was just drained; a death that cannot be known yet is nobody's
+    /// fault.
     fn capacity(&self, act: &Action) {
         let there = |h: &&Held| {
             let dead = h.dead.is_some_and(|since| self.now > since + UNKNOWN);
--- a/crates/coordinator/tests/core/transit.rs
+++ b/crates/coordinator/tests/core/transit.rs
@@ -24,7 +24,7 @@
         self.random.u64(0..1_000) < self.net.loss
     }
 
-    /// Gives a steward something, and does what it says.
+    /// Gives a coordinator something, and does what it says.
     pub fn give(&mut self, place: usize, input: Input) {
         let now = self.clock(place);
         if self.now < self.slots[place].stopped_until {
@@ -119,7 +119,8 @@
                     self.give(place, input);
                 }
                 Parcel::Action(place, act) => {
-                    // It gets there or not, and is heard of or not, whether who sent it lives or not.
+                    // It gets there or not, and is heard of or not, whether who sent it lives or
+                    // not.
                     let answer = if self.lost() {
                         None
                     } else {
--- a/crates/coordinator/tests/process/cluster.rs
+++ b/crates/coordinator/tests/process/cluster.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpSocket;
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_coordinator");
-/// A machine under load takes its time; a verdict never rests on how long.
+/// A machine under load takes its time; a health status never rests on how long.
 const PATIENCE: Duration = Duration::from_secs(60);
 
 pub struct Cluster {
@@ -76,9 +76,10 @@
     at
 }
 
-/// Keeps a port for a steward: a bound socket that does not listen and allows reuse, so that the system gives the port to
-/// nobody else and the steward, which allows reuse as well, may listen there. One that was noted and let go of would now
-/// and then be found in use, by other processes or by one just being started, which still holds all sockets of this one.
+/// Keeps a port for a coordinator: a bound socket that does not listen and allows reuse, so that
+/// the system gives the port to nobody else and the coordinator, which allows reuse as well, may
+/// listen there. One that was noted and let go of would now and then be found in use, by other
+/// processes or by one just being started, which still holds all sockets of this one.
 fn keep() -> TcpSocket {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_reuseaddr(true).expect("it may be bound again");
@@ -86,7 +87,7 @@
     socket
 }
 
-/// A steward's file.
+/// A coordinator's file.
 pub fn text(folder: &Path, own: usize, at: &[SocketAddr], platform: u16) -> String {
     let data = folder.join(format!("s{own}.data"));
     let mut text = format!(
@@ -160,7 +161,8 @@
             .unwrap_or(Value::Null)
     }
 
-    /// Whether it has looked at servers and fleet, and the agreement is taken in: until then it says "not yet" to asks.
+    /// Whether it has looked at servers and fleet, and the agreement is taken in: until then it
+    /// says "not yet" to asks.
     fn ready(&self, coordinator: usize) -> bool {
         let status = self.status(coordinator);
         status["looked"] == true && status["holds"].is_boolean()
--- a/crates/coordinator/tests/process/main.rs
+++ b/crates/coordinator/tests/process/main.rs
@@ -212,7 +212,7 @@
     });
     let disks = crew.status(first)["voters"].as_array().map(Vec::len);
     assert_eq!(disks, Some(3));
-    // A file that is torn is set aside, and said so.
+    // A file that is torn is quarantined, and said so.
     let follower = (0..3)
         .find(|n| *n != crew.leader())
         .expect("one that follows");
--- a/crates/coordinator/tests/replicated_log/main.rs
+++ b/crates/coordinator/tests/replicated_log/main.rs
@@ -1,7 +1,8 @@
 //! The replicated log under every fault that docs/coordinator.md names.
 //!
-//! The invariants are checked in the world at every step: one history, one leader a term, no answer lost, repeated or
-//! given for another order, time that never goes back, no confirmed reader that lags.
+//! The invariants are checked in the world at every step: one history, one leader a term, no answer
+//! lost, repeated or given for another order, time that never goes back, no confirmed reader that
+//! lags.
 
 mod book;
 mod faults;
@@ -55,7 +56,8 @@
     sweep(0..40);
 }
 
-/// The larger sweep whose figures stand in docs/coordinator.md: `STEWARD_SEEDS` says how many seeds.
+/// The larger sweep whose figures stand in docs/coordinator.md: `STEWARD_SEEDS` says how many
+/// seeds.
 #[test]
 #[ignore = "takes minutes"]
 fn nothing_agreed_is_lost_or_parted_in_many_histories() {
--- a/crates/coordinator/tests/replicated_log/world.rs
+++ b/crates/coordinator/tests/replicated_log/world.rs
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// One place for a steward: its disk, and the node while it runs.
+/// One place for a coordinator: its disk, and the node while it runs.
 pub struct Seat {
     pub name: String,
     pub disk: Disk,
@@ -36,7 +36,8 @@
     asked: BTreeMap<u64, u64>,
     pub answered: BTreeSet<u64>,
     pub leaders: BTreeMap<u64, u64>,
-    /// The place whose disk lost its voice and has not got a new one: one at a time, as the promise says.
+    /// The place whose disk lost its voice and has not got a new one: one at a time, as the promise
+    /// says.
     pub voiceless: Option<usize>,
     pub counts: Counts,
 }
@@ -205,7 +206,8 @@
         }
     }
 
-    /// Some seat asks for an order, and a reader for confirmation; a seat without a voice asks for one.
+    /// Some seat asks for an order, and a reader for confirmation; a seat without a voice asks for
+    /// one.
     fn ask(&mut self) {
         let place = self.random.usize(0..self.slots.len());
         let order = self.next_order;
@@ -269,7 +271,7 @@
         self.wire.values().cloned().collect()
     }
 
-    /// Gives a steward a message past the network, from anybody.
+    /// Gives a coordinator a message past the network, from anybody.
     pub fn whisper(&mut self, place: usize, message: Message) -> bool {
         self.history.borrow_mut().lied = true;
         let let_in = self.slots[place]
--- a/crates/emulator/pairs/recorder/coordinator.rs
+++ b/crates/emulator/pairs/recorder/coordinator.rs
@@ -1,11 +1,12 @@
-//! A coordinator's replicated log on lines of text, without sockets and clock, over a store in a file: what an earlier
-//! revision's replica says, keeps and reads. Built as an example of the coordinator package of a pinned revision, and as
-//! a part of today's emulator. The names come from `coordinator_interface`, which is another file for each form of that
-//! package.
+//! A coordinator's replicated log on lines of text, without sockets and clock, over a store in a
+//! file: what an earlier revision's replica says, keeps and reads. Built as an example of the
+//! coordinator package of a pinned revision, and as a part of today's emulator. The names come from
+//! `coordinator_interface`, which is another file for each form of that package.
 //!
-//! Told, a line each: `start NAME ID RUN FOUNDS FILE`, `tick`, `step HEX`, `propose AT_MS ORDER`, `admit ID NAME`, `stop`,
-//! `state`. Answered: any of `message TO HEX`, `agreed ORDER`, `admitted`, `aside WHY`, `passed BOOL`,
-//! `state ID ACTS LINES` (the applied orders with their times), then `.`.
+//! Told, a line each: `start NAME ID RUN FOUNDS FILE`, `tick`, `step HEX`, `propose AT_MS ORDER`,
+//! `admit ID NAME`, `stop`, `state`. Answered: any of `message TO HEX`, `agreed ORDER`, `admitted`,
+//! `aside WHY`, `passed BOOL`, `state ID ACTS LINES` (the applied orders with their times), then
+//! `.`.
 
 use super::coordinator_interface::{
     Admission, Node, Options, Replicated, Shelf, decode, encode, open_store,
@@ -47,7 +48,7 @@
     }
 }
 
-/// A steward, while it runs.
+/// A coordinator, while it runs.
 #[derive(Default)]
 pub struct Session {
     node: Option<Node<Book>>,
@@ -61,7 +62,7 @@
     /// Does what a line says; the lines that come of it.
     ///
     /// # Errors
-    /// The line is none of those above, or the steward cannot go on.
+    /// The line is none of those above, or the coordinator cannot go on.
     pub fn line(&mut self, line: &str) -> Result<Vec<String>, String> {
         let words: Vec<&str> = line.split(' ').collect();
         let mut answers = Vec::new();
--- a/crates/emulator/pairs/recorder/member.rs
+++ b/crates/emulator/pairs/recorder/member.rs
@@ -1,10 +1,12 @@
-//! A member of a fleet on lines of text, without sockets and clock: what an earlier revision's member says and reads. This
-//! file is built as an example of the gossip package of a pinned revision, and as a part of today's emulator. The names
-//! come from `member_interface`, which is another file for each form of that package.
+//! A member of a fleet on lines of text, without sockets and clock: what an earlier revision's
+//! member says and reads. This file is built as an example of the gossip package of a pinned
+//! revision, and as a part of today's emulator. The names come from `member_interface`, which is
+//! another file for each form of that package.
 //!
-//! Told, a line each: `start NAME ZONE INCARNATION SEED NOW ADDRESS SEEDS`, `list NOW NAMES`, `tick NOW`,
-//! `datagram NOW FROM HEX`, `witness NOW ENDPOINT SERVED`, `carry NOW KIND HEX`, `leave NOW`, `state`. Answered: any of
-//! `datagram TO HEX`, `word ENDPOINT REST`, `carried KIND HEX`, `state MEMBERS RECEIVED HEARD DROPPED`, then `.`.
+//! Told, a line each: `start NAME ZONE INCARNATION SEED NOW ADDRESS SEEDS`, `list NOW NAMES`, `tick
+//! NOW`, `datagram NOW FROM HEX`, `witness NOW ENDPOINT SERVED`, `carry NOW KIND HEX`, `leave NOW`,
+//! `state`. Answered: any of `datagram TO HEX`, `word ENDPOINT REST`, `carried KIND HEX`, `state
+//! MEMBERS RECEIVED HEARD DROPPED`, then `.`.
 
 use super::lines::{bytes, hex, read};
 use super::member_interface::{self as interface, Core, FleetSection, Listed};
--- a/crates/emulator/src/dumps.rs
+++ b/crates/emulator/src/affinity_dumps.rs
@@ -12,7 +12,8 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// What stands in a variant's configuration where keys are bound, and the lab so reads what is.
+/// What stands in a variant's configuration where keys are bound, and the emulator so reads what
+/// is.
 pub const BINDINGS: &str = "[fleet.bindings]";
 /// How often a sidecar is asked, and how long it may take: one that is stopped answers nothing.
 const EVERY: Duration = Duration::from_secs(1);
@@ -49,11 +50,11 @@
     pub sidecar: usize,
     /// The slot of now, by its clock.
     pub slot: i64,
-    /// It uses bindings at present.
+    /// It uses affinity entries at present.
     pub hears: bool,
     /// What it holds.
     pub held: Vec<Held>,
-    /// Picks by a binding: the server, the start of its process, and when the last one was.
+    /// Picks by an affinity entry: the server, the start of its process, and when the last one was.
     pub picks: Vec<(usize, i64, Us)>,
 }
 
--- a/crates/emulator/src/agent.rs
+++ b/crates/emulator/src/agent.rs
@@ -143,7 +143,8 @@
             let heard = self
                 .catalogue
                 .with(|directory| directory.heard(self.clock.now(), lag));
-            // Version 1 is what is known before the first change; one that it does not know of is from elsewhere.
+            // Version 1 is what is known before the first change; one that it does not know of is
+            // from elsewhere.
             let since = after
                 .and_then(|after| usize::try_from(after).ok()?.checked_sub(1))
                 .filter(|s| *s <= heard);
@@ -193,7 +194,7 @@
             if told.insert(server, state) != Some(state) {
                 self.record.note(
                     now,
-                    Seen::Told {
+                    Seen::PlatformConfig {
                         sidecar,
                         server,
                         state,
--- a/crates/emulator/src/apps.rs
+++ b/crates/emulator/src/apps.rs
@@ -36,13 +36,13 @@
     pub record: Record,
     /// Where each finds its sidecar.
     pub sidecars: Vec<SocketAddr>,
-    /// Who knows whether a request was passed on.
+    /// Who knows whether a request was forwarded.
     pub servers: Arc<Servers>,
 }
 
 impl Apps {
-    /// Sends everything, and waits until all of it has ended. Comes back with how late requests left, one in a
-    /// hundred, in microseconds.
+    /// Sends everything, and waits until all of it has ended. Comes back with how late requests
+    /// left, one in a hundred, in microseconds.
     pub async fn run(self: Arc<Self>, progress: impl Fn(usize)) -> Us {
         let pools: Vec<Pool> = self.sidecars.iter().map(|_| Pool::default()).collect();
         let mut lateness = Histogram::<u64>::new(3).ok();
@@ -157,8 +157,8 @@
             }
         };
         let mut noted = false;
-        // A kept connection may be closed by the sidecar in the moment it is used again: the client then sends the
-        // request once more, on a new one.
+        // A kept connection may be closed by the sidecar in the moment it is used again: the client
+        // then sends the request once more, on a new one.
         if let Some(sender) = idle(pool) {
             noted = true;
             self.record.note(self.clock.now(), taken());
@@ -177,7 +177,7 @@
                     keep(pool, sender);
                     return Some(end);
                 }
-                // One that was passed on had been read.
+                // One that was forwarded had been read.
                 Ok(Err(Failure::Unread)) if !self.servers.reached(request) => {}
                 Ok(Err(_)) => return Some(End::Lost),
             }
--- a/crates/emulator/src/audit.rs
+++ b/crates/emulator/src/audit.rs
@@ -23,32 +23,38 @@
 use serde::Serialize;
 use std::fmt;
 
-/// How long an act may take from when it is due: a look of the leader a second, and one at what came of it.
+/// How long an act may take from when it is due: a look of the leader a second, and one at what
+/// came of it.
 const ACTS_WITHIN: Us = 2 * SECOND;
 
 /// A rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// Each try that is taken gets exactly one final answer, which a server made for it where it is a 200.
+    /// Each try that is taken gets exactly one final answer, which a server made for it where it is
+    /// a 200.
     Answers,
-    /// What may have run is sent again only as its class allows, and not refused where a repeat would do harm.
+    /// What may have run is sent again only as its class allows, and not refused where a repeat
+    /// would do harm.
     Repeats,
     /// Nothing new to a server later than 300 ms after being told that it drains or is gone.
     Drains,
     /// No cold server is sent more than 2.5 times what it can do, for a second, by all together.
     Cold,
-    /// Requests reach only servers that the sidecar's own list has named, and only as clients sent them.
+    /// Requests reach only servers that the sidecar's own list has named, and only as clients sent
+    /// them.
     Listed,
     /// A sidecar starts, runs and stops in time.
     Process,
-    /// No grant brings the capacity that is there below the agreement, and a death that does is answered in time.
+    /// No grant brings the capacity that is there below the agreement, and a death that does is
+    /// answered in time.
     Capacity,
     /// No act with a token lower than one seen is carried out.
     Tokens,
-    /// A server is taken only once nothing runs there any more; nobody picks by a binding to a process that is clear.
+    /// A server is taken only once nothing runs there any more; nobody picks by an affinity entry
+    /// to a process that is clear.
     Clear,
-    /// Bindings age out alike everywhere.
+    /// Affinity entries age out alike everywhere.
     Ageing,
     /// Nothing is away by grant in a blackout.
     Blackout,
@@ -77,13 +83,13 @@
 pub struct Finding {
     /// The rule.
     pub rule: Rule,
-    /// When, in microseconds since the play began.
+    /// When, in microseconds since the run began.
     pub at: Us,
     /// What was seen.
     pub what: String,
 }
 
-/// Holds every rule against a play. The record is in the order of time.
+/// Holds every rule against a run. The record is in the order of time.
 pub fn audit(plan: &Plan, record: &[Entry]) -> Vec<Finding> {
     let mut findings = Vec::new();
     answers::answers(record, &mut findings);
@@ -97,7 +103,7 @@
     findings
 }
 
-/// Holds the rules of maintenance against a play whose windows are granted.
+/// Holds the rules of maintenance against a run whose windows are granted.
 pub fn audit_windows(plan: &Plan, record: &[Entry]) -> Vec<Finding> {
     let mut findings = capacities(plan, record).0;
     findings.extend(clears(record));
@@ -105,7 +111,7 @@
     findings
 }
 
-/// Holds the rules of bindings against a play that began at that Unix time, in milliseconds.
+/// Holds the rules of affinity entries against a run that began at that Unix time, in milliseconds.
 pub fn audit_bindings(plan: &Plan, began_ms: u64, record: &[Entry]) -> Vec<Finding> {
     let mut findings = ageing(plan, began_ms, record);
     findings.extend(picks(record));
--- a/crates/emulator/src/audit/ageing.rs
+++ b/crates/emulator/src/audit/ageing.rs
@@ -3,14 +3,14 @@
 
 use super::{Finding, Rule};
 use crate::Us;
-use crate::dumps::{Dump, Held, Place};
+use crate::affinity_dumps::{Dump, Held, Place};
 use crate::plan::Plan;
 use crate::record::{Entry, Seen};
 use crate::servers::arrival_of;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// As configured unless something else is said: the length of a slot, lives in slots, how far clocks may be off, and how long
-/// a word needs.
+/// As configured unless something else is said: the length of a slot, lives in slots, how far
+/// clocks may be off, and how long a word needs.
 const SLOT: Us = 500_000;
 const LIFE_NEW: i64 = 24;
 const LIFE_AGAIN: i64 = 72;
@@ -20,7 +20,8 @@
 const SLACK: Us = 1_500_000;
 /// Places that are kept of a key: who has as many need not have a further one.
 const PLACES: usize = 2;
-/// Part of what members should hold that may be missing: datagrams are lost, and what carries a word may miss a member.
+/// Part of what members should hold that may be missing: datagrams are lost, and what carries a
+/// word may miss a member.
 const MISSED: f64 = 0.01;
 /// Fewer looks than this tell nothing of a part.
 const LEAST: usize = 200;
@@ -40,7 +41,7 @@
     dump.held.iter().filter(|held| dump.slot < held.ends)
 }
 
-/// Holds all dumps of a play against each other and against what was answered.
+/// Holds all dumps of a run against each other and against what was answered.
 pub fn ageing(plan: &Plan, began_ms: u64, record: &[Entry]) -> Vec<Finding> {
     let mut findings = Vec::new();
     let (mut members, mut of) = (BTreeMap::<usize, Member>::new(), HashMap::new());
@@ -67,7 +68,9 @@
                     used.entry(of).or_default().push(*at);
                 }
             }
-            Seen::Told { server, state, .. } if *state == crate::directory::State::Leaving => {
+            Seen::PlatformConfig { server, state, .. }
+                if *state == crate::directory::State::Leaving =>
+            {
                 closed.insert(*server);
             }
             Seen::ServerDown { server } => drop(closed.insert(*server)),
@@ -92,7 +95,8 @@
     findings
 }
 
-/// What was gone is not there again with no later end, and nothing was used later than servers know.
+/// What was gone is not there again with no later end, and nothing was used later than servers
+/// know.
 fn comes_back(
     member: &mut Member,
     at: Us,
@@ -124,7 +128,7 @@
             ));
         }
         let life = if held.again { LIFE_AGAIN } else { LIFE_NEW };
-        // The beginning of the slot of its last use, on the clock of the play.
+        // The beginning of the slot of its last use, on the clock of the run.
         let last = (held.ends - life) * SLOT as i64 - (began_ms * 1000) as i64;
         let truly = used
             .get(&(held.place.key, held.place.server))
@@ -146,8 +150,8 @@
     member.held = now;
 }
 
-/// What most members that hear the others held for as long as a word needs, all of them hold: whatever is missing at some
-/// went early there, or came never.
+/// What most members that hear the others held for as long as a word needs, all of them hold:
+/// whatever is missing at some went early there, or came never.
 fn differs(members: &BTreeMap<usize, Member>, closed: &HashSet<usize>) -> Option<Finding> {
     let (mut looked, mut missed) = (0, 0);
     let (mut first, mut example) = (0, String::new());
--- a/crates/emulator/src/audit/ageing/tests.rs
+++ b/crates/emulator/src/audit/ageing/tests.rs
@@ -6,7 +6,8 @@
 
 const FIRST: i64 = 1000;
 
-/// Ten members that hold the same fifty bindings, each used once and told of; every second one dump of each.
+/// Ten members that hold the same fifty affinity entries, each used once and told of; every second
+/// one dump of each.
 fn play(change: impl Fn(usize, i64, &mut Dump)) -> Vec<Finding> {
     let experiment = Experiment {
         name: "ageing".to_owned(),
--- a/crates/emulator/src/audit/answers.rs
+++ b/crates/emulator/src/audit/answers.rs
@@ -6,7 +6,8 @@
 use crate::site;
 use std::collections::{BTreeSet, HashMap};
 
-/// After being told to stop, a sidecar has the longest deadline, taken as 3 s where it is longer, and this long.
+/// After being told to stop, a sidecar has the longest deadline, taken as 3 s where it is longer,
+/// and this long.
 const STOP_GRACE: Us = 700_000;
 
 pub(super) fn answers(record: &[Entry], findings: &mut Vec<Finding>) {
--- a/crates/emulator/src/audit/blackouts.rs
+++ b/crates/emulator/src/audit/blackouts.rs
@@ -6,10 +6,10 @@
 use crate::record::{Act, Entry, Seen};
 use std::collections::BTreeMap;
 
-/// Holds the blackouts of a play against the acts. In one nothing is drained or taken; before it begins what drains is
-/// called back and what is away is told to return, but for the time that acting takes. How long a server then takes
-/// to come back is no act of those who grant; where no overrun may reach into a blackout, the planned end of a window,
-/// overrun included, lies before it too.
+/// Holds the blackouts of a run against the acts. In one nothing is drained or taken; before it
+/// begins what drains is cancelled and what is away is told to return, but for the time that acting
+/// takes. How long a server then takes to come back is no act of those who grant; where no overrun
+/// may reach into a blackout, the planned end of a window, overrun included, lies before it too.
 pub fn blackouts(plan: &Plan, record: &[Entry], acts_within: Us) -> Vec<Finding> {
     let Some(kept) = &plan.kept else {
         return Vec::new();
--- a/crates/emulator/src/audit/capacity.rs
+++ b/crates/emulator/src/audit/capacity.rs
@@ -62,8 +62,8 @@
     }
 }
 
-/// Holds the agreement against the acts of a play. The least part of the capacity that was there at any time comes
-/// second, deaths included.
+/// Holds the agreement against the acts of a run. The least part of the capacity that was there at
+/// any time comes second, deaths included.
 pub fn capacities(plan: &Plan, record: &[Entry]) -> (Vec<Finding>, f64) {
     let Some(kept) = &plan.kept else {
         return (Vec::new(), 1.0);
--- a/crates/emulator/src/audit/clear.rs
+++ b/crates/emulator/src/audit/clear.rs
@@ -8,7 +8,7 @@
 use crate::site;
 use std::collections::{HashMap, HashSet};
 
-/// Holds every take of a play against what ran at the server at that moment.
+/// Holds every take of a run against what ran at the server at that moment.
 pub fn clears(record: &[Entry]) -> Vec<Finding> {
     let mut findings = Vec::new();
     let mut runs: HashMap<usize, HashMap<u64, (Us, usize)>> = HashMap::new();
@@ -86,10 +86,11 @@
     findings
 }
 
-/// What a sidecar's page and the lab's clock may be apart.
+/// What a sidecar's page and the emulator's clock may be apart.
 const SLACK: Us = 150_000;
 
-/// Holds picks by bindings, as sidecars tell of them, against the processes that were clear by then.
+/// Holds picks by affinity entries, as sidecars tell of them, against the processes that were clear
+/// by then.
 pub fn picks(record: &[Entry]) -> Vec<Finding> {
     let mut clear: HashMap<usize, Us> = HashMap::new();
     let mut found: HashSet<(usize, usize)> = HashSet::new();
--- a/crates/emulator/src/audit/drains.rs
+++ b/crates/emulator/src/audit/drains.rs
@@ -12,7 +12,7 @@
     // An attempt is noted when it has come in whole; what counts is its first byte.
     let mut told: HashMap<(usize, usize), Vec<(Us, bool)>> = HashMap::new();
     for (at, seen) in record {
-        if let Seen::Told {
+        if let Seen::PlatformConfig {
             sidecar,
             server,
             state,
--- a/crates/emulator/src/audit/listed.rs
+++ b/crates/emulator/src/audit/listed.rs
@@ -12,7 +12,7 @@
     let mut tries: BTreeSet<Try> = BTreeSet::new();
     for (at, seen) in record {
         match seen {
-            Seen::Told {
+            Seen::PlatformConfig {
                 sidecar,
                 server,
                 state: State::Active { .. },
--- a/crates/emulator/src/audit/tokens.rs
+++ b/crates/emulator/src/audit/tokens.rs
@@ -4,7 +4,7 @@
 use crate::record::{Act, Entry, Seen};
 use std::collections::{HashMap, HashSet};
 
-/// Holds every act of a play against the tokens before it.
+/// Holds every act of a run against the tokens before it.
 pub fn tokens(record: &[Entry]) -> Vec<Finding> {
     let mut findings = Vec::new();
     let mut highest: HashMap<usize, u64> = HashMap::new();
--- a/crates/emulator/src/bin/fleet-emulator/call.rs
+++ b/crates/emulator/src/bin/fleet-emulator/call.rs
@@ -6,8 +6,8 @@
 use load_balancer_emulator::supervisor::KEEP;
 use std::path::PathBuf;
 
-/// A lab for fleets of sidecars on this machine's loopback addresses: real processes, stand-ins for everything around
-/// them, faults, auditors, reports.
+/// An emulator for fleets of sidecars on this machine's loopback addresses: real processes,
+/// stand-ins for everything around them, faults, auditors, reports.
 #[derive(Parser)]
 #[command(name = "fleet-emulator")]
 pub struct Call {
@@ -20,11 +20,12 @@
 pub enum What {
     /// Bring up a small fleet with servers, discovery and load, and show what happens until Ctrl-C.
     Up(Up),
-    /// Play an experiment with real processes; exits with 1 where a rule is broken or a bound is missed.
+    /// Run an experiment with real processes; exits with 1 where a rule is broken or a bound is
+    /// missed.
     Run(Run),
-    /// Play an experiment in simulated time, with the decision module itself.
+    /// Run an experiment in simulated time, with the decision module itself.
     Sim(Sim),
-    /// Play an experiment with two builds side by side: the programs take the variants' place.
+    /// Run an experiment with two builds side by side: the programs take the variants' place.
     Compare(Compare),
     /// Hold an earlier revision of this repository against today's; see docs/versions.md.
     Pair {
@@ -32,10 +33,11 @@
         #[command(subcommand)]
         what: Pair,
     },
-    /// Become a program that ends with the lab, however that ends; the lab starts its sidecars by it.
+    /// Become a program that ends with the emulator, however that ends; the emulator starts its
+    /// sidecars by it.
     #[command(name = KEEP, hide = true)]
     Keep {
-        /// The lab's process.
+        /// The emulator's process.
         parent: u32,
         /// The program.
         program: PathBuf,
@@ -77,10 +79,10 @@
 pub struct Played {
     /// The experiment: a TOML file, see docs/emulator.md.
     pub file: PathBuf,
-    /// The first play's seed.
+    /// The first run's seed.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Plays, each with a seed of its own.
+    /// Runs, each with a seed of its own.
     #[arg(long, default_value_t = 1)]
     pub plays: usize,
     /// Where result.json, report.html and the logs go.
@@ -99,7 +101,7 @@
     /// Where pinned revisions are built, for experiments that mix versions.
     #[arg(long, value_name = "DIR", default_value = "target/pairs")]
     pub builds: PathBuf,
-    /// How it is played.
+    /// How it is run.
     #[command(flatten)]
     pub played: Played,
     /// The sidecars' program; sidecar beside this one where that is left out.
@@ -109,7 +111,7 @@
 
 #[derive(Args)]
 pub struct Sim {
-    /// How it is played.
+    /// How it is run.
     #[command(flatten)]
     pub played: Played,
     /// Sidecars, in place of the file's.
@@ -126,7 +128,7 @@
     pub old: PathBuf,
     /// The later one.
     pub new: PathBuf,
-    /// How it is played.
+    /// How it is run.
     #[command(flatten)]
     pub played: Played,
 }
--- a/crates/emulator/src/bin/fleet-emulator/main.rs
+++ b/crates/emulator/src/bin/fleet-emulator/main.rs
@@ -13,9 +13,9 @@
 use load_balancer_emulator::comparison::{Order, compare};
 use load_balancer_emulator::experiment::{Experiment, Variant};
 use load_balancer_emulator::pairs::builds::{SIDECAR, folder};
-use load_balancer_emulator::play::{Launch, Progress};
 use load_balancer_emulator::report::html;
-use load_balancer_emulator::supervisor::{Bringing, keep};
+use load_balancer_emulator::run::{Launch, Progress};
+use load_balancer_emulator::supervisor::{LaunchOptions, keep};
 use std::cell::Cell;
 use std::fmt::Display;
 use std::io::{IsTerminal, Write};
@@ -71,7 +71,7 @@
     exit.into()
 }
 
-/// Threads of the lab; the rest of a machine belongs to the sidecars.
+/// Threads of the emulator; the rest of a machine belongs to the sidecars.
 const WORKERS: usize = 3;
 /// How long tasks may take to end.
 const SHUT_DOWN: Duration = Duration::from_secs(5);
@@ -150,7 +150,7 @@
 /// Brings up a program so that it ends with this process.
 fn kept(program: PathBuf, within: Time) -> Launch {
     let keeper = std::env::current_exe().ok();
-    Launch::Program(Bringing {
+    Launch::Program(LaunchOptions {
         program,
         keeper,
         within: within.0,
--- a/crates/emulator/src/bin/fleet-emulator/pair.rs
+++ b/crates/emulator/src/bin/fleet-emulator/pair.rs
@@ -11,7 +11,7 @@
 use load_balancer_emulator::pairs::feed::{answers, parting};
 use load_balancer_emulator::pairs::histories::{Kind, history};
 use load_balancer_emulator::pairs::pins::{Pins, Revision};
-use load_balancer_emulator::pairs::{lan, stewards};
+use load_balancer_emulator::pairs::{coordinators, lan};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::io::Write as _;
@@ -19,7 +19,8 @@
 
 #[derive(Subcommand)]
 pub enum Pair {
-    /// Build pinned revisions out of this repository's history: each one's programs then lie in BUILDS/NAME.
+    /// Build pinned revisions out of this repository's history: each one's programs then lie in
+    /// BUILDS/NAME.
     Build {
         /// Which; all that are pinned where none is named.
         names: Vec<String>,
@@ -33,8 +34,8 @@
         #[arg(long, default_value = "20m")]
         within: Time,
     },
-    /// Put the same histories to a pinned revision's module and to today's: exits with 1 where they differ and no
-    /// difference is declared.
+    /// Put the same histories to a pinned revision's module and to today's: exits with 1 where they
+    /// differ and no difference is declared.
     Hold {
         /// The revision.
         name: String,
@@ -51,18 +52,19 @@
         #[arg(long, default_value_t = 0)]
         first: u64,
     },
-    /// Put members, and stewards where it has them, of a pinned revision and of today into one fleet, in simulated time:
-    /// exits with 1 where one does not read what the other says or keeps.
+    /// Put members, and coordinators where it has them, of a pinned revision and of today into one
+    /// fleet, in simulated time: exits with 1 where one does not read what the other says or keeps.
     Mix {
         /// The revision.
         name: String,
         /// Where builds are.
         #[arg(long, default_value = "target/pairs")]
         builds: PathBuf,
-        /// The first play's seed.
+        /// The first run's seed.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Write what an earlier member and steward were told by others of their revision to this folder.
+        /// Write what an earlier member and coordinator were told by others of their revision to
+        /// this folder.
         #[arg(long, value_name = "DIR")]
         record: Option<PathBuf>,
     },
@@ -76,7 +78,8 @@
     },
 }
 
-/// Ticks with orders, and messages at the end, of what is recorded of an earlier steward: some tens of kilobytes.
+/// Ticks with orders, and messages at the end, of what is recorded of an earlier coordinator: some
+/// tens of kilobytes.
 const RECORDED: u64 = 60;
 /// See [`RECORDED`].
 const MESSAGES: usize = 100;
@@ -205,9 +208,9 @@
             write(&folder.join("member.txt"), &came[0].told)?;
         }
     }
-    let steward = build.join(COORDINATOR);
-    if steward.is_file() {
-        let (old, new) = (Some(steward.as_path()), None);
+    let coordinator = build.join(COORDINATOR);
+    if coordinator.is_file() {
+        let (old, new) = (Some(coordinator.as_path()), None);
         let folder = tempfile::tempdir().map_err(failed)?;
         // All old; forward one by one, back in the middle, forward to the end.
         let stages = [
@@ -218,13 +221,14 @@
             [new, new, old],
             [new, new, new],
         ];
-        let came = stewards::play(folder.path(), &stages, stewards::STAGE).map_err(failed)?;
-        tell(&format!("stewards: {}", stewards::sum(&came)));
-        wrong.extend(stewards::judge(&came));
+        let came =
+            coordinators::play(folder.path(), &stages, coordinators::STAGE).map_err(failed)?;
+        tell(&format!("coordinators: {}", coordinators::sum(&came)));
+        wrong.extend(coordinators::judge(&came));
         if let Some(record) = record {
             let folder = tempfile::tempdir().map_err(failed)?;
             let came =
-                stewards::play(folder.path(), &[[old, old, old]], RECORDED).map_err(failed)?;
+                coordinators::play(folder.path(), &[[old, old, old]], RECORDED).map_err(failed)?;
             let steps: Vec<&String> = came.told[2]
                 .iter()
                 .filter(|line| line.starts_with("step "))
@@ -234,8 +238,11 @@
                 .map(|line| (*line).clone());
             let lines: Vec<String> = std::iter::once(came.books[2].clone()).chain(last).collect();
             write(&record.join("steward.txt"), &lines)?;
-            let file = std::fs::read(folder.path().join("steward-2.redb")).map_err(failed)?;
-            write(&record.join("steward-store.txt"), &stewards::sparse(&file))?;
+            let file = std::fs::read(folder.path().join("coordinator-2.redb")).map_err(failed)?;
+            write(
+                &record.join("steward-store.txt"),
+                &coordinators::sparse(&file),
+            )?;
         }
     }
     wrong.iter().for_each(|what| tell(what));
--- a/crates/emulator/src/liar.rs
+++ b/crates/emulator/src/byzantine_member.rs
@@ -23,8 +23,8 @@
     Micros::try_from(unix.as_micros()).unwrap_or(0)
 }
 
-/// Joins the fleet as any member does and, while it is told so, tells all of `others` that all of `servers` are sick. Runs
-/// for good.
+/// Joins the fleet as any member does and, while it is told so, tells all of `others` that all of
+/// `servers` are sick. Runs for good.
 pub async fn lie(
     section: FleetSection,
     zone: &'static str,
--- a/crates/emulator/src/catalogue.rs
+++ b/crates/emulator/src/catalogue.rs
@@ -31,7 +31,8 @@
         )
     }
 
-    /// A server's state changes now. What was drawn of it for later no longer comes: the platform has it in hand.
+    /// A server's state changes now. What was drawn of it for later no longer comes: the platform
+    /// has it in hand.
     pub fn set(&self, now: Us, server: usize, state: State) {
         let mut directory = self
             .directory
--- a/crates/emulator/src/comparison.rs
+++ b/crates/emulator/src/comparison.rs
@@ -7,8 +7,8 @@
 use crate::draw::draw;
 use crate::experiment::{Experiment, MeasureBound};
 use crate::outcome::Measure;
-use crate::play::{Launch, PlayError, Progress, play};
 use crate::record::Record;
+use crate::run::{Launch, Progress, RunError, play};
 use crate::sim::simulate;
 use crate::statistics::Interval;
 use crate::tally::Tally;
@@ -25,19 +25,19 @@
 pub struct Comparison {
     /// Version of this form.
     pub schema: u32,
-    /// The experiment as it was played, defaults included.
+    /// The experiment as it was run, defaults included.
     pub experiment: Experiment,
-    /// The first play's seed; each further one has the next number.
+    /// The first run's seed; each further one has the next number.
     pub seed: u64,
-    /// Plays that count.
+    /// Runs that count.
     pub plays: usize,
-    /// Plays that were void as the machine was too slow, and were played again.
+    /// Runs that were void as the machine was too slow, and were run again.
     pub voided: usize,
     /// Played in simulated time.
     pub simulated: bool,
     /// Each variant by itself.
     pub variants: Vec<OfVariant>,
-    /// Each further variant against the first, paired by play.
+    /// Each further variant against the first, paired by run.
     pub differences: Vec<Difference>,
     /// The experiment's bounds.
     pub bounds: Vec<Judged>,
@@ -50,20 +50,20 @@
 pub struct OfVariant {
     /// Its name.
     pub name: String,
-    /// Each measure: its mean and its value in each play.
+    /// Each measure: its mean and its value in each run.
     pub measures: BTreeMap<Measure, Values>,
-    /// Broken rules, with the number of the play.
+    /// Broken rules, with the number of the run.
     pub findings: Vec<(usize, Finding)>,
-    /// Curves, as means over the plays.
+    /// Curves, as means over the runs.
     pub curves: Curves,
 }
 
-/// A measure over the plays.
+/// A measure over the runs.
 #[derive(Clone, Debug, Serialize)]
 pub struct Values {
     /// Their mean.
     pub mean: f64,
-    /// One for each play.
+    /// One for each run.
     pub plays: Vec<f64>,
 }
 
@@ -80,7 +80,7 @@
     pub percentiles: Vec<f64>,
     /// Times in milliseconds.
     pub latency_ms: Vec<f64>,
-    /// Attempts at each server, of the first play.
+    /// Attempts at each server, of the first run.
     pub by_server: Vec<u64>,
 }
 
@@ -91,7 +91,8 @@
     pub variant: String,
     /// The measure.
     pub measure: Measure,
-    /// The mean of the differences play by play, and the interval that holds the true one in 95 of 100 cases.
+    /// The mean of the differences run by run, and the interval that holds the true one in 95 of
+    /// 100 cases.
     pub difference: Interval,
 }
 
@@ -108,13 +109,13 @@
     pub holds: bool,
 }
 
-/// How an experiment is to be played.
+/// How an experiment is to be run.
 pub struct Order<'a> {
     /// The experiment.
     pub experiment: &'a Experiment,
     /// The first seed.
     pub seed: u64,
-    /// How many plays count.
+    /// How many runs count.
     pub plays: usize,
     /// What takes the sidecars' place; none is simulated time.
     pub launch: Option<Launch>,
@@ -125,8 +126,8 @@
 /// Why an experiment came to nothing.
 #[derive(Debug)]
 pub enum Failure {
-    /// A play could not be played.
-    Play(PlayError),
+    /// A run could not be run.
+    Play(RunError),
     /// A variant's configuration cannot be used.
     Config(Problem),
     /// The machine was too slow, time and again.
@@ -151,13 +152,13 @@
 
 impl std::error::Error for Failure {}
 
-/// A play that ran late is played again so many times.
+/// A run that ran late is run again so many times.
 const AGAIN: usize = 2;
 
-/// Plays everything. `told` hears of each step: play, variant, requests sent.
+/// Runs everything. `told` hears of each step: run, variant, requests sent.
 ///
 /// # Errors
-/// A play cannot be played, or the machine is too slow.
+/// A run cannot be run, or the machine is too slow.
 pub async fn compare(
     order: Order<'_>,
     told: impl Fn(usize, &str, Progress),
@@ -186,7 +187,7 @@
                     Some(launch) => {
                         let folder = order.folder.join(format!("{}-{number}", variant.name));
                         std::fs::create_dir_all(&folder).map_err(|e| {
-                            Failure::Play(PlayError::Io(
+                            Failure::Play(RunError::Io(
                                 format!("cannot make {}", folder.display()),
                                 e,
                             ))
--- a/crates/emulator/src/stewards.rs
+++ b/crates/emulator/src/coordinators.rs
@@ -7,7 +7,8 @@
 pub use asker::ask_for_windows;
 pub use faults::trouble;
 
-use crate::experiment::Stewards as Asked;
+use crate::experiment::Coordinators as Asked;
+use crate::links;
 use crate::net::{Clock, Net};
 use crate::page::ask;
 use crate::plan::{Kept, Plan};
@@ -15,12 +16,11 @@
 use crate::record::Record;
 use crate::reserved::Reserved;
 use crate::site::ZONES;
-use crate::supervisor::Bringing;
-use crate::ways;
+use crate::supervisor::LaunchOptions;
 use crate::{SECOND, Us};
 use jiff::Timestamp;
 use jiff::tz::TimeZone;
-use process::Steward;
+use process::CoordinatorProcess;
 use serde_json::Value;
 use std::fmt::Write;
 use std::io;
@@ -32,36 +32,37 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// How long a steward may take to answer the lab.
+/// How long a coordinator may take to answer the emulator.
 const WITHIN: Duration = Duration::from_secs(1);
 /// Pause between two looks.
 const LOOK: Duration = Duration::from_millis(50);
-/// How long an election may take at the beginning of a play.
+/// How long an election may take at the beginning of a run.
 const ELECTED_WITHIN: Duration = Duration::from_secs(30);
 
-/// How long after their start a play with blackouts begins: the clocks' times of those are in their configuration.
+/// How long after their start a run with blackouts begins: the clocks' times of those are in their
+/// configuration.
 const BEGINS_AFTER: Duration = Duration::from_secs(10);
-/// Of the time within which a death must be answered, this much is for seeing it and for acting: two rounds of looks
-/// of a second, and half a second for each of two rounds of acts.
+/// Of the time within which a death must be answered, this much is for seeing it and for acting:
+/// two rounds of looks of a second, and half a second for each of two rounds of acts.
 const ACTS_WITHIN: Us = 3 * SECOND;
-/// How long a plan supposes a dead server to be away: a play lasts a minute, not a day.
+/// How long a plan supposes a dead server to be away: a run lasts a minute, not a day.
 const REPAIR_MS: u64 = 10_000;
 
-/// All stewards of a play.
-pub struct Stewards {
-    all: Vec<Mutex<Steward>>,
+/// All coordinators of a run.
+pub struct Coordinators {
+    all: Vec<Mutex<CoordinatorProcess>>,
     pages: Vec<SocketAddr>,
-    /// These addresses stay the stewards' own while they are down.
+    /// These addresses stay the coordinators' own while they are down.
     _reserved: Vec<Reserved>,
     plan: Arc<Plan>,
     platform: Arc<Platform>,
     clock: Clock,
     record: Record,
-    /// When the play is to begin, where its blackouts are told in the clocks of people.
+    /// When the run is to begin, where its blackouts are told in the clocks of people.
     begins: Option<Instant>,
 }
 
-/// What stewards meet.
+/// What coordinators meet.
 pub struct Around<'a> {
     /// The network.
     pub net: &'a Net,
@@ -75,27 +76,28 @@
     pub folder: &'a Path,
 }
 
-impl Stewards {
-    /// Starts so many, each with that text beside what it must be told. Ways between processes hold until the handles
-    /// are ended.
+impl Coordinators {
+    /// Starts so many, each with that text beside what it must be told. Ways between processes hold
+    /// until the handles are ended.
     ///
     /// # Errors
     /// Sockets or files cannot be had, or the program cannot be started.
     pub async fn start(
         asked: &Asked,
-        bringing: &Bringing,
+        bringing: &LaunchOptions,
         around: Around<'_>,
         (plan, clock, record): (&Arc<Plan>, &Clock, &Record),
     ) -> io::Result<(Arc<Self>, Vec<AbortHandle>)> {
-        let zone = |steward: usize| {
-            steward
+        let zone = |coordinator: usize| {
+            coordinator
                 % plan
                     .kept
                     .as_ref()
                     .map_or(1, |kept| kept.keep_zone.len())
                     .max(1)
         };
-        let reserved = (0..asked.count).map(|steward| Reserved::on((around.host)(6, steward)));
+        let reserved =
+            (0..asked.count).map(|coordinator| Reserved::on((around.host)(6, coordinator)));
         let reserved: Vec<Reserved> = reserved.collect::<io::Result<_>>()?;
         let pages: Vec<SocketAddr> = reserved.iter().map(Reserved::address).collect();
         let blacked_out = plan
@@ -111,12 +113,12 @@
         for own in 0..asked.count {
             let mut way = |to: usize, target| {
                 let (address, handle) =
-                    ways::open((around.host)(7, own), around.net, (zone(own), to), target)?;
+                    links::open((around.host)(7, own), around.net, (zone(own), to), target)?;
                 handles.push(handle);
                 io::Result::Ok(address)
             };
             let mut text = format!(
-                "[steward]\nname = \"s{own}\"\nlisten = \"{}\"\ndata = {:?}\n{}\n[stewards]\n",
+                "[coordinator]\nname = \"s{own}\"\nlisten = \"{}\"\ndata = {:?}\n{}\n[coordinators]\n",
                 pages[own],
                 data(around.folder, own),
                 troubles(asked, own)
@@ -151,7 +153,7 @@
             text += &agreed;
             text += &asked.config;
             let folder = around.folder;
-            all.push(Mutex::new(Steward::start(
+            all.push(Mutex::new(CoordinatorProcess::start(
                 own,
                 &text,
                 bringing.clone(),
@@ -184,9 +186,9 @@
         let until = Instant::now() + ELECTED_WITHIN;
         while self.leader().await.is_none() {
             if Instant::now() > until {
-                let mut words = String::from("no steward leads");
-                for steward in &self.all {
-                    let _ = write!(words, "; {}", steward.lock().await.last_line());
+                let mut words = String::from("no coordinator leads");
+                for coordinator in &self.all {
+                    let _ = write!(words, "; {}", coordinator.lock().await.last_line());
                 }
                 return Err(words);
             }
@@ -194,7 +196,7 @@
         }
         match self.begins {
             Some(at) if Instant::now() > at => {
-                Err("the stewards led too late for the blackouts' times".into())
+                Err("the coordinators led too late for the blackouts' times".into())
             }
             Some(at) => {
                 sleep_until(at).await;
@@ -219,17 +221,18 @@
 
     /// Stops all of them. What is stopped goes on first.
     pub async fn end(&self) {
-        for steward in &self.all {
-            steward.lock().await.stop().await;
+        for coordinator in &self.all {
+            coordinator.lock().await.stop().await;
         }
     }
 }
 
-fn data(folder: &Path, steward: usize) -> PathBuf {
-    folder.join(format!("s{steward}.data"))
+fn data(folder: &Path, coordinator: usize) -> PathBuf {
+    folder.join(format!("s{coordinator}.data"))
 }
 
-/// What one steward's clock and disk are like, beside those of the others: keys for experiments alone.
+/// What one coordinator's clock and disk are like, beside those of the others: keys for experiments
+/// alone.
 fn troubles(asked: &Asked, own: usize) -> String {
     let offset = asked.clock_offset_ms.get(own).filter(|ms| **ms != 0);
     let delay = asked.disk_delay.get(own).filter(|delay| !delay.0.is_zero());
@@ -242,7 +245,7 @@
             .unwrap_or_default()
 }
 
-/// The `[agreement]` section of what was agreed, of a play that begins at that time.
+/// The `[agreement]` section of what was agreed, of a run that begins at that time.
 fn agreement(kept: &Kept, begins: Option<Timestamp>) -> io::Result<String> {
     let bound = kept.answered_within.saturating_sub(ACTS_WITHIN) / 1000;
     let mut text = format!(
--- a/crates/emulator/src/stewards/asker.rs
+++ b/crates/emulator/src/coordinators/asker.rs
@@ -1,6 +1,6 @@
 //! Requests every window of a plan from the coordinators, as an operator's tool does.
 
-use super::{LOOK, Stewards, WITHIN};
+use super::{Coordinators, LOOK, WITHIN};
 use crate::draw::DRAINS_FOR;
 use crate::page::ask;
 use crate::plan::WindowSpec;
@@ -14,26 +14,26 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// A server is away until it is warm again: that is asked for on top of the time until its return, with the time to
-/// look twice.
+/// A server is away until it is warm again: that is asked for on top of the time until its return,
+/// with the time to look twice.
 const WARMS: Us = site::WARM_WITHIN + 3 * SECOND;
 /// Pause between two words that work is finished.
 const AGAIN: Duration = Duration::from_millis(500);
 
 /// Asks for all windows, each at its time, and notes the answers.
-pub async fn ask_for_windows(stewards: Arc<Stewards>) {
+pub async fn ask_for_windows(coordinators: Arc<Coordinators>) {
     let mut asking = JoinSet::new();
-    for window in 0..stewards.plan.windows.len() {
-        let stewards = Arc::clone(&stewards);
+    for window in 0..coordinators.plan.windows.len() {
+        let coordinators = Arc::clone(&coordinators);
         asking.spawn(async move {
-            let Some(named) = stewards.ask_for(window).await else {
+            let Some(named) = coordinators.ask_for(window).await else {
                 return;
             };
-            let spec = &stewards.plan.windows[window];
+            let spec = &coordinators.plan.windows[window];
             let mut works = JoinSet::new();
             for server in spec.servers.clone() {
-                let (stewards, length) = (Arc::clone(&stewards), spec.length);
-                works.spawn(async move { stewards.work(named, server, length).await });
+                let (coordinators, length) = (Arc::clone(&coordinators), spec.length);
+                works.spawn(async move { coordinators.work(named, server, length).await });
             }
             while works.join_next().await.is_some() {}
         });
@@ -41,7 +41,7 @@
     while asking.join_next().await.is_some() {}
 }
 
-impl Stewards {
+impl Coordinators {
     fn request(&self, number: usize, window: &WindowSpec) -> Value {
         let unix = |at: u64| self.clock.began_ms() + at / 1000;
         let names: Vec<&str> = window
@@ -58,10 +58,10 @@
         let window = &self.plan.windows[number];
         self.clock.until(window.at).await;
         let request = self.request(number, window);
-        for steward in (0..self.pages.len()).cycle().skip(number) {
+        for coordinator in (0..self.pages.len()).cycle().skip(number) {
             // Asked again under one name it is one window.
             let answer = ask(
-                self.pages[steward],
+                self.pages[coordinator],
                 "POST",
                 "/windows",
                 Some(&request),
--- a/crates/emulator/src/stewards/faults.rs
+++ b/crates/emulator/src/coordinators/faults.rs
@@ -1,8 +1,8 @@
 //! Faults of coordinators, at a time or at a step of a window.
 
-use super::process::Steward;
-use super::{LOOK, Stewards, WITHIN};
-use crate::experiment::{StewardFault, StewardFaultKind, Who};
+use super::process::CoordinatorProcess;
+use super::{Coordinators, LOOK, WITHIN};
+use crate::experiment::{CoordinatorFault, CoordinatorFaultKind, Who};
 use crate::page::ask;
 use crate::record::Seen;
 use std::sync::Arc;
@@ -11,17 +11,17 @@
 use tokio::time::sleep;
 
 /// Lets all faults happen.
-pub async fn trouble(stewards: Arc<Stewards>, faults: Vec<StewardFault>) {
+pub async fn trouble(coordinators: Arc<Coordinators>, faults: Vec<CoordinatorFault>) {
     let mut all = JoinSet::new();
     for fault in faults {
-        let stewards = Arc::clone(&stewards);
-        all.spawn(async move { stewards.suffer(&fault).await });
+        let coordinators = Arc::clone(&coordinators);
+        all.spawn(async move { coordinators.suffer(&fault).await });
     }
     while all.join_next().await.is_some() {}
 }
 
-impl Stewards {
-    /// Whether a seat of a window has come to that state, by any steward's word.
+impl Coordinators {
+    /// Whether a seat of a window has come to that state, by any coordinator's word.
     async fn has_come_to(&self, state: &str) -> bool {
         for at in &self.pages {
             let Some((200, windows)) = ask(*at, "GET", "/windows", None, WITHIN).await else {
@@ -54,15 +54,15 @@
         }
     }
 
-    fn fill(&self, number: usize, steward: &Steward, full: bool) {
-        if let Err(e) = steward.fill_disk(full) {
-            let what = format!("the lab cannot fill steward {number}'s disk: {e}");
+    fn fill(&self, number: usize, coordinator: &CoordinatorProcess, full: bool) {
+        if let Err(e) = coordinator.fill_disk(full) {
+            let what = format!("the emulator cannot fill coordinator {number}'s disk: {e}");
             self.record
                 .note(self.clock.now(), Seen::StewardBroken { what });
         }
     }
 
-    async fn suffer(&self, fault: &StewardFault) {
+    async fn suffer(&self, fault: &CoordinatorFault) {
         self.clock
             .until(u64::try_from(fault.at.0.as_micros()).unwrap_or(u64::MAX))
             .await;
@@ -74,25 +74,26 @@
         let chosen = self.chosen(fault.who).await;
         self.record.note(
             self.clock.now(),
-            Seen::StewardFault {
+            Seen::CoordinatorFault {
                 kind: fault.kind,
                 count: chosen.len(),
             },
         );
         for number in &chosen {
-            let mut steward = self.all[*number].lock().await;
+            let mut coordinator = self.all[*number].lock().await;
             match fault.kind {
-                StewardFaultKind::Kill => steward.kill().await,
-                StewardFaultKind::Stop => steward.pause(true),
-                StewardFaultKind::FullDisk => self.fill(*number, &steward, true),
-                StewardFaultKind::EmptyDisk | StewardFaultKind::TearDisk => {
-                    steward.kill().await;
+                CoordinatorFaultKind::Kill => coordinator.kill().await,
+                CoordinatorFaultKind::Stop => coordinator.pause(true),
+                CoordinatorFaultKind::FullDisk => self.fill(*number, &coordinator, true),
+                CoordinatorFaultKind::EmptyDisk | CoordinatorFaultKind::TearDisk => {
+                    coordinator.kill().await;
                     let done = match fault.kind {
-                        StewardFaultKind::EmptyDisk => steward.empty_disk(),
-                        _ => steward.tear_disk(),
+                        CoordinatorFaultKind::EmptyDisk => coordinator.empty_disk(),
+                        _ => coordinator.tear_disk(),
                     };
                     if let Err(e) = done {
-                        let what = format!("the lab cannot change steward {number}'s files: {e}");
+                        let what =
+                            format!("the emulator cannot change coordinator {number}'s files: {e}");
                         self.record
                             .note(self.clock.now(), Seen::StewardBroken { what });
                     }
@@ -104,13 +105,13 @@
         ))
         .await;
         for number in &chosen {
-            let mut steward = self.all[*number].lock().await;
-            if fault.kind == StewardFaultKind::Stop {
-                steward.pause(false);
-            } else if fault.kind == StewardFaultKind::FullDisk && steward.runs() {
-                self.fill(*number, &steward, false);
-            } else if let Err(e) = steward.run() {
-                let what = format!("steward {number} cannot be started: {e}");
+            let mut coordinator = self.all[*number].lock().await;
+            if fault.kind == CoordinatorFaultKind::Stop {
+                coordinator.pause(false);
+            } else if fault.kind == CoordinatorFaultKind::FullDisk && coordinator.runs() {
+                self.fill(*number, &coordinator, false);
+            } else if let Err(e) = coordinator.run() {
+                let what = format!("coordinator {number} cannot be started: {e}");
                 self.record
                     .note(self.clock.now(), Seen::StewardBroken { what });
             }
--- a/crates/emulator/src/stewards/process.rs
+++ b/crates/emulator/src/coordinators/process.rs
@@ -1,7 +1,7 @@
 //! One coordinator's process over all its incarnations, and its disk.
 
 use super::data;
-use crate::supervisor::{Bringing, Running};
+use crate::supervisor::{LaunchOptions, Running};
 use rustix::process::{Pid, Resource, Rlimit, Signal, kill_process, prlimit};
 use std::fs::{self, OpenOptions};
 use std::io;
@@ -13,35 +13,35 @@
 /// How long it may take to end when it is told to.
 const STOPS_WITHIN: Duration = Duration::from_secs(5);
 
-/// One steward.
-pub(super) struct Steward {
-    bringing: Bringing,
+/// One coordinator.
+pub(super) struct CoordinatorProcess {
+    bringing: LaunchOptions,
     config: PathBuf,
     log: PathBuf,
     data: PathBuf,
     child: Option<Running>,
 }
 
-impl Steward {
+impl CoordinatorProcess {
     pub(super) fn start(
         number: usize,
         text: &str,
-        bringing: Bringing,
+        bringing: LaunchOptions,
         folder: &Path,
     ) -> io::Result<Self> {
         let file = |kind: &str| folder.join(format!("s{number}.{kind}"));
         let (config, log) = (file("toml"), file("log"));
         fs::write(&config, text)?;
         fs::File::create(&log)?;
-        let mut steward = Self {
+        let mut coordinator = Self {
             bringing,
             config,
             log,
             data: data(folder, number),
             child: None,
         };
-        steward.run()?;
-        Ok(steward)
+        coordinator.run()?;
+        Ok(coordinator)
     }
 
     /// Starts it, where it does not run.
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Lets it write to no file, or to all again. It is its limit on the size of files, so that a disk of its own is
-    /// not needed: writing answers with an error, as on a full disk.
+    /// Lets it write to no file, or to all again. It is its limit on the size of files, so that a
+    /// disk of its own is not needed: writing answers with an error, as on a full disk.
     pub(super) fn fill_disk(&self, full: bool) -> io::Result<()> {
         let limit = Rlimit {
             current: full.then_some(0),
--- a/crates/emulator/src/datagrams.rs
+++ b/crates/emulator/src/datagrams.rs
@@ -62,8 +62,9 @@
     (0..copies).map(late).collect()
 }
 
-/// Passes datagrams from one process on to another as the network and `faults` have it: what arrives at `at` leaves
-/// from `out` to `to`. The receiver knows the sender by the address of `out`.
+/// Passes datagrams from one process on to another as the network and `faults` have it: what
+/// arrives at `at` leaves from `out` to `to`. The receiver knows the sender by the address of
+/// `out`.
 pub async fn datagrams(
     at: UdpSocket,
     out: Arc<UdpSocket>,
--- a/crates/emulator/src/datagrams/tests.rs
+++ b/crates/emulator/src/datagrams/tests.rs
@@ -10,8 +10,9 @@
 const LOOK: Duration = Duration::from_millis(1);
 const LOOKS: usize = 20_000;
 
-/// Waits until all that was sent to the socket at that address has been read, whatever the machine is busy with: what
-/// was true of the network until then is what counted. On one thread, who reads it has decided on it by then.
+/// Waits until all that was sent to the socket at that address has been read, whatever the machine
+/// is busy with: what was true of the network until then is what counted. On one thread, who reads
+/// it has decided on it by then.
 pub(crate) async fn read_up(at: SocketAddr) {
     let SocketAddr::V4(at) = at else {
         panic!("{at} is not an address of IPv4")
--- a/crates/emulator/src/directory.rs
+++ b/crates/emulator/src/directory.rs
@@ -7,7 +7,7 @@
 pub enum State {
     /// It takes requests; its process started then, or long ago.
     Active {
-        /// Time since the play began.
+        /// Time since the run began.
         since: Option<Us>,
     },
     /// It finishes what it has.
--- a/crates/emulator/src/draw.rs
+++ b/crates/emulator/src/draw.rs
@@ -38,7 +38,8 @@
     (-2.0 * a.ln()).sqrt() * (std::f64::consts::TAU * b).cos()
 }
 
-/// Spread of the sidecars' traffic at `uneven = 1`: the largest of 60 then has about eight times the mean.
+/// Spread of the sidecars' traffic at `uneven = 1`: the largest of 60 then has about eight times
+/// the mean.
 const UNEVEN_SPREAD: f64 = 1.2;
 /// Range of the requests that wait at a server, per core; and of the keys that it remembers.
 const QUEUE: (f64, f64) = (6.0, 12.0);
@@ -47,7 +48,7 @@
 /// Range of a handshake's work in microseconds.
 const HANDSHAKE: (f64, f64) = (500.0, 1000.0);
 
-/// Draws a play.
+/// Draws a run.
 pub fn draw(experiment: &Experiment, seed: u64) -> Plan {
     let (t, l) = (&experiment.topology, &experiment.load);
     let mut rng = stream(seed, 1);
--- a/crates/emulator/src/draw/arrivals.rs
+++ b/crates/emulator/src/draw/arrivals.rs
@@ -11,8 +11,8 @@
 /// Range of a client's wait before a further try.
 const CLIENT_WAIT: (f64, f64) = (100e3, 300e3);
 
-/// Poisson arrivals of each sidecar, whose rate wanders in a wave of its own; thinned from the highest rate (Lewis
-/// and Shedler, Naval Research Logistics Quarterly 26, 1979, p. 403).
+/// Poisson arrivals of each sidecar, whose rate wanders in a wave of its own; thinned from the
+/// highest rate (Lewis and Shedler, Naval Research Logistics Quarterly 26, 1979, p. 403).
 pub(super) fn arrivals(
     experiment: &Experiment,
     sidecars: &[SidecarSpec],
--- a/crates/emulator/src/draw/faults.rs
+++ b/crates/emulator/src/draw/faults.rs
@@ -17,8 +17,8 @@
     pub(super) list_lag: Us,
 }
 
-/// How long a server that has left the list's active ones goes on with what it has: past the last time at which the
-/// rules allow it something new, and the longest deadline.
+/// How long a server that has left the list's active ones goes on with what it has: past the last
+/// time at which the rules allow it something new, and the longest deadline.
 pub(crate) const DRAINS_FOR: Us = 6 * SECOND;
 
 impl Faults<'_> {
--- a/crates/emulator/src/experiment.rs
+++ b/crates/emulator/src/experiment.rs
@@ -10,7 +10,7 @@
 pub use fault::{Fault, FaultKind, Way};
 use load_balancer_common::units::Time;
 pub use maintenance::{
-    Agreed, Blackout, Carried, StewardFault, StewardFaultKind, Stewards, Who, Window,
+    Agreed, Blackout, Carried, CoordinatorFault, CoordinatorFaultKind, Coordinators, Who, Window,
 };
 pub use mix::{Mix, Roll, Version};
 use serde::{Deserialize, Serialize};
@@ -39,7 +39,8 @@
     pub agreement: Option<Agreed>,
     /// Who is asked for windows.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub stewards: Option<Stewards>,
+    #[serde(alias = "stewards")]
+    pub coordinators: Option<Coordinators>,
     /// What is compared; the first is what the others are held against.
     pub variant: Vec<Variant>,
     /// What has to hold.
@@ -70,7 +71,8 @@
 pub struct Load {
     /// Requests a second of the mean sidecar.
     pub rate: f64,
-    /// How unevenly they are spread over sidecars: 0 all alike; 1 a few have several times the mean.
+    /// How unevenly they are spread over sidecars: 0 all alike; 1 a few have several times the
+    /// mean.
     pub uneven: f64,
     /// How far each sidecar's rate wanders around its own mean, as a part of it.
     pub wander: f64,
@@ -92,7 +94,7 @@
     pub inside: Time,
     /// One way between zones.
     pub between: Time,
-    /// More, at most, drawn for each piece.
+    /// More, at most, drawn for each fragment.
     pub jitter: Time,
     /// How late changes of the list reach a sidecar, at least and at most.
     pub list_delay: [Time; 2],
@@ -120,13 +122,14 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Bounds {
-    /// A play whose requests came later than this, one in a hundred, is void: the machine was too slow.
+    /// A run whose requests came later than this, one in a hundred, is void: the machine was too
+    /// slow.
     pub lateness: Time,
     /// Bounds on single measures.
     pub measure: Vec<MeasureBound>,
 }
 
-/// A bound on a measure's mean over the plays.
+/// A bound on a measure's mean over the runs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MeasureBound {
--- a/crates/emulator/src/experiment/check.rs
+++ b/crates/emulator/src/experiment/check.rs
@@ -5,7 +5,7 @@
 
 const MOST_SIDECARS: usize = 10_000;
 const MOST_SERVERS: usize = 1000;
-/// Most requests of one play.
+/// Most requests of one run.
 const MOST_REQUESTS: f64 = 5e6;
 
 impl Configuration for Experiment {
@@ -118,29 +118,29 @@
             .variant
             .iter()
             .any(|variant| variant.windows == Carried::Asked);
-        if asked != self.stewards.is_some() || (asked && self.agreement.is_none()) {
+        if asked != self.coordinators.is_some() || (asked && self.agreement.is_none()) {
             return wrong(
-                "stewards",
+                "coordinators",
                 "they belong to windows = \"asked\", and need an agreement",
             );
         }
         if self
-            .stewards
+            .coordinators
             .as_ref()
-            .is_some_and(|stewards| ![3, 5].contains(&stewards.count))
+            .is_some_and(|coordinators| ![3, 5].contains(&coordinators.count))
         {
-            return wrong("stewards.count", "3 or 5");
+            return wrong("coordinators.count", "3 or 5");
         }
-        if let Some(stewards) = &self.stewards
-            && stewards.count
-                < stewards
+        if let Some(coordinators) = &self.coordinators
+            && coordinators.count
+                < coordinators
                     .clock_offset_ms
                     .len()
-                    .max(stewards.disk_delay.len())
+                    .max(coordinators.disk_delay.len())
         {
             return wrong(
-                "stewards",
-                "clock_offset_ms and disk_delay have one entry a steward at most",
+                "coordinators",
+                "clock_offset_ms and disk_delay have one entry a coordinator at most",
             );
         }
         let mut names: Vec<&str> = self.variant.iter().map(|v| v.name.as_str()).collect();
--- a/crates/emulator/src/experiment/fault.rs
+++ b/crates/emulator/src/experiment/fault.rs
@@ -39,9 +39,11 @@
     ServersSlow,
     /// Servers answer a `size` share of requests with an error.
     ServersFail,
-    /// Servers are replaced one after the other: each drains and leaves, and a cold one with another name comes.
+    /// Servers are replaced one after the other: each drains and leaves, and a cold one with
+    /// another name comes.
     ServersReplace,
-    /// Sidecars are told that servers leave; when it ends they drain, and are gone once they have had time for that.
+    /// Sidecars are told that servers leave; when it ends they drain, and are gone once they have
+    /// had time for that.
     ServersLeave,
     /// Servers that a platform returns do not come back.
     ReturnsNever,
@@ -53,11 +55,12 @@
     ZoneCut,
     /// Everything between sidecars and servers takes `size` milliseconds longer.
     NetworkSlow,
-    /// A `size` share of the pieces that pass break their connection.
+    /// A `size` share of the fragments that pass break their connection.
     NetworkResets,
     /// Sidecars are killed at once; they start again when it ends.
     SidecarsKill,
-    /// Sidecars are stopped by SIGTERM one after the other, and each starts again once it has ended.
+    /// Sidecars are stopped by SIGTERM one after the other, and each starts again once it has
+    /// ended.
     SidecarsRoll,
     /// Sidecars are stopped and continued (SIGSTOP, SIGCONT).
     SidecarsPause,
@@ -69,8 +72,8 @@
     DatagramsRepeated,
     /// Datagrams between sidecars: a `size` share is held up, so that later ones come before.
     DatagramsLate,
-    /// A member of the fleet in that zone, beside the sidecars, says of all servers that they are dead; with real
-    /// processes only.
+    /// A member of the fleet in that zone, beside the sidecars, says of all servers that they are
+    /// dead; with real processes only.
     MemberLies,
     /// Discovery says nothing.
     DiscoverySilent,
--- a/crates/emulator/src/experiment/maintenance.rs
+++ b/crates/emulator/src/experiment/maintenance.rs
@@ -57,7 +57,8 @@
     pub keep_zone: f64,
     /// Servers away at once, by grant or dead.
     pub most_away: usize,
-    /// How soon a death must be known and answered: the bound on evidence and the time to act on it.
+    /// How soon a death must be known and answered: the bound on observations and the time to act
+    /// on it.
     #[serde(default = "answered_within")]
     pub answered_within: Time,
     /// Times in which nothing may be away by grant.
@@ -78,7 +79,7 @@
     pub lasts: Time,
 }
 
-/// Five seconds that evidence may be old, a second between two looks, and two to act.
+/// Five seconds that observations may be old, a second between two looks, and two to act.
 fn answered_within() -> Time {
     Time::ms(8000)
 }
@@ -94,27 +95,29 @@
     Blind,
     /// A crew that has one server away at a time, over all windows.
     OneByOne,
-    /// Stewards, who are asked for each window.
+    /// Coordinators, who are asked for each window.
     Asked,
 }
 
-/// The stewards of a variant whose windows are asked for.
+/// The coordinators of a variant whose windows are asked for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Stewards {
+pub struct Coordinators {
     /// How many.
     pub count: usize,
-    /// More of the configuration of each, as the text of a file, beside addresses, files and the agreement.
+    /// More of the configuration of each, as the text of a file, beside addresses, files and the
+    /// agreement.
     pub config: String,
     /// What goes wrong with them.
-    pub fault: Vec<StewardFault>,
-    /// By how much the clock of each is off, the first one's first, in milliseconds; of the rest by nothing.
+    pub fault: Vec<CoordinatorFault>,
+    /// By how much the clock of each is off, the first one's first, in milliseconds; of the rest by
+    /// nothing.
     pub clock_offset_ms: Vec<i64>,
     /// By how much each one's disk is slower, the first one's first; the rest are as they are.
     pub disk_delay: Vec<Time>,
 }
 
-impl Default for Stewards {
+impl Default for Coordinators {
     fn default() -> Self {
         let (config, fault) = (String::new(), Vec::new());
         Self {
@@ -127,28 +130,28 @@
     }
 }
 
-/// Something that goes wrong with stewards.
+/// Something that goes wrong with coordinators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct StewardFault {
+pub struct CoordinatorFault {
     /// What.
-    pub kind: StewardFaultKind,
+    pub kind: CoordinatorFaultKind,
     /// Whom it meets.
     pub who: Who,
     /// Earliest time, since the first request.
     pub at: Time,
-    /// It waits from then on until a server's seat has come to that state: `booked`, `draining`, `clear`, `away`,
-    /// `returning`, `closed`.
+    /// It waits from then on until a server's seat has come to that state: `booked`, `draining`,
+    /// `clear`, `away`, `returning`, `closed`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub on: Option<String>,
     /// How long it lasts.
     pub lasts: Time,
 }
 
-/// Kinds of faults of stewards.
+/// Kinds of faults of coordinators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum StewardFaultKind {
+pub enum CoordinatorFaultKind {
     /// Killed, and started again when it ends.
     Kill,
     /// Stopped and continued (SIGSTOP, SIGCONT).
@@ -161,7 +164,7 @@
     FullDisk,
 }
 
-/// Which stewards a fault meets.
+/// Which coordinators a fault meets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Who {
--- a/crates/emulator/src/experiment/mix.rs
+++ b/crates/emulator/src/experiment/mix.rs
@@ -25,7 +25,8 @@
     pub roll: Vec<Roll>,
 }
 
-/// Sidecars are stopped by SIGTERM one after the other, and each starts again in that version once it has ended.
+/// Sidecars are stopped by SIGTERM one after the other, and each starts again in that version once
+/// it has ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Roll {
--- a/crates/emulator/src/fleetpages.rs
+++ b/crates/emulator/src/health_pages.rs
@@ -18,13 +18,13 @@
 use std::sync::Arc;
 use tokio::net::TcpListener;
 
-/// Age that members' evidence has as a rule: half of the time between two words of the fleet.
+/// Age that members' observations have as a rule: half of the time between two words of the fleet.
 const AGE_MS: u64 = 500;
 
 /// What all pages are made from.
 #[derive(Clone)]
 pub struct Truth {
-    /// The play.
+    /// The run.
     pub plan: Arc<Plan>,
     /// Its clock.
     pub clock: Clock,
--- a/crates/emulator/src/ways.rs
+++ b/crates/emulator/src/links.rs
@@ -1,15 +1,16 @@
 //! Joins connections between processes through the emulated network.
 
-use crate::door::{Door, Life};
 use crate::net::Net;
 use crate::relay::{Link, join};
+use crate::server_listener::{Life, ServerListener};
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 use tokio::task::AbortHandle;
 
-/// Opens a way on that host, from a zone to a listener in another. It holds until its task is ended.
+/// Opens a way on that host, from a zone to a listener in another. It holds until its task is
+/// ended.
 ///
 /// # Errors
 /// There is no socket.
@@ -29,7 +30,7 @@
         up: true,
         number: 1,
     });
-    let door = Door::bind(host, life, link.clone())?;
+    let door = ServerListener::bind(host, life, link.clone())?;
     let address = door.address();
     let task = tokio::spawn(async move {
         let _alive = alive;
--- a/crates/emulator/src/listing.rs
+++ b/crates/emulator/src/listing.rs
@@ -6,7 +6,7 @@
 use crate::site::{KINDS, ZONES};
 use serde_json::{Value, json};
 
-/// Unix time in milliseconds at which the play began, and what an entry is called on the wire.
+/// Unix time in milliseconds at which the run began, and what an entry is called on the wire.
 pub fn entry(
     spec: &ServerSpec,
     state: State,
@@ -28,12 +28,14 @@
     (kind.speed.0 + kind.speed.1) / 2.0
 }
 
-/// The capacity of a server in thousandths of a core of speed 1, as whole numbers for who adds them up.
+/// The capacity of a server in thousandths of a core of speed 1, as whole numbers for who adds them
+/// up.
 pub fn capacity(spec: &ServerSpec) -> u64 {
     (weight(spec) * 1000.0).round() as u64
 }
 
-/// Unix time in milliseconds at which a process started, 0 where that is long ago, in a play that began then.
+/// Unix time in milliseconds at which a process started, 0 where that is long ago, in a run that
+/// began then.
 pub fn started_ms(since: Option<Us>, began_ms: u64) -> u64 {
     since.map_or(0, |at| began_ms + at / 1000)
 }
--- a/crates/emulator/src/live.rs
+++ b/crates/emulator/src/live.rs
@@ -90,7 +90,7 @@
                         .for_each(|server| by_server[*server].2 += 1);
                 }
                 Seen::Handshake { .. } => handshakes += 1,
-                Seen::Told { .. } => told += 1,
+                Seen::PlatformConfig { .. } => told += 1,
                 _ => {}
             }
         }
--- a/crates/emulator/src/fronts.rs
+++ b/crates/emulator/src/member_addresses.rs
@@ -34,8 +34,8 @@
     pub front: SocketAddr,
 }
 
-/// All fronts of a play.
-pub struct Fronts {
+/// All fronts of a run.
+pub struct MemberAddresses {
     /// Each member's.
     pub addresses: Vec<Address>,
     /// Where the members listen themselves.
@@ -43,9 +43,10 @@
     bytes: Arc<AtomicU64>,
 }
 
-impl Fronts {
-    /// Opens one for each of these zones' members, on hosts of the loopback range: for the member itself, where nothing
-    /// but members listens, and for its front. They pass datagrams on until the tasks are ended.
+impl MemberAddresses {
+    /// Opens one for each of these zones' members, on hosts of the loopback range: for the member
+    /// itself, where nothing but members listens, and for its front. They pass datagrams on until
+    /// the tasks are ended.
     ///
     /// # Errors
     /// A socket cannot be had.
@@ -142,7 +143,7 @@
         self.bytes.load(Ordering::Relaxed)
     }
 
-    /// The section of a member that the lab itself runs.
+    /// The section of a member that the emulator itself runs.
     pub fn member(&self, member: usize) -> FleetSection {
         let Address { own, front } = self.addresses[member];
         let seeds = self
@@ -161,7 +162,8 @@
         }
     }
 
-    /// What stands for `{fleet}` in the product configuration of a member whose clock is so many milliseconds off.
+    /// What stands for `{fleet}` in the product configuration of a member whose clock is so many
+    /// milliseconds off.
     pub fn section(&self, member: usize, clock_offset_ms: i64) -> String {
         section(&self.addresses, member, clock_offset_ms)
     }
--- a/crates/emulator/src/fronts/tests.rs
+++ b/crates/emulator/src/member_addresses/tests.rs
@@ -18,7 +18,7 @@
             IpAddr::V4(Ipv4Addr::LOCALHOST),
         )
     };
-    let (fronts, _tasks) = Fronts::open(&[0, 1], host, &net, &told)
+    let (fronts, _tasks) = MemberAddresses::open(&[0, 1], host, &net, &told)
         .await
         .expect("free ports");
     let [a, b] = [fronts.addresses[0], fronts.addresses[1]];
--- a/crates/emulator/src/net.rs
+++ b/crates/emulator/src/net.rs
@@ -7,7 +7,7 @@
 use tokio::sync::watch;
 use tokio::time::{Duration, Instant, sleep_until};
 
-/// Time since a play began; 0 until it has.
+/// Time since a run began; 0 until it has.
 #[derive(Clone, Debug)]
 pub struct Clock(Arc<watch::Sender<Option<(Instant, u64)>>>);
 
@@ -18,7 +18,7 @@
 }
 
 impl Clock {
-    /// The play begins now.
+    /// The run begins now.
     pub fn begin(&self) {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -109,7 +109,7 @@
         self.with(|faults| faults.slow = more);
     }
 
-    /// So many pieces break their connection.
+    /// So many fragments break their connection.
     pub fn resets(&self, share: f64) {
         self.with(|faults| faults.resets = share);
     }
@@ -129,7 +129,7 @@
         })
     }
 
-    /// How long a piece takes that way.
+    /// How long a fragment takes that way.
     pub fn delay(&self, from: usize, to: usize) -> Us {
         let calm = &self.calm;
         let base = if from == to {
@@ -142,7 +142,7 @@
         base + fastrand::u64(0..=jitter) + self.with(|faults| faults.slow)
     }
 
-    /// Whether a piece breaks its connection.
+    /// Whether a fragment breaks its connection.
     pub fn breaks(&self) -> bool {
         let share = self.with(|faults| faults.resets);
         share > 0.0 && fastrand::f64() < share
--- a/crates/emulator/src/observer.rs
+++ b/crates/emulator/src/observer.rs
@@ -2,7 +2,7 @@
 
 use crate::net::Clock;
 use crate::page::ask;
-use crate::record::{Record, Seen, Stands};
+use crate::record::{ConnectivityReport, Record, Seen};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,16 +13,16 @@
 /// How long one may take to answer: one that is stopped answers nothing.
 const WITHIN: Duration = Duration::from_millis(1000);
 
-/// The standing that a page tells; none where it tells none.
-fn standing(page: &Value) -> Option<Stands> {
+/// The connectivity state that a page tells; none where it tells none.
+fn standing(page: &Value) -> Option<ConnectivityReport> {
     let told = &page["standing"];
     let word = told.as_str().or_else(|| told["kind"].as_str())?;
     Some(match word {
-        "whole" => Stands::Whole,
-        "disputed" => Stands::Disputed,
-        "cut" => Stands::Cut,
-        "alone" => Stands::Alone,
-        "unwell" => Stands::Unwell,
+        "whole" => ConnectivityReport::Whole,
+        "disputed" => ConnectivityReport::Disputed,
+        "cut" => ConnectivityReport::Cut,
+        "alone" => ConnectivityReport::Alone,
+        "unwell" => ConnectivityReport::Unwell,
         _ => return None,
     })
 }
--- a/crates/emulator/src/outcome.rs
+++ b/crates/emulator/src/outcome.rs
@@ -2,11 +2,11 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A figure of one play.
+/// A figure of one run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Measure {
-    /// Worth answered within its aim over the worth asked for.
+    /// Worth answered within its latency objective over the worth asked for.
     Served,
     /// The same for the class that is served worst.
     ServedWorstClass,
@@ -20,7 +20,7 @@
     Failed,
     /// Attempts at servers for each request.
     Attempts,
-    /// Attempts that servers turned away, for each request.
+    /// Attempts that servers rejected, for each request.
     TurnedAway,
     /// Attempts of which nothing came, as the server was silent or had ended, for each request.
     Swallowed,
@@ -42,9 +42,11 @@
     ProcessorMs,
     /// Resident memory of a sidecar at its end, in megabytes; 0 in simulated time.
     MemoryMb,
-    /// Most attempts at one server at once, over the cores and places to wait that it has; the fullest of all.
+    /// Most attempts at one server at once, over the cores and places to wait that it has; the
+    /// fullest of all.
     Deepest,
-    /// Servers that were told to leave and were clear in the end, over all of them; 1 where none was.
+    /// Servers that were told to leave and were clear in the end, over all of them; 1 where none
+    /// was.
     Cleared,
     /// Servers pushed over while cold.
     Fallen,
@@ -58,11 +60,12 @@
     MaintenanceS,
     /// Times that a server went away against the agreement, or a death was not answered in time.
     CapacityBreaches,
-    /// The least part of the capacity that was there at any time, deaths included; 1 where nothing was agreed.
+    /// The least part of the capacity that was there at any time, deaths included; 1 where nothing
+    /// was agreed.
     LeastCapacity,
     /// Acts that the platform refused as their token was too low.
     TokensRefused,
-    /// Faults of stewards that happened.
+    /// Faults of coordinators that happened.
     StewardFaults,
     /// Time until the last sidecar found that there was a cut, in seconds; the longest of all cuts.
     CutFoundS,
@@ -72,13 +75,16 @@
     CutEndsS,
     /// Times that a sidecar found itself cut off or alone where nothing was cut.
     CutFalse,
-    /// Time from the start of a sidecar that was killed to its first answer of 200, in seconds; the mean.
+    /// Time from the start of a sidecar that was killed to its first answer of 200, in seconds; the
+    /// mean.
     FirstAnswerS,
-    /// Time from the start of sidecars that were killed until requests are worth 95 % of before again, in seconds.
+    /// Time from the start of sidecars that were killed until requests are worth 95 % of before
+    /// again, in seconds.
     BackS,
-    /// Attempts of a sidecar that was killed, in the 5 s after its start, at servers that were known to be bad before.
+    /// Attempts of a sidecar that was killed, in the 5 s after its start, at servers that were
+    /// known to be bad before.
     Wasted,
-    /// How late the lab itself was, one request in a hundred, in milliseconds.
+    /// How late the emulator itself was, one request in a hundred, in milliseconds.
     LatenessMs,
     /// Broken rules.
     BrokenRules,
--- a/crates/emulator/src/page.rs
+++ b/crates/emulator/src/page.rs
@@ -14,7 +14,8 @@
 /// Longest page.
 const LONGEST: usize = 4 << 20;
 
-/// What a process answers: its status and content, `Null` where that is no JSON. None where nothing whole came in time.
+/// What a process answers: its status and content, `Null` where that is no JSON. None where nothing
+/// whole came in time.
 pub async fn ask(
     at: SocketAddr,
     method: &str,
--- a/crates/emulator/src/pairs/builds.rs
+++ b/crates/emulator/src/pairs/builds.rs
@@ -52,8 +52,8 @@
     builds.join(revision)
 }
 
-/// Builds a revision of the repository at `repository` within that time; its programs then lie in [`folder`]. What is
-/// there already for the same commit is kept.
+/// Builds a revision of the repository at `repository` within that time; its programs then lie in
+/// [`folder`]. What is there already for the same commit is kept.
 ///
 /// # Errors
 /// See [`BuildError`].
@@ -144,8 +144,8 @@
         self.take(Path::new(&program.name), name)
     }
 
-    /// Lays a part that talks in lines of text beside a package's sources, builds it as an example of that package, and
-    /// puts it into the folder as `name`.
+    /// Lays a part that talks in lines of text beside a package's sources, builds it as an example
+    /// of that package, and puts it into the folder as `name`.
     fn recorder(&self, recorded: &Recorded, part: &str, name: &str) -> Result<(), BuildError> {
         self.lay_recorder(recorded, part, name)
             .map_err(|e| io_error("a part that talks in lines", e))?;
--- a/crates/emulator/src/pairs/stewards.rs
+++ b/crates/emulator/src/pairs/coordinators.rs
@@ -8,7 +8,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Stewards.
+/// Coordinators.
 pub const STEWARDS: usize = 3;
 /// Ticks of a stage: some elections, and several snapshots' worth of orders in all.
 pub const STAGE: u64 = 600;
@@ -22,20 +22,20 @@
 /// What came of it.
 #[derive(Clone, Debug, Default)]
 pub struct Came {
-    /// What each steward has applied in the end, with times.
+    /// What each coordinator has applied in the end, with times.
     pub books: Vec<String>,
     /// Orders that were agreed on.
     pub agreed: usize,
-    /// Files that were set aside, and messages that were not let in.
+    /// Files that were quarantined, and messages that were not let in.
     pub refused: Vec<String>,
     /// Messages that passed.
     pub passed: usize,
-    /// What each steward was told, line by line.
+    /// What each coordinator was told, line by line.
     pub told: Vec<Vec<String>>,
 }
 
 struct Room {
-    stewards: Vec<Option<Part>>,
+    coordinators: Vec<Option<Part>>,
     ids: BTreeMap<String, usize>,
     files: Vec<PathBuf>,
     wire: VecDeque<(usize, String)>,
@@ -44,22 +44,23 @@
     came: Came,
 }
 
-/// Plays the stages one after the other: in each one, steward `n` is played by `stage[n]`, or is one of today where there
-/// is none, for so many ticks with orders. Between two, whoever changes its version is stopped and started again over the same file.
+/// Runs the stages one after the other: in each one, coordinator `n` is run by `stage[n]`, or is
+/// one of today where there is none, for so many ticks with orders. Between two, whoever changes
+/// its version is stopped and started again over the same file.
 ///
 /// # Errors
-/// A program cannot be started, or a steward cannot go on.
+/// A program cannot be started, or a coordinator cannot go on.
 pub fn play(folder: &Path, stages: &[[Option<&Path>; STEWARDS]], ticks: u64) -> io::Result<Came> {
     let files = (0..STEWARDS)
-        .map(|n| folder.join(format!("steward-{n}.redb")))
+        .map(|n| folder.join(format!("coordinator-{n}.redb")))
         .collect();
     let came = Came {
         told: vec![Vec::new(); STEWARDS],
         ..Came::default()
     };
-    let (stewards, ids) = ((0..STEWARDS).map(|_| None).collect(), BTreeMap::new());
+    let (coordinators, ids) = ((0..STEWARDS).map(|_| None).collect(), BTreeMap::new());
     let mut room = Room {
-        stewards,
+        coordinators,
         ids,
         files,
         wire: VecDeque::new(),
@@ -68,9 +69,9 @@
         came,
     };
     for (number, stage) in stages.iter().enumerate() {
-        for (steward, program) in stage.iter().enumerate() {
-            if number == 0 || stages[number - 1][steward] != *program {
-                room.start(steward, *program, number)?;
+        for (coordinator, program) in stage.iter().enumerate() {
+            if number == 0 || stages[number - 1][coordinator] != *program {
+                room.start(coordinator, *program, number)?;
                 // The others go on meanwhile.
                 room.run(FOUNDING, number > 0)?;
             }
@@ -82,8 +83,8 @@
     }
     // What is under way arrives.
     room.run(FOUNDING, false)?;
-    for steward in 0..STEWARDS {
-        let state = room.ask(steward, "state")?;
+    for coordinator in 0..STEWARDS {
+        let state = room.ask(coordinator, "state")?;
         let book = state
             .first()
             .and_then(|state| state.split(' ').nth(3))
@@ -98,7 +99,7 @@
     let mut wrong = came.refused.clone();
     if came.books.iter().any(|book| *book != came.books[0]) {
         wrong.push(format!(
-            "stewards have applied different orders: {}",
+            "coordinators have applied different orders: {}",
             sum(came)
         ));
     }
@@ -125,7 +126,7 @@
     )
 }
 
-/// Bytes of a sector, the smallest piece of a file that is written down.
+/// Bytes of a sector, the smallest fragment of a file that is written down.
 const SECTOR: usize = 512;
 
 /// A file as lines: its length, then each sector that is not empty by its number.
@@ -153,27 +154,32 @@
 }
 
 impl Room {
-    fn start(&mut self, steward: usize, program: Option<&Path>, stage: usize) -> io::Result<()> {
-        if self.stewards[steward].is_some() {
+    fn start(
+        &mut self,
+        coordinator: usize,
+        program: Option<&Path>,
+        stage: usize,
+    ) -> io::Result<()> {
+        if self.coordinators[coordinator].is_some() {
             // The file is given back before another process opens it.
-            self.ask(steward, "stop")?;
-            self.stewards[steward] = None;
+            self.ask(coordinator, "stop")?;
+            self.coordinators[coordinator] = None;
         }
-        self.stewards[steward] = Some(match program {
+        self.coordinators[coordinator] = Some(match program {
             Some(program) => Part::of(program)?,
             None => {
                 let mut session = Session::default();
                 Part::here(move |line| session.line(line))
             }
         });
-        let (id, run) = (100 + steward, 10 * stage + steward + 1);
-        let founds = u8::from(stage == 0 && steward == 0);
-        let file = self.files[steward].display().to_string();
+        let (id, run) = (100 + coordinator, 10 * stage + coordinator + 1);
+        let founds = u8::from(stage == 0 && coordinator == 0);
+        let file = self.files[coordinator].display().to_string();
         self.ask(
-            steward,
-            &format!("start s{steward} {id} {run} {founds} {file}"),
+            coordinator,
+            &format!("start s{coordinator} {id} {run} {founds} {file}"),
         )?;
-        self.ids.insert(id.to_string(), steward);
+        self.ids.insert(id.to_string(), coordinator);
         Ok(())
     }
 
@@ -181,10 +187,10 @@
         for tick in 0..ticks {
             self.now += 10;
             let running: Vec<usize> = (0..STEWARDS)
-                .filter(|n| self.stewards[*n].is_some())
+                .filter(|n| self.coordinators[*n].is_some())
                 .collect();
-            for steward in &running {
-                self.ask(*steward, "tick")?;
+            for coordinator in &running {
+                self.ask(*coordinator, "tick")?;
             }
             for guest in &running {
                 let id = 100 + guest;
@@ -199,15 +205,15 @@
                 // Whoever leads takes it.
                 self.order += 1;
                 let (now, order) = (self.now, self.order);
-                for steward in &running {
-                    self.ask(*steward, &format!("propose {now} {order}"))?;
+                for coordinator in &running {
+                    self.ask(*coordinator, &format!("propose {now} {order}"))?;
                 }
             }
             for _ in 0..self.wire.len() {
                 if let Some((to, hex)) = self
                     .wire
                     .pop_front()
-                    .filter(|(to, _)| self.stewards[*to].is_some())
+                    .filter(|(to, _)| self.coordinators[*to].is_some())
                 {
                     self.ask(to, &format!("step {hex}"))?;
                 }
@@ -216,11 +222,11 @@
         Ok(())
     }
 
-    fn ask(&mut self, steward: usize, line: &str) -> io::Result<Vec<String>> {
-        let Some(part) = &mut self.stewards[steward] else {
+    fn ask(&mut self, coordinator: usize, line: &str) -> io::Result<Vec<String>> {
+        let Some(part) = &mut self.coordinators[coordinator] else {
             return Ok(Vec::new());
         };
-        self.came.told[steward].push(line.to_owned());
+        self.came.told[coordinator].push(line.to_owned());
         let answers = part.ask(line)?;
         for answer in &answers {
             let words: Vec<&str> = answer.split(' ').collect();
@@ -232,7 +238,7 @@
                 ["agreed", _] => self.came.agreed += 1,
                 ["passed", "true"] => self.came.passed += 1,
                 ["passed", _] | ["aside", ..] => {
-                    self.came.refused.push(format!("s{steward}: {answer}"))
+                    self.came.refused.push(format!("s{coordinator}: {answer}"))
                 }
                 _ => {}
             }
--- a/crates/emulator/src/pairs/feed.rs
+++ b/crates/emulator/src/pairs/feed.rs
@@ -1,4 +1,4 @@
-//! Plays a history to another build's simulator adapter, and finds the first difference to today's
+//! Runs a history to another build's simulator adapter, and finds the first difference to today's
 //! answers.
 
 use super::wire::Written;
--- a/crates/emulator/src/pairs/histories.rs
+++ b/crates/emulator/src/pairs/histories.rs
@@ -62,7 +62,8 @@
 
 /// How long clients of a history ask.
 const LASTS: Us = 6 * SECOND;
-/// Work of the site's requests that leaves room for all at any topology drawn here, and that which does not.
+/// Work of the site's requests that leaves room for all at any topology drawn here, and that which
+/// does not.
 const ROOM: f64 = 0.3;
 /// See [`ROOM`].
 const CROWD: f64 = 2.0;
@@ -90,7 +91,8 @@
     };
     match kind {
         Kind::Several => {
-            // Calm and crowded have no fault; and none twice, as an adapter numbers servers as it hears of them.
+            // Calm and crowded have no fault; and none twice, as an adapter numbers servers as it
+            // hears of them.
             let mut single = Kind::ALL[2..Kind::ALL.len() - 1].to_vec();
             rng.shuffle(&mut single);
             for kind in single.into_iter().take(3) {
@@ -136,8 +138,8 @@
     }
 }
 
-/// Plays that history with the module of today, and hands over what passed between it and the sidecars as the simulator's
-/// wire has it.
+/// Runs that history with the module of today, and hands over what passed between it and the
+/// sidecars as the simulator's wire has it.
 ///
 /// # Errors
 /// Never, as a history has no product configuration.
--- a/crates/emulator/src/pairs/lan.rs
+++ b/crates/emulator/src/pairs/lan.rs
@@ -20,24 +20,25 @@
     pub dropped: Vec<u64>,
     /// Endpoints that it was told to rest.
     pub rested: BTreeSet<usize>,
-    /// Different pieces that were carried to it.
+    /// Different fragments that were carried to it.
     pub carried: BTreeSet<String>,
     /// All that it was told, line by line.
     pub told: Vec<String>,
 }
 
-/// Members of a play; the last one leaves before its end.
+/// Members of a run; the last one leaves before its end.
 pub const MEMBERS: usize = 9;
 /// Endpoints on the list; the first one fails.
 const ENDPOINTS: usize = 10;
-/// A kind of carried pieces that belongs to nobody.
+/// A kind of carried fragments that belongs to nobody.
 const KIND: u8 = 190;
 
 const SECOND: i64 = 1_000_000;
 const BEGIN: i64 = 1_000_000 * SECOND;
 /// How often members look at their clocks.
 const STEP: i64 = SECOND / 10;
-/// When all know each other, when the endpoint fails and for how long, when pieces are carried, when one leaves, the end.
+/// When all know each other, when the endpoint fails and for how long, when fragments are carried,
+/// when one leaves, the end.
 const FAILS: i64 = BEGIN + 8 * SECOND;
 const FAILED: i64 = FAILS + 2 * SECOND;
 const CARRIES: i64 = BEGIN + 12 * SECOND;
@@ -60,7 +61,7 @@
     now: i64,
 }
 
-/// Plays a fleet whose member `n` is played by `programs[n]`, or is one of today where there is none.
+/// Runs a fleet whose member `n` is run by `programs[n]`, or is one of today where there is none.
 ///
 /// # Errors
 /// A program cannot be started, ends, or cannot read what it is told.
@@ -111,7 +112,8 @@
     Ok(lan.came)
 }
 
-/// What is wrong with how a fleet went, whose members for which `old` holds are of an earlier revision.
+/// What is wrong with how a fleet went, whose members for which `old` holds are of an earlier
+/// revision.
 pub fn judge(came: &[Came], old: impl Fn(usize) -> bool) -> Vec<String> {
     let newer: Vec<usize> = (0..came.len()).filter(|m| !old(*m)).collect();
     let mut wrong = Vec::new();
@@ -130,8 +132,8 @@
         if !c.rested.contains(&0) || c.rested.len() > 1 || c.heard == 0 {
             find("does not rest what the others found sick");
         }
-        // What cannot be read; a kind that is not known is for earlier members only. Other reasons, such as news from who is
-        // not known yet, are no matter of versions.
+        // What cannot be read; a kind that is not known is for earlier members only. Other reasons,
+        // such as news from who is not known yet, are no matter of versions.
         let unread = [
             Dropped::TooLong,
             Dropped::Malformed,
--- a/crates/emulator/src/pairs/part.rs
+++ b/crates/emulator/src/pairs/part.rs
@@ -25,7 +25,7 @@
         Self(Kind::Here(Box::new(part)))
     }
 
-    /// One that a program plays, which ends with it.
+    /// One that a program runs, which ends with it.
     ///
     /// # Errors
     /// It cannot be started.
--- a/crates/emulator/src/pairs/pins.rs
+++ b/crates/emulator/src/pairs/pins.rs
@@ -56,7 +56,8 @@
     pub package: String,
     /// Its folder below `crates`.
     pub folder: String,
-    /// The file below `pairs/recorder`, without `.rs`, that gives its names as the recorder uses them.
+    /// The file below `pairs/recorder`, without `.rs`, that gives its names as the recorder uses
+    /// them.
     pub interface: String,
 }
 
--- a/crates/emulator/src/pairs/wire.rs
+++ b/crates/emulator/src/pairs/wire.rs
@@ -121,7 +121,8 @@
             }
             Event::Abandoned(request) => format!("withdrawn I={i} Ticket={request}\n"),
             Event::Timer(token) => format!("alarm I={i} Ctx={token}\n"),
-            // Neither streams nor probes nor messages happen in simulated time, and what parts tell does not as they are off.
+            // Neither streams nor probes nor messages happen in simulated time, and what parts tell
+            // does not as they are off.
             _ => return None,
         })
     }
@@ -164,7 +165,8 @@
             Action::Log(text) => {
                 format!("say_log I={i} Text={}\n", text.replace(['\n', '\r'], " "))
             }
-            // Instances of a history have no peers, and what is told to parts never crosses the wire.
+            // Instances of a history have no peers, and what is told to parts never crosses the
+            // wire.
             _ => return None,
         })
     }
--- a/crates/emulator/src/plan.rs
+++ b/crates/emulator/src/plan.rs
@@ -68,7 +68,8 @@
     pub work: f64,
     /// How long its client waits for each try.
     pub patience: Us,
-    /// How long its client waits before each further try, unless it is told for how long to stay away.
+    /// How long its client waits before each further try, unless it is told for how long to stay
+    /// away.
     pub waits: [Us; site::CLIENT_RETRIES as usize],
 }
 
@@ -89,7 +90,7 @@
     Cut(usize, Way, bool),
     /// Everything takes so much longer.
     Slow(Us),
-    /// So many pieces break their connection.
+    /// So many fragments break their connection.
     Resets(f64),
     /// A sidecar is killed.
     SidecarKill(usize),
@@ -99,7 +100,8 @@
     SidecarRestart(usize),
     /// It is stopped, or continued.
     SidecarPause(usize, bool),
-    /// What happens to datagrams between sidecars: that kind of fault, and the share that it concerns.
+    /// What happens to datagrams between sidecars: that kind of fault, and the share that it
+    /// concerns.
     Datagrams(FaultKind, f64),
     /// A member that is no sidecar lies, or no longer so.
     Lies(bool),
@@ -175,7 +177,7 @@
     pub overrun_may_enter: bool,
 }
 
-/// A whole play, as it will be.
+/// A whole run, as it will be.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     /// Its seed.
--- a/crates/emulator/src/platform.rs
+++ b/crates/emulator/src/platform.rs
@@ -125,7 +125,8 @@
         let Some(server) = self.plan.servers.iter().position(|spec| spec.name == name) else {
             return Answer::Unknown;
         };
-        // Until it is noted nothing else happens: the record has the order in which things were done.
+        // Until it is noted nothing else happens: the record has the order in which things were
+        // done.
         let mut held = self.held.lock().unwrap_or_else(PoisonError::into_inner);
         let now = self.clock.now();
         let (highest, before) = (held[server].highest, held[server].place);
@@ -205,7 +206,8 @@
         });
     }
 
-    /// Unix time in milliseconds at which a listed process started, 0 for long ago: the same as in the list.
+    /// Unix time in milliseconds at which a listed process started, 0 for long ago: the same as in
+    /// the list.
     pub fn started_ms(&self, server: usize, now: Us) -> u64 {
         started_ms(self.since(server, now), self.clock.began_ms())
     }
@@ -226,7 +228,8 @@
         });
         let entry = |(i, held): (usize, &Held)| {
             let spec = &self.plan.servers[i];
-            // What runs at a draining server means nothing while some sidecar may not have heard of it.
+            // What runs at a draining server means nothing while some sidecar may not have heard of
+            // it.
             let told = held.since.saturating_add(self.told_within) <= now;
             let runs = self
                 .servers
--- a/crates/emulator/src/record.rs
+++ b/crates/emulator/src/record.rs
@@ -1,9 +1,9 @@
 //! The record of a run: everything seen on the emulator's own sockets, in order of time.
 
 use crate::Us;
+use crate::affinity_dumps::Dump;
 use crate::directory::State;
-use crate::dumps::Dump;
-use crate::experiment::StewardFaultKind;
+use crate::experiment::CoordinatorFaultKind;
 use std::sync::{Arc, Mutex, PoisonError};
 
 /// A client's try, by the number in its correlation id.
@@ -24,7 +24,7 @@
 
 /// What a sidecar concludes of its own place in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stands {
+pub enum ConnectivityReport {
     /// It hears all.
     Whole,
     /// Views differ.
@@ -94,7 +94,7 @@
         number: u64,
         /// The status.
         status: u16,
-        /// It was turned away and has surely not run.
+        /// It was rejected and has surely not run.
         unprocessed: bool,
     },
     /// Nothing will come of it: the server is silent, or has ended.
@@ -115,7 +115,7 @@
         server: usize,
     },
     /// A sidecar's agent has told it of a server.
-    Told {
+    PlatformConfig {
         /// The sidecar.
         sidecar: usize,
         /// The server.
@@ -153,7 +153,7 @@
         /// It was done, or was done already.
         accepted: bool,
     },
-    /// The stewards answered to the wish for a window.
+    /// The coordinators answered to the wish for a window.
     Window {
         /// Which, a place in the plan.
         window: usize,
@@ -162,14 +162,14 @@
         /// Status and words.
         what: String,
     },
-    /// Something happened to stewards.
-    StewardFault {
+    /// Something happened to coordinators.
+    CoordinatorFault {
         /// What.
-        kind: StewardFaultKind,
+        kind: CoordinatorFaultKind,
         /// To how many.
         count: usize,
     },
-    /// A steward, or the lab with it, did not do what it must.
+    /// A coordinator, or the emulator with it, did not do what it must.
     StewardBroken {
         /// What.
         what: String,
@@ -179,7 +179,7 @@
         /// The sidecar.
         sidecar: usize,
         /// Where.
-        stands: Stands,
+        stands: ConnectivityReport,
     },
     /// A sidecar tells which keys are bound where.
     Dump(Box<Dump>),
@@ -204,7 +204,7 @@
     SidecarDown {
         /// The sidecar.
         sidecar: usize,
-        /// The lab killed it, rather than that it ended by itself.
+        /// The emulator killed it, rather than that it ended by itself.
         killed: bool,
     },
     /// It was told to stop.
--- a/crates/emulator/src/relay.rs
+++ b/crates/emulator/src/relay.rs
@@ -50,8 +50,8 @@
 const UNDER_WAY: usize = 64;
 const PIECE: usize = 16 << 10;
 
-/// Passes on what `from` says, late, until either side ends. What comes in while the way is cut is lost, and the
-/// connection with it once the way is open again.
+/// Passes on what `from` says, late, until either side ends. What comes in while the way is cut is
+/// lost, and the connection with it once the way is open again.
 async fn pump<A, B>(mut from: ReadHalf<A>, mut to: WriteHalf<B>, link: Link) -> End
 where
     A: AsyncRead + AsyncWrite + Send + 'static,
@@ -106,8 +106,8 @@
     }
 }
 
-/// Joins a connection that was accepted with what it was meant for, through `link`, until both sides have closed, one
-/// breaks, or `broken` tells so. A break is a reset on both sides.
+/// Joins a connection that was accepted with what it was meant for, through `link`, until both
+/// sides have closed, one breaks, or `broken` tells so. A break is a reset on both sides.
 pub async fn join<B>(client: TcpStream, server: B, link: Link, broken: impl Future<Output = ()>)
 where
     B: AsyncRead + AsyncWrite + Send + 'static,
--- a/crates/emulator/src/reserved.rs
+++ b/crates/emulator/src/reserved.rs
@@ -4,12 +4,14 @@
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 
-/// An address at which nobody listens, and whose port the system gives to nobody else while this is held.
+/// An address at which nobody listens, and whose port the system gives to nobody else while this is
+/// held.
 ///
-/// A port that was only noted and let go of may be given to another process before the one that it is meant for has
-/// started; and a process that is just being started still holds every socket of the one that starts it. So this is a
-/// bound socket that does not listen and allows reuse: whoever allows reuse as well may listen there, again and again.
-/// It keeps the same port for datagrams too, where all who listen for them on that host have their port from here.
+/// A port that was only noted and let go of may be given to another process before the one that it
+/// is meant for has started; and a process that is just being started still holds every socket of
+/// the one that starts it. So this is a bound socket that does not listen and allows reuse: whoever
+/// allows reuse as well may listen there, again and again. It keeps the same port for datagrams
+/// too, where all who listen for them on that host have their port from here.
 #[derive(Debug)]
 pub struct Reserved {
     address: SocketAddr,
