--- a/crates/emulator/src/play.rs
+++ b/crates/emulator/src/run.rs
@@ -3,21 +3,21 @@
 
 mod build;
 mod mix;
-mod stage;
+mod running_fleet;
 
+use crate::affinity_dumps::BINDINGS;
 use crate::apps::Apps;
 use crate::audit::{audit, audit_bindings, audit_windows};
-use crate::crew::carry_out;
-use crate::dumps::BINDINGS;
+use crate::coordinators::{ask_for_windows, trouble};
 use crate::experiment::{Carried, Experiment, Variant};
-use crate::fronts::Fronts;
+use crate::member_addresses::MemberAddresses;
 use crate::plan::Plan;
 use crate::record::Record;
-use crate::stewards::{ask_for_windows, trouble};
-use crate::supervisor::{Bringing, Told};
+use crate::supervisor::{LaunchOptions, PlatformConfig};
 use crate::tally::{Beside, Tally, tally};
+use crate::uncoordinated::carry_out;
 use build::build;
-use stage::Sidecar;
+use running_fleet::Sidecar;
 use std::io;
 use std::path::Path;
 use std::pin::Pin;
@@ -25,36 +25,38 @@
 use tokio::sync::watch;
 use tokio::task::AbortHandle;
 
-/// A sidecar that lives in the lab's own process, such as a faulty one that an auditor is to catch.
-pub type Within = Arc<dyn Fn(Told) -> Pin<Box<dyn Future<Output = ()> + Send>> + Send + Sync>;
+/// A sidecar that lives in the emulator's own process, such as a faulty one that an auditor is to
+/// catch.
+pub type Within =
+    Arc<dyn Fn(PlatformConfig) -> Pin<Box<dyn Future<Output = ()> + Send>> + Send + Sync>;
 
 /// What takes the sidecars' place.
 #[derive(Clone)]
 pub enum Launch {
     /// Processes, brought up in this way.
-    Program(Bringing),
-    /// Tasks of the lab's own.
+    Program(LaunchOptions),
+    /// Tasks of the emulator's own.
     Within(Within),
 }
 
-/// Why a play could not be played.
+/// Why a run could not be run.
 #[derive(Debug)]
-pub enum PlayError {
+pub enum RunError {
     /// Sockets or files could not be had.
     Io(String, io::Error),
-    /// The stewards did not begin to lead.
-    Stewards(String),
+    /// The coordinators did not begin to lead.
+    Coordinators(String),
     /// The program of an earlier revision is not there.
     Unbuilt(String),
     /// A sidecar did not start.
     Start(usize, String),
 }
 
-impl std::fmt::Display for PlayError {
+impl std::fmt::Display for RunError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::Io(what, e) => write!(f, "{what}: {e}"),
-            Self::Stewards(what) => f.write_str(what),
+            Self::Coordinators(what) => f.write_str(what),
             Self::Unbuilt(revision) => {
                 write!(f, "no program of revision {revision}: see pair build")
             }
@@ -63,9 +65,9 @@
     }
 }
 
-impl std::error::Error for PlayError {}
+impl std::error::Error for RunError {}
 
-/// What is seen of a play while it goes on.
+/// What is seen of a run while it goes on.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Progress {
     /// Requests sent, and requests in all.
@@ -74,7 +76,7 @@
     pub all: usize,
 }
 
-/// Tasks that end with a play, however it ends.
+/// Tasks that end with a run, however it ends.
 #[derive(Default)]
 struct Tasks(Vec<AbortHandle>);
 
@@ -90,7 +92,7 @@
     }
 }
 
-/// Plays one variant; what is seen goes into `record`, which is taken at the end.
+/// Runs one variant; what is seen goes into `record`, which is taken at the end.
 ///
 /// # Errors
 /// Sockets or files cannot be had, or a sidecar does not start.
@@ -102,7 +104,7 @@
     folder: &Path,
     progress: &watch::Sender<Progress>,
     record: &Record,
-) -> Result<Tally, PlayError> {
+) -> Result<Tally, RunError> {
     let mut tasks = Tasks::default();
     let stage = Arc::new(
         build(
@@ -138,9 +140,9 @@
         platform,
         variant.windows,
     ));
-    if let (Some(stewards), Some(asked)) = (&stage.stewards, &experiment.stewards) {
-        tasks.spawn(ask_for_windows(Arc::clone(stewards)));
-        tasks.spawn(trouble(Arc::clone(stewards), asked.fault.clone()));
+    if let (Some(coordinators), Some(asked)) = (&stage.coordinators, &experiment.coordinators) {
+        tasks.spawn(ask_for_windows(Arc::clone(coordinators)));
+        tasks.spawn(trouble(Arc::clone(coordinators), asked.fault.clone()));
     }
     let apps = Arc::new(Apps {
         plan: Arc::clone(plan),
@@ -173,7 +175,7 @@
             spent.push(process.lock().await.spent());
         }
     }
-    let fleet_bytes = stage.fronts.as_ref().map_or(0, Fronts::bytes);
+    let fleet_bytes = stage.fronts.as_ref().map_or(0, MemberAddresses::bytes);
     Ok(tally(
         plan,
         &record,
@@ -189,9 +191,11 @@
     ))
 }
 
-/// What stands in a variant's configuration for the address of a sidecar's pages, which the lab then reads.
+/// What stands in a variant's configuration for the address of a sidecar's pages, which the
+/// emulator then reads.
 pub const METRICS: &str = "{metrics}";
-/// What stands in a variant's configuration for a directory of the sidecar's own, which outlives its processes.
+/// What stands in a variant's configuration for a directory of the sidecar's own, which outlives
+/// its processes.
 pub const STATE: &str = "{state}";
 /// What stands in a variant's configuration for the addresses of a sidecar in its fleet.
 pub const FLEET: &str = "{fleet}";
--- a/crates/emulator/src/play/build.rs
+++ b/crates/emulator/src/run/build.rs
@@ -1,16 +1,17 @@
 //! Starts everything that a run needs.
 
 use super::mix::begins_old;
-use super::stage::{Sidecar, Stage};
-use super::{FLEET, Launch, METRICS, PlayError, STATE, Tasks};
+use super::running_fleet::{RunningFleet, Sidecar};
+use super::{FLEET, Launch, METRICS, RunError, STATE, Tasks};
+use crate::affinity_dumps::{BINDINGS, follow};
 use crate::agent::Agent;
+use crate::byzantine_member::lie;
 use crate::catalogue::Catalogue;
+use crate::coordinators::{Around, Coordinators};
 use crate::datagrams::Datagrams;
-use crate::dumps::{BINDINGS, follow};
 use crate::experiment::{Carried, Experiment, FaultKind, Variant, Version};
-use crate::fleetpages::Truth;
-use crate::fronts::Fronts;
-use crate::liar::lie;
+use crate::health_pages::Truth;
+use crate::member_addresses::MemberAddresses;
 use crate::net::{Clock, Net};
 use crate::observer::observe;
 use crate::plan::{Mood, Plan};
@@ -19,15 +20,14 @@
 use crate::reserved::Reserved;
 use crate::servers::Servers;
 use crate::site;
-use crate::stewards::{Around, Stewards};
-use crate::supervisor::{Supervised, Told};
+use crate::supervisor::{PlatformConfig, Supervised};
 use std::io;
 use std::net::{IpAddr, Ipv4Addr};
 use std::path::Path;
 use std::sync::Arc;
 use tokio::sync::{Mutex, watch};
 
-/// Hosts of the loopback range that one play uses, by purpose.
+/// Hosts of the loopback range that one run uses, by purpose.
 fn host(purpose: u8, number: usize) -> IpAddr {
     let process = std::process::id();
     let low = (number % 250 + 1) as u8;
@@ -48,10 +48,10 @@
     folder: &Path,
     record: &Record,
     tasks: &mut Tasks,
-) -> Result<Stage, PlayError> {
+) -> Result<RunningFleet, RunError> {
     let io = |what: &str| {
         let what = what.to_owned();
-        move |e| PlayError::Io(what, e)
+        move |e| RunError::Io(what, e)
     };
     let (clock, record) = (Clock::default(), record.clone());
     let (net, mood) = (Net::new(&experiment.network), watch::channel(Mood::Well).0);
@@ -81,10 +81,10 @@
     let fronts = match variant.config.contains(FLEET) {
         true => {
             let mut zones: Vec<usize> = plan.sidecars.iter().map(|spec| spec.zone).collect();
-            // The last one is nobody's but a liar's.
+            // The last one is nobody's but a Byzantine member's.
             zones.push(liar.and_then(|fault| fault.zone).unwrap_or(0));
             let hosts = |sidecar| (host(3, sidecar), host(4, sidecar));
-            let opened = Fronts::open(&zones, hosts, &net, &datagrams.subscribe()).await;
+            let opened = MemberAddresses::open(&zones, hosts, &net, &datagrams.subscribe()).await;
             let (fronts, handles) = opened.map_err(io("no socket between sidecars"))?;
             tasks.0.extend(handles);
             if let Some(zone) = liar.map(|_| zones[plan.sidecars.len()]) {
@@ -130,7 +130,7 @@
         let kept = Reserved::on(host(2, sidecar)).map_err(io("no address for a sidecar"))?;
         let listen = kept.address();
         reserved.push(kept);
-        let told = Told::new(
+        let told = PlatformConfig::new(
             (sidecar, plan.sidecars.len()),
             spec.zone,
             listen,
@@ -151,7 +151,7 @@
                 let section = fronts
                     .as_ref()
                     .map(|f| f.section(sidecar, spec.clock_offset_ms));
-                // Nothing of an earlier play, but all of earlier lives in this one.
+                // Nothing of an earlier run, but all of earlier lives in this one.
                 let state = folder.join(format!("n{sidecar}-state"));
                 emptied(&state).map_err(io("cannot empty a sidecar's state"))?;
                 let filled = |config: &str| {
@@ -191,7 +191,7 @@
                     let program = mix
                         .program
                         .clone()
-                        .ok_or_else(|| PlayError::Unbuilt(mix.revision.clone()))?;
+                        .ok_or_else(|| RunError::Unbuilt(mix.revision.clone()))?;
                     let config = filled(mix.config.as_deref().unwrap_or(&whole));
                     let beside = supervised.beside(program, &config, folder);
                     beside.map_err(io("cannot write a sidecar's files"))?;
@@ -200,7 +200,7 @@
                     }
                 }
                 let cannot = || format!("cannot start {}", program.display());
-                supervised.start().map_err(|e| PlayError::Io(cannot(), e))?;
+                supervised.start().map_err(|e| RunError::Io(cannot(), e))?;
                 Sidecar::Process(listen, Box::new(Mutex::new(supervised)))
             }
             Launch::Within(within) => {
@@ -216,10 +216,10 @@
                 .await
                 .ready()
                 .await
-                .map_err(|what| PlayError::Start(number, what))?;
+                .map_err(|what| RunError::Start(number, what))?;
         }
     }
-    let stewards = match (&experiment.stewards, launch) {
+    let coordinators = match (&experiment.coordinators, launch) {
         (Some(asked), Launch::Program(bringing)) if variant.windows == Carried::Asked => {
             let listener = tokio::net::TcpListener::bind((host(8, 0), 0)).await;
             let listener = listener.map_err(io("no socket for the platform"))?;
@@ -237,20 +237,20 @@
                 folder,
             };
             let both = (plan, &clock, &record);
-            let started = Stewards::start(asked, &bringing, around, both).await;
-            let (stewards, handles) = started.map_err(io("cannot start the stewards"))?;
+            let started = Coordinators::start(asked, &bringing, around, both).await;
+            let (coordinators, handles) = started.map_err(io("cannot start the coordinators"))?;
             tasks.0.extend(handles);
-            stewards.ready().await.map_err(PlayError::Stewards)?;
-            Some(stewards)
+            coordinators.ready().await.map_err(RunError::Coordinators)?;
+            Some(coordinators)
         }
         _ => None,
     };
     let binds = variant.config.contains(METRICS) && variant.config.contains(BINDINGS);
-    Ok(Stage {
+    Ok(RunningFleet {
         plan: Arc::clone(plan),
         binds: binds.then_some(pages),
         asking: Mutex::default(),
-        stewards,
+        coordinators,
         clock,
         record,
         net,
--- a/crates/emulator/src/play/mix.rs
+++ b/crates/emulator/src/run/mix.rs
@@ -7,8 +7,8 @@
 /// Apart from the streams of chance that a plan is drawn from.
 const STREAM: u64 = 0x006d_6978;
 
-/// Sidecars in the order in which versions are given to them: the same in every variant of a play, so that a larger part
-/// holds a smaller one.
+/// Sidecars in the order in which versions are given to them: the same in every variant of a run,
+/// so that a larger part holds a smaller one.
 fn order(plan: &Plan) -> Vec<usize> {
     let mut order: Vec<usize> = (0..plan.sidecars.len()).collect();
     fastrand::Rng::with_seed(plan.seed ^ STREAM).shuffle(&mut order);
--- a/crates/emulator/src/play/stage.rs
+++ b/crates/emulator/src/run/running_fleet.rs
@@ -1,16 +1,16 @@
 //! The running parts of a run, and what each step does to them.
 
+use crate::coordinators::Coordinators;
 use crate::datagrams::Datagrams;
+use crate::drain_queries::{Leaves, ask_until_clear};
 use crate::experiment::Version;
-use crate::fronts::Fronts;
-use crate::leaving::{Leaves, ask_until_clear};
+use crate::member_addresses::MemberAddresses;
 use crate::net::{Clock, Net};
 use crate::plan::{Mood, Plan, Step};
 use crate::platform::Platform;
 use crate::record::{Record, Seen};
 use crate::reserved::Reserved;
 use crate::servers::Servers;
-use crate::stewards::Stewards;
 use crate::supervisor::Supervised;
 use rustix::process::Signal;
 use std::net::SocketAddr;
@@ -26,8 +26,8 @@
     Task(SocketAddr),
 }
 
-/// Where a play takes place.
-pub(super) struct Stage {
+/// Where a run takes place.
+pub(super) struct RunningFleet {
     pub(super) clock: Clock,
     pub(super) record: Record,
     pub(super) net: Net,
@@ -36,8 +36,8 @@
     pub(super) mood: watch::Sender<Mood>,
     pub(super) datagrams: watch::Sender<Datagrams>,
     pub(super) lies: watch::Sender<bool>,
-    pub(super) fronts: Option<Fronts>,
-    pub(super) stewards: Option<Arc<Stewards>>,
+    pub(super) fronts: Option<MemberAddresses>,
+    pub(super) coordinators: Option<Arc<Coordinators>>,
     pub(super) sidecars: Vec<Sidecar>,
     /// Their addresses, which stay their own while they are down.
     pub(super) _reserved: Vec<Reserved>,
@@ -58,10 +58,10 @@
     }
 }
 
-/// How often the lab looks whether a sidecar has ended by itself.
+/// How often the emulator looks whether a sidecar has ended by itself.
 const WATCH: Duration = Duration::from_millis(50);
 
-impl Stage {
+impl RunningFleet {
     pub(super) async fn step(self: &Arc<Self>, step: Step) {
         match step {
             Step::ServerDown(server) => self.servers.stop(server),
@@ -121,7 +121,8 @@
         self.asking.lock().await.spawn(asks);
     }
 
-    /// Starts a sidecar, in that version where one is named, after a planned stop where it runs. Both take their time, and other steps do not wait.
+    /// Starts a sidecar, in that version where one is named, after a planned stop where it runs.
+    /// Both take their time, and other steps do not wait.
     pub(super) async fn restart(self: &Arc<Self>, sidecar: usize, stop: bool, to: Option<Version>) {
         let this = Arc::clone(self);
         self.under_way.lock().await.spawn(async move {
@@ -157,7 +158,8 @@
         }
     }
 
-    /// Notes sidecars that end by themselves, and starts them anew, as a platform does. Runs for good.
+    /// Notes sidecars that end by themselves, and starts them anew, as a platform does. Runs for
+    /// good.
     pub(super) async fn watch_over(self: Arc<Self>) {
         loop {
             sleep(WATCH).await;
@@ -191,8 +193,8 @@
         let mut under_way = std::mem::take(&mut *self.under_way.lock().await);
         while under_way.join_next().await.is_some() {}
         self.asking.lock().await.shutdown().await;
-        if let Some(stewards) = &self.stewards {
-            stewards.end().await;
+        if let Some(coordinators) = &self.coordinators {
+            coordinators.end().await;
         }
         let mut ends = JoinSet::new();
         for sidecar in 0..self.sidecars.len() {
--- a/crates/emulator/src/door.rs
+++ b/crates/emulator/src/server_listener.rs
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// Whether a process listens behind a door; the number tells one life of it from the next.
+/// Whether a process listens behind a listener; the number tells one life of it from the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Life {
     /// It runs.
@@ -21,11 +21,13 @@
 
 /// Connections that the system may hold until they are accepted.
 const BACKLOG: i32 = 1024;
-/// How long a connection that fills a queue may take; one that does not come up shows that the queue is full.
+/// How long a connection that fills a queue may take; one that does not come up shows that the
+/// queue is full.
 const FILLING: Duration = Duration::from_millis(30);
 /// Such connections at most.
 const MOST_FILLERS: usize = 8;
-/// Pause before a door is tried again that could not be opened: a port may still be held by what went before.
+/// Pause before a listener is tried again that could not be opened: a port may still be held by
+/// what went before.
 const PAUSE: Duration = Duration::from_millis(20);
 
 fn listen(at: SocketAddr) -> io::Result<TcpListener> {
@@ -39,9 +41,9 @@
     socket.listen(BACKLOG as u32)
 }
 
-/// A listener that behaves as the process behind it and the way to it: refused while the process is down; never up
-/// while the way is cut.
-pub struct Door {
+/// A listener that behaves as the process behind it and the way to it: refused while the process is
+/// down; never up while the way is cut.
+pub struct ServerListener {
     listener: Option<TcpListener>,
     /// Its port stays its own while nobody listens there.
     reserved: Reserved,
@@ -49,7 +51,7 @@
     link: Link,
 }
 
-impl Door {
+impl ServerListener {
     /// Binds a port of the system's choice on that host.
     pub fn bind(
         host: std::net::IpAddr,
@@ -71,7 +73,7 @@
         self.reserved.address()
     }
 
-    /// Accepts connections for good, and hands each over with the life that it belongs to.
+    /// Accepts connections for good, and hands each over with the incarnation that it belongs to.
     pub async fn run(mut self, serve: impl Fn(TcpStream, u64)) {
         let mut changes = self.link.net.subscribe();
         loop {
@@ -116,8 +118,8 @@
     }
 }
 
-/// Makes the system drop what wants to connect: a queue of none, and one connection in it. Nothing is accepted
-/// meanwhile.
+/// Makes the system drop what wants to connect: a queue of none, and one connection in it. Nothing
+/// is accepted meanwhile.
 async fn fill(listener: &TcpListener, at: SocketAddr) -> Vec<TcpStream> {
     let _ = SockRef::from(listener).listen(0);
     let mut fillers = Vec::new();
--- a/crates/emulator/src/door/tests.rs
+++ b/crates/emulator/src/server_listener/tests.rs
@@ -10,7 +10,7 @@
 const LONG: Duration = Duration::from_secs(20);
 const HOST: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 
-/// An echo behind a door, in zone 1, for who dials in zone 0.
+/// An echo behind a listener, in zone 1, for who dials in zone 0.
 async fn echo() -> (SocketAddr, Net, watch::Sender<Life>) {
     let net = Net::new(&Network::default());
     let (life, lives) = watch::channel(Life {
@@ -22,7 +22,7 @@
         from: 0,
         to: 1,
     };
-    let door = Door::bind(HOST, lives.clone(), link.clone()).expect("a free port");
+    let door = ServerListener::bind(HOST, lives.clone(), link.clone()).expect("a free port");
     let address = door.address();
     tokio::spawn(door.run(move |stream, number| {
         let (link, mut lives) = (link.clone(), lives.clone());
@@ -74,7 +74,7 @@
     net.cut(1, Way::In, true);
     let into = timeout(Duration::from_millis(200), said(&mut busy, b"into")).await;
     assert!(into.is_err(), "something was said: {into:?}");
-    // The door hears of the cut in its own time; from then on nothing comes up.
+    // The listener hears of the cut in its own time; from then on nothing comes up.
     let comes_up = async || {
         timeout(Duration::from_millis(200), TcpStream::connect(address))
             .await
@@ -133,7 +133,8 @@
         "no reset"
     );
     while TcpStream::connect(address).await.is_ok() {}
-    // Nobody else gets its port meanwhile: the system picks a free one as who does not allow reuse asks for it.
+    // Nobody else gets its port meanwhile: the system picks a free one as who does not allow reuse
+    // asks for it.
     let other = TcpSocket::new_v4().expect("a socket");
     assert_eq!(
         other.bind(address).expect_err("it is kept").kind(),
--- a/crates/emulator/src/servers.rs
+++ b/crates/emulator/src/servers.rs
@@ -4,11 +4,11 @@
 mod answering;
 
 use crate::Us;
-use crate::door::{Door, Life};
 use crate::net::{Clock, Net};
 use crate::plan::Plan;
 use crate::record::{Record, Seen, Try};
 use crate::relay::{Link, join};
+use crate::server_listener::{Life, ServerListener};
 use crate::world::{Done, World};
 use std::collections::{HashMap, HashSet};
 use std::io;
@@ -32,7 +32,8 @@
     (request >> 4) as usize
 }
 
-/// What a server answers to a try, by which its client knows that a server made it for this very try.
+/// What a server answers to a try, by which its client knows that a server made it for this very
+/// try.
 pub fn body_of(request: Try, server: &str) -> String {
     format!("{{\"done\":\"{request:016x}\",\"by\":\"{server}\"}}")
 }
@@ -40,7 +41,7 @@
 /// Who waits for which request at a server.
 type Waiting = HashMap<u64, oneshot::Sender<bool>>;
 
-/// All servers of a play.
+/// All servers of a run.
 pub struct Servers {
     plan: Arc<Plan>,
     clock: Clock,
@@ -55,7 +56,7 @@
 }
 
 impl Servers {
-    /// As the play begins.
+    /// As the run begins.
     pub fn new(
         plan: Arc<Plan>,
         clock: Clock,
@@ -190,7 +191,7 @@
         }
     }
 
-    /// Opens the door through which that sidecar reaches that server, until it is told to end.
+    /// Opens the listener through which that sidecar reaches that server, until it is told to end.
     pub fn door(
         self: &Arc<Self>,
         host: IpAddr,
@@ -207,7 +208,7 @@
             from,
             to,
         };
-        let door = Door::bind(host, self.lives[server].subscribe(), link.clone())?;
+        let door = ServerListener::bind(host, self.lives[server].subscribe(), link.clone())?;
         let address = door.address();
         let this = Arc::clone(self);
         let task = tokio::spawn(door.run(move |stream, life| {
--- a/crates/emulator/src/servers/answering.rs
+++ b/crates/emulator/src/servers/answering.rs
@@ -194,7 +194,8 @@
     response
 }
 
-/// A stream that notes when the first byte of a request came: the first since that note was last taken.
+/// A stream that notes when the first byte of a request came: the first since that note was last
+/// taken.
 struct Stamped {
     stream: DuplexStream,
     clock: Clock,
--- a/crates/emulator/src/sim.rs
+++ b/crates/emulator/src/sim.rs
@@ -30,7 +30,7 @@
 use std::net::SocketAddr;
 pub use tap::Tap;
 
-/// The module's clock at the beginning of a play: far from 0, as Unix time is.
+/// The module's clock at the beginning of a run: far from 0, as Unix time is.
 const EPOCH: Micros = 1_000_000_000_000;
 /// A connection that does not come up has failed after this, as the settings have it.
 const DIAL_TIMEOUT: Us = 120_000;
@@ -38,7 +38,7 @@
 const IDLE: Us = site::IDLE_CLOSE / 8 * 7;
 /// How long a sidecar is away at a planned restart.
 const AWAY: Us = SECOND / 2;
-/// Longest that a play goes on after its last request: every deadline is over by then.
+/// Longest that a run goes on after its last request: every deadline is over by then.
 const TAIL: Us = 10 * SECOND;
 
 struct Sim<'a> {
@@ -69,7 +69,7 @@
     tap: Option<&'a mut dyn Tap>,
 }
 
-/// Plays it.
+/// Runs it.
 ///
 /// # Errors
 /// The variant's configuration cannot be used.
@@ -77,7 +77,7 @@
     simulate_tapped(experiment, plan, variant, None)
 }
 
-/// Plays it, and tells `tap` whatever passes between the sidecars and their modules.
+/// Runs it, and tells `tap` whatever passes between the sidecars and their modules.
 ///
 /// # Errors
 /// The variant's configuration cannot be used.
--- a/crates/emulator/src/sim/clients.rs
+++ b/crates/emulator/src/sim/clients.rs
@@ -46,7 +46,8 @@
         self.tell_or_wait(instance, Event::Request(new));
     }
 
-    /// A stopped process takes nothing in: what its system has accepted for it is lost to the client.
+    /// A stopped process takes nothing in: what its system has accepted for it is lost to the
+    /// client.
     pub(super) fn tell_or_wait(&mut self, instance: usize, event: Event) {
         if self.instances[instance].frozen.is_none() {
             self.tell(instance, event);
--- a/crates/emulator/src/sim/instance.rs
+++ b/crates/emulator/src/sim/instance.rs
@@ -4,9 +4,9 @@
 use super::event::What;
 use crate::Us;
 use crate::experiment::Variant;
-use crate::fronts::{Address, section};
+use crate::member_addresses::{Address, section};
 use crate::plan::Plan;
-use crate::play::FLEET;
+use crate::run::FLEET;
 use load_balancer::{AttemptNo, Balancer, RequestId};
 use load_balancer_common::config::{self, Configuration, Contradiction, Problem};
 use load_balancer_gossip::core::Core;
--- a/crates/emulator/src/sim/sidecars.rs
+++ b/crates/emulator/src/sim/sidecars.rs
@@ -142,7 +142,7 @@
                 .between(self.instances[number].heard, heard);
             self.instances[number].heard = heard;
             for (server, state) in &entries {
-                self.note(Seen::Told {
+                self.note(Seen::PlatformConfig {
                     sidecar,
                     server: *server,
                     state: *state,
--- a/crates/emulator/src/sim/tap.rs
+++ b/crates/emulator/src/sim/tap.rs
@@ -2,7 +2,8 @@
 
 use load_balancer::{Action, Event, Micros};
 
-/// Hears whatever passes between sidecars and their modules, in order. An instance is one life of a sidecar.
+/// Hears whatever passes between sidecars and their modules, in order. An instance is one life of a
+/// sidecar.
 pub trait Tap {
     /// An instance has begun, with that seed and those settings (the object's text on one line).
     fn started(&mut self, instance: usize, now: Micros, seed: u64, settings: &str);
--- a/crates/emulator/src/sim/tests.rs
+++ b/crates/emulator/src/sim/tests.rs
@@ -1,4 +1,4 @@
-//! Whole plays in simulated time: the same bytes for a seed, no rule broken.
+//! Whole runs in simulated time: the same bytes for a seed, no rule broken.
 
 use super::*;
 use crate::draw::draw;
--- a/crates/emulator/src/site.rs
+++ b/crates/emulator/src/site.rs
@@ -135,8 +135,8 @@
 pub const OVERLOAD: f64 = 2.5;
 /// ... for this long falls over.
 pub const TIP_AFTER: Us = SECOND;
-/// Slack for chance on that work: one long request must not push a server over by itself (BENCH, "with a little slack
-/// for chance").
+/// Slack for chance on that work: one long request must not push a server over by itself (BENCH,
+/// "with a little slack for chance").
 pub const COLD_SLACK: f64 = 1.1;
 /// Share of the groups that are limited together, and to which part of their capacity.
 pub const LIMITED: (f64, f64) = (0.44, 0.67);
@@ -144,8 +144,8 @@
 pub const KEY_MEMORY: (f64, f64) = (2.3e6, 12e6);
 /// See [`KEY_MEMORY`].
 pub const KEY_SAVES: (f64, f64) = (0.27, 0.56);
-/// Range of how many times slower an overdriven server turns, of how long it must be crowded for that, and of how
-/// long it must then be mostly idle.
+/// Range of how many times slower an overdriven server turns, of how long it must be crowded for
+/// that, and of how long it must then be mostly idle.
 pub const SLOWED: (f64, f64) = (2.3, 3.4);
 /// See [`SLOWED`].
 pub const CROWDED_FOR: (f64, f64) = (1.5e6, 2.5e6);
--- a/crates/emulator/src/statistics.rs
+++ b/crates/emulator/src/statistics.rs
@@ -13,8 +13,8 @@
     pub high: Option<f64>,
 }
 
-/// Quantiles of Student's distribution at 0.975 for 1 to 30 degrees of freedom (Student, Biometrika 6, 1908, p. 1;
-/// the figures as in every table of it).
+/// Quantiles of Student's distribution at 0.975 for 1 to 30 degrees of freedom (Student, Biometrika
+/// 6, 1908, p. 1; the figures as in every table of it).
 const STUDENT: [f64; 30] = [
     12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160,
     2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056,
--- a/crates/emulator/src/supervisor.rs
+++ b/crates/emulator/src/supervisor.rs
@@ -1,15 +1,16 @@
 //! Starts, stops, kills and restarts real sidecars, and keeps their logs (DEPLOY, PROTOCOL).
 
-mod bringing;
+mod launch_options;
+mod platform_config;
 mod release;
 mod running;
-mod told;
 
 use crate::experiment::Variant;
 use crate::net::Clock;
 use crate::record::{Record, Seen};
-pub use bringing::{Bringing, KEEP, keep};
+pub use launch_options::{KEEP, LaunchOptions, keep};
 use load_balancer_common::process::usage_of;
+pub use platform_config::PlatformConfig;
 use release::Other;
 pub(crate) use running::Running;
 use rustix::process::{Pid, Signal, kill_process};
@@ -23,21 +24,21 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout};
-pub use told::Told;
 
 /// A sidecar that is not ready after this has failed to start, unless something else was said.
 pub const READY_WITHIN: Duration = Duration::from_secs(30);
 /// Pause between two looks at a sidecar that starts.
 const LOOK: Duration = Duration::from_millis(5);
-/// SIGKILL comes this long after SIGTERM: the longest deadline, taken as 3 s where it is longer, and 700 ms.
+/// SIGKILL comes this long after SIGTERM: the longest deadline, taken as 3 s where it is longer,
+/// and 700 ms.
 const STOPS_WITHIN: Duration = Duration::from_millis(3700);
 /// How much a machine under load may be late with that, before it is held against the sidecar.
 const STOP_SLACK: Duration = Duration::from_millis(1000);
 
 /// One sidecar's process, over all its lives.
 pub struct Supervised {
-    told: Told,
-    bringing: Bringing,
+    told: PlatformConfig,
+    bringing: LaunchOptions,
     product: Option<PathBuf>,
     other: Option<Other>,
     platform: PathBuf,
@@ -52,7 +53,7 @@
 /// What a sidecar's processes have used.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Spent {
-    /// Processor time of all its lives that the lab ended, in seconds.
+    /// Processor time of all its lives that the emulator ended, in seconds.
     pub processor: f64,
     /// Resident memory at the end of the last one, in bytes.
     pub resident: u64,
@@ -64,8 +65,8 @@
     /// # Errors
     /// A file cannot be written.
     pub fn new(
-        told: Told,
-        bringing: Bringing,
+        told: PlatformConfig,
+        bringing: LaunchOptions,
         variant: &Variant,
         folder: &Path,
         seed: u64,
@@ -217,8 +218,8 @@
         };
         down();
         let _ = child.kill().await;
-        // Its sockets take requests until the last of its threads is gone, one that waits for a disk included: what
-        // came meanwhile goes with it too.
+        // Its sockets take requests until the last of its threads is gone, one that waits for a
+        // disk included: what came meanwhile goes with it too.
         down();
     }
 
--- a/crates/emulator/src/supervisor/bringing.rs
+++ b/crates/emulator/src/supervisor/launch_options.rs
@@ -9,16 +9,17 @@
 
 /// How a sidecar's process is brought up.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Bringing {
+pub struct LaunchOptions {
     /// The program.
     pub program: PathBuf,
-    /// A lab's program through which it is started, so that it ends with the lab however that ends; see [`keep`].
+    /// An emulator's program through which it is started, so that it ends with the emulator however
+    /// that ends; see [`keep`].
     pub keeper: Option<PathBuf>,
     /// It must be ready within this.
     pub within: Duration,
 }
 
-impl Bringing {
+impl LaunchOptions {
     /// Brings up that program, by itself and with the usual patience.
     pub fn plain(program: PathBuf) -> Self {
         Self {
@@ -28,8 +29,9 @@
         }
     }
 
-    /// The same, but a write beyond the process's limit on the size of files is an error to it rather than its end: what
-    /// a program may ignore of signals it inherits, and a shell can say so.
+    /// The same, but a write beyond the process's limit on the size of files is an error to it
+    /// rather than its end: what a program may ignore of signals it inherits, and a shell can say
+    /// so.
     pub(crate) fn command_that_outlives_full_disks(&self) -> Command {
         let program = self.program.clone();
         let mut command = Self {
@@ -58,19 +60,20 @@
     }
 }
 
-/// The word that makes the lab's program a keeper.
+/// The word that makes the emulator's program a keeper.
 pub const KEEP: &str = "keep";
 
-/// Becomes `program`, in a process that the system kills when the lab, which must be process `parent`, has ended: a
-/// lab that is itself killed can end nothing any more.
+/// Becomes `program`, in a process that the system kills when the emulator, which must be process
+/// `parent`, has ended: a emulator that is itself killed can end nothing any more.
 ///
 /// # Errors
-/// The lab has ended already, or the program cannot be started. It does not come back otherwise.
+/// The emulator has ended already, or the program cannot be started. It does not come back
+/// otherwise.
 pub fn keep(parent: u32, program: &Path, words: &[String]) -> io::Error {
     if let Err(e) = set_parent_process_death_signal(Some(Signal::KILL)) {
         return e.into();
     }
-    // Where the lab ended before that was said, nobody will say so any more.
+    // Where the emulator ended before that was said, nobody will say so any more.
     if getppid()
         .map(Pid::as_raw_pid)
         .and_then(|id| u32::try_from(id).ok())
--- a/crates/emulator/src/supervisor/told.rs
+++ b/crates/emulator/src/supervisor/platform_config.rs
@@ -11,7 +11,7 @@
 
 /// What a sidecar is told at its start.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct PlatformConfig {
     /// Its number.
     pub sidecar: usize,
     /// Where it listens.
@@ -22,7 +22,7 @@
     pub platform: serde_json::Value,
 }
 
-impl Told {
+impl PlatformConfig {
     /// The platform's configuration for a sidecar of so many, in that zone.
     pub fn new(
         (sidecar, sidecars): (usize, usize),
--- a/crates/emulator/src/supervisor/running.rs
+++ b/crates/emulator/src/supervisor/running.rs
@@ -11,8 +11,8 @@
 /// Most such looks: a process that the system can't end in five seconds is left to it.
 const LOOKS: usize = 5000;
 
-/// A process that runs. Where this is dropped, the process is killed and has ended afterwards: SIGKILL alone only says
-/// that it is to end, and on a busy machine it goes on until it has a turn.
+/// A process that runs. Where this is dropped, the process is killed and has ended afterwards:
+/// SIGKILL alone only says that it is to end, and on a busy machine it goes on until it has a turn.
 #[derive(Debug)]
 pub(crate) struct Running(Child);
 
--- a/crates/emulator/src/tally.rs
+++ b/crates/emulator/src/tally.rs
@@ -1,9 +1,9 @@
 //! Turns the record of one run into figures and curves.
 
-mod bindings;
+mod affinity;
+mod connectivity;
 mod maintenance;
 mod recovery;
-mod standing;
 mod trials;
 
 use crate::audit::Finding;
@@ -13,16 +13,16 @@
 use crate::site::CLASSES;
 use crate::supervisor::Spent;
 use crate::{SECOND, Us};
-use bindings::bindings;
+use affinity::bindings;
+use connectivity::standing;
 use hdrhistogram::Histogram;
 use maintenance::maintenance;
 use recovery::recovery;
 use serde::Serialize;
-use standing::standing;
 use std::collections::{BTreeMap, HashMap};
 use trials::trials;
 
-/// What the lab knows besides the record.
+/// What the emulator knows besides the record.
 #[derive(Clone, Debug, Default)]
 pub struct Beside {
     /// Work done and work saved by warm keys, in microseconds on a core of speed 1.
@@ -35,11 +35,11 @@
     pub spent: Vec<Spent>,
     /// Bytes of datagrams that sidecars sent each other.
     pub fleet_bytes: u64,
-    /// How late requests left the lab, one in a hundred, in microseconds.
+    /// How late requests left the emulator, one in a hundred, in microseconds.
     pub lateness: Us,
 }
 
-/// What one play came to.
+/// What one run came to.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Tally {
     /// Its figures.
@@ -74,7 +74,7 @@
     if whole > 0.0 { part / whole } else { 0.0 }
 }
 
-/// Counts a play.
+/// Counts a run.
 pub fn tally(plan: &Plan, record: &[Entry], beside: Beside, findings: Vec<Finding>) -> Tally {
     let counted = |at: Us| at >= plan.warmup;
     let bins = (plan.lasts / BIN) as usize + 1;
--- a/crates/emulator/src/tally/bindings.rs
+++ b/crates/emulator/src/tally/affinity.rs
@@ -6,7 +6,8 @@
 use crate::record::{Entry, Seen};
 use std::collections::{HashMap, HashSet};
 
-/// How full the fullest server was, after the warm-up, and how many of those that were told to leave were clear.
+/// How full the fullest server was, after the warm-up, and how many of those that were told to
+/// leave were clear.
 pub(super) fn bindings(plan: &Plan, record: &[Entry]) -> [(Measure, f64); 2] {
     let (mut of, mut there) = (HashMap::new(), vec![0_usize; plan.servers.len()]);
     let (mut deepest, mut clear) = (0.0, HashSet::new());
--- a/crates/emulator/src/tally/standing.rs
+++ b/crates/emulator/src/tally/connectivity.rs
@@ -3,11 +3,11 @@
 use crate::experiment::Way;
 use crate::outcome::Measure;
 use crate::plan::{Plan, Step};
-use crate::record::{Entry, Seen, Stands};
+use crate::record::{ConnectivityReport, Entry, Seen};
 use crate::{SECOND, Us};
 
-/// After a cut has healed a member may find itself cut for so long, and is not held to be wrong: it waits until the way
-/// has held for some time.
+/// After a cut has healed a member may find itself cut for so long, and is not held to be wrong: it
+/// waits until the way has held for some time.
 const AFTER: Us = 8 * SECOND;
 
 /// Times in which some zone was cut off, one for each cut.
@@ -29,14 +29,18 @@
     cuts
 }
 
-/// How soon cuts were found and their ends, by all members; what none found; and what was found without a cut.
+/// How soon cuts were found and their ends, by all members; what none found; and what was found
+/// without a cut.
 pub fn standing(plan: &Plan, record: &[Entry]) -> [(Measure, f64); 4] {
     let (mut late, mut ends, mut missed, mut wrong): (Us, Us, f64, f64) = (0, 0, 0.0, 0.0);
     let mut told: Vec<Vec<(Us, bool)>> = vec![Vec::new(); plan.sidecars.len()];
     for (at, seen) in record {
         match seen {
             Seen::Standing { sidecar, stands } => {
-                told[*sidecar].push((*at, matches!(stands, Stands::Cut | Stands::Alone)));
+                told[*sidecar].push((
+                    *at,
+                    matches!(stands, ConnectivityReport::Cut | ConnectivityReport::Alone),
+                ));
             }
             // Its next life begins whole.
             Seen::SidecarUp { sidecar } if !told[*sidecar].is_empty() => {
--- a/crates/emulator/src/tally/standing/tests.rs
+++ b/crates/emulator/src/tally/connectivity/tests.rs
@@ -19,13 +19,13 @@
     ];
     let says = |at: Us, sidecar, stands| (at * SECOND, Seen::Standing { sidecar, stands });
     let record = [
-        says(1, 0, Stands::Whole),
-        says(1, 1, Stands::Whole),
-        says(2, 1, Stands::Alone),
-        says(3, 1, Stands::Whole),
-        says(7, 0, Stands::Cut),
-        says(10, 1, Stands::Cut),
-        says(12, 0, Stands::Whole),
+        says(1, 0, ConnectivityReport::Whole),
+        says(1, 1, ConnectivityReport::Whole),
+        says(2, 1, ConnectivityReport::Alone),
+        says(3, 1, ConnectivityReport::Whole),
+        says(7, 0, ConnectivityReport::Cut),
+        says(10, 1, ConnectivityReport::Cut),
+        says(12, 0, ConnectivityReport::Whole),
     ];
     let figures = standing(&plan, &record).map(|(_, figure)| figure);
     assert_eq!(figures, [2.0, 0.5, 3.0, 1.0]);
--- a/crates/emulator/src/tally/maintenance.rs
+++ b/crates/emulator/src/tally/maintenance.rs
@@ -7,7 +7,8 @@
 use crate::{SECOND, Us};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What maintenance came to: servers that were away and back, how long all took, what was short meanwhile.
+/// What maintenance came to: servers that were away and back, how long all took, what was short
+/// meanwhile.
 pub fn maintenance(plan: &Plan, record: &[Entry]) -> [(Measure, f64); 6] {
     let wanted: BTreeSet<usize> = plan
         .windows
@@ -34,7 +35,7 @@
             Seen::Acted {
                 accepted: false, ..
             } => refused += 1.0,
-            Seen::StewardFault { .. } => faults += 1.0,
+            Seen::CoordinatorFault { .. } => faults += 1.0,
             Seen::ServerUp { server } if taken.contains(server) => drop(back.insert(*server, *at)),
             _ => {}
         }
--- a/crates/emulator/src/tally/recovery.rs
+++ b/crates/emulator/src/tally/recovery.rs
@@ -65,8 +65,8 @@
     bad
 }
 
-/// How long sidecars that were killed took to a first answer and to the worth of before, and how many attempts each
-/// spent on servers that were known to be bad.
+/// How long sidecars that were killed took to a first answer and to the worth of before, and how
+/// many attempts each spent on servers that were known to be bad.
 pub(super) fn recovery(plan: &Plan, record: &[Entry]) -> [(Measure, f64); 3] {
     let lives = lives(plan);
     let mut arrivals: HashMap<Try, usize> = HashMap::new();
@@ -130,8 +130,8 @@
     ]
 }
 
-/// Time from the first start until requests that come within a second are worth as much as before, over all sidecars
-/// that were killed.
+/// Time from the first start until requests that come within a second are worth as much as before,
+/// over all sidecars that were killed.
 fn back(plan: &Plan, lives: &[Life], answered: &[Option<Us>]) -> f64 {
     let (Some(killed), Some(started)) = (
         lives.iter().map(|l| l.killed).min(),
--- a/crates/emulator/src/tally/trials.rs
+++ b/crates/emulator/src/tally/trials.rs
@@ -5,7 +5,8 @@
 use crate::record::{Entry, Seen};
 use crate::{SECOND, Us};
 
-/// A server that has been silent for so long is known to be: what it is sent from then on are trials.
+/// A server that has been silent for so long is known to be: what it is sent from then on are
+/// trials.
 const KNOWN_AFTER: Us = 3 * SECOND;
 
 /// Attempts at silent servers that were known to be, for each of them and second.
--- a/crates/emulator/src/crew.rs
+++ b/crates/emulator/src/uncoordinated.rs
@@ -36,7 +36,8 @@
     while crews.join_next().await.is_some() {}
 }
 
-/// Has one server away. Each server is in one window, so that a crew needs no more than two tokens for it.
+/// Has one server away. Each server is in one window, so that a crew needs no more than two tokens
+/// for it.
 async fn away(platform: &Arc<Platform>, server: usize, name: &str, window: u64, length: Us) {
     platform.act(Act::Drain, name, window, 1);
     sleep(Duration::from_micros(DRAINS_FOR)).await;
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -1,7 +1,8 @@
 //! The model of servers and their work, without sockets and clock, for real and for simulated time.
 //!
-//! Running requests share a server's cores, one each; the rest wait in turn. All running requests of a limited group
-//! are slowed down together where their servers would do more than the group may (processor sharing).
+//! Running requests share a server's cores, one each; the rest wait in turn. All running requests
+//! of a limited group are slowed down together where their servers would do more than the group may
+//! (processor sharing).
 
 #[cfg(test)]
 mod tests;
@@ -91,7 +92,7 @@
     next: Option<Us>,
 }
 
-/// All servers of a play.
+/// All servers of a run.
 #[derive(Debug)]
 pub struct World {
     specs: Vec<ServerSpec>,
@@ -115,7 +116,7 @@
 const WARMING: Us = 50_000;
 
 impl World {
-    /// As a play begins: the first servers are up and warm.
+    /// As a run begins: the first servers are up and warm.
     pub fn new(plan: &Plan) -> Self {
         let groups = plan.limits.len();
         let server = |spec: &ServerSpec| Server {
@@ -251,7 +252,8 @@
         self.servers[server].fails = share;
     }
 
-    /// Something else than its work changes at a server. The world has been brought on to that instant.
+    /// Something else than its work changes at a server. The world has been brought on to that
+    /// instant.
     fn change(&mut self, server: usize, what: impl FnOnce(&mut Server)) {
         let group = self.specs[server].group;
         // Nothing is done before now: this only brings the work on.
--- a/crates/emulator/src/world/tests.rs
+++ b/crates/emulator/src/world/tests.rs
@@ -140,7 +140,8 @@
     world.stop(0);
     world.advance(SECOND, &mut done);
     world.start(0);
-    // 40 in a second are 4 s of work; 2.5 times what two cores can do is 1.55 s at first and a little more later.
+    // 40 in a second are 4 s of work; 2.5 times what two cores can do is 1.55 s at first and a
+    // little more later.
     let mut at = SECOND;
     while world.up(0) && at < 2 * SECOND {
         world.submit(at, 0, job(at, 100e3), &mut done);
--- a/crates/emulator/tests/auditors.rs
+++ b/crates/emulator/tests/auditors.rs
@@ -1,13 +1,13 @@
-//! Each auditor against a sidecar that breaks its rule: a stand-in of a few lines in place of the real one. One that
-//! breaks none is not complained of.
+//! Each auditor against a sidecar that breaks its rule: a stand-in of a few lines in place of the
+//! real one. One that breaks none is not complained of.
 
 use load_balancer_common::units::Time;
 use load_balancer_emulator::audit::Rule;
 use load_balancer_emulator::draw::draw;
 use load_balancer_emulator::experiment::{Experiment, Fault, FaultKind, Variant};
-use load_balancer_emulator::play::{Launch, Progress, play};
 use load_balancer_emulator::record::Record;
-use load_balancer_emulator::supervisor::Told;
+use load_balancer_emulator::run::{Launch, Progress, play};
+use load_balancer_emulator::supervisor::PlatformConfig;
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -62,7 +62,7 @@
     message(&mut stream).await
 }
 
-/// Addresses of the active entries, who has started in the play first.
+/// Addresses of the active entries, who has started in the run first.
 fn active(list: &Value) -> Vec<SocketAddr> {
     let entries = list["endpoints"].as_array().cloned().unwrap_or_default();
     let mut active: Vec<_> = entries.iter().filter(|e| e["status"] == "active").collect();
@@ -73,7 +73,7 @@
         .collect()
 }
 
-async fn sidecar(told: Told, wrong: Wrong) {
+async fn sidecar(told: PlatformConfig, wrong: Wrong) {
     let servers = Arc::new(Mutex::new(active(&told.platform["known"])));
     let listener = TcpListener::bind(told.listen)
         .await
@@ -135,7 +135,8 @@
     }
 }
 
-/// The rules that auditors find broken. In the middle of the play a third of the servers is replaced.
+/// The rules that auditors find broken. In the middle of the run a third of the servers is
+/// replaced.
 async fn broken(wrong: Wrong) -> BTreeSet<Rule> {
     let mut experiment = Experiment {
         name: "faulty".to_owned(),
@@ -147,7 +148,8 @@
         experiment.load.lasts,
         experiment.load.warmup,
     ) = (30.0, Time::ms(3500), Time::ms(0));
-    // Little work, so that even a server of which all want something serves them; for who crowds, more.
+    // Little work, so that even a server of which all want something serves them; for who crowds,
+    // more.
     experiment.load.work = if wrong == Wrong::Crowds { 1.0 } else { 0.05 };
     experiment.network.list_delay = [Time::ms(100), Time::ms(200)];
     experiment.fault = vec![Fault {
--- a/crates/emulator/tests/stewards.rs
+++ b/crates/emulator/tests/coordinators.rs
@@ -1,13 +1,14 @@
-//! A short play with real stewards: the leader is killed while a server drains, stopped while one is away, and all are
-//! killed while one returns. Judged by the auditors and by counts alone, so that the verdict is the same on a slow machine.
+//! A short run with real coordinators: the leader is killed while a server drains, stopped while
+//! one is away, and all are killed while one returns. Judged by the auditors and by counts alone,
+//! so that the health status is the same on a slow machine.
 
 use load_balancer_common::config;
 use load_balancer_emulator::draw::draw;
 use load_balancer_emulator::experiment::Experiment;
 use load_balancer_emulator::outcome::Measure;
-use load_balancer_emulator::play::{Launch, Progress, play};
 use load_balancer_emulator::record::Record;
-use load_balancer_emulator::supervisor::Bringing;
+use load_balancer_emulator::run::{Launch, Progress, play};
+use load_balancer_emulator::supervisor::LaunchOptions;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use tokio::sync::watch;
@@ -101,7 +102,7 @@
     let plan = Arc::new(draw(&experiment, 7));
     let folder = tempfile::tempdir().expect("a folder");
     program("coordinator");
-    let launch = Launch::Program(Bringing::plain(program("sidecar")));
+    let launch = Launch::Program(LaunchOptions::plain(program("sidecar")));
     let (sender, _progress) = watch::channel(Progress::default());
     let variant = &experiment.variant[0];
     let played = play(
--- a/crates/emulator/tests/leftovers.rs
+++ b/crates/emulator/tests/leftovers.rs
@@ -1,15 +1,16 @@
-//! However a lab ends, nothing that it started goes on, and no folder of its own stays.
+//! However an emulator ends, nothing that it started goes on, and no folder of its own stays.
 
 use load_balancer_emulator::experiment::Variant;
 use load_balancer_emulator::net::Clock;
 use load_balancer_emulator::record::Record;
-use load_balancer_emulator::supervisor::{Bringing, Supervised, Told};
+use load_balancer_emulator::supervisor::{LaunchOptions, PlatformConfig, Supervised};
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::Duration;
 
-/// Looks for something so often at most, this far apart: a bound in count for what a slow machine may take.
+/// Looks for something so often at most, this far apart: a bound in count for what a slow machine
+/// may take.
 const LOOKS: usize = 600;
 const APART: Duration = Duration::from_millis(50);
 /// Lives of one sidecar: a single process might have ended by chance.
@@ -18,7 +19,7 @@
 const EXPERIMENT: &str = "name = \"left\"\n[topology]\nsidecars = 3\nservers = 3\n[load]\nrate = 5.0\nlasts = \"60s\"\n\
     [[variant]]\nname = \"today\"\n";
 
-/// A lab that plays for a minute; its own files lie in `folder`.
+/// An emulator that runs for a minute; its own files lie in `folder`.
 fn lab(folder: &Path, more: &[&str]) -> Child {
     let file = folder.join("left.toml");
     fs::write(&file, EXPERIMENT).expect("it can be written");
@@ -78,7 +79,7 @@
         .collect()
 }
 
-/// Ends a lab by a signal in the middle of a play.
+/// Ends an emulator by a signal in the middle of a run.
 fn ended_by(signal: &str) -> (tempfile::TempDir, ExitStatus) {
     let folder = tempfile::tempdir().expect("a folder");
     let lab = lab(folder.path(), &[]);
@@ -127,8 +128,8 @@
 /// A sidecar's process that runs for good.
 fn running(folder: &Path) -> Supervised {
     let nowhere = "127.0.0.1:9".parse().expect("an address");
-    let told = Told::new((0, 1), 0, nowhere, nowhere, serde_json::Value::Null);
-    let bringing = Bringing::plain(PathBuf::from("/usr/bin/yes"));
+    let told = PlatformConfig::new((0, 1), 0, nowhere, nowhere, serde_json::Value::Null);
+    let bringing = LaunchOptions::plain(PathBuf::from("/usr/bin/yes"));
     let beside = (Clock::default(), Record::default());
     let supervised = Supervised::new(told, bringing, &Variant::default(), folder, 1, beside);
     let mut supervised = supervised.expect("its files can be written");
--- a/crates/emulator/tests/pairs.rs
+++ b/crates/emulator/tests/pairs.rs
@@ -1,9 +1,10 @@
-//! Today's version against earlier ones, by what was recorded of those: decisions, datagrams, store files, steward logs.
+//! Today's version against earlier ones, by what was recorded of those: decisions, datagrams, store
+//! files, coordinator logs.
 
 use load_balancer_emulator::pairs::feed::parting;
 use load_balancer_emulator::pairs::histories::{Kind, history};
 use load_balancer_emulator::pairs::pins::Pins;
-use load_balancer_emulator::pairs::{coordinator, lan, member, stewards};
+use load_balancer_emulator::pairs::{coordinator, coordinators, lan, member};
 use std::path::{Path, PathBuf};
 
 fn recorded(name: &str) -> PathBuf {
@@ -109,8 +110,8 @@
 #[test]
 fn a_steward_of_today_goes_on_with_an_earlier_ones_log_and_messages() {
     let (folder, text) = (tempfile::tempdir().expect("a folder"), text("steward.txt"));
-    let file = folder.path().join("steward-2.redb");
-    let bytes = stewards::whole(&self::text("steward-store.txt")).expect("it holds a file");
+    let file = folder.path().join("coordinator-2.redb");
+    let bytes = coordinators::whole(&self::text("steward-store.txt")).expect("it holds a file");
     std::fs::write(&file, bytes).expect("it can be written");
     let mut session = coordinator::Session::default();
     let mut ask = |line: &str| {
@@ -147,9 +148,9 @@
     other[0].dropped[load_balancer_gossip::frame::Dropped::Version as usize] = 1;
     assert_eq!(lan::judge(&other, |_| false).len(), 1);
     let folder = tempfile::tempdir().expect("a folder");
-    let mut came =
-        stewards::play(folder.path(), &[[None; stewards::STEWARDS]], 60).expect("they play");
-    assert_eq!(stewards::judge(&came), [""; 0]);
+    let mut came = coordinators::play(folder.path(), &[[None; coordinators::STEWARDS]], 60)
+        .expect("they play");
+    assert_eq!(coordinators::judge(&came), [""; 0]);
     came.books[1].push('1');
-    assert_eq!(stewards::judge(&came).len(), 1);
+    assert_eq!(coordinators::judge(&came).len(), 1);
 }
--- a/crates/emulator/tests/processes.rs
+++ b/crates/emulator/tests/processes.rs
@@ -1,13 +1,13 @@
-//! A short play with real sidecars, one of which is killed and one zone of which is cut off: judged by the auditors
-//! alone, so that the verdict is the same on a slow machine.
+//! A short run with real sidecars, one of which is killed and one zone of which is cut off: judged
+//! by the auditors alone, so that the health status is the same on a slow machine.
 
 use load_balancer_common::units::Time;
 use load_balancer_emulator::draw::{Plan, draw};
 use load_balancer_emulator::experiment::{Experiment, Fault, FaultKind, Variant, Way};
 use load_balancer_emulator::outcome::Measure;
-use load_balancer_emulator::play::{Launch, PlayError, Progress, play};
 use load_balancer_emulator::record::Record;
-use load_balancer_emulator::supervisor::Bringing;
+use load_balancer_emulator::run::{Launch, Progress, RunError, play};
+use load_balancer_emulator::supervisor::LaunchOptions;
 use load_balancer_emulator::tally::Tally;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -30,14 +30,14 @@
     program
 }
 
-/// Plays with real sidecars, whose files lie in `folder`.
+/// Runs with real sidecars, whose files lie in `folder`.
 async fn played(
     experiment: &Experiment,
     plan: &Arc<Plan>,
     variant: &Variant,
     folder: &Path,
-) -> Result<Tally, PlayError> {
-    let launch = Launch::Program(Bringing::plain(program("sidecar")));
+) -> Result<Tally, RunError> {
+    let launch = Launch::Program(LaunchOptions::plain(program("sidecar")));
     let (sender, _progress) = watch::channel(Progress::default());
     play(
         experiment,
@@ -192,7 +192,8 @@
             size: Some(0.3),
             ..fault(FaultKind::DatagramsLate, 0, 7000)
         },
-        // Over before any connection has been idle for long: see docs/ROADMAP.md on stops that outlast that.
+        // Over before any connection has been idle for long: see docs/ROADMAP.md on stops that
+        // outlast that.
         part(FaultKind::SidecarsPause, 300, 1500),
         part(FaultKind::ServersSilent, 2000, 4000),
         part(FaultKind::SidecarsKill, 3500, 300),
--- a/crates/gossip/benches/cost.rs
+++ b/crates/gossip/benches/cost.rs
@@ -1,5 +1,6 @@
-//! What membership and verdicts cost a member, by the size of its fleet: bytes and processor time a second, memory. A few
-//! members are real; all others are answered for, as their own memory would not fit on one machine.
+//! What membership and ejections cost a member, by the size of its fleet: bytes and processor time
+//! a second, memory. A few members are real; all others are answered for, as their own memory would
+//! not fit on one machine.
 //!
 //! `cargo bench --profile product -p load-balancer-gossip --bench cost`
 
--- a/crates/gossip/src/connectivity.rs
+++ b/crates/gossip/src/connectivity.rs
@@ -3,7 +3,8 @@
 
 use serde::Serialize;
 
-/// The connectivity state without its particulars. The earlier one goes first where several would hold, but for [`ConnectivityState::Connected`].
+/// The connectivity state without its particulars. The earlier one goes first where several would
+/// hold, but for [`ConnectivityState::Connected`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub enum ConnectivityState {
     /// It hears all that it knows, and they know the same ones.
--- a/crates/gossip/src/connectivity_tracker.rs
+++ b/crates/gossip/src/connectivity_tracker.rs
@@ -10,7 +10,8 @@
 use crate::{Micros, SECOND};
 use std::collections::BTreeMap;
 
-/// For so long after a zone was lost, one that is doubted counts for neither side: it may be the same cut.
+/// For so long after a zone was lost, one that is doubted counts for neither side: it may be the
+/// same cut.
 const UNSETTLED: Micros = 2 * SECOND;
 
 /// Follows what is heard.
@@ -43,7 +44,7 @@
         }
     }
 
-    /// The standing that was concluded last.
+    /// The connectivity state that was concluded last.
     pub fn connectivity(&self) -> &Connectivity {
         &self.connectivity
     }
@@ -70,7 +71,8 @@
         }
     }
 
-    /// Looks at all zones for a member of zone `here`. Back come zones to be asked, by how many probes; none is any zone.
+    /// Looks at all zones for a member of zone `here`. Back come zones to be asked, by how many
+    /// probes; none is any zone.
     pub fn step(
         &mut self,
         now: Micros,
--- a/crates/gossip/src/core.rs
+++ b/crates/gossip/src/core.rs
@@ -40,7 +40,8 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
 
-/// How often news leave and verdicts are looked at, while there are any; and how often a member wakes up else.
+/// How often news leave and ejections are looked at, while there are any; and how often a member
+/// wakes up else.
 pub const TICK: Micros = SECOND / 10;
 const IDLE_TICK: Micros = SECOND;
 /// Members that are told something at a time.
@@ -49,8 +50,8 @@
 const UNDER_WAY: Micros = SECOND;
 /// A member that wakes up this much later than it wanted has not seen others' silence but its own.
 const OVERSLEPT: Micros = SECOND;
-/// Part of the endpoints that one member has seen of late, and their least number, beyond which those it finds sick say
-/// more of itself.
+/// Part of the endpoints that one member has seen of late, and their least number, beyond which
+/// those it finds sick say more of itself.
 const DOUBTED: f64 = 0.5;
 const DOUBTED_LEAST: usize = 4;
 
@@ -110,7 +111,8 @@
 }
 
 impl Core {
-    /// A member that knows nobody yet. `incarnation` must be higher than that of any earlier life.
+    /// A member that knows nobody yet. `incarnation` must be higher than that of any earlier
+    /// incarnation.
     pub fn new(
         section: &FleetSection,
         name: &str,
--- a/crates/gossip/src/core/answers.rs
+++ b/crates/gossip/src/core/answers.rs
@@ -49,7 +49,7 @@
         all
     }
 
-    /// What it may tell the steward of the endpoints of its list.
+    /// What it may tell the coordinator of the endpoints of its list.
     pub fn servers(&self, now: Micros) -> Servers {
         let mut listed: Vec<&Listed> = self.listed.values().collect();
         listed.sort_by(|a, b| a.name.cmp(&b.name));
--- a/crates/gossip/src/core/anti_entropy.rs
+++ b/crates/gossip/src/core/anti_entropy.rs
@@ -8,7 +8,8 @@
 use std::cmp::Reverse;
 use std::net::SocketAddr;
 
-/// How often a member that has just come asks some others for what they know, and its pause between.
+/// How often a member that has just come asks some others for what they know, and its pause
+/// between.
 pub(super) const ASKS: u8 = 3;
 const ASK_PAUSE: Micros = SECOND / 2;
 /// Datagrams of one answer to that, and answers a second and at once.
@@ -42,7 +43,8 @@
         }
     }
 
-    /// Tells one that has just come of the endpoints that members have found sick, the newest first.
+    /// Tells one that has just come of the endpoints that members have found sick, the newest
+    /// first.
     pub(super) fn answer(&mut self, now: Micros, to: SocketAddr) {
         if !self.answers.take(now, ANSWER_RATE, ANSWER_RATE) {
             return self.drop_one(Dropped::Full);
--- a/crates/gossip/src/core/connectivity.rs
+++ b/crates/gossip/src/core/connectivity.rs
@@ -1,8 +1,9 @@
 //! The messages by which this member finds out its connectivity state.
 //!
-//! Each beat of a second a member tells its view to two others, one of its own zone, with news that go anyway or in a
-//! datagram of its own: so at most two more a second, four while it is not whole, whatever the size of the fleet. A zone that is doubted is asked by
-//! foca's own pings, which members of any version answer.
+//! Each beat of a second a member tells its view to two others, one of its own zone, with news that
+//! go anyway or in a datagram of its own: so at most two more a second, four while it is not whole,
+//! whatever the size of the fleet. A zone that is doubted is asked by foca's own pings, which
+//! members of any version answer.
 
 use super::{Core, FANOUT};
 use crate::connectivity::{Connectivity, ConnectivityState, Observations, Trials};
@@ -19,7 +20,8 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// How often a view is told, and to how many; to twice as many by one that is not whole, as others are to learn of it.
+/// How often a view is told, and to how many; to twice as many by one that is not whole, as others
+/// are to learn of it.
 const BEAT: Micros = SECOND;
 const TOLD: u8 = 2;
 /// Pairs of zones that were heard longer ago than this are not told: they are lost to all.
@@ -39,7 +41,8 @@
     parts: [u8; crate::view_comparison::PARTS],
     members: u32,
     zones: Vec<u64>,
-    /// For two zones by their place: how long before the datagram the first last heard the second, in milliseconds.
+    /// For two zones by their place: how long before the datagram the first last heard the second,
+    /// in milliseconds.
     pairs: Vec<(u8, u8, u16)>,
 }
 
@@ -49,7 +52,7 @@
         self.tracker.connectivity()
     }
 
-    /// The version of the program, as others' rosters show it; to be said before it runs.
+    /// The version of the program, as others' membership table show it; to be said before it runs.
     pub fn set_version(&mut self, version: &str) {
         let end = (0..=LONGEST_VERSION.min(version.len()))
             .rev()
@@ -62,7 +65,8 @@
         self.list_seen = Some(now);
     }
 
-    /// Where the endpoints of the own list stand, by their numbers: what they say of a zone that is not heard.
+    /// Where the endpoints of the own list stand, by their numbers: what they say of a zone that is
+    /// not heard.
     pub fn placed<'a>(&mut self, zones: impl Iterator<Item = (usize, &'a str)>) {
         self.placed = zones
             .take(super::observations::MOST_ENDPOINTS)
--- a/crates/gossip/src/core/dissemination.rs
+++ b/crates/gossip/src/core/dissemination.rs
@@ -1,8 +1,8 @@
 //! Dissemination of health observations by rumor mongering.
 //!
-//! What is new to a member it passes on to a few members drawn at random, a fixed number of times (Demers et al.,
-//! "Epidemic algorithms for replicated database maintenance", PODC 1987, section 1.4). So a member sends no more in a
-//! large fleet than in a small one.
+//! What is new to a member it passes on to a few members drawn at random, a fixed number of times
+//! (Demers et al., "Epidemic algorithms for replicated database maintenance", PODC 1987, section
+//! 1.4). So a member sends no more in a large fleet than in a small one.
 
 use super::{Core, FANOUT, TICK};
 use crate::Micros;
@@ -11,13 +11,14 @@
 use rand::RngExt;
 use std::cmp::Reverse;
 
-/// How often a piece of news is passed on in all: of those who hear of it one in 400 is missed by nine draws without loss,
-/// one in 500 with three draws in ten lost and repeats by others (e to the minus nine or six).
+/// How often a fragment of news is forwarded in all: of those who hear of it one in 400 is missed
+/// by nine draws without loss, one in 500 with three draws in ten lost and repeats by others (e to
+/// the minus nine or six).
 pub(super) const MAX_SENDS: u8 = 9;
-/// News that wait to be passed on; the oldest make room.
+/// News that wait to be forwarded; the oldest make room.
 const MAX_PENDING_UPDATES: usize = 512;
 
-/// Evidence, and how often it is still to be passed on.
+/// Observations, and how often it is still to be forwarded.
 pub(super) struct PendingUpdate {
     pub(super) observation: Observation,
     pub(super) left: u8,
--- a/crates/gossip/src/core/ejections.rs
+++ b/crates/gossip/src/core/ejections.rs
@@ -34,8 +34,8 @@
 }
 
 impl Core {
-    /// The health status of an endpoint process by all observations that count. `ejected_by` are the zones for which it is
-    /// ejected now.
+    /// The health status of an endpoint process by all observations that count. `ejected_by` are
+    /// the zones for which it is ejected now.
     pub(super) fn health_status(
         &self,
         now: Micros,
@@ -54,8 +54,8 @@
         )
     }
 
-    /// Only observations of those who are members now count, for the zone that they are in, and neither of quarantined ones
-    /// nor of those that find most endpoints unhealthy.
+    /// Only observations of those who are members now count, for the zone that they are in, and
+    /// neither of quarantined ones nor of those that find most endpoints unhealthy.
     fn counts_observation(&self, now: Micros, observation: &Observation) -> bool {
         if observation.origin == self.origin {
             return true;
@@ -105,7 +105,8 @@
         });
     }
 
-    /// Ejects an endpoint, or keeps it ejected; the decision module is told where that changes anything for it.
+    /// Ejects an endpoint, or keeps it ejected; the decision module is told where that changes
+    /// anything for it.
     fn eject(&mut self, now: Micros, endpoint: usize, process: Process, health: HealthStatus) {
         let before = self.ejected.get(&endpoint);
         let before = before.filter(|ejection| ejection.process == process);
@@ -175,7 +176,8 @@
         }
     }
 
-    /// Whether this member is to try an ejected endpoint now: it is its turn, and nobody has tried it in this slot.
+    /// Whether this member is to try an ejected endpoint now: it is its turn, and nobody has tried
+    /// it in this slot.
     fn is_trial_due(
         &self,
         now: Micros,
@@ -194,8 +196,8 @@
             && (is_turn_of_this(0) || (is_late && is_turn_of_this(1)))
     }
 
-    /// Looks at all ejected endpoints, as their trials have their times; and, once a second, at all that anything was
-    /// observed of.
+    /// Looks at all ejected endpoints, as their trials have their times; and, once a second, at all
+    /// that anything was observed of.
     pub(super) fn reassess_all(&mut self, now: Micros) {
         let mut endpoints: Vec<usize> = self.ejected.keys().copied().collect();
         if now >= self.next_sweep {
--- a/crates/gossip/src/core/fragments.rs
+++ b/crates/gossip/src/core/fragments.rs
@@ -10,8 +10,9 @@
 use std::net::SocketAddr;
 
 impl Core {
-    /// Spreads a piece to all members, as news are spread: nine sends by each that hears of it, in datagrams with what
-    /// else there is to say, evidence first. It comes out once at each that is reached, and not here.
+    /// Spreads a fragment to all members, as news are spread: nine sends by each that hears of it,
+    /// in datagrams with what else there is to say, observations first. It comes out once at each
+    /// that is reached, and not here.
     ///
     /// # Errors
     /// Why it is not; nothing was sent then.
@@ -21,7 +22,7 @@
         Ok(())
     }
 
-    /// Sends a piece to one member alone, at once, in a datagram of its own. It may be lost.
+    /// Sends a fragment to one member alone, at once, in a datagram of its own. It may be lost.
     ///
     /// # Errors
     /// Why it is not sent.
@@ -52,7 +53,8 @@
         Ok(())
     }
 
-    /// Members drawn at random, at most so many, none twice: to ask them for something by [`Core::carry_to`].
+    /// Members drawn at random, at most so many, none twice: to ask them for something by
+    /// [`Core::carry_to`].
     pub fn neighbours(&mut self, most: usize) -> Vec<u64> {
         let mut drawn = Vec::new();
         // Twice the draws find as many as there are, or nearly.
@@ -128,7 +130,7 @@
         }
     }
 
-    /// A carried piece came from there, a member.
+    /// A carried fragment came from there, a member.
     pub(super) fn carried(&mut self, now: Micros, from: SocketAddr, kind: u8, bytes: &[u8]) {
         let Ok(envelope) = postcard::from_bytes::<FragmentEnvelope<'_>>(bytes) else {
             return self.drop_one(Dropped::Malformed);
--- a/crates/gossip/src/core/membership.rs
+++ b/crates/gossip/src/core/membership.rs
@@ -14,7 +14,8 @@
 
 /// How often the seeds are asked while nobody is known.
 const SEEDS: Micros = SECOND;
-/// How often they are asked all the same, so that two parts of a fleet that lost each other for long find together.
+/// How often they are asked all the same, so that two parts of a fleet that lost each other for
+/// long find together.
 const SEEDS_AGAIN: Micros = 20 * SECOND;
 /// Room that a datagram's beginning takes at most: marks, the longest name of a fleet, a time.
 const MOST_HEAD: usize = 64;
@@ -176,7 +177,8 @@
         self.follow(now);
     }
 
-    /// Takes members as known to run, without telling others of them: what was known before, or is known from elsewhere.
+    /// Takes members as known to run, without telling others of them: what was known before, or is
+    /// known from elsewhere.
     pub fn recall(&mut self, now: Micros, members: impl Iterator<Item = Member>) {
         let alive = members.map(foca::Member::alive);
         // Who does not run is found out as anyone is.
--- a/crates/gossip/src/core/observations.rs
+++ b/crates/gossip/src/core/observations.rs
@@ -7,10 +7,11 @@
 use crate::observation_table::{Merged, Observation, ObservedHealth, Process};
 use crate::{Micros, hash};
 
-/// Evidence that a member gives on its own, a second and at once.
+/// Observations that a member gives on its own, a second and at once.
 const OWN_RATE: f64 = 20.0;
 pub(super) const OWN_BURST: f64 = 40.0;
-/// Data of one sign from one zone from which on a further one is not passed on: a verdict needs no more.
+/// Data of one sign from one zone from which on a further one is not forwarded: a health status
+/// needs no more.
 const ENOUGH: usize = 4;
 /// Endpoints that are followed at most.
 pub(super) const MOST_ENDPOINTS: usize = 4096;
@@ -25,7 +26,7 @@
 }
 
 impl Core {
-    /// The own list as it is now: others' word counts only for what it names.
+    /// The own list as it is now: other members' observations counts only for what it names.
     pub fn listed(&mut self, now: Micros, list: Vec<Listed>) {
         self.listed.clear();
         self.processes.clear();
@@ -98,7 +99,8 @@
         };
         let worth_saying = match health {
             ObservedHealth::Unhealthy => ejected || alike(ObservedHealth::Unhealthy) <= ENOUGH,
-            // Nobody doubts it where nobody found it sick, and two who were served since are enough.
+            // Nobody doubts it where nobody found it sick, and two who were served since are
+            // enough.
             ObservedHealth::Healthy => {
                 let here = || {
                     let here = self
@@ -161,7 +163,7 @@
 
     pub(super) fn receive(&mut self, now: Micros, observation: Observation) {
         if observation.origin == self.origin {
-            // What an earlier life saw is as good as another's.
+            // What an earlier incarnation saw is as good as another's.
             if observation.incarnation >= self.me.incarnation
                 && observation.sequence > self.sequence
             {
--- a/crates/gossip/src/core/peers.rs
+++ b/crates/gossip/src/core/peers.rs
@@ -5,7 +5,8 @@
 use crate::membership_table::Departure;
 use crate::{Micros, SECOND};
 
-/// One who said that it leaves and has not come back for so long is gone: a restart takes a few seconds.
+/// One who said that it leaves and has not come back for so long is gone: a restart takes a few
+/// seconds.
 const RETURNS: Micros = 30 * SECOND;
 
 /// Who is there, each by the hash of its name.
@@ -13,8 +14,9 @@
 pub struct Peers {
     /// This member and those that are known to run.
     pub running: Vec<u64>,
-    /// These and all who may run without being heard: whoever is missed and did not say that it leaves, until it is
-    /// forgotten. Nobody where none of the members that it should ask at its start was ever heard of.
+    /// These and all who may run without being heard: whoever is missed and did not say that it
+    /// leaves, until it is forgotten. Nobody where none of the members that it should ask at its
+    /// start was ever heard of.
     pub known: Vec<u64>,
     /// What its connectivity state lets it do with affinity entries.
     pub affinity_entries: AffinityEntries,
--- a/crates/gossip/src/effects.rs
+++ b/crates/gossip/src/effects.rs
@@ -25,13 +25,13 @@
 pub struct EjectionUpdate {
     /// Its number.
     pub endpoint: usize,
-    /// What others' word makes of it.
+    /// What other members' observations makes of it.
     pub status: EjectionStatus,
     /// From then on it counts as never heard.
     pub expires: Micros,
 }
 
-/// A piece of other crates' data that a member has spread, or sent to this one alone.
+/// A fragment of other crates' data that a member has spread, or sent to this one alone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CarriedFragment {
     /// Hash of the name of who said it.
@@ -47,7 +47,7 @@
 /// Something that people should know.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Note {
-    /// The own standing is another.
+    /// The own connectivity state is another.
     Connectivity {
         /// Which.
         connectivity: Connectivity,
@@ -90,9 +90,9 @@
     pub sent_bytes: u64,
     /// Datagrams that came.
     pub received: u64,
-    /// Evidence given by this member.
+    /// Observations given by this member.
     pub said: u64,
-    /// Evidence of others that was new.
+    /// Observations of others that was new.
     pub heard: u64,
     /// Pieces of others' data that this member gave to be carried, and that came.
     pub carried: u64,
@@ -100,9 +100,9 @@
     pub handed_out: u64,
     /// Trials that fell to this member.
     pub trials: u64,
-    /// Verdicts that sent an endpoint to rest.
+    /// Ejections that sent an endpoint to rest.
     pub rests: u64,
-    /// What was dropped, by reason, in the order of [`REASONS`]; the census names them.
+    /// What was dropped, by reason, in the order of [`REASONS`]; the summary names them.
     #[serde(skip)]
     pub dropped: [u64; REASONS.len()],
 }
--- a/crates/gossip/src/fragments.rs
+++ b/crates/gossip/src/fragments.rs
@@ -1,5 +1,5 @@
 //! Small message parts of other crates that are disseminated with gossip: their encoding, who has
-//! which, and what waits to be passed on.
+//! which, and what waits to be forwarded.
 
 use crate::token_bucket::TokenBucket;
 use crate::{Micros, SECOND};
@@ -8,45 +8,48 @@
 use std::fmt;
 use std::ops::RangeInclusive;
 
-/// Kinds of pieces that are carried for others. Those below are the fleet's own, those above nobody's yet.
+/// Kinds of fragments that are carried for others. Those below are the fleet's own, those above
+/// nobody's yet.
 pub const CARRIED: RangeInclusive<u8> = 128..=191;
-/// Longest body of such a piece that spreads, in bytes: two and evidence fit into a datagram.
+/// Longest body of such a fragment that spreads, in bytes: two and observations fit into a
+/// datagram.
 pub const LONGEST_BODY: usize = 512;
 /// Longest body of one for a single member, in bytes: it has a datagram of 1,200 for itself.
 pub const LONGEST_DIRECT: usize = 1024;
-/// From this age on a piece is neither taken nor passed on: by then whoever is reached has it (nine sends at ten a second),
-/// and from then on nobody need remember that it came.
+/// From this age on a fragment is neither taken nor forwarded: by then whoever is reached has it
+/// (nine sends at ten a second), and from then on nobody need remember that it came.
 pub const BOUND: Micros = 5 * SECOND;
 /// Pieces that a member gives to be spread, a second, and to single members; and at once.
 const RATE: f64 = 20.0;
 const RATE_DIRECT: f64 = 40.0;
 const BURST: f64 = 40.0;
-/// Pieces that wait to be passed on. The one that was passed on most often makes room, of those the one longest here.
+/// Pieces that wait to be forwarded. The one that was forwarded most often makes room, of those the
+/// one longest here.
 const MOST: usize = 256;
-/// Numbers below an origin's highest that are told apart (an anti-replay window as in RFC 4303, section 3.4.3): more than
-/// a member gives in the bound, 140.
+/// Numbers below an origin's highest that are told apart (an anti-replay window as in RFC 4303,
+/// section 3.4.3): more than a member gives in the bound, 140.
 const WINDOW: u64 = 256;
 /// Lives of members of which numbers are remembered: all of the largest fleet.
 const MOST_ORIGINS: usize = 10_240;
 
-/// A piece as it is written, behind its kind.
+/// A fragment as it is written, behind its kind.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FragmentEnvelope<'a> {
     /// Hash of the name of who said it.
     pub origin: u64,
     /// Its life.
     pub incarnation: u64,
-    /// Grows with each piece of that life, of whatever kind.
+    /// Grows with each fragment of that incarnation, of whatever kind.
     pub sequence: u64,
     /// When it was said, by its clock.
     pub said: Micros,
-    /// It is to be passed on, and not for this member alone.
+    /// It is to be forwarded, and not for this member alone.
     pub spreads: bool,
     /// What the kind makes of it.
     pub body: &'a [u8],
 }
 
-/// Longest body of a piece that spreads, or of one that does not, in bytes.
+/// Longest body of a fragment that spreads, or of one that does not, in bytes.
 pub fn longest(spreads: bool) -> usize {
     if spreads {
         LONGEST_BODY
@@ -55,7 +58,7 @@
     }
 }
 
-/// Why a piece is not carried.
+/// Why a fragment is not carried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FragmentRefused {
     /// Its kind is not in [`CARRIED`].
@@ -81,19 +84,19 @@
 
 impl std::error::Error for FragmentRefused {}
 
-/// A piece that waits to be passed on.
+/// A fragment that waits to be forwarded.
 #[derive(Clone, Debug)]
 pub struct Waiting {
     /// Its kind.
     pub kind: u8,
     /// It as a [`FragmentEnvelope`].
     pub envelope: Vec<u8>,
-    /// How often it is still to be passed on.
+    /// How often it is still to be forwarded.
     pub left: u8,
     said: Micros,
 }
 
-/// Which numbers of one life came.
+/// Which numbers of one incarnation came.
 #[derive(Clone, Copy, Debug, Default)]
 struct ReceivedSequence {
     highest: u64,
@@ -127,7 +130,7 @@
     }
 }
 
-/// What came of a piece.
+/// What came of a fragment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Receipt {
     /// It is new here.
@@ -162,7 +165,7 @@
         }
     }
 
-    /// The number of the next piece of this member's own, where it may give one.
+    /// The number of the next fragment of this member's own, where it may give one.
     ///
     /// # Errors
     /// Why it may not.
@@ -191,7 +194,7 @@
         Ok(self.sequence)
     }
 
-    /// The number of the last piece of this member's life.
+    /// The number of the last fragment of this member's life.
     pub fn last(&mut self) -> u64 {
         self.sequence += 1;
         self.sequence
@@ -202,7 +205,7 @@
         self.sequence
     }
 
-    /// A piece of another's came, within its bound.
+    /// A fragment of another's came, within its bound.
     pub fn came(&mut self, now: Micros, envelope: &FragmentEnvelope<'_>) -> Receipt {
         let life = (envelope.origin, envelope.incarnation);
         if !self.had.contains_key(&life) && self.had.len() >= MOST_ORIGINS {
@@ -217,7 +220,7 @@
         }
     }
 
-    /// Passes a piece on; false where another made room for it.
+    /// Passes a fragment on; false where another made room for it.
     pub fn disseminate(&mut self, kind: u8, envelope: Vec<u8>, said: Micros, sends: u8) -> bool {
         let room = self.waiting.len() < MOST;
         if !room {
@@ -248,7 +251,7 @@
         self.had.retain(|_, had| now - had.last < BOUND + 2 * skew);
     }
 
-    /// What waits, the least often passed on first.
+    /// What waits, the least often forwarded first.
     pub fn waiting(&mut self) -> impl Iterator<Item = &mut Waiting> {
         self.waiting
             .make_contiguous()
--- a/crates/gossip/src/frame.rs
+++ b/crates/gossip/src/frame.rs
@@ -1,14 +1,14 @@
 //! The datagram format, and the reasons why a datagram is dropped.
 //!
-//! `LPF`, the version of the form, the least version whose readers understand it, then by postcard a [`Head`], then the
-//! content: foca's bytes as they are, or pieces, each with its kind and length, so that a reader passes over kinds that
-//! it does not know.
+//! `LPF`, the version of the form, the least version whose readers understand it, then by postcard
+//! a [`Head`], then the content: foca's bytes as they are, or fragments, each with its kind and
+//! length, so that a reader passes over kinds that it does not know.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// Longest datagram, in bytes: it passes through any network of today whole (IPv6 guarantees 1,280 with its headers,
-/// RFC 8200, section 5).
+/// Longest datagram, in bytes: it passes through any network of today whole (IPv6 guarantees 1,280
+/// with its headers, RFC 8200, section 5).
 pub const LONGEST: usize = 1200;
 /// The version that is written.
 pub const VERSION: u8 = 1;
@@ -34,7 +34,7 @@
     Updates,
 }
 
-/// A piece of news: its kind and its bytes.
+/// A fragment of news: its kind and its bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MessagePart<'a> {
     /// What it is; see the kinds beside this.
@@ -43,13 +43,14 @@
     pub bytes: &'a [u8],
 }
 
-/// A piece that is [`crate::observation_table::Observation`].
+/// A fragment that is [`crate::observation_table::Observation`].
 pub const OBSERVATION: u8 = 1;
-/// A piece by which a member tells what it sees of the fleet; see `core/connectivity.rs`.
+/// A fragment by which a member tells what it sees of the fleet; see `core/connectivity.rs`.
 pub const VIEW: u8 = 3;
 /// A carried letter without body by which a member says that it leaves.
 pub const FAREWELL: u8 = 4;
-/// A piece, without content, by which a member that has just come asks for all evidence of sick endpoints.
+/// A fragment, without content, by which a member that has just come asks for all observations of
+/// sick endpoints.
 pub const ASK: u8 = 2;
 
 /// Why a datagram, or something in it, was dropped.
@@ -75,7 +76,7 @@
     Forged,
     /// More than a table or queue holds.
     Full,
-    /// A piece of a kind that is not known here.
+    /// A fragment of a kind that is not known here.
     Kind,
 }
 
@@ -122,7 +123,7 @@
     postcard::to_extend(head, bytes).unwrap_or_default()
 }
 
-/// Adds a piece, where there is still room for it.
+/// Adds a fragment, where there is still room for it.
 pub fn add(bytes: &mut Vec<u8>, piece: &MessagePart<'_>) -> bool {
     let Ok(piece) = postcard::to_stdvec(piece) else {
         return false;
@@ -157,7 +158,7 @@
     Ok((head, content))
 }
 
-/// The pieces of a content, up to the first that cannot be read.
+/// The fragments of a content, up to the first that cannot be read.
 pub fn pieces<'a>(mut content: &'a [u8]) -> impl Iterator<Item = Result<MessagePart<'a>, Dropped>> {
     std::iter::from_fn(move || {
         if content.is_empty() {
--- a/crates/gossip/src/health_status.rs
+++ b/crates/gossip/src/health_status.rs
@@ -1,8 +1,9 @@
 //! Derives the health status of endpoints for one member: which of them are ejected.
 //!
-//! Others' evidence counts by zone, as a cut shows as the death of everything behind it: an endpoint rests for those in
-//! whose own zone enough members have found it sick. Where several zones have, it is the endpoint and not the way, and
-//! they share the trials. Who finds most of all endpoints sick is likely cut off, slow or lying, and is not listened to.
+//! Others' observations count by zone, as a cut shows as the death of everything behind it: an
+//! endpoint rests for those in whose own zone enough members have found it sick. Where several
+//! zones have, it is the endpoint and not the way, and they share the trials. Who finds most of all
+//! endpoints sick is likely cut off, slow or lying, and is not listened to.
 
 use crate::Micros;
 use crate::observation_table::{Observation, ObservedHealth};
@@ -50,8 +51,8 @@
         }
     }
 
-    /// More than twice as many found it sick as were served since: one that errs, or lies, does not keep the others out,
-    /// and two trials that went well end it.
+    /// More than twice as many found it sick as were served since: one that errs, or lies, does not
+    /// keep the others out, and two trials that went well end it.
     fn unhealthy(&self) -> bool {
         self.unhealthy > 2 * self.healthy
     }
@@ -72,12 +73,13 @@
     pub served: bool,
 }
 
-/// Weighs what is known of a process for a member in `zone`, for which it `rests` since the zones given found it sick, or
-/// not yet. `counts` says whether a datum's origin is one to listen to; `members` how many that zone has, this member
-/// included.
+/// Weighs what is known of a process for a member in `zone`, for which it `rests` since the zones
+/// given found it sick, or not yet. `counts` says whether a datum's origin is one to listen to;
+/// `members` how many that zone has, this member included.
 ///
-/// To rest it needs as many witnesses as the weights say, over all zones that find it sick, and one of the own zone:
-/// what others see of a cut is nothing to a zone that is served. It goes on to rest while the newest trials fail.
+/// To rest it needs as many reporters as the weights say, over all zones that find it sick, and one
+/// of the own zone: what others see of a cut is nothing to a zone that is served. It goes on to
+/// rest while the newest trials fail.
 pub fn evaluate<'a>(
     data: impl Iterator<Item = (u64, &'a [Observation])>,
     now: Micros,
@@ -105,7 +107,7 @@
     all.sort_by_key(|d: &Observation| std::cmp::Reverse((d.seen, d.origin)));
     all.truncate(crate::observation_table::KEPT);
     let tally = ObservationCount::of(&all);
-    // Few members have fewer witnesses to offer; one alone is none.
+    // Few members have fewer reporters to offer; one alone is none.
     let min_reporters = if rests.is_some() {
         1
     } else {
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -5,7 +5,7 @@
 //! - [`frame`]: datagrams, and why one is dropped.
 //! - [`observation_table`]: what members saw of endpoints, merged in any order to the same table.
 //! - [`verdict`]: what follows from it for one member: who rests. [`trial`]: who of those may be tried, when, by whom.
-//! - [`fragments`]: small pieces of other crates' data, spread the same way.
+//! - [`fragments`]: small fragments of other crates' data, spread the same way.
 //! - [`effects`]: what goes in and comes out of it. [`summary`]: what people read. [`tokens`]: a rate.
 //! - [`connectivity`]: what a member concludes of its own place, and what each part may do there; beside it what it is
 //!   concluded from. [`membership`]: who is known, and how those left who did.
--- a/crates/gossip/src/local_health.rs
+++ b/crates/gossip/src/local_health.rs
@@ -1,8 +1,8 @@
 //! Local health: whether this member's own timers keep time.
 //!
-//! A member that is starved of processor time misses answers that came in time and takes others for dead (Dadgar,
-//! Phillips and Currey, "Lifeguard: Local Health Awareness for More Accurate Failure Detection", DSN-W 2018), so it
-//! suspects itself first.
+//! A member that is starved of processor time misses answers that came in time and takes others for
+//! dead (Dadgar, Phillips and Currey, "Lifeguard: Local Health Awareness for More Accurate Failure
+//! Detection", DSN-W 2018), so it suspects itself first.
 
 use crate::{Micros, SECOND};
 
@@ -25,7 +25,8 @@
 }
 
 impl LocalHealth {
-    /// A timer that was due then runs now. True where so much was missed that what was last heard says nothing.
+    /// A timer that was due then runs now. True where so much was missed that what was last heard
+    /// says nothing.
     pub fn woke(&mut self, now: Micros, due: Micros) -> bool {
         let Some(at) = self.at.replace(now) else {
             return true;
--- a/crates/gossip/src/member.rs
+++ b/crates/gossip/src/member.rs
@@ -29,8 +29,8 @@
     }
 }
 
-/// One address is one member; the later life of two wins. Who was declared dead by mistake comes back by itself under the
-/// next number.
+/// One address is one member; the later life of two wins. Who was declared dead by mistake comes
+/// back by itself under the next number.
 impl Identity for Member {
     type Addr = SocketAddr;
 
--- a/crates/gossip/src/membership_table.rs
+++ b/crates/gossip/src/membership_table.rs
@@ -18,7 +18,8 @@
 const LONGEST: u32 = 5;
 /// Part of all members that may be in quarantine: where more flap, it is not theirs.
 const MOST_FLAPPING: usize = 4;
-/// How long two processes of a name must be members before they count as two: longer than it takes to miss a dead one.
+/// How long two processes of a name must be members before they count as two: longer than it takes
+/// to miss a dead one.
 const BOTH: Micros = 10 * SECOND;
 
 /// How somebody left.
@@ -40,7 +41,7 @@
 /// A member.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// Its last life.
+    /// Its last incarnation.
     pub member: Member,
     /// Hash of its zone.
     pub zone: u64,
@@ -91,8 +92,8 @@
         if entry.left.is_none() && other != member.address {
             entry.twice = Some((other, now, false));
         }
-        // The next number is a life that was taken for dead by mistake; a later one is a start, and where nothing was said
-        // before, the end before it was none that was meant.
+        // The next number is an incarnation that was taken for dead by mistake; a later one is a
+        // start, and where nothing was said before, the end before it was none that was meant.
         let crashed = entry.left.is_none()
             && other == member.address
             && member.incarnation > entry.member.incarnation + 1
@@ -168,7 +169,8 @@
         }
     }
 
-    /// Members of a zone that were missed not long ago were cut off with it, or, once that is known, died with it.
+    /// Members of a zone that were missed not long ago were cut off with it, or, once that is
+    /// known, died with it.
     pub fn relabel(&mut self, zone: u64, since: Micros, from: Departure, to: Departure) {
         for entry in self.entries.values_mut().filter(|e| e.zone == zone) {
             if let Some((left, at)) = &mut entry.left
--- a/crates/gossip/src/observation.rs
+++ b/crates/gossip/src/observation.rs
@@ -3,7 +3,8 @@
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// An endpoint process: the hash of its name and the start of its process, 0 where that is long ago.
+/// An endpoint process: the hash of its name and the start of its process, 0 where that is long
+/// ago.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Process {
     /// Hash of its name.
@@ -23,14 +24,14 @@
     Healthy,
 }
 
-/// Evidence of one member on one endpoint process.
+/// Observations of one member on one endpoint process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Observation {
     /// Hash of the name of who saw it.
     pub origin: u64,
     /// Its life.
     pub incarnation: u64,
-    /// Grows with each datum of that life.
+    /// Grows with each datum of that incarnation.
     pub sequence: u64,
     /// Hash of its zone.
     pub zone: u64,
--- a/crates/gossip/src/observation_table.rs
+++ b/crates/gossip/src/observation_table.rs
@@ -1,18 +1,20 @@
 //! The table of health observations, which merges in any order to the same content.
 //!
-//! The table is a join semilattice: for each endpoint process and zone it keeps the newest datum of each origin, and of
-//! those the [`KEPT`] newest. Merging is idempotent, commutative and associative, since a datum that was left out had
-//! as many newer ones of other origins above it, and those only become newer (a join semilattice in the sense of
-//! Shapiro et al., "Conflict-free Replicated Data Types", SSS 2011, section 2.3).
+//! The table is a join semilattice: for each endpoint process and zone it keeps the newest datum of
+//! each origin, and of those the [`KEPT`] newest. Merging is idempotent, commutative and
+//! associative, since a datum that was left out had as many newer ones of other origins above it,
+//! and those only become newer (a join semilattice in the sense of Shapiro et al., "Conflict-free
+//! Replicated Data Types", SSS 2011, section 2.3).
 
 use crate::Micros;
 pub use crate::observation::{Observation, ObservedHealth, Process};
 use std::collections::{BTreeMap, HashMap};
 
-/// Data kept for each endpoint process and zone: twice the witnesses that a verdict needs by default.
+/// Data kept for each endpoint process and zone: twice the reporters that a health status needs by
+/// default.
 pub const KEPT: usize = 6;
-/// Endpoint processes and zones for which data are kept: those of a thousand endpoints in three zones, and room for
-/// their next processes.
+/// Endpoint processes and zones for which data are kept: those of a thousand endpoints in three
+/// zones, and room for their next processes.
 pub const MOST: usize = 4096;
 
 /// What a merge changed.
@@ -29,7 +31,7 @@
     Full,
 }
 
-/// All evidence that this member knows.
+/// All observations that this member knows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Table {
     of: BTreeMap<(Process, u64), Vec<Observation>>,
--- a/crates/gossip/src/section.rs
+++ b/crates/gossip/src/section.rs
@@ -82,7 +82,8 @@
     /// Part of the ready endpoints that may be ejected.
     #[serde(alias = "most_out")]
     pub max_ejected: f64,
-    /// How long an endpoint is ejected before its first trial; trials then come every 3 and 6 times that.
+    /// How long an endpoint is ejected before its first trial; trials then come every 3 and 6 times
+    /// that.
     #[serde(alias = "rest")]
     pub ejection_time: Time,
 }
@@ -93,7 +94,8 @@
 pub struct Affinity {
     /// Whether they do.
     pub enabled: bool,
-    /// Picks by which an endpoint may be ahead of its weight for that; it may be owed eight times as many.
+    /// Picks by which an endpoint may be ahead of its weight for that; it may be owed eight times
+    /// as many.
     #[serde(alias = "ahead")]
     pub max_ahead: f64,
 }
@@ -120,7 +122,8 @@
 
 impl Default for EjectionSection {
     fn default() -> Self {
-        // Three of the longest deadlines that the platform knows (4 s); the longest aim (1 s).
+        // Three of the longest deadlines that the platform knows (4 s); the longest latency
+        // objective (1 s).
         Self {
             enabled: true,
             max_staleness: Time::ms(12_000),
--- a/crates/gossip/src/summary.rs
+++ b/crates/gossip/src/summary.rs
@@ -28,10 +28,10 @@
     pub membership: Vec<MembershipEntrySummary>,
     /// The others that run.
     pub members: Vec<MemberSummary>,
-    /// Endpoints that rest by others' word, and why.
+    /// Endpoints that rest by other members' observations, and why.
     #[serde(rename = "rests")]
     pub ejections: Vec<EjectionSummary>,
-    /// Evidence held.
+    /// Observations held.
     #[serde(rename = "evidence")]
     pub observations: usize,
     /// What was dropped, by reason.
@@ -95,7 +95,7 @@
     pub zone: String,
     /// The address.
     pub address: SocketAddr,
-    /// The last life that is known.
+    /// The last incarnation that is known.
     pub incarnation: u64,
     /// The program's version, where it was told.
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -114,7 +114,7 @@
     pub quarantined_for_s: Option<f64>,
 }
 
-/// What `GET /fleet/servers` shows: what this member may tell the steward.
+/// What `GET /fleet/servers` shows: what this member may tell the coordinator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Servers {
     /// Its name.
@@ -135,10 +135,10 @@
 /// How a server is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum State {
-    /// It has served somebody, within the bound, since anybody with enough witnesses found it sick.
+    /// It has served somebody, within the bound, since anybody with enough reporters found it sick.
     #[serde(rename = "well")]
     Healthy,
-    /// Enough witnesses found it sick.
+    /// Enough reporters found it sick.
     #[serde(rename = "sick")]
     Unhealthy,
     /// Neither.
@@ -155,6 +155,7 @@
     pub started_ms: i64,
     /// How it is.
     pub state: State,
-    /// How long ago the newest of that was seen, in milliseconds; where nothing was, for how long this member runs.
+    /// How long ago the newest of that was seen, in milliseconds; where nothing was, for how long
+    /// this member runs.
     pub age_ms: i64,
 }
--- a/crates/gossip/src/trial.rs
+++ b/crates/gossip/src/trial.rs
@@ -13,8 +13,8 @@
     pub length: Micros,
 }
 
-/// The slot around `now` for a process that rests since then: longer the longer it rests, short once somebody was
-/// served. None where somebody has just looked.
+/// The slot around `now` for a process that rests since then: longer the longer it rests, short
+/// once somebody was served. None where somebody has just looked.
 pub fn slot(
     now: Micros,
     since: Micros,
@@ -40,9 +40,9 @@
     })
 }
 
-/// Who of these makes the trial of a slot, and who where nothing has come of that in half of it: the same two at every
-/// member that knows the same ones (highest random weight: Thaler and Ravishankar, IEEE/ACM Transactions on Networking
-/// 6, 1998, p. 1).
+/// Who of these makes the trial of a slot, and who where nothing has come of that in half of it:
+/// the same two at every member that knows the same ones (highest random weight: Thaler and
+/// Ravishankar, IEEE/ACM Transactions on Networking 6, 1998, p. 1).
 pub fn chosen(
     process: Process,
     slot: Slot,
--- a/crates/gossip/src/udp.rs
+++ b/crates/gossip/src/udp.rs
@@ -40,8 +40,8 @@
 }
 
 impl Fleet {
-    /// Binds the socket; [`Fleet::run`] brings it to life. Its incarnation is the clock's time at its start, unless one
-    /// is given: higher than that of any life before.
+    /// Binds the socket; [`Fleet::run`] brings it to life. Its incarnation is the clock's time at
+    /// its start, unless one is given: higher than that of any incarnation before.
     ///
     /// # Errors
     /// The address cannot be had.
--- a/crates/gossip/src/udp/calls.rs
+++ b/crates/gossip/src/udp/calls.rs
@@ -17,12 +17,12 @@
         *self.notes.borrow_mut() = Some(notes);
     }
 
-    /// The version of the program, as others' rosters show it.
+    /// The version of the program, as others' membership table show it.
     pub fn set_version(&self, version: &str) {
         self.core.borrow_mut().set_version(version);
     }
 
-    /// Spreads a piece to all members; see [`Core::carry`].
+    /// Spreads a fragment to all members; see [`Core::carry`].
     ///
     /// # Errors
     /// Why it is not.
@@ -30,7 +30,7 @@
         self.with(|core, now| core.carry(now, kind, bytes))
     }
 
-    /// Sends a piece to one member; see [`Core::carry_to`].
+    /// Sends a fragment to one member; see [`Core::carry_to`].
     ///
     /// # Errors
     /// Why it is not.
@@ -68,7 +68,7 @@
         self.with(Core::leave);
     }
 
-    /// What it may tell the steward.
+    /// What it may tell the coordinator.
     pub fn servers(&self) -> Servers {
         self.with(|core, now| core.servers(now))
     }
--- a/crates/gossip/src/udp/driver.rs
+++ b/crates/gossip/src/udp/driver.rs
@@ -1,8 +1,9 @@
 //! Drives a member: its socket and its timers.
 //!
-//! While the member has nothing to say the socket wakes it. While it has, it wakes up ten times a second anyway, and
-//! datagrams wait for that: what they bring leaves no sooner, and one wake-up for each would cost more than all else here
-//! (Mogul and Ramakrishnan, "Eliminating Receive Livelock in an Interrupt-driven Kernel", ACM TOCS 15, 1997, p. 217).
+//! While the member has nothing to say the socket wakes it. While it has, it wakes up ten times a
+//! second anyway, and datagrams wait for that: what they bring leaves no sooner, and one wake-up
+//! for each would cost more than all else here (Mogul and Ramakrishnan, "Eliminating Receive
+//! Livelock in an Interrupt-driven Kernel", ACM TOCS 15, 1997, p. 217).
 
 use super::Fleet;
 use crate::Micros;
@@ -37,7 +38,8 @@
             if wait <= TICK {
                 watched = None;
             } else if watched.is_none() {
-                // Where the system refuses, the beats are what is left. What has come meanwhile shows at once.
+                // Where the system refuses, the beats are what is left. What has come meanwhile
+                // shows at once.
                 watched = self.socket.try_clone().and_then(Watched::from_std).ok();
             }
             let most = if watched.is_some() { Micros::MAX } else { TICK };
--- a/crates/gossip/src/view_comparison.rs
+++ b/crates/gossip/src/view_comparison.rs
@@ -4,13 +4,16 @@
 use crate::SECOND;
 use std::collections::VecDeque;
 
-/// Parts of a digest. As many differ as differing members fall into; from some 110 on all do, and no number can be told.
+/// Parts of a digest. As many differ as differing members fall into; from some 110 on all do, and
+/// no number can be told.
 pub const PARTS: usize = 32;
-/// Part of the members by which views may differ: a member or two are news under way, or lost to somebody.
+/// Part of the members by which views may differ: a member or two are news under way, or lost to
+/// somebody.
 const ALIKE: f64 = 0.05;
 /// Comparisons that are held against each other.
 const COMPARED: usize = 8;
-/// News of a death need a probe, 4 s of suspicion and some hops; a difference that outlasts this is none of news.
+/// News of a death need a probe, 4 s of suspicion and some hops; a difference that outlasts this is
+/// none of news.
 pub const NEWS_NEED: Micros = 10 * SECOND;
 /// How long views must agree before a dispute is over, so that it does not come and go.
 const SETTLED: Micros = 2 * SECOND;
@@ -50,8 +53,8 @@
         (self.parts, u32::try_from(self.members).unwrap_or(u32::MAX))
     }
 
-    /// Whether two views differ by more than they may: so many balls thrown into the parts leave the others empty
-    /// (linear counting: Whang et al., ACM TODS 15, 1990, p. 208).
+    /// Whether two views differ by more than they may: so many balls thrown into the parts leave
+    /// the others empty (linear counting: Whang et al., ACM TODS 15, 1990, p. 208).
     pub fn differs(&self, other: &Self) -> bool {
         let same = self
             .parts
--- a/crates/gossip/src/zone_contacts.rs
+++ b/crates/gossip/src/zone_contacts.rs
@@ -1,12 +1,14 @@
 //! When zones were last heard, by whom.
 //!
-//! Stamps are times of the clock of who heard, passed on as they are: a value grows no younger on its way, which ages that
-//! each hop counts anew would. Merging takes the newest, so order, repeats and loss change how soon, never what.
+//! Stamps are times of the clock of who heard, forwarded as they are: a value grows no younger on
+//! its way, which ages that each hop counts anew would. Merging takes the newest, so order, repeats
+//! and loss change how soon, never what.
 
 use crate::Micros;
 use std::collections::HashMap;
 
-/// Zones that are followed at most; a further one is not. Their pairs fit into a datagram with all else.
+/// Zones that are followed at most; a further one is not. Their pairs fit into a datagram with all
+/// else.
 pub const MOST_ZONES: usize = 16;
 
 /// Who heard whom.
@@ -39,7 +41,8 @@
         }
     }
 
-    /// This member, of zone `here`, got a datagram of somebody of `there`; an answer to its own, or not.
+    /// This member, of zone `here`, got a datagram of somebody of `there`; an answer to its own, or
+    /// not.
     pub fn came(&mut self, now: Micros, here: u64, there: u64, answer: bool) {
         self.any = Some(now);
         self.newer((here, there), now);
--- a/crates/gossip/src/zone_reachability.rs
+++ b/crates/gossip/src/zone_reachability.rs
@@ -1,28 +1,32 @@
 //! The state of one other zone: reachable, lost in one direction or both, or found again.
 //!
-//! A zone that nobody here has heard for [`DOUBT`] is asked, by more members at a time the longer it lasts; it is lost at
-//! [`LOST`], which leaves three probe periods of a second with the ticks and the skew of clocks on top. Asking makes the
-//! difference between silence and loss: with three datagrams in ten lost each way 26 answers fail together once in
-//! 40 million doubts that nobody else of the zone could end. Only what can have been answered counts as unanswered.
+//! A zone that nobody here has heard for [`DOUBT`] is asked, by more members at a time the longer
+//! it lasts; it is lost at [`LOST`], which leaves three probe periods of a second with the ticks
+//! and the skew of clocks on top. Asking makes the difference between silence and loss: with three
+//! datagrams in ten lost each way 26 answers fail together once in 40 million doubts that nobody
+//! else of the zone could end. Only what can have been answered counts as unanswered.
 
 use crate::connectivity::Direction;
 use crate::zone_contacts::ZoneContacts;
 use crate::{Micros, SECOND};
 
-/// Silence from which on a zone is asked: some gaps between two words from it to anybody of the own zone.
+/// Silence from which on a zone is asked: some gaps between two words from it to anybody of the own
+/// zone.
 pub const DOUBT: Micros = 12 * SECOND / 10;
 /// Silence from which on it is lost, where it was asked often enough.
 pub const LOST: Micros = 26 * SECOND / 10;
-/// The same where it is its word on this zone that grows old: that comes by views alone, so it is older as a rule, also
-/// at the beginning of a cut.
+/// The same where it is its word on this zone that grows old: that comes by views alone, so it is
+/// older as a rule, also at the beginning of a cut.
 const DOUBT_TOLD: Micros = 16 * SECOND / 10;
 const LOST_TOLD: Micros = 28 * SECOND / 10;
-/// A zone that is not heard tells through a third one that it hears: two more zones' rumours, each of some seconds.
+/// A zone that is not heard tells through a third one that it hears: two more zones' updates, each
+/// of some seconds.
 const LOST_THROUGH: Micros = 9 * SECOND;
-/// Own silence from which on it is lost whatever others of the own zone say: one that lies hides nothing for longer.
+/// Own silence from which on it is lost whatever others of the own zone say: one that lies hides
+/// nothing for longer.
 const OWN_LOST: Micros = 6 * SECOND;
-/// How often it is asked before that, by how many probes at a time (one at first, as most doubts end with it), and how
-/// many must have stayed without answer.
+/// How often it is asked before that, by how many probes at a time (one at first, as most doubts
+/// end with it), and how many must have stayed without answer.
 pub const ROUND: Micros = SECOND / 5;
 const FIRST: u32 = 2;
 const PROBES: u32 = 6;
@@ -30,10 +34,11 @@
 const ASKED_OWN: u32 = 40;
 /// How often a lost one is asked.
 pub const ROUND_LOST: Micros = 2 * SECOND;
-/// How long it must be heard before it is found again, so that a way that comes and goes stays lost.
+/// How long it must be heard before it is found again, so that a way that comes and goes stays
+/// lost.
 pub const FOUND: Micros = 2 * SECOND;
-/// Members of a zone, and its part of all, below which it is heard too seldom for this: such a one is lost once
-/// membership misses all of them.
+/// Members of a zone, and its part of all, below which it is heard too seldom for this: such a one
+/// is lost once membership misses all of them.
 const FEW: usize = 3;
 const SMALL_PART: usize = 8;
 
@@ -122,7 +127,8 @@
         self.silent.map(|s| s.at)
     }
 
-    /// Looks at it for a member of zone `here`; `all` members are known, and nothing before `baseline` says anything.
+    /// Looks at it for a member of zone `here`; `all` members are known, and nothing before
+    /// `baseline` says anything.
     pub fn look(
         &mut self,
         now: Micros,
@@ -163,7 +169,8 @@
             }
             ((true, _), None) if to <= DOUBT_TOLD => Some(Direction::FromThem),
             ((true, _), _) => Some(Direction::Both),
-            // Silence that is not yet loss may be the same cut, of which their word came a little later.
+            // Silence that is not yet loss may be the same cut, of which their word came a little
+            // later.
             ((false, true), _) if from <= DOUBT => Some(Direction::ToThem),
             ((false, true), _) => was,
             ((false, false), _) => None,
@@ -191,8 +198,8 @@
             }
         }
         if let Some(silent) = &mut self.silent {
-            // Members of other zones and servers there speak for its life, then discovery; where nobody can tell, it is
-            // cut off.
+            // Members of other zones and servers there speak for its incarnation, then discovery;
+            // where nobody can tell, it is cut off.
             let lives = silent.direction != Direction::Both
                 || heard.elsewhere(here, z.zone, silent.at)
                 || z.served.is_some_and(|at| at > silent.at);
--- a/crates/gossip/tests/connectivity.rs
+++ b/crates/gossip/tests/connectivity.rs
@@ -41,8 +41,8 @@
     (zones, connectivity.larger)
 }
 
-/// A cut is concluded within three probe periods by all, with its zones, way and sides; healed, all are whole again and
-/// know all, and nobody sends more for it than a bound.
+/// A cut is concluded within three probe periods by all, with its zones, way and sides; healed, all
+/// are whole again and know all, and nobody sends more for it than a bound.
 #[test]
 fn a_cut_is_concluded_within_three_probe_periods_and_heals_without_a_storm() {
     for (seed, lost) in [(1, 0.0), (2, 0.0), (3, 0.3)] {
@@ -163,7 +163,8 @@
     );
 }
 
-/// A member that nothing reaches is alone, and no other one is moved by that; back again, it is whole.
+/// A member that nothing reaches is alone, and no other one is moved by that; back again, it is
+/// whole.
 #[test]
 fn one_that_hears_nobody_is_alone_and_the_others_stay_whole() {
     let mut lan = Lan::settled(18, 6);
@@ -220,8 +221,8 @@
     assert!((3..18).all(|m| kinds(m).count() == 0), "{:?}", lan.notes);
 }
 
-/// A zone whose members ended is cut off while servers or discovery speak for its life, and has died once a fresh list
-/// names none of its endpoints as ready.
+/// A zone whose members ended is cut off while servers or discovery speak for its incarnation, and
+/// has died once a fresh list names none of its endpoints as ready.
 #[test]
 fn a_zone_that_died_is_told_from_one_that_is_cut_by_discovery() {
     let mut lan = Lan::settled(18, 8);
@@ -255,7 +256,8 @@
     }
 }
 
-/// Where a third of the fleet has no standing, or is of a version without it, the others find theirs all the same.
+/// Where a third of the fleet has no connectivity state, or is of a version without it, the others
+/// find theirs all the same.
 #[test]
 fn members_without_standing_are_heard_and_answer() {
     let mut lan = Lan::settled(60, 9);
@@ -279,7 +281,8 @@
     assert_eq!(wrong, 0);
 }
 
-/// What a member tells the steward of servers needs witnesses where it is bad, and lapses with its bound.
+/// What a member tells the coordinator of servers needs reporters where it is bad, and lapses with
+/// its bound.
 #[test]
 fn servers_are_well_where_somebody_was_served_and_sick_where_enough_were_not() {
     let mut lan = Lan::settled(18, 10);
--- a/crates/gossip/tests/connectivity_long.rs
+++ b/crates/gossip/tests/connectivity_long.rs
@@ -1,5 +1,5 @@
-//! Standing at sizes and over times that CI has no room for: a smaller part by default, all by environment variables
-//! (docs/gossip.md has the figures).
+//! Standing at sizes and over times that CI has no room for: a smaller part by default, all by
+//! environment variables (docs/gossip.md has the figures).
 
 mod lan;
 
@@ -16,8 +16,9 @@
         .unwrap_or(usually)
 }
 
-/// Nothing is cut, and three datagrams in ten are lost: fewer than one of 1,000 member-hours has a member that takes itself
-/// for cut or alone. FLEET_PIECES runs more pieces of FLEET_MINUTES each, of 60 members.
+/// Nothing is cut, and three datagrams in ten are lost: fewer than one of 1,000 member-hours has a
+/// member that takes itself for cut or alone. FLEET_PIECES runs more fragments of FLEET_MINUTES
+/// each, of 60 members.
 #[test]
 fn loss_alone_cuts_nobody() {
     let (pieces, minutes) = (asked("FLEET_PIECES", 1), asked("FLEET_MINUTES", 3));
@@ -54,8 +55,8 @@
     );
 }
 
-/// A zone is cut from a large fleet: all conclude it within three probe periods, and all are whole some time after it heals.
-/// FLEET_MEMBERS says how many.
+/// A zone is cut from a large fleet: all conclude it within three probe periods, and all are whole
+/// some time after it heals. FLEET_MEMBERS says how many.
 #[test]
 fn a_cut_of_a_large_fleet_is_concluded_as_soon() {
     let members = asked("FLEET_MEMBERS", 120);
--- a/crates/gossip/tests/ejections.rs
+++ b/crates/gossip/tests/ejections.rs
@@ -1,4 +1,5 @@
-//! What members conclude of endpoints from each other's word. Each test names the invariant that it attacks.
+//! What members conclude of endpoints from each other's word. Each test names the invariant that it
+//! attacks.
 
 mod lan;
 
@@ -9,7 +10,8 @@
 use load_balancer_gossip::observation_table::ObservedHealth;
 use std::collections::BTreeMap;
 
-/// Loss, repeats, delay and reordering change how soon, never what: all come to the same verdict, and it ends for all.
+/// Loss, repeats, delay and reordering change how soon, never what: all come to the same health
+/// status, and it ends for all.
 #[test]
 fn what_three_have_found_all_know_and_two_good_trials_end_it() {
     for seed in 1..6 {
@@ -76,7 +78,8 @@
     );
 }
 
-/// One member, whatever it says and however often, in its own name or in another's, makes nothing rest.
+/// One member, whatever it says and however often, in its own name or in another's, makes nothing
+/// rest.
 #[test]
 fn a_liar_makes_nothing_rest() {
     let mut lan = Lan::new(12, 3);
@@ -88,7 +91,8 @@
         lan.run(SECOND / 4);
         assert!((0..ENDPOINTS).all(|e| lan.ejected(e).is_empty()));
     }
-    // And one that errs is not believed about the one endpoint that others find sick: it is doubted in all.
+    // And one that errs is not believed about the one endpoint that others find sick: it is doubted
+    // in all.
     lan.sees([2, 5], 0, ObservedHealth::Unhealthy);
     lan.run(SECOND);
     assert_eq!(lan.ejected(0), NOBODY);
@@ -103,7 +107,8 @@
         lan.sees([0, 3, 6], endpoint, ObservedHealth::Unhealthy);
     }
     lan.run(2 * SECOND);
-    // Each of them spoke of some before it began to doubt itself; the zone's others doubt it of those too.
+    // Each of them spoke of some before it began to doubt itself; the zone's others doubt it of
+    // those too.
     let ejected: usize = (0..ENDPOINTS)
         .map(|e| lan.ejected(e).iter().filter(|m| **m % 3 != 0).count())
         .sum();
@@ -122,7 +127,8 @@
     lan.run(10 * SECOND);
     lan.cuts = vec![(0, 1), (1, 0)];
     for _ in 0..10 {
-        // Endpoint 3 stands in zone a: zone b loses it, zones a and c are served; one of c fails by chance.
+        // Endpoint 3 stands in zone a: zone b loses it, zones a and c are served; one of c fails by
+        // chance.
         lan.sees([1, 4, 7], 3, ObservedHealth::Unhealthy);
         lan.sees([2], 3, ObservedHealth::Unhealthy);
         lan.run(SECOND / 4);
@@ -165,7 +171,7 @@
     }
 }
 
-/// Evidence is of a process: its next one, under the same name and address, is another.
+/// Observations is of a process: its next one, under the same name and address, is another.
 #[test]
 fn a_new_process_under_the_same_name_starts_unjudged() {
     let mut lan = Lan::new(9, 8);
@@ -193,7 +199,7 @@
     assert_eq!(lan.ejected(4), [8]);
 }
 
-/// Only a part of the endpoints rests by others' word, however many are found sick.
+/// Only a part of the endpoints rests by other members' observations, however many are found sick.
 #[test]
 fn no_more_than_the_configured_part_rests() {
     let mut lan = Lan::new(18, 9);
--- a/crates/gossip/tests/fragments.rs
+++ b/crates/gossip/tests/fragments.rs
@@ -45,7 +45,7 @@
             (missed, given) = (missed + expected - all, given + expected);
         }
     }
-    // News spread by rumour reach all but a few: one in 500 with three in ten lost.
+    // News spread by update reach all but a few: one in 500 with three in ten lost.
     assert!(missed * 200 < given, "{missed} of {given}");
 }
 
@@ -105,8 +105,8 @@
     bytes
 }
 
-/// What is too much, too long, too old or of another kind is refused or dropped with its reason; a flood costs a
-/// bounded queue and none of the evidence.
+/// What is too much, too long, too old or of another kind is refused or dropped with its reason; a
+/// flood costs a bounded queue and none of the observations.
 #[test]
 fn limits_are_kept_and_counted() {
     let mut lan = Lan::new(6, 3);
--- a/crates/gossip/tests/lan/mod.rs
+++ b/crates/gossip/tests/lan/mod.rs
@@ -31,7 +31,7 @@
     /// Stopped until then.
     pub stopped: Vec<Micros>,
     pub ejections: Vec<BTreeMap<usize, EjectionUpdate>>,
-    /// What came out of carried pieces at each.
+    /// What came out of carried fragments at each.
     pub carried: Vec<Vec<CarriedFragment>>,
     pub now: Micros,
     pub mail: BinaryHeap<Mail>,
@@ -118,7 +118,8 @@
         lan
     }
 
-    /// The same, but all know all from the start: a large fleet that gets to know itself takes long to simulate.
+    /// The same, but all know all from the start: a large fleet that gets to know itself takes long
+    /// to simulate.
     pub fn acquainted(members: usize, seed: u64) -> Self {
         let mut lan = Self::new(members, seed);
         lan.connectivity = true;
@@ -147,7 +148,7 @@
         }
     }
 
-    /// What each member that runs takes its standing for.
+    /// What each member that runs takes its connectivity state for.
     pub fn connectivity_states(&self) -> Vec<ConnectivityState> {
         self.cores
             .iter()
@@ -298,7 +299,7 @@
         self.cores.iter().flatten().map(Core::members).collect()
     }
 
-    /// Evidence in another's name, or in the own one.
+    /// Observations in another's name, or in the own one.
     pub fn forge(&mut self, by: usize, origin: usize, endpoint: usize, sequence: u64) {
         let incarnation = u64::MAX / 2;
         let process = Process {
--- a/crates/gossip/tests/membership.rs
+++ b/crates/gossip/tests/membership.rs
@@ -1,4 +1,5 @@
-//! Who runs, who is listened to, and what is dropped. Each test names the invariant that it attacks.
+//! Who runs, who is listened to, and what is dropped. Each test names the invariant that it
+//! attacks.
 
 mod lan;
 
@@ -9,7 +10,8 @@
 use load_balancer_gossip::{SECOND, hash};
 use std::net::SocketAddr;
 
-/// All know all: from seeds alone, through losses; who ends is missed, who starts anew under its name is back at once.
+/// All know all: from seeds alone, through losses; who ends is missed, who starts anew under its
+/// name is back at once.
 #[test]
 fn members_find_each_other_miss_the_dead_and_take_back_the_restarted() {
     for seed in 1..4 {
@@ -79,7 +81,8 @@
     assert_eq!(lan.known(), [8; 9], "they are members again");
 }
 
-/// Strangers, other fleets and later forms are dropped with their reason; a later form that says it can be read is read.
+/// Strangers, other fleets and later forms are dropped with their reason; a later form that says it
+/// can be read is read.
 #[test]
 fn strangers_and_other_fleets_are_dropped_and_later_forms_read_as_far_as_they_can_be() {
     let mut lan = Lan::new(6, 10);
@@ -110,7 +113,7 @@
     assert_eq!(lan.dropped(0, Dropped::Cluster), 1);
     assert_eq!(lan.dropped(0, Dropped::TooLong), 1);
     assert_eq!(lan.dropped(0, Dropped::Malformed), 1);
-    // Three members of a later build, whose datagrams hold a piece that this one does not know.
+    // Three members of a later build, whose datagrams hold a fragment that this one does not know.
     let now = lan.now;
     for origin in 1..4 {
         let mut later = good.clone();
@@ -167,11 +170,12 @@
         lan.run(SECOND / 1000);
     }
     let bytes = sent(&lan) - before;
-    // 3 datagrams of 1,200 bytes ten times a second are the most that news cost, for these two seconds.
+    // 3 datagrams of 1,200 bytes ten times a second are the most that news cost, for these two
+    // seconds.
     assert!(bytes < 2 * 10 * 3 * 1200 + 20_000, "{bytes} bytes");
 }
 
-/// With verdicts off nothing is said and nothing rests.
+/// With ejections off nothing is said and nothing rests.
 #[test]
 fn with_verdicts_off_membership_is_all() {
     let mut lan = Lan::new(6, 12);
--- a/crates/gossip/tests/membership_table.rs
+++ b/crates/gossip/tests/membership_table.rs
@@ -1,4 +1,5 @@
-//! Who is known, how they left, and who of them is believed. Each test names the invariant that it attacks.
+//! Who is known, how they left, and who of them is believed. Each test names the invariant that it
+//! attacks.
 
 mod lan;
 
@@ -57,7 +58,8 @@
     );
 }
 
-/// Who fails again and again is quarantined: its word does not count, for longer each time, and it is still a member.
+/// Who fails again and again is quarantined: its word does not count, for longer each time, and it
+/// is still a member.
 #[test]
 fn one_that_flaps_is_quarantined() {
     let mut lan = Lan::settled(18, 12);
--- a/crates/leases/src/event.rs
+++ b/crates/leases/src/event.rs
@@ -2,27 +2,28 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Longest name of a duty, a process or a zone, in bytes.
+/// Longest name of a task, a process or a zone, in bytes.
 pub const LONGEST_NAME: usize = 64;
-/// Shortest and longest lease, in milliseconds. Below the shortest, elections of those who agree would end leases;
-/// beyond the longest, a duty would be left undone for an hour after a kill.
+/// Shortest and longest lease, in milliseconds. Below the shortest, elections of those who agree
+/// would end leases; beyond the longest, a task would be left undone for an hour after a kill.
 pub const LEASE_MS: (u64, u64) = (100, 3_600_000);
 
-/// Who wants a duty.
+/// Who wants a task.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Claimant {
-    /// Its name, one of a kind among those who want this duty.
+    /// Its name, one of a kind among those who want this task.
     pub name: String,
     /// Grows with each start of a process of that name, and is never reused.
     pub incarnation: u64,
     /// Its zone, for people.
     #[serde(default)]
     pub zone: String,
-    /// Who waits with a higher rank goes first; a process in the duty's home zone asks with a higher one.
+    /// Who waits with a higher rank goes first; a process in the task's home zone asks with a
+    /// higher one.
     #[serde(default)]
     pub rank: u32,
-    /// For how long the duty is its own after it was last heard, in milliseconds.
+    /// For how long the task is its own after it was last heard, in milliseconds.
     pub lease_ms: u64,
 }
 
@@ -30,62 +31,64 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Event {
-    /// Somebody wants the duty and waits for it; asked again it says that it is still there. From the holder it is a
-    /// renewal.
+    /// Somebody wants the task and waits for it; asked again it says that it is still there. From
+    /// the holder it is a renewal.
     Ask {
-        /// The duty's name.
+        /// The task's name.
         task: String,
         /// Who asks.
         by: Claimant,
     },
     /// The holder is still there.
     Renew {
-        /// The duty's name.
+        /// The task's name.
         task: String,
         /// The holder's name.
         name: String,
-        /// The token that it holds the duty by.
+        /// The token that it holds the task by.
         token: u64,
     },
-    /// The holder has stopped, and gives the duty back.
+    /// The holder has stopped, and gives the task back.
     Release {
-        /// The duty's name.
+        /// The task's name.
         task: String,
         /// The holder's name.
         name: String,
-        /// The token that it held the duty by.
+        /// The token that it held the task by.
         token: u64,
     },
-    /// The holder has stopped, and hands the duty to one who waits for it.
+    /// The holder has stopped, and hands the task to one who waits for it.
     Transfer {
-        /// The duty's name.
+        /// The task's name.
         task: String,
         /// The holder's name.
         name: String,
-        /// The token that it held the duty by.
+        /// The token that it held the task by.
         token: u64,
         /// Who is to have it.
         heir: String,
     },
-    /// Who waited wants the duty no more.
+    /// Who waited wants the task no more.
     Withdraw {
-        /// The duty's name.
+        /// The task's name.
         task: String,
         /// Who waited.
         name: String,
     },
-    /// The leader has not heard the holder for a whole lease. Counts only where it was not heard since.
+    /// The leader has not heard the holder for a whole lease. Counts only where it was not heard
+    /// since.
     Expire {
-        /// The duty's name.
+        /// The task's name.
         task: String,
         /// The token of the lease that ends.
         token: u64,
         /// How often it had been renewed.
         renewals: u64,
     },
-    /// The leader has not heard one who waits for a whole lease. Counts only where it was not heard since.
+    /// The leader has not heard one who waits for a whole lease. Counts only where it was not heard
+    /// since.
     Forget {
-        /// The duty's name.
+        /// The task's name.
         task: String,
         /// Who waited.
         name: String,
@@ -98,13 +101,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// The duty is the asker's, for `lease_ms` from the moment in which it *sent* what this answers.
+    /// The task is the asker's, for `lease_ms` from the moment in which it *sent* what this
+    /// answers.
     Granted {
         /// What its acts go with.
         token: u64,
         /// The lease, in milliseconds.
         lease_ms: u64,
-        /// Somebody of a higher rank waits: the duty should be handed over.
+        /// Somebody of a higher rank waits: the task should be handed over.
         wanted_by: Option<String>,
     },
     /// Somebody else holds it.
@@ -128,12 +132,12 @@
 pub enum Refusal {
     /// A key of it is wrong, and why.
     Invalid(String, String),
-    /// The duty is not the caller's, or no more under that token.
+    /// The task is not the caller's, or no more under that token.
     NotYours,
-    /// A later process of that name holds the duty or waits for it.
+    /// A later process of that name holds the task or waits for it.
     OldLife,
-    /// The heir does not wait for the duty.
+    /// The heir does not wait for the task.
     NotWaiting,
-    /// Too many duties, or too many wait for this one.
+    /// Too many tasks, or too many wait for this one.
     Full,
 }
--- a/crates/leases/src/fencing_gate.rs
+++ b/crates/leases/src/fencing_gate.rs
@@ -3,7 +3,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The highest token seen of each duty, at whatever is acted on. Where acts outlive the process, it is kept on disk.
+/// The highest token seen of each task, at whatever is acted on. Where acts outlive the process, it
+/// is kept on disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FencingGate {
     seen: BTreeMap<String, u64>,
@@ -14,7 +15,8 @@
 pub enum Pass {
     /// Its token was seen before.
     Known,
-    /// Its token is the highest so far: where the gate is kept on disk it must be there before the act is done.
+    /// Its token is the highest so far: where the gate is kept on disk it must be there before the
+    /// act is done.
     First,
 }
 
@@ -23,13 +25,13 @@
 pub enum Stale {
     /// A higher token was seen.
     Seen(u64),
-    /// The gate has as many duties as it was told to keep.
+    /// The gate has as many tasks as it was told to keep.
     Full,
 }
 
 impl FencingGate {
-    /// Whether an act on a duty with that token may be done; a higher token than seen is remembered. Keeps at most
-    /// `most` duties.
+    /// Whether an act on a task with that token may be done; a higher token than seen is
+    /// remembered. Keeps at most `most` tasks.
     ///
     /// # Errors
     /// It may not, with the reason.
@@ -50,7 +52,7 @@
         }
     }
 
-    /// The highest token seen of a duty.
+    /// The highest token seen of a task.
     pub fn seen(&self, task: &str) -> Option<u64> {
         self.seen.get(task).copied()
     }
--- a/crates/leases/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -3,7 +3,8 @@
 use crate::event::{Claimant, Event, Outcome, Refusal};
 use std::collections::VecDeque;
 
-/// Askings in a lease while they are answered, and while they are not: six in a row may be lost before the duty is.
+/// Askings in a lease while they are answered, and while they are not: six in a row may be lost
+/// before the task is.
 const ASKS: u64 = 4;
 const ASKS_AGAIN: u64 = 8;
 /// Askings whose answers are still waited for; older ones count as lost.
@@ -14,8 +15,8 @@
 pub struct LeaseTerms {
     /// By how much the rates of two processes' clocks may differ, in thousandths.
     pub rate_permille: u64,
-    /// A holder that was not run for that long, in milliseconds, has been stopped: it acts on nothing until it has
-    /// asked again.
+    /// A holder that was not run for that long, in milliseconds, has been stopped: it acts on
+    /// nothing until it has asked again.
     pub pause_ms: u64,
 }
 
@@ -37,7 +38,7 @@
     pub event: Event,
 }
 
-/// One process's side of one duty. Times are of the process's own monotonic clock, in milliseconds.
+/// One process's side of one task. Times are of the process's own monotonic clock, in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Holder {
     task: String,
@@ -57,7 +58,7 @@
 }
 
 impl Holder {
-    /// One that wants the duty.
+    /// One that wants the task.
     pub fn new(task: &str, by: Claimant, terms: LeaseTerms) -> Self {
         let (held, wanted_by, back, beat_ms) = (None, None, None, None);
         let (number, open, next_ms, wants) = (0, VecDeque::new(), 0, true);
@@ -76,7 +77,8 @@
         }
     }
 
-    /// Is to be called more often than each [`LeaseTerms::pause_ms`]; says what is to be sent now, if anything is.
+    /// Is to be called more often than each [`LeaseTerms::pause_ms`]; says what is to be sent now,
+    /// if anything is.
     pub fn tick(&mut self, now_ms: u64) -> Option<LeaseMessage> {
         self.notice_pause(now_ms);
         if self.held.is_some_and(|(_, end, _)| end <= now_ms) {
@@ -117,8 +119,8 @@
         })
     }
 
-    /// Takes the answer to the word of that number. One that comes late counts from when its word was sent; one to a
-    /// word of before a stop counts for nothing.
+    /// Takes the answer to the word of that number. One that comes late counts from when its word
+    /// was sent; one to a word of before a stop counts for nothing.
     pub fn receive(&mut self, now_ms: u64, number: u64, outcome: &Outcome) {
         self.notice_pause(now_ms);
         let Some(place) = self.open.iter().position(|(open, _)| *open == number) else {
@@ -142,7 +144,7 @@
                     self.wanted_by.clone_from(wanted_by);
                 }
             }
-            // The duty came to somebody who wants it no more.
+            // The task came to somebody who wants it no more.
             Outcome::Granted { token, .. } => self.back = self.back.take().or(Some((*token, None))),
             Outcome::Refused(Refusal::NotWaiting) => {
                 // The heir has gone meanwhile: whoever waits may have it.
@@ -162,7 +164,8 @@
         }
     }
 
-    /// The right to act at this moment. An act that takes long is to be ended before [`LeaseGrant::until_ms`].
+    /// The right to act at this moment. An act that takes long is to be ended before
+    /// [`LeaseGrant::until_ms`].
     pub fn may_act(&self, now_ms: u64) -> Option<LeaseGrant> {
         let (token, until_ms, fresh) = self.held?;
         let awake = self
@@ -176,13 +179,13 @@
         self.wanted_by.as_deref()
     }
 
-    /// Something was said of the duty's holder: ask at once.
+    /// Something was said of the task's holder: ask at once.
     pub fn hurry(&mut self, now_ms: u64) {
         self.next_ms = self.next_ms.min(now_ms);
     }
 
-    /// Stops acting at once and gives the duty back, to the heir if one is named who waits for it. It goes on to want
-    /// the duty if `wants`.
+    /// Stops acting at once and gives the task back, to the heir if one is named who waits for it.
+    /// It goes on to want the task if `wants`.
     pub fn release(&mut self, now_ms: u64, heir: Option<&str>, wants: bool) {
         self.wants = wants;
         if let Some((token, ..)) = self.held.take() {
--- a/crates/leases/src/holder_monitor.rs
+++ b/crates/leases/src/holder_monitor.rs
@@ -4,20 +4,21 @@
 use crate::machine::LeaseTable;
 use std::collections::BTreeMap;
 
-/// What a leader keeps in mind of when it saw whom, by its own monotonic clock. It is made at the start of each
-/// leadership and dropped at its end: nobody is held for gone who was not silent for a whole lease before this
-/// leader's own eyes.
+/// What a leader keeps in mind of when it saw whom, by its own monotonic clock. It is made at the
+/// start of each leadership and dropped at its end: nobody is held for gone who was not silent for
+/// a whole lease before this leader's own eyes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct HolderMonitor {
-    /// Holders by duty: token, renewals, since when those stand.
+    /// Holders by task: token, renewals, since when those stand.
     held: BTreeMap<String, (u64, u64, u64)>,
-    /// Those who wait, by duty and name: life, asks, since when those stand.
+    /// Those who wait, by task and name: life, asks, since when those stand.
     waiting: BTreeMap<(String, String), (u64, u64, u64)>,
 }
 
 impl HolderMonitor {
-    /// Events that the leader should propose, of which each says itself what it rests on: the order in which events are
-    /// agreed on decides whether it still holds. At most `most` of them, holders first.
+    /// Events that the leader should propose, of which each says itself what it rests on: the order
+    /// in which events are agreed on decides whether it still holds. At most `most` of them,
+    /// holders first.
     pub fn due(&mut self, now_ms: u64, tasks: &LeaseTable, most: usize) -> Vec<Event> {
         let mut due = Vec::new();
         self.held.retain(|name, _| {
--- a/crates/leases/src/machine.rs
+++ b/crates/leases/src/machine.rs
@@ -5,15 +5,15 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Most duties: one for each server group and each limit of a large fleet, and some to spare.
+/// Most tasks: one for each server group and each limit of a large fleet, and some to spare.
 pub const MAX_TASKS: usize = 4_096;
-/// Most who wait for one duty: a few in each zone.
+/// Most who wait for one task: a few in each zone.
 pub const MAX_WAITING: usize = 16;
 
-/// All duties. Serialized, it is the snapshot of them.
+/// All tasks. Serialized, it is the snapshot of them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseTable {
-    /// The last token that was given, of any duty.
+    /// The last token that was given, of any task.
     token: u64,
     /// The number of the last change of a holder.
     change: u64,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The duties, by name.
+    /// The tasks, by name.
     pub fn tasks(&self) -> &BTreeMap<String, Task> {
         &self.tasks
     }
@@ -128,7 +128,7 @@
         self.granted(name)
     }
 
-    /// Gives a duty back, to the heir if one is named.
+    /// Gives a task back, to the heir if one is named.
     fn release(&mut self, name: &str, holder: &str, token: u64, heir: Option<&str>) -> Outcome {
         let Some(task) = self
             .tasks
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Gives a duty that nobody holds to the first who waits.
+    /// Gives a task that nobody holds to the first who waits.
     fn fill(&mut self, name: &str) {
         let Some(task) = self.tasks.get_mut(name).filter(|task| task.held.is_none()) else {
             return;
@@ -194,7 +194,8 @@
         }
     }
 
-    /// Makes room where nobody holds a duty and nobody waits for it. The token is common to all, so nothing is lost.
+    /// Makes room where nobody holds a task and nobody waits for it. The token is common to all, so
+    /// nothing is lost.
     fn drop_idle(&mut self) -> bool {
         let before = self.tasks.len();
         self.tasks
--- a/crates/leases/src/model.rs
+++ b/crates/leases/src/model.rs
@@ -76,7 +76,8 @@
 }
 
 fn holder(who: usize, incarnation: u64) -> Holder {
-    // A stop ends a holder's right in the model only by its clock and the gate, so that these are what is tried.
+    // A stop ends a holder's right in the model only by its clock and the gate, so that these are
+    // what is tried.
     Holder::new(
         DUTY,
         claimant(who, incarnation),
@@ -203,7 +204,7 @@
                 moment.lives[who] += 1;
                 moment.holders[who] = holder(who, moment.lives[who]);
                 moment.stopped[who] = false;
-                // The answers of the last life find nobody.
+                // The answers of the last incarnation find nobody.
                 moment.answers.retain(|(to, ..)| *to != who);
             }
             Move::GiveBack(who) => moment.holders[who].release(before.clock(who), None, true),
--- a/crates/leases/src/model/scope.rs
+++ b/crates/leases/src/model/scope.rs
@@ -16,9 +16,9 @@
 /// What may happen.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Scope {
-    /// It begins with the duty held by the first, while the second waits.
+    /// It begins with the task held by the first, while the second waits.
     pub(super) held: bool,
-    /// The first has heard that it holds the duty.
+    /// The first has heard that it holds the task.
     pub(super) receive: bool,
     /// A word, answer or act arrives at most once.
     pub(super) once: bool,
--- a/crates/leases/src/task.rs
+++ b/crates/leases/src/task.rs
@@ -3,7 +3,7 @@
 use crate::event::Claimant;
 use serde::{Deserialize, Serialize};
 
-/// One duty.
+/// One task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Task {
     /// Who has it.
@@ -17,7 +17,7 @@
 /// A lease that is given.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HeldLease {
-    /// Who holds the duty.
+    /// Who holds the task.
     pub by: Claimant,
     /// The token: no other grant has it, later ones have higher ones.
     pub token: u64,
--- a/crates/leases/tests/histories.rs
+++ b/crates/leases/tests/histories.rs
@@ -5,7 +5,8 @@
 
 use world::{LEASE_MS, World};
 
-/// One history: troubles for 20 leases, then none but losses for six, after which every duty has a holder.
+/// One history: troubles for 20 leases, then none but losses for six, after which every task has a
+/// holder.
 fn history(seed: u64, check: bool) -> Result<World, String> {
     let mut world = World::new(seed, check);
     world.play(20 * LEASE_MS, 15)?;
--- a/crates/leases/tests/world/faults.rs
+++ b/crates/leases/tests/world/faults.rs
@@ -39,7 +39,8 @@
         p.holders = holders(&p.name, p.incarnation, tasks);
     }
 
-    /// Kills who holds the duty, if anybody does; the time until somebody may act on it, in milliseconds.
+    /// Kills who holds the task, if anybody does; the time until somebody may act on it, in
+    /// milliseconds.
     ///
     /// # Errors
     /// A rule is broken.
--- a/crates/leases/tests/world/mod.rs
+++ b/crates/leases/tests/world/mod.rs
@@ -70,10 +70,11 @@
     wire: BTreeMap<(u64, u64), Wire>,
     sent: u64,
     gates: Vec<FencingGate>,
-    /// By duty: the highest token that something was done by, and whose it was.
+    /// By task: the highest token that something was done by, and whose it was.
     done: Vec<(u64, (usize, u64))>,
     check: bool,
-    /// Whether one word in twenty comes up to two leases late. Late words of a dead holder are words of the holder.
+    /// Whether one word in twenty comes up to two leases late. Late words of a dead holder are
+    /// words of the holder.
     pub late: bool,
     pub seen: Seen,
 }
@@ -142,7 +143,8 @@
     fn send(&mut self, wire: impl Fn() -> Wire, acts: bool) {
         let copies = [0, 1, 1, 1, 1, 1, 1, 1, 1, 2][self.rng.usize(0..10)];
         for _ in 0..copies {
-            // An act is as late as a process that is stopped between its look at the right and the act.
+            // An act is as late as a process that is stopped between its look at the right and the
+            // act.
             let most = if acts || self.late && self.rng.u8(0..20) == 0 {
                 2 * LEASE_MS
             } else {
@@ -279,7 +281,7 @@
         }
     }
 
-    /// Who may act on a duty, of all that run.
+    /// Who may act on a task, of all that run.
     pub fn holders_of(&self, task: usize) -> Vec<usize> {
         let may = |who: &usize| {
             self.processes[*who].holders[task]
--- a/crates/maintenance/src/action.rs
+++ b/crates/maintenance/src/action.rs
@@ -4,13 +4,14 @@
 
 use crate::event::Step;
 
-/// Something to do now, derived from the state alone: a successor derives the same, so each is repeated until its
-/// [`Event::Acted`](crate::Event::Acted) is agreed on.
+/// Something to do now, derived from the state alone: a successor derives the same, so each is
+/// repeated until its [`Event::Acted`](crate::Event::Acted) is agreed on.
 ///
-/// The thing acted on keeps the highest token it has seen of each server and refuses a lower one with
-/// [`Answer::Refused`](crate::Answer::Refused). The way out (drain, take) has one token, the way back (return,
-/// call-back) a higher one, so a late word of the way out undoes no way back. A step that is done already is answered
-/// with `Done`; a call-back of a server that was taken with `Taken`, its token kept all the same.
+/// The thing acted on keeps the highest token it has seen of each server and refuses a lower one
+/// with [`Answer::Refused`](crate::Answer::Refused). The way out (drain, take) has one token, the
+/// way back (return, cancellation) a higher one, so a late word of the way out undoes no way back.
+/// A step that is done already is answered with `Done`; a cancellation of a server that was taken
+/// with `Taken`, its token kept all the same.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Action {
     /// The window's number.
@@ -23,8 +24,8 @@
     pub token: u64,
 }
 
-/// A drained server of which somebody must say that it is clear ([`Event::Clear`](crate::Event::Clear)) before it is
-/// taken.
+/// A drained server of which somebody must say that it is clear
+/// ([`Event::Clear`](crate::Event::Clear)) before it is taken.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Unclear {
     /// The window's number.
--- a/crates/maintenance/src/action_results.rs
+++ b/crates/maintenance/src/action_results.rs
@@ -4,8 +4,8 @@
 use crate::machine::Machine;
 use crate::window::State;
 
-/// How far the tokens may be set forward at once by a token that was seen elsewhere: more is a wild answer, and must
-/// not use the numbers up.
+/// How far the tokens may be set forward at once by a token that was seen elsewhere: more is a wild
+/// answer, and must not use the numbers up.
 const MOST_SKIPPED: u64 = 1 << 32;
 
 impl Machine {
@@ -66,7 +66,8 @@
         Outcome::Taken
     }
 
-    /// Takes the answer to an act. One that belongs to another token or step than the seat's own changes nothing.
+    /// Takes the answer to an act. One that belongs to another token or step than the seat's own
+    /// changes nothing.
     pub(crate) fn record_result(
         &mut self,
         window: u64,
@@ -108,7 +109,8 @@
             }
             (Step::Return, Answer::Done { started }) => {
                 slot.returned_ms = Some(at_ms);
-                // The platform knows whether the process is a new one; it can't be older than the one that went.
+                // The platform knows whether the process is a new one; it can't be older than the
+                // one that went.
                 let before = slot.least_start.saturating_sub(1);
                 slot.least_start = started.map_or(slot.least_start, |started| started.max(before));
             }
@@ -118,8 +120,9 @@
         Outcome::Taken
     }
 
-    /// Somebody with a higher token has acted on the server. The seat goes on under one above that; but a clear of
-    /// before says nothing of what the other did, so a server that was to be taken is given back first.
+    /// Somebody with a higher token has acted on the server. The seat goes on under one above that;
+    /// but a clear of before says nothing of what the other did, so a server that was to be taken
+    /// is given back first.
     fn overtaken(&mut self, window: u64, index: usize, step: Step, seen: u64) -> Outcome {
         if seen > self.token.saturating_add(MOST_SKIPPED) {
             return Outcome::Ignored;
--- a/crates/maintenance/src/admission.rs
+++ b/crates/maintenance/src/admission.rs
@@ -38,7 +38,8 @@
             || spans.get(after).is_some_and(|span| span.from_ms < until_ms)
     }
 
-    /// Whether a known blackout begins before a seat's time is over that no blackout may touch, or is on.
+    /// Whether a known blackout begins before a seat's time is over that no blackout may touch, or
+    /// is on.
     pub(crate) fn meets_blackout(
         &self,
         budget: &DisruptionBudget,
@@ -56,8 +57,8 @@
             .is_some_and(|span| span.from_ms < until_ms)
     }
 
-    /// Whether the limits that a server counts under hold; all of them where the list does not name it any more, as
-    /// lists may drop what drains.
+    /// Whether the limits that a server counts under hold; all of them where the list does not name
+    /// it any more, as lists may drop what drains.
     pub(crate) fn holds_for(&self, ledger: &Ledger<'_>, server: &str) -> bool {
         let Some(known) = self.servers.get(server) else {
             return ledger.holds();
@@ -66,8 +67,8 @@
         !ledger.crowded() && !ledger.broken().any(|number| touched.contains(&number))
     }
 
-    /// Gives each grant whose time has come and that the capacity of this moment bears. Each is debited before the
-    /// next is looked at, and before anybody may act on it.
+    /// Gives each grant whose time has come and that the capacity of this moment bears. Each is
+    /// debited before the next is looked at, and before anybody may act on it.
     pub(crate) fn admit(&mut self, budget: &DisruptionBudget) {
         let mut ready: Vec<(std::cmp::Reverse<i64>, i64, u64, Vec<usize>)> = Vec::new();
         for window in self.windows.values().filter(|w| !w.cancelled) {
@@ -153,8 +154,8 @@
         self.changed = true;
     }
 
-    /// Whether evidence says that a seat's server is back: seen serving and warm after its way back was confirmed,
-    /// under a start of that return.
+    /// Whether observations say that a seat's server is back: seen serving and warm after its way
+    /// back was confirmed, under a start of that return.
     pub(crate) fn is_back(&self, budget: &DisruptionBudget, slot: &ServerSlot) -> bool {
         let (Some(known), Some(returned_ms)) = (self.servers.get(&slot.server), slot.returned_ms)
         else {
@@ -168,7 +169,8 @@
                 .is_some_and(|s| s.seen_ms >= returned_ms && s.started >= slot.least_start)
     }
 
-    /// Puts a seat on its way back, under a token of its own, so that a late word of the way out is refused.
+    /// Puts a seat on its way back, under a token of its own, so that a late word of the way out is
+    /// refused.
     pub(crate) fn send_back(&mut self, id: u64, index: usize, state: State, reason: &str) {
         self.token += 1;
         let token = self.token;
--- a/crates/maintenance/src/advance.rs
+++ b/crates/maintenance/src/advance.rs
@@ -10,7 +10,8 @@
 const MOST_CLOSED: usize = 256;
 
 impl Machine {
-    /// Credits what is back, ends what is over, calls back what must not go on, plans anew what waits, and grants.
+    /// Credits what is back, ends what is over, cancels what must not go on, plans anew what waits,
+    /// and grants.
     pub(crate) fn advance(&mut self) {
         let Some(budget) = self.budget.clone() else {
             return;
@@ -27,7 +28,7 @@
         self.forget();
     }
 
-    /// Closes seats whose server is back, and books again those that were called back.
+    /// Closes seats whose server is back, and books again those that were cancelled.
     fn settle(&mut self, budget: &DisruptionBudget) {
         let mut back: Vec<(u64, usize)> = Vec::new();
         for window in self.windows.values() {
@@ -58,8 +59,8 @@
         }
     }
 
-    /// Whether a late server has not been listed for the time of a repair: nothing of it counts any more, and should
-    /// it come back, then only by fresh evidence.
+    /// Whether a late server has not been listed for the time of a repair: nothing of it counts any
+    /// more, and should it come back, then only by fresh observations.
     fn is_lost(&self, budget: &DisruptionBudget, window: &Window, slot: &ServerSlot) -> bool {
         let end = slot
             .start_ms
@@ -69,7 +70,8 @@
         slot.late && slot.unlisted_ms.is_some_and(given_up)
     }
 
-    /// What has run out: the time of windows, of the wait for a clear, of a request that found no place.
+    /// What has run out: the time of windows, of the wait for a clear, of a request that found no
+    /// place.
     fn time(&mut self, budget: &DisruptionBudget) {
         let at_ms = self.at_ms;
         let (mut returns, mut calls) = (Vec::new(), Vec::new());
--- a/crates/maintenance/src/booking.rs
+++ b/crates/maintenance/src/booking.rs
@@ -15,7 +15,8 @@
 pub(crate) const MAX_SLOTS: usize = 4_096;
 
 impl Machine {
-    /// Answers a request. It is accepted only with a plan in which no window that had a time loses it.
+    /// Answers a request. It is accepted only with a plan in which no window that had a time loses
+    /// it.
     pub(crate) fn ask(&mut self, request: Request) -> Outcome {
         let Some(budget) = self.budget.clone() else {
             return Outcome::Refused(Refusal::NoAgreement);
@@ -118,7 +119,8 @@
         }
     }
 
-    /// Finds a plan with a new window in it: all planned anew, or else the new one around the times that were given.
+    /// Finds a plan with a new window in it: all planned anew, or else the new one around the times
+    /// that were given.
     fn fit(&mut self, budget: &DisruptionBudget, id: u64) -> Result<(), Outcome> {
         let ledger = self.ledger(budget, self.at_ms);
         let base = self.timeline(budget, &ledger);
--- a/crates/maintenance/src/calendar.rs
+++ b/crates/maintenance/src/calendar.rs
@@ -24,7 +24,8 @@
     pub every: Every,
 }
 
-/// How a blackout comes again: on the same day and time of the clock, or the month's last day where it lacks that day.
+/// How a blackout comes again: on the same day and time of the clock, or the month's last day where
+/// it lacks that day.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Every {
@@ -87,8 +88,8 @@
         Ok(())
     }
 
-    /// Its times that touch the given one. A time of the clock that a change of summer time skips or repeats is taken
-    /// as jiff's "compatible" rule takes it.
+    /// Its times that touch the given one. A time of the clock that a change of summer time skips
+    /// or repeats is taken as jiff's "compatible" rule takes it.
     pub(crate) fn spans(&self, within: Span) -> Vec<Span> {
         let Ok(zone) = TimeZone::get(&self.time_zone) else {
             return vec![within];
--- a/crates/maintenance/src/cancellation.rs
+++ b/crates/maintenance/src/cancellation.rs
@@ -6,10 +6,11 @@
 use crate::window::State;
 
 impl Machine {
-    /// Calls back what drains and was not taken, one after another, until the limits would hold with what was called
-    /// back: lowest class first; of those a server that drains before one that is clear; then the latest grant. Of a
-    /// window that can't be split all go with the first. Whose return would help no broken limit, as it is known
-    /// to be dead or counts under none, stays as it is; one that is not heard of is called, and not counted on.
+    /// Calls back what drains and was not taken, one after another, until the limits would hold
+    /// with what was called back: lowest class first; of those a server that drains before one that
+    /// is clear; then the latest grant. Of a window that can't be split all go with the first.
+    /// Whose return would help no broken limit, as it is known to be dead or counts under none,
+    /// stays as it is; one that is not heard of is called, and not counted on.
     pub(crate) fn cancel_for_capacity(&mut self, budget: &DisruptionBudget) {
         let meets = |(id, index): &(u64, usize)| {
             let window = self.windows.get(id);
--- a/crates/maintenance/src/capacity.rs
+++ b/crates/maintenance/src/capacity.rs
@@ -51,10 +51,10 @@
     Granted,
     /// A grant is open for it, and it is over its time.
     Late,
-    /// Evidence says that it doesn't serve.
+    /// Observations says that it doesn't serve.
     #[serde(rename = "sick")]
     Unhealthy,
-    /// There is no evidence, or it is too old, or of too few members.
+    /// There is no observation, or it is too old, or of too few members.
     Unheard,
     /// It serves and was not yet seen warm.
     Cold,
--- a/crates/maintenance/src/disruption_budget.rs
+++ b/crates/maintenance/src/disruption_budget.rs
@@ -7,22 +7,26 @@
 use crate::calendar::Blackout;
 use crate::invalid::Invalid;
 
-/// Most blackouts, zones and groups that one agreement may name, so that a calendar and a plan stay small.
+/// Most blackouts, zones and groups that one agreement may name, so that a calendar and a plan stay
+/// small.
 pub const MAX_RULES: usize = 64;
 
 /// What the operators have agreed on. Capacity is counted in the servers' weights.
 ///
-/// A server counts as there if fresh evidence says that it serves and is warm, and no grant is open for it. What is
-/// there never falls below `keep`, `keep_zone` and `keep_group` by an act of the machine.
+/// A server counts as there if fresh observations say that it serves and is warm, and no grant is
+/// open for it. What is there never falls below `keep`, `keep_zone` and `keep_group` by an act of
+/// the machine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DisruptionBudget {
     /// Least weight that must stay of all servers together.
     pub keep: u64,
-    /// Least weight that must stay in a zone, by its name. A zone that is not named has no limit of its own.
+    /// Least weight that must stay in a zone, by its name. A zone that is not named has no limit of
+    /// its own.
     #[serde(default)]
     pub keep_zone: BTreeMap<String, u64>,
-    /// Least weight that must stay in a group, by its name. A group that is not named has no limit of its own.
+    /// Least weight that must stay in a group, by its name. A group that is not named has no limit
+    /// of its own.
     #[serde(default)]
     pub keep_group: BTreeMap<String, u64>,
     /// Most servers away at once, by grant, dead or unheard of.
@@ -39,18 +43,19 @@
     /// Most requests open at once; a further one is refused.
     #[serde(default = "most_open")]
     pub most_open: u32,
-    /// Age from which evidence has no effect, in milliseconds.
+    /// Age from which observations have no effect, in milliseconds.
     #[serde(default = "evidence_bound_ms")]
     pub evidence_bound_ms: i64,
-    /// Longest wait for the clear of a draining server, in milliseconds; then it is called back and booked anew.
+    /// Longest wait for the clear of a draining server, in milliseconds; then it is cancelled and
+    /// booked anew.
     #[serde(default = "clear_most_ms")]
     pub clear_most_ms: i64,
-    /// How long a plan supposes that a dead or late server stays away, in milliseconds. Plans only: grants ask the
-    /// evidence.
+    /// How long a plan supposes that a dead or late server stays away, in milliseconds. Plans only:
+    /// grants ask the observations.
     #[serde(default = "repair_ms")]
     pub repair_ms: i64,
-    /// A request gains one step of priority for each such time that it has waited, in milliseconds, so that none
-    /// starves.
+    /// A request gains one step of priority for each such time that it has waited, in milliseconds,
+    /// so that none starves.
     #[serde(default = "patience_ms")]
     pub patience_ms: i64,
 }
@@ -70,7 +75,7 @@
     5_000
 }
 
-/// A binding's life of some minutes, and as much again for a member that was stopped.
+/// An affinity entry's life of some minutes, and as much again for a member that was stopped.
 fn clear_most_ms() -> i64 {
     600_000
 }
--- a/crates/maintenance/src/due.rs
+++ b/crates/maintenance/src/due.rs
@@ -7,9 +7,10 @@
 use crate::window::State;
 
 impl Machine {
-    /// What the leader is to do now, ways back first, then by window and server. `now_ms` is its own clock: a drain or
-    /// take is named only while evidence of that moment holds the agreement and no blackout is on, so a leader that
-    /// was deposed unknowing, or stopped, does neither for longer than evidence lives.
+    /// What the leader is to do now, ways back first, then by window and server. `now_ms` is its
+    /// own clock: a drain or take is named only while observations of that moment holds the
+    /// agreement and no blackout is on, so a leader that was deposed unknowing, or stopped, does
+    /// neither for longer than observations lives.
     pub fn due(&self, now_ms: i64) -> Vec<Action> {
         let Some(budget) = &self.budget else {
             return Vec::new();
@@ -67,9 +68,9 @@
             .collect()
     }
 
-    /// When the leader should propose [`Event::Tick`](crate::Event::Tick) at the latest, in milliseconds of Unix time;
-    /// none if nothing waits for time to pass. Acts that are due are no reason to wake: they are repeated by whoever
-    /// performs them.
+    /// When the leader should propose [`Event::Tick`](crate::Event::Tick) at the latest, in
+    /// milliseconds of Unix time; none if nothing waits for time to pass. Acts that are due are no
+    /// reason to wake: they are repeated by whoever performs them.
     pub fn next_wake(&self, now_ms: i64) -> Option<i64> {
         let budget = self.budget.as_ref()?;
         let now_ms = now_ms.max(self.at_ms);
@@ -103,7 +104,8 @@
             }
         }
         if open {
-            // The next blackout, and the moments at which evidence runs out, call back what drains.
+            // The next blackout, and the moments at which observations runs out, cancel what
+            // drains.
             moments.extend(
                 self.calendar
                     .spans
--- a/crates/maintenance/src/event.rs
+++ b/crates/maintenance/src/event.rs
@@ -13,7 +13,8 @@
 pub enum Event {
     /// Somebody asks for a window.
     Ask(Request),
-    /// The asker takes a window back: what waits is closed, what drains is called back, what is away runs to its end.
+    /// The asker takes a window back: what waits is closed, what drains is cancelled, what is away
+    /// runs to its end.
     Cancel {
         /// The window's number.
         window: u64,
@@ -23,13 +24,15 @@
     /// What the fleet knows of servers; of those not named the last word stays, and ages.
     #[serde(rename = "evidence")]
     Observations(Vec<ServerObservation>),
-    /// No replica picks by a binding to this server any more, and none will before it has started anew.
+    /// No replica picks by an affinity entry to this server any more, and none will before it has
+    /// started anew.
     Clear {
         /// The window's number.
         window: u64,
         /// The server's name.
         server: String,
-        /// The token of the drain that the clear answers, so that an earlier drain's clear is not taken for it.
+        /// The token of the drain that the clear answers, so that an earlier drain's clear is not
+        /// taken for it.
         epoch: u64,
     },
     /// The work on a server that is away is finished before the window's end; it may return.
@@ -54,19 +57,21 @@
     },
     /// Time passed.
     Tick,
-    /// A new agreement takes the place of the last. Blackouts count once a [`Event::Calendar`] gives their times;
-    /// until then everything is blacked out.
+    /// A new agreement takes the place of the last. Blackouts count once a [`Event::Calendar`]
+    /// gives their times; until then everything is blacked out.
     #[serde(rename = "agreement")]
     DisruptionBudget(DisruptionBudget),
-    /// The agreement's blackouts as times, worked out by the leader (see [`Machine::calendar_due`]): replicas with
-    /// another time zone database decide the same.
+    /// The agreement's blackouts as times, worked out by the leader (see
+    /// [`Machine::calendar_due`]): replicas with another time zone database decide the same.
     ///
     /// [`Machine::calendar_due`]: crate::Machine::calendar_due
     Calendar {
-        /// The agreement that they belong to, counted from the first one: for another one they say nothing.
+        /// The agreement that they belong to, counted from the first one: for another one they say
+        /// nothing.
         #[serde(rename = "agreement")]
         budget: u64,
-        /// The time to which the spans are known, in milliseconds of Unix time. What lies beyond is blacked out.
+        /// The time to which the spans are known, in milliseconds of Unix time. What lies beyond is
+        /// blacked out.
         until_ms: i64,
         /// The blackouts' times, in order.
         spans: Vec<Span>,
@@ -144,7 +149,7 @@
         /// The start of the process that a return brought up, where the platform tells it.
         started: Option<u64>,
     },
-    /// A call-back came too late: the server was taken already.
+    /// A cancellation came too late: the server was taken already.
     Taken,
     /// The token is lower than one seen.
     Refused {
@@ -170,7 +175,8 @@
     Infeasible {
         /// The limit that stands against it, in words.
         reason: String,
-        /// The earliest start that would be feasible if the latest end were later, in milliseconds of Unix time.
+        /// The earliest start that would be feasible if the latest end were later, in milliseconds
+        /// of Unix time.
         earliest_ms: Option<i64>,
         /// The end of its last wave with overrun then, in milliseconds of Unix time.
         end_ms: Option<i64>,
--- a/crates/maintenance/src/known_server.rs
+++ b/crates/maintenance/src/known_server.rs
@@ -33,7 +33,7 @@
         })
     }
 
-    /// Why it does not count as there by evidence; none if it does.
+    /// Why it does not count as there by observations; none if it does.
     pub(crate) fn missing(&self, now_ms: i64, bound_ms: i64) -> Option<DebitReason> {
         match self.fresh(now_ms, bound_ms) {
             None => Some(DebitReason::Unheard),
--- a/crates/maintenance/src/ledger.rs
+++ b/crates/maintenance/src/ledger.rs
@@ -8,7 +8,8 @@
 use crate::machine::Machine;
 use crate::window::ServerSlot;
 
-/// The limits in weights, each under a number: all servers together first, then zones and groups that have one.
+/// The limits in weights, each under a number: all servers together first, then zones and groups
+/// that have one.
 pub(crate) struct Shape<'a> {
     pub(crate) keep: Vec<u64>,
     names: Vec<String>,
@@ -141,7 +142,7 @@
             .collect()
     }
 
-    /// Capacity at `now_ms`, from evidence of that age and the grants that are open.
+    /// Capacity at `now_ms`, from observations of that age and the grants that are open.
     pub(crate) fn ledger<'a>(&'a self, budget: &'a DisruptionBudget, now_ms: i64) -> Ledger<'a> {
         let shape = Shape::new(budget);
         let zero = vec![0u64; shape.keep.len()];
--- a/crates/maintenance/src/machine.rs
+++ b/crates/maintenance/src/machine.rs
@@ -12,7 +12,8 @@
 use crate::request::MAX_HORIZON_MS;
 use crate::window::Window;
 
-/// The windows, what is known of the servers, and the last token. Serialized, it is the snapshot of all that.
+/// The windows, what is known of the servers, and the last token. Serialized, it is the snapshot of
+/// all that.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Machine {
     /// Time of the last event; never goes back.
@@ -31,7 +32,7 @@
     pub(crate) windows: BTreeMap<u64, Window>,
     /// The token of each zone's last grant.
     pub(crate) turns: BTreeMap<String, u64>,
-    /// Listed servers that evidence did not hold for there after the last event.
+    /// Listed servers that observations did not hold for there after the last event.
     pub(crate) down: BTreeSet<String>,
     /// Whether something happened since the last plan that may change it.
     pub(crate) changed: bool,
@@ -52,9 +53,10 @@
         Machine::default()
     }
 
-    /// Takes the next agreed event. `at_ms` is its proposer's clock, in milliseconds of Unix time; one that lies
-    /// before the last event's counts as that. If it lies before it by more than evidence lives, one of the two
-    /// clocks was wrong, and no evidence is believed before time goes on.
+    /// Takes the next agreed event. `at_ms` is its proposer's clock, in milliseconds of Unix time;
+    /// one that lies before the last event's counts as that. If it lies before it by more than
+    /// observations lives, one of the two clocks was wrong, and no observations are believed before
+    /// time goes on.
     pub fn apply(&mut self, at_ms: i64, event: Event) -> Outcome {
         let bound_ms = self
             .budget
@@ -169,9 +171,11 @@
     }
 }
 
-/// How far a new calendar reaches beyond the farthest request, in milliseconds: one is proposed each 30 days.
+/// How far a new calendar reaches beyond the farthest request, in milliseconds: one is proposed
+/// each 30 days.
 const RENEW_MS: i64 = 30 * 86_400_000;
 /// The last moment that an event may have, in milliseconds of Unix time: the end of the year 9999.
 const LAST_MS: i64 = 253_402_300_799_999;
-/// Most times in a calendar: each blackout of an agreement once a month, in the time that a calendar reaches.
+/// Most times in a calendar: each blackout of an agreement once a month, in the time that a
+/// calendar reaches.
 const MAX_SPANS: usize = 16 * MAX_RULES;
--- a/crates/maintenance/src/model.rs
+++ b/crates/maintenance/src/model.rs
@@ -15,7 +15,7 @@
 };
 
 const NAMES: [&str; 2] = ["s0", "s1"];
-/// Time that one passing takes, in milliseconds; evidence lives two of them, a window four.
+/// Time that one passing takes, in milliseconds; observations lives two of them, a window four.
 const STEP_MS: i64 = 1_000;
 
 struct Maintenance {
@@ -51,10 +51,10 @@
     Send,
     /// A word of the soup arrives; its answer is agreed on, or lost.
     Deliver(usize, Step, u64, u64, bool),
-    /// Time passes, with evidence or without.
+    /// Time passes, with observations or without.
     Pass(bool),
     Die(usize),
-    /// No binding points to the server any more.
+    /// No affinity entry points to the server any more.
     Clear(usize),
     Finish(usize),
 }
--- a/crates/maintenance/src/model/explore.rs
+++ b/crates/maintenance/src/model/explore.rs
@@ -5,7 +5,8 @@
 use super::Maintenance;
 use crate::planted_faults::PlantedFault;
 
-/// Actions in a row that each run explores: one window comes and goes in ten, and the next is granted in the eleventh.
+/// Actions in a row that each run explores: one window comes and goes in ten, and the next is
+/// granted in the eleventh.
 const DEPTH: usize = 13;
 
 /// The properties that were seen broken to that depth, and how many states there are.
--- a/crates/maintenance/src/order.rs
+++ b/crates/maintenance/src/order.rs
@@ -14,9 +14,9 @@
         i64::from(window.request.priority).saturating_add(waited / budget.patience_ms.max(1))
     }
 
-    /// Indexes of the pieces in the order of that number, the same for all replicas. Class goes before all; within
-    /// one, order 0 gives zones their turns, 1 to 4 take the longest, heaviest, largest and most urgent first, later
-    /// ones are shuffled.
+    /// Indexes of the fragments in the order of that number, the same for all replicas. Class goes
+    /// before all; within one, order 0 gives zones their turns, 1 to 4 take the longest, heaviest,
+    /// largest and most urgent first, later ones are shuffled.
     pub(crate) fn order(
         &self,
         budget: &DisruptionBudget,
@@ -52,7 +52,7 @@
         order.into_iter().map(|(_, _, _, index)| index).collect()
     }
 
-    /// Indexes of the pieces in the order of the times that they have, those without one last.
+    /// Indexes of the fragments in the order of the times that they have, those without one last.
     pub(crate) fn kept_order(&self, pieces: &[Piece]) -> Vec<usize> {
         let start = |piece: &Piece| {
             let window = self.windows.get(&piece.window)?;
@@ -67,7 +67,8 @@
         order
     }
 
-    /// Each piece's turn: zones in rounds, the one whose last grant is oldest first; within a zone as they were asked.
+    /// Each fragment's turn: zones in rounds, the one whose last grant is oldest first; within a
+    /// zone as they were asked.
     fn turns(&self, pieces: &[Piece]) -> Vec<usize> {
         let mut zones: BTreeMap<&str, Vec<usize>> = BTreeMap::new();
         for (index, piece) in pieces.iter().enumerate() {
--- a/crates/maintenance/src/plan.rs
+++ b/crates/maintenance/src/plan.rs
@@ -11,12 +11,13 @@
 use crate::timeline::{Block, Load, Piece, Timeline};
 use crate::window::{ServerSlot, Window};
 
-/// Placements that one plan may try in all its orders together; keeps a plan of a thousand pieces under a second.
+/// Placements that one plan may try in all its orders together; keeps a plan of a thousand
+/// fragments under a second.
 const MOST_PLACEMENTS: usize = 8_192;
 /// Most orders that one plan tries, which small plans reach.
 const MOST_ORDERS: usize = 32;
 
-/// Times of the pieces, in the order of the pieces.
+/// Times of the fragments, in the order of the fragments.
 pub(crate) type Times = Vec<Option<i64>>;
 
 /// What a plan is judged by, the least being best; see [`Machine::best`].
@@ -81,7 +82,8 @@
         timeline
     }
 
-    /// The pieces of a window that wait: its waves' single servers, or all together if it can't be split.
+    /// The fragments of a window that wait: its waves' single servers, or all together if it can't
+    /// be split.
     pub(crate) fn pieces(
         &self,
         budget: &DisruptionBudget,
@@ -136,9 +138,10 @@
             .collect()
     }
 
-    /// The best of several orders: most pieces placed, those of the highest class first; then fewest that lose the time
-    /// they had; then all ended soonest, then each zone, then each piece. The last order is that of the times they
-    /// have: none ends later by it unless something else has changed, so a plan that is made anew loses no window.
+    /// The best of several orders: most fragments placed, those of the highest class first; then
+    /// fewest that lose the time they had; then all ended soonest, then each zone, then each
+    /// fragment. The last order is that of the times they have: none ends later by it unless
+    /// something else has changed, so a plan that is made anew loses no window.
     pub(crate) fn best(
         &self,
         base: &Timeline<'_>,
@@ -211,7 +214,7 @@
         )
     }
 
-    /// Words for what stands against a piece.
+    /// Words for what stands against a fragment.
     pub(crate) fn against(&self, ledger: &Ledger<'_>, block: Block, piece: &Piece) -> String {
         match block {
             Block::Count => "too many servers would be away at once (most_away)".into(),
--- a/crates/maintenance/src/request.rs
+++ b/crates/maintenance/src/request.rs
@@ -37,7 +37,8 @@
     pub split: bool,
 }
 
-/// The servers that a request is for. Groups and zones are resolved once, when the request is accepted.
+/// The servers that a request is for. Groups and zones are resolved once, when the request is
+/// accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Target {
--- a/crates/maintenance/src/servers.rs
+++ b/crates/maintenance/src/servers.rs
@@ -12,8 +12,8 @@
 pub const MAX_SERVERS: usize = 4_096;
 
 impl Machine {
-    /// Takes a new list. Of a server that it names again the evidence stays; one that left is forgotten, and has to
-    /// be heard of anew before it counts.
+    /// Takes a new list. Of a server that it names again the observations stays; one that left is
+    /// forgotten, and has to be heard of anew before it counts.
     pub(crate) fn list(&mut self, list: Vec<Server>) -> Outcome {
         if list.len() > MAX_SERVERS {
             return Outcome::Refused(Refusal::Full(format!(
@@ -71,7 +71,8 @@
         Outcome::Taken
     }
 
-    /// Takes words of the fleet. A word that was seen before the one that is kept, or by too few, changes nothing.
+    /// Takes words of the fleet. A word that was seen before the one that is kept, or by too few,
+    /// changes nothing.
     pub(crate) fn observe(&mut self, observations: Vec<ServerObservation>) -> Outcome {
         for observation in observations {
             let Some(known) = self.servers.get_mut(&observation.server) else {
--- a/crates/maintenance/src/timeline.rs
+++ b/crates/maintenance/src/timeline.rs
@@ -26,8 +26,8 @@
         }
     }
 
-    /// The first limit that this and a further load together pass, also one that the further load has no part in:
-    /// while any limit is broken, nothing more goes away.
+    /// The first limit that this and a further load together pass, also one that the further load
+    /// has no part in: while any limit is broken, nothing more goes away.
     fn passes(&self, further: &Load, most: &Load) -> Option<Block> {
         if self.away + further.away > most.away {
             return Some(Block::Count);
@@ -139,7 +139,7 @@
         self.busy.entry(server.into()).or_default().push(span);
     }
 
-    /// Puts a piece at a start.
+    /// Puts a fragment at a start.
     pub(crate) fn put(&mut self, piece: &Piece, start_ms: i64) {
         let end_ms = start_ms.saturating_add(piece.span_ms);
         let change = self.down_until_ms.clamp(start_ms, end_ms);
@@ -168,7 +168,7 @@
         }
     }
 
-    /// What stands against a piece at a start, and the first moment at which that may be over.
+    /// What stands against a fragment at a start, and the first moment at which that may be over.
     fn against(&self, piece: &Piece, start_ms: i64) -> Option<(Block, Option<i64>)> {
         if !piece.listed {
             return Some((Block::Unlisted, None));
@@ -217,7 +217,7 @@
         found
     }
 
-    /// The earliest start from the piece's lower bound on, at most `upper_ms`.
+    /// The earliest start from the fragment's lower bound on, at most `upper_ms`.
     ///
     /// # Errors
     ///
@@ -231,7 +231,8 @@
                 Some((block, next)) => {
                     first = first.or(Some(block));
                     match next {
-                        // Each step goes on to a later end of something, of which there are only so many.
+                        // Each step goes on to a later end of something, of which there are only so
+                        // many.
                         Some(next) if next > start_ms => start_ms = next,
                         _ => break,
                     }
--- a/crates/maintenance/src/view.rs
+++ b/crates/maintenance/src/view.rs
@@ -40,9 +40,9 @@
     pub end_ms: Option<i64>,
     /// The token of its acts; 0 before the first grant.
     pub token: u64,
-    /// How often it was called back.
+    /// How often it was cancelled.
     pub called_back: u32,
-    /// Why it was called back or closed before its work; empty if neither.
+    /// Why it was cancelled or closed before its work; empty if neither.
     pub reason: String,
 }
 
--- a/crates/maintenance/src/window.rs
+++ b/crates/maintenance/src/window.rs
@@ -27,23 +27,25 @@
     pub server: String,
     /// Where it is.
     pub state: State,
-    /// Planned start of the drain while it waits, real start once it was granted, in milliseconds of Unix time.
+    /// Planned start of the drain while it waits, real start once it was granted, in milliseconds
+    /// of Unix time.
     pub start_ms: Option<i64>,
     /// The token of its acts; 0 before the first grant.
     pub token: u64,
     /// Whether its drain was confirmed.
     pub drained: bool,
-    /// Whether the return or call-back was confirmed, and when, in milliseconds of Unix time.
+    /// Whether the return or cancellation was confirmed, and when, in milliseconds of Unix time.
     pub returned_ms: Option<i64>,
-    /// The least start that evidence of its return must show.
+    /// The least start that observations of its return must show.
     pub least_start: u64,
     /// Whether it is over its length and overrun.
     pub late: bool,
-    /// Since when the list does not name its server, in milliseconds of Unix time; none while it does.
+    /// Since when the list does not name its server, in milliseconds of Unix time; none while it
+    /// does.
     pub unlisted_ms: Option<i64>,
-    /// How often it was called back.
+    /// How often it was cancelled.
     pub called_back: u32,
-    /// Why it was called back or closed before its work, in words; empty if neither.
+    /// Why it was cancelled or closed before its work, in words; empty if neither.
     pub reason: String,
 }
 
@@ -57,7 +59,7 @@
     Booked,
     /// Granted: debited, and given no new work.
     Draining,
-    /// No replica picks by a binding to it; it may be taken.
+    /// No replica picks by an affinity entry to it; it may be taken.
     Clear,
     /// Taken.
     Away,
@@ -70,7 +72,7 @@
 }
 
 impl State {
-    /// Whether a grant is open: the server is debited whatever evidence says.
+    /// Whether a grant is open: the server is debited whatever observations say.
     pub fn is_admitted(self) -> bool {
         matches!(
             self,
--- a/crates/maintenance/tests/play/mod.rs
+++ b/crates/maintenance/tests/play/mod.rs
@@ -18,7 +18,8 @@
     Event(Event),
 }
 
-/// How far leaders' clocks are apart, in milliseconds: evidence may be older by that than it seems.
+/// How far leaders' clocks are apart, in milliseconds: observations may be older by that than it
+/// seems.
 pub const SKEW_MS: i64 = 300;
 
 pub struct Play {
@@ -238,7 +239,8 @@
         }
     }
 
-    /// No server that serves drains on while all together are below the floor even with what was called back.
+    /// No server that serves drains on while all together are below the floor even with what was
+    /// cancelled.
     pub fn audit_call_back(&self) {
         let Some(capacity) = self.machine.capacity(0) else {
             return;
--- a/crates/maintenance/tests/play/moves.rs
+++ b/crates/maintenance/tests/play/moves.rs
@@ -100,8 +100,8 @@
         match self.rng.u8(0..12) {
             10 => self.agree_anew(),
             11 => {
-                // A list that names nobody, or all but one; the next one is whole, and comes before a server that is
-                // not listed would be given up.
+                // A list that names nobody, or all but one; the next one is whole, and comes before
+                // a server that is not listed would be given up.
                 if !self.world.unlisted.is_empty() {
                     return;
                 }
@@ -124,7 +124,8 @@
                 self.apply(Event::Cancel { window });
             }
             5 => {
-                // Another leader, from a snapshot; the one of before goes on acting by what it knew.
+                // Another leader, from a snapshot; the one of before goes on acting by what it
+                // knew.
                 let text = serde_json::to_string(&self.machine).unwrap();
                 let successor: Machine = serde_json::from_str(&text).unwrap();
                 assert!(successor == self.machine, "a snapshot lost something");
@@ -217,7 +218,7 @@
             self.apply(Event::Observations(observations));
         }
         for (name, real) in &self.world.servers {
-            // Every member's bindings have run out a while after the drain.
+            // Every member's affinity entries have run out a while after the drain.
             if real.drained && !real.taken && self.world.now - real.drained_at > 2_000 {
                 self.world.cleared.push(real.drain_token);
                 let windows = self.machine.windows();
--- a/crates/maintenance/tests/promises.rs
+++ b/crates/maintenance/tests/promises.rs
@@ -5,7 +5,8 @@
 use load_balancer_maintenance::{Event, Machine, Outcome, Request, State, Target};
 use world::{World, budget};
 
-/// Requests far ahead that all fit only just; a plan that is made anew for no cause must not lose any of them.
+/// Requests far ahead that all fit only just; a plan that is made anew for no cause must not lose
+/// any of them.
 fn lost(seed: u64) -> usize {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut world = World {
--- a/crates/maintenance/tests/rules.rs
+++ b/crates/maintenance/tests/rules.rs
@@ -27,7 +27,8 @@
         ["s0", "s1"].map(|name| stage.slot(name).state),
         [State::Draining; 2]
     );
-    // While the floor is not seen to hold, nothing further is drained or taken; only ways back are due.
+    // While the floor is not seen to hold, nothing further is drained or taken; only ways back are
+    // due.
     stage.clear("s0");
     let due: Vec<Step> = stage
         .machine
@@ -64,7 +65,7 @@
     stage.pass(60_000);
     assert_eq!(stage.slot("s0").state, State::Returning);
     stage.act(&[]);
-    // What was seen under the start of before is no evidence of the return.
+    // What was seen under the start of before is no observation of the return.
     let mut observation = stage.world.observation("s0", 0);
     observation.started -= 1;
     stage.apply(Event::Observations(vec![observation]));
--- a/crates/maintenance/tests/solver.rs
+++ b/crates/maintenance/tests/solver.rs
@@ -28,7 +28,8 @@
     names: Vec<String>,
 }
 
-/// Real time of the work on a server: from the length on to all of the overrun in one of five, below it else.
+/// Real time of the work on a server: from the length on to all of the overrun in one of five,
+/// below it else.
 fn real(rng: &mut fastrand::Rng, length_ms: i64, overrun_ms: i64) -> i64 {
     match rng.u8(0..5) {
         0 => length_ms + rng.i64(0..=overrun_ms),
@@ -133,8 +134,9 @@
         (0..1 << self.names.len()).map(bears).collect()
     }
 
-    /// The least total time: every order of jobs, each placed at its earliest, branches cut that can't be better.
-    /// Some such order is optimal for the end of all (Kolisch, 1996: serial generation yields active schedules).
+    /// The least total time: every order of jobs, each placed at its earliest, branches cut that
+    /// can't be better. Some such order is optimal for the end of all (Kolisch, 1996: serial
+    /// generation yields active schedules).
     fn best(&self) -> i64 {
         let mut bound = i64::MAX;
         let mut left: Vec<usize> = (0..self.jobs.len()).collect();
@@ -267,7 +269,8 @@
             // What is due is done at once, and what follows from it.
             loop {
                 let mut acts = machine.due(world.now);
-                // A return that is asked for at the length's end takes hold only when the work is done.
+                // A return that is asked for at the length's end takes hold only when the work is
+                // done.
                 acts.retain(|act| {
                     act.step != Step::Return || self.done(&machine, &act.server, world.now)
                 });
--- a/crates/maintenance/tests/world/mod.rs
+++ b/crates/maintenance/tests/world/mod.rs
@@ -19,7 +19,8 @@
     pub alive: bool,
     pub drained: bool,
     pub taken: bool,
-    /// Since when it is what evidence would not call well and warm; none while it is well and warm.
+    /// Since when it is what observations would not call well and warm; none while it is well and
+    /// warm.
     pub bad_since: Option<i64>,
     pub warm_at: i64,
     /// Highest token that the thing acted on has seen of it.
@@ -37,7 +38,8 @@
 pub struct World {
     pub now: i64,
     pub servers: BTreeMap<String, Real>,
-    /// Servers that the last list did not name: the dead among them are nobody's, as far as servers are counted.
+    /// Servers that the last list did not name: the dead among them are nobody's, as far as servers
+    /// are counted.
     pub unlisted: Vec<String>,
     /// Tokens of drains whose clear was given.
     pub cleared: Vec<u64>,
@@ -189,8 +191,8 @@
         }
     }
 
-    /// Whether every limit holds with the given servers away by grant, counting as away what has been bad for
-    /// `bound_ms`.
+    /// Whether every limit holds with the given servers away by grant, counting as away what has
+    /// been bad for `bound_ms`.
     pub fn holds(&self, budget: &DisruptionBudget, is_admitted: &[String], bound_ms: i64) -> bool {
         let there = |name: &String, real: &Real| {
             !is_admitted.contains(name)
--- a/crates/record_store/src/disk.rs
+++ b/crates/record_store/src/disk.rs
@@ -1,7 +1,7 @@
 //! A disk in memory that fails as disks do, for tests of what is built on record stores.
 //!
-//! What is written is in the cache; a sync makes it durable. A crash keeps, of what was not synced, any part in
-//! units of a sector, in any order: lost, whole or torn.
+//! What is written is in the cache; a sync makes it durable. A crash keeps, of what was not synced,
+//! any part in units of a sector, in any order: lost, whole or torn.
 
 use std::io::{Error, ErrorKind};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
@@ -82,9 +82,10 @@
         }
     }
 
-    /// Power off and on: `keep` is asked for every sector that was not synced, whether it got to the disk. The file's
-    /// length is that of the cache or the old one, as `keep` says too. A new disk with what is left comes back, so
-    /// that whoever still holds the old handle can change nothing; that one takes no more writes.
+    /// Power off and on: `keep` is asked for every sector that was not synced, whether it got to
+    /// the disk. The file's length is that of the cache or the old one, as `keep` says too. A new
+    /// disk with what is left comes back, so that whoever still holds the old handle can change
+    /// nothing; that one takes no more writes.
     #[must_use]
     pub fn crash(&self, mut keep: impl FnMut() -> bool) -> Self {
         let mut inner = self.inner();
--- a/crates/record_store/src/file.rs
+++ b/crates/record_store/src/file.rs
@@ -5,7 +5,8 @@
 use std::fs::{self, File};
 use std::path::{Path, PathBuf};
 
-/// Most files that are set aside beside each other: a disk that breaks everything must not be filled with it.
+/// Most files that are quarantined beside each other: a disk that breaks everything must not be
+/// filled with it.
 const MAX_QUARANTINED: u32 = 100;
 
 /// A file that was not believed.
@@ -22,15 +23,17 @@
 pub struct Opened {
     /// The store; a new one where there was none, or none to believe.
     pub store: Store,
-    /// What was there and was set aside.
+    /// What was there and was quarantined.
     pub quarantined: Option<Quarantined>,
 }
 
-/// Opens `file` for `owner`, in a directory that is made where it is missing. A file that cannot be believed goes
-/// aside as `FILE.quarantined-N`, with the first N that is free, and a new one takes its place.
+/// Opens `file` for `owner`, in a directory that is made where it is missing. A file that cannot be
+/// believed goes aside as `FILE.quarantined-N`, with the first N that is free, and a new one takes
+/// its place.
 ///
 /// # Errors
-/// The directory or the file cannot be used, another process has the file open, or too much was set aside already.
+/// The directory or the file cannot be used, another process has the file open, or too much was
+/// quarantined already.
 pub fn open(file: &Path, owner: &str) -> Result<Opened, StoreError> {
     let said = |what: StoreError| StoreError(format!("{}: {what}", file.display()));
     let directory = file
@@ -62,11 +65,11 @@
     }
 }
 
-/// Sets aside the store in `file`, which nobody may have open: it lies as `FILE.quarantined-N` then, with the first N that is
-/// free, and where that is comes back.
+/// Sets aside the store in `file`, which nobody may have open: it lies as `FILE.quarantined-N`
+/// then, with the first N that is free, and where that is comes back.
 ///
 /// # Errors
-/// It cannot be renamed, or too much was set aside already.
+/// It cannot be renamed, or too much was quarantined already.
 pub fn quarantine(file: &Path) -> Result<PathBuf, StoreError> {
     let said = |what: &dyn std::fmt::Display| StoreError(format!("{}: {what}", file.display()));
     let name = |n: u32| {
--- a/crates/record_store/src/lib.rs
+++ b/crates/record_store/src/lib.rs
@@ -1,9 +1,9 @@
 //! Checked records on disk, in tables that are committed together, and numbers that are never
 //! reused.
 //!
-//! Every record carries a format version, its owner's name and a checksum over all of it and its place. All are
-//! checked when a store is opened: a store of which one record fails is set aside whole under another name, never
-//! deleted and never half used.
+//! Every record carries a format version, its owner's name and a checksum over all of it and its
+//! place. All are checked when a store is opened: a store of which one record fails is quarantined
+//! whole under another name, never deleted and never half used.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/record_store/src/numbers.rs
+++ b/crates/record_store/src/numbers.rs
@@ -6,7 +6,8 @@
 /// The room of reserved numbers.
 const COLLECTION: &str = "number";
 
-/// One row of numbers of a store, from 1 upwards; a restart skips the rest of the range that was reserved.
+/// One row of numbers of a store, from 1 upwards; a restart skips the rest of the range that was
+/// reserved.
 #[derive(Debug)]
 pub struct ReservedNumbers {
     row: u64,
@@ -17,8 +18,8 @@
 }
 
 impl ReservedNumbers {
-    /// The row with this number, reserving `range` at a time (at least 1): a larger one writes less often and
-    /// skips more at a restart.
+    /// The row with this number, reserving `range` at a time (at least 1): a larger one writes less
+    /// often and skips more at a restart.
     ///
     /// # Errors
     /// The disk cannot be read.
--- a/crates/record_store/src/record.rs
+++ b/crates/record_store/src/record.rs
@@ -3,8 +3,8 @@
 use std::fmt;
 use xxhash_rust::xxh3::Xxh3;
 
-/// The version of the format that is written. Older ones that can be read will be read beside it; newer ones are
-/// refused, as nobody knows what they mean.
+/// The version of the format that is written. Older ones that can be read will be read beside it;
+/// newer ones are refused, as nobody knows what they mean.
 pub const FORMAT: u16 = 1;
 /// Longest name of an owner, in bytes: its length is one byte of the record.
 pub const LONGEST_OWNER: usize = 255;
--- a/crates/record_store/src/store.rs
+++ b/crates/record_store/src/store.rs
@@ -12,11 +12,12 @@
 const RECORDS: TableDefinition<(&str, u64), &[u8]> = TableDefinition::new("records");
 /// The room whose only record says whose store it is: one without any other record is checked too.
 const OWNER: &str = ".owner";
-/// Memory for pages, in bytes: callers keep what they use themselves, records are read at the start alone.
+/// Memory for pages, in bytes: callers keep what they use themselves, records are read at the start
+/// alone.
 const CACHE: usize = 1 << 20;
 
-/// The disk did not do what was asked. What was to be committed may or may not be kept: the caller must not go on
-/// as if it knew.
+/// The disk did not do what was asked. What was to be committed may or may not be kept: the caller
+/// must not go on as if it knew.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreError(pub String);
 
@@ -92,8 +93,9 @@
     /// Opens what a backend holds, or begins in an empty one, for `owner`.
     ///
     /// # Errors
-    /// [`OpenError::Corruption`] where a page, a record or the owner's name is not as written; [`OpenError::StoreError`] where
-    /// the backend fails or the owner's name is longer than [`LONGEST_OWNER`] bytes.
+    /// [`OpenError::Corruption`] where a page, a record or the owner's name is not as written;
+    /// [`OpenError::StoreError`] where the backend fails or the owner's name is longer than
+    /// [`LONGEST_OWNER`] bytes.
     pub fn on(backend: impl redb::StorageBackend, owner: &str) -> Result<Self, OpenError> {
         Self::checked(builder().create_with_backend(backend)?, owner)
     }
--- a/crates/record_store/tests/faults.rs
+++ b/crates/record_store/tests/faults.rs
@@ -1,7 +1,7 @@
 //! What a failing disk does to a store, and what the store may make of it.
 //!
-//! The invariant: a commit that returned is whole after any crash; one that did not return is whole or absent; what
-//! was changed by anybody else is never believed.
+//! The invariant: a commit that returned is whole after any crash; one that did not return is whole
+//! or absent; what was changed by anybody else is never believed.
 
 use load_balancer_record_store::disk::Disk;
 use load_balancer_record_store::{Change, Corruption, OpenError, ReservedNumbers, Store};
--- a/crates/snapshot/src/bin/snapshot-inspect.rs
+++ b/crates/snapshot/src/bin/snapshot-inspect.rs
@@ -10,7 +10,8 @@
 use std::process::ExitCode;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Looks at the state directory of a sidecar that runs, or at a copy of one, and changes nothing there.
+/// Looks at the state directory of a sidecar that runs, or at a copy of one, and changes nothing
+/// there.
 #[derive(Parser)]
 #[command(name = "snapshot-inspect", after_help = cli::EXIT_CODES)]
 struct Call {
@@ -90,7 +91,7 @@
     })
 }
 
-/// Files that were set aside there.
+/// Files that were quarantined there.
 fn quarantined(dir: &Path) -> Vec<String> {
     let entries = std::fs::read_dir(dir).into_iter().flatten().flatten();
     let names = entries.filter_map(|entry| entry.file_name().into_string().ok());
--- a/crates/snapshot/src/previous_encoding.rs
+++ b/crates/snapshot/src/previous_encoding.rs
@@ -1,5 +1,5 @@
-//! The form before the one that is written, as far as it was another, and what becomes of it. Changes when the form
-//! does: this one then goes.
+//! The form before the one that is written, as far as it was another, and what becomes of it.
+//! Changes when the form does: this one then goes.
 
 use crate::Micros;
 use crate::snapshot;
--- a/crates/snapshot/src/reader.rs
+++ b/crates/snapshot/src/reader.rs
@@ -11,7 +11,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// A file that is being written may be copied half old, half new: it is copied so often in all, so long apart.
+/// A file that is being written may be copied half old, half new: it is copied so often in all, so
+/// long apart.
 const COPIES: usize = 10;
 const APART: Duration = Duration::from_millis(20);
 
