--- a/crates/snapshot/src/section.rs
+++ b/crates/snapshot/src/section.rs
@@ -20,7 +20,7 @@
     /// The age from which the list is not believed.
     #[serde(alias = "list_bound")]
     pub list_max_staleness: Time,
-    /// The age from which verdicts and pace are not believed.
+    /// The age from which ejections and pace are not believed.
     #[serde(alias = "verdicts_bound")]
     pub health_max_staleness: Time,
     /// How long a start waits for the disk.
@@ -32,10 +32,11 @@
     fn default() -> Self {
         Self {
             dir: None,
-            // Half of the longest aim: a server that died has cost a request or two by then.
+            // Half of the longest latency objective: a server that died has cost a request or two
+            // by then.
             interval: Time::ms(500),
-            // An image, a reboot and the checks of a file system lie in it; servers that were replaced meanwhile
-            // refuse the connection, and discovery's first answer names them.
+            // An image, a reboot and the checks of a file system lie in it; servers that were
+            // replaced meanwhile refuse the connection, and discovery's first answer names them.
             list_max_staleness: Time::ms(600_000),
             // Four times as long as a circuit stays open at the most (8 s and a quarter).
             health_max_staleness: Time::ms(60_000),
--- a/crates/snapshot/src/snapshot.rs
+++ b/crates/snapshot/src/snapshot.rs
@@ -82,16 +82,16 @@
 pub struct Snapshot {
     /// The list as last told.
     pub list: Option<List>,
-    /// Verdicts and pace.
+    /// Ejections and pace.
     pub processes: Option<Processes>,
-    /// The product configuration that the last life ran with, as it would be written.
+    /// The product configuration that the last incarnation ran with, as it would be written.
     pub configuration: Option<String>,
-    /// The last life.
+    /// The last incarnation.
     pub incarnation_record: Option<IncarnationRecord>,
 }
 
-/// What is to be kept anew; nothing leaves what is kept as it is. A later one takes the place of an earlier one,
-/// part by part, so that what waits for a slow disk does not grow.
+/// What is to be kept anew; nothing leaves what is kept as it is. A later one takes the place of an
+/// earlier one, part by part, so that what waits for a slow disk does not grow.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Changes {
     /// See [`Snapshot`].
--- a/crates/snapshot/src/snapshot_store.rs
+++ b/crates/snapshot/src/snapshot_store.rs
@@ -11,7 +11,7 @@
 /// Where the highest incarnation that was ever given lies among the numbers.
 const INCARNATION: &str = "incarnation";
 
-/// Something that was set aside.
+/// Something that was quarantined.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QuarantinedFile {
     /// Where it lies now.
@@ -25,21 +25,22 @@
 pub struct Found {
     /// What was kept and is plausible.
     pub known: Snapshot,
-    /// This life's incarnation: the clock's time in microseconds, or one more than any that was given before where
-    /// that is higher. It is on the disk.
+    /// This life's incarnation: the clock's time in microseconds, or one more than any that was
+    /// given before where that is higher. It is on the disk.
     pub incarnation: u64,
-    /// What was set aside.
+    /// What was quarantined.
     pub quarantined: Vec<QuarantinedFile>,
 }
 
-/// The stores of one owner, in a life that has begun.
+/// The stores of one owner, in an incarnation that has begun.
 #[derive(Debug)]
 pub struct SnapshotStore {
     store: Store,
 }
 
 impl SnapshotStore {
-    /// Begins a life at this time: reads what is kept, sets aside what cannot be, and reserves its incarnation.
+    /// Begins an incarnation at this time: reads what is kept, quarantines what cannot be, and
+    /// reserves its incarnation.
     ///
     /// # Errors
     /// The disk does not do what is asked; what it has kept stays.
@@ -80,7 +81,8 @@
         ))
     }
 
-    /// Keeps changes, all or none; how many bytes of payload they were. They are on the disk when this returns.
+    /// Keeps changes, all or none; how many bytes of payload they were. They are on the disk when
+    /// this returns.
     ///
     /// # Errors
     /// The disk does not take them. Whether they are kept is not known then: begin anew.
--- a/crates/snapshot/src/validation.rs
+++ b/crates/snapshot/src/validation.rs
@@ -3,12 +3,13 @@
 use crate::Micros;
 use crate::snapshot::{List, Process, Processes, Snapshot};
 
-/// How far ahead of the clock a time may lie: what a clock that is set by the network may be put back, 5 s.
+/// How far ahead of the clock a time may lie: what a clock that is set by the network may be put
+/// back, 5 s.
 pub const SKEW: Micros = 5_000_000;
 /// Most endpoints of a list: ten times what the platform has.
 const MOST_ENDPOINTS: usize = 10_000;
-/// Part of the listed endpoints whose circuits may have been open: where more were, it was likely this sidecar that
-/// was cut off, and all would be tried one by one after its return.
+/// Part of the listed endpoints whose circuits may have been open: where more were, it was likely
+/// this sidecar that was cut off, and all would be tried one by one after its return.
 const MOST_OPEN: f64 = 0.5;
 
 /// The ages from which things are not believed.
@@ -16,7 +17,7 @@
 pub struct Bounds {
     /// The list's.
     pub list: Micros,
-    /// That of verdicts and pace.
+    /// That of ejections and pace.
     pub processes: Micros,
 }
 
@@ -25,7 +26,7 @@
 pub struct ValidSnapshot {
     /// The list.
     pub list: Option<List>,
-    /// Verdicts and pace.
+    /// Ejections and pace.
     pub processes: Vec<Process>,
     /// What there was and was not believed, with the reason.
     pub left_out: Vec<String>,
--- a/crates/snapshot/src/write_queue.rs
+++ b/crates/snapshot/src/write_queue.rs
@@ -20,7 +20,7 @@
     pub coalesced: u64,
     /// Times that the disk did not do what was asked.
     pub failures: u64,
-    /// Files set aside.
+    /// Files quarantined.
     pub quarantined: u64,
     /// It does not now.
     pub failing: bool,
@@ -93,8 +93,8 @@
         self.came.notify_one();
     }
 
-    /// Waits for changes, and where the disk failed until it is to be tried again; whether they are the last. Nothing
-    /// where the last cannot be written.
+    /// Waits for changes, and where the disk failed until it is to be tried again; whether they are
+    /// the last. Nothing where the last cannot be written.
     pub(crate) fn next(&self, not_before: Option<Instant>) -> Option<(Changes, bool)> {
         let mut pending = self.pending();
         loop {
@@ -136,7 +136,7 @@
         }
     }
 
-    /// What there is to say to the people on call, taken away with that.
+    /// What there is to say to the on-call engineers, taken away with that.
     pub(crate) fn lines(&self) -> Vec<String> {
         std::mem::take(&mut self.lines.lock().unwrap_or_else(PoisonError::into_inner))
     }
--- a/crates/snapshot/src/writer.rs
+++ b/crates/snapshot/src/writer.rs
@@ -21,13 +21,14 @@
     Without,
 }
 
-/// A handle to the writer's thread, which ends with the process, or once the last was handed over and written.
+/// A handle to the writer's thread, which ends with the process, or once the last was handed over
+/// and written.
 #[derive(Clone)]
 pub struct Writer(Arc<WriteQueue>);
 
 impl Writer {
-    /// Starts the thread, which takes the place and begins a life there, and waits for that for so long at the most.
-    /// Where it cannot write, it tries again after `again`.
+    /// Starts the thread, which takes the place and begins an incarnation there, and waits for that
+    /// for so long at the most. Where it cannot write, it tries again after `again`.
     pub fn start<P: StateStorage + 'static>(
         take: impl Fn() -> Result<P, DirectoryError> + Send + 'static,
         owner: String,
@@ -65,12 +66,14 @@
         (Self(queue), begun)
     }
 
-    /// Hands over changes; what still waits is replaced by them, part by part. Never waits for the disk.
+    /// Hands over changes; what still waits is replaced by them, part by part. Never waits for the
+    /// disk.
     pub fn commit(&self, changes: Changes) {
         self.0.enqueue(changes, false);
     }
 
-    /// Hands over the last ones: the thread writes them, lets go of the files and ends. Never waits for that.
+    /// Hands over the last ones: the thread writes them, lets go of the files and ends. Never waits
+    /// for that.
     pub fn commit_last(&self, changes: Changes) {
         self.0.enqueue(changes, true);
     }
@@ -80,7 +83,7 @@
         self.0.counts()
     }
 
-    /// What there is to say to the people on call, taken away with that.
+    /// What there is to say to the on-call engineers, taken away with that.
     pub fn lines(&self) -> Vec<String> {
         self.0.lines()
     }
--- a/crates/snapshot/tests/crashes.rs
+++ b/crates/snapshot/tests/crashes.rs
@@ -1,14 +1,14 @@
 //! What a loss of power does to the stored state.
 //!
-//! The invariants: what was kept is found whole or in one of the states that were under way; no incarnation is given
-//! twice, whatever the clock does; a start always goes on.
+//! The invariants: what was kept is found whole or in one of the states that were under way; no
+//! incarnation is given twice, whatever the clock does; a start always goes on.
 
 mod common;
 use common::*;
 use load_balancer_snapshot::*;
 
-/// Lives in a row, each of which loses power at any write: also of a start, where nothing was kept yet. `lives` in
-/// all; how many began.
+/// Lives in a row, each of which loses power at any write: also of a start, where nothing was kept
+/// yet. `lives` in all; how many began.
 fn histories(seed: u64, lives: u32) -> u32 {
     let mut random = fastrand::Rng::with_seed(seed);
     let (mut now, mut last, mut begun) = (NOW, 0, 0);
@@ -39,7 +39,8 @@
             };
             let none = found.known == empty;
             let known = kept.iter().chain(&tried).any(is);
-            // Where power was lost before anything was kept, or the clock was put back, there may be nothing.
+            // Where power was lost before anything was kept, or the clock was put back, there may
+            // be nothing.
             let future = kept
                 .iter()
                 .chain(&tried)
--- a/crates/snapshot/tests/faults.rs
+++ b/crates/snapshot/tests/faults.rs
@@ -87,7 +87,7 @@
     assert!(old.list.is_some() && old.processes.is_empty() && old.left_out.len() == 1);
     let older = at(BOUNDS.list);
     assert!(older.list.is_none() && older.processes.is_empty() && older.left_out.len() == 2);
-    // Where most doors were closed, it was this one that stood outside.
+    // Where most listeners were closed, it was this one that stood outside.
     let mut cut = good();
     cut.processes
         .as_mut()
@@ -112,7 +112,7 @@
     )
 }
 
-/// Waits until the writer has come so far; a bound on a broken test, no verdict.
+/// Waits until the writer has come so far; a bound on a broken test, no health status.
 fn until(writer: &Writer, holds: impl Fn(Counts) -> bool) -> Counts {
     for _ in 0..2000 {
         if holds(writer.counts()) {
--- a/crates/snapshot/tests/migration.rs
+++ b/crates/snapshot/tests/migration.rs
@@ -1,7 +1,7 @@
 //! Files of other versions.
 //!
-//! `files/known-form-1.sectors` was written by the version before: 512 bytes of the file each, behind the number of
-//! their place as four bytes; all others are zero.
+//! `files/known-form-1.sectors` was written by the version before: 512 bytes of the file each,
+//! behind the number of their place as four bytes; all others are zero.
 
 mod common;
 use common::*;
@@ -61,7 +61,7 @@
     let mut random = fastrand::Rng::with_seed(5);
     for writes in 0..60 {
         let disks = Disks::default();
-        // Its numbers were there; a file that was never whole may be set aside.
+        // Its numbers were there; a file that was never whole may be quarantined.
         drop(SnapshotStore::begin(&disks, OWNER, NOW - SECOND).expect("begins"));
         disks.put(FileKind::Snapshot, before());
         disks.fail_after(writes);
--- a/src/bin/sidecar/affinity.rs
+++ b/src/bin/sidecar/affinity.rs
@@ -100,8 +100,8 @@
         host
     }
 
-    /// Now, on the clock of slots and on the monotonic one: the module's clock never steps, and runs on while the process is
-    /// stopped.
+    /// Now, on the clock of slots and on the monotonic one: the module's clock never steps, and
+    /// runs on while the process is stopped.
     fn now(&self) -> (Micros, Micros) {
         let mono = self.0.clock.now();
         (mono + self.0.offset, mono)
@@ -243,7 +243,8 @@
         core.phases().map(draining).collect()
     }
 
-    /// Affinity entries, at most so many: key, name of the endpoint where it is listed, process, entry.
+    /// Affinity entries, at most so many: key, name of the endpoint where it is listed, process,
+    /// entry.
     pub fn dump(&self, most: usize) -> Vec<(u64, Option<String>, Process, AffinityEntry)> {
         let (core, list) = (self.0.core.borrow(), self.0.list.borrow());
         let named =
@@ -251,7 +252,8 @@
         core.dump().take(most).map(named).collect()
     }
 
-    /// Picks by an entry since the start, for processes that are listed: how many, and how long ago the last one was.
+    /// Picks by an entry since the start, for processes that are listed: how many, and how long ago
+    /// the last one was.
     pub fn picks(&self) -> Vec<(String, Process, u64, Micros)> {
         let ((_, mono), list) = (self.now(), self.0.list.borrow());
         let named = |(process, (count, last)): (&Process, &(u64, Micros))| {
--- a/src/bin/sidecar/affinity_pages.rs
+++ b/src/bin/sidecar/affinity_pages.rs
@@ -10,7 +10,7 @@
 use load_balancer_gossip::connectivity::AffinityEntries as Permission;
 use serde::{Deserialize, Serialize};
 
-/// Bindings in one dump: all of the default table.
+/// Affinity entries in one dump: all of the default table.
 const MOST_DUMPED: usize = 16_384;
 /// Longest name of a server, in bytes.
 const LONGEST_NAME: usize = 256;
@@ -75,7 +75,7 @@
     last_ms_ago: i64,
 }
 
-/// The page of that path; none where it is no page on bindings.
+/// The page of that path; none where it is no page on affinity entries.
 pub fn page(host: &Host, ask: &Ask) -> Option<Page> {
     match (ask.path.as_str(), &ask.posted) {
         ("/fleet/bindings", None) => Page::json(StatusCode::OK, &figures(host)),
--- a/src/bin/sidecar/client.rs
+++ b/src/bin/sidecar/client.rs
@@ -47,10 +47,12 @@
             .is_ok_and(|length| length > 0)
     }
 
-    /// Waits until the client has closed its sending side or reset the connection. A connection hears of that by
-    /// reading, but it reads no further than it holds bytes that it can't use yet, such as those of a second request.
+    /// Waits until the client has closed its sending side or reset the connection. A connection
+    /// hears of that by reading, but it reads no further than it holds bytes that it can't use yet,
+    /// such as those of a second request.
     pub async fn left(&self) {
-        // Of what is urgent nothing is ever told, as nobody asked for it: this waits for the end alone.
+        // Of what is urgent nothing is ever told, as nobody asked for it: this waits for the end
+        // alone.
         if self.stream.ready(Interest::PRIORITY).await.is_err() {
             // Then only reading tells.
             std::future::pending().await
--- a/src/bin/sidecar/client_socket.rs
+++ b/src/bin/sidecar/client_socket.rs
@@ -12,8 +12,8 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, Sleep, sleep};
 
-/// Looks at the socket itself before a connection counts as idle: the runtime may not have heard yet of what has come,
-/// as when the process was stopped and goes on, and its timers fire first.
+/// Looks at the socket itself before a connection counts as idle: the runtime may not have heard
+/// yet of what has come, as when the process was stopped and goes on, and its timers fire first.
 pub struct ClientSocket {
     client: Rc<Client>,
     /// Since when nothing was read.
@@ -27,8 +27,9 @@
 }
 
 impl ClientSocket {
-    /// Over a connection that may be ended once it was quiet for longer than `sure`, and that ends once its client
-    /// has left an answer unread for longer than `slowest` after its system had no more room.
+    /// Over a connection that may be ended once it was quiet for longer than `sure`, and that ends
+    /// once its client has left an answer unread for longer than `slowest` after its system had no
+    /// more room.
     pub fn new(client: Rc<Client>, sure: Duration, slowest: Duration) -> Self {
         Self {
             client,
--- a/src/bin/sidecar/clock.rs
+++ b/src/bin/sidecar/clock.rs
@@ -4,8 +4,9 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// The module's clock: Unix time as it was at the start, and from there on the monotonic clock, so that setting
-/// the system's clock moves nothing. Unix times from outside need no further conversion.
+/// The module's clock: Unix time as it was at the start, and from there on the monotonic clock, so
+/// that setting the system's clock moves nothing. Unix times from outside need no further
+/// conversion.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
--- a/src/bin/sidecar/closing.rs
+++ b/src/bin/sidecar/closing.rs
@@ -1,8 +1,8 @@
 //! Closes a client's connection without resetting answers.
 //!
-//! A socket that is closed over bytes nobody has read is reset by the system, and what it still had to send goes with
-//! it. So the sending side is closed first, and what the client still sends is read and thrown away until it has
-//! closed its side too.
+//! A socket that is closed over bytes nobody has read is reset by the system, and what it still had
+//! to send goes with it. So the sending side is closed first, and what the client still sends is
+//! read and thrown away until it has closed its side too.
 
 use socket2::SockRef;
 use std::future::Future;
@@ -12,15 +12,17 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long a client has to close its side; on the same machine that takes it a fraction of a millisecond.
+/// How long a client has to close its side; on the same machine that takes it a fraction of a
+/// millisecond.
 const LINGER_TIME: Duration = Duration::from_millis(300);
-/// Most bytes that are thrown away: what a client can have sent before it hears of the close, but no flood.
+/// Most bytes that are thrown away: what a client can have sent before it hears of the close, but
+/// no flood.
 const LINGER_BYTES: usize = 1 << 20;
 /// Bytes read at a time.
 const PIECE: usize = 8 << 10;
 
-/// Closes the sending side and throws away what still comes, up to bounds of bytes and time and until `cut`, which
-/// says that the descriptor is wanted. The caller drops the socket.
+/// Closes the sending side and throws away what still comes, up to bounds of bytes and time and
+/// until `cut`, which says that the descriptor is wanted. The caller drops the socket.
 pub async fn linger(stream: &TcpStream, cut: impl Future<Output = ()>) {
     // It may be closed already; where the client has reset the connection, reading ends at once.
     let _ = SockRef::from(stream).shutdown(Shutdown::Write);
--- a/src/bin/sidecar/config.rs
+++ b/src/bin/sidecar/config.rs
@@ -76,7 +76,8 @@
         Self::load(|given, file| given.or(file))
     }
 
-    /// Reads it once more. Discovery is where the file says now: a variable still says where it was at the start.
+    /// Reads it once more. Discovery is where the file says now: a variable still says where it was
+    /// at the start.
     pub fn reload() -> Result<Self, String> {
         Self::load(|given, file| file.or(given))
     }
--- a/src/bin/sidecar/connection.rs
+++ b/src/bin/sidecar/connection.rs
@@ -1,7 +1,8 @@
 //! One HTTP/1.1 connection to an endpoint.
 //!
-//! A connection carries one request at a time and is driven by whoever uses it, so that giving up an attempt
-//! (dropping its future) closes the connection, and nothing is written behind an attempt's back.
+//! A connection carries one request at a time and is driven by whoever uses it, so that giving up
+//! an attempt (dropping its future) closes the connection, and nothing is written behind an
+//! attempt's back.
 
 pub use crate::write_progress::WriteProgress;
 use bytes::Bytes;
@@ -26,7 +27,8 @@
 /// Longest head of an answer.
 const LONGEST_HEAD: usize = 64 << 10;
 
-/// A socket that tells a meter what is written, and that can be looked at while a connection holds it.
+/// A socket that tells a meter what is written, and that can be looked at while a connection holds
+/// it.
 struct MeteredStream {
     stream: Rc<TcpStream>,
     meter: Rc<RefCell<WriteProgress>>,
@@ -120,16 +122,17 @@
         self.made
     }
 
-    /// Whether a request may be written: the peer has neither closed it nor said anything unasked. Asks the
-    /// socket itself, as news of its closing may not have been polled yet.
+    /// Whether a request may be written: the peer has neither closed it nor said anything unasked.
+    /// Asks the socket itself, as news of its closing may not have been polled yet.
     pub fn usable(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         let quiet = SockRef::from(&*self.stream).peek(&mut byte);
         !self.ended && quiet.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Sends a request and waits for the head of its answer. What the peer says before the request is wholly written
-    /// can be no answer to it: the connection is not to be used on, and what is left of the request not to go out.
+    /// Sends a request and waits for the head of its answer. What the peer says before the request
+    /// is wholly written can be no answer to it: the connection is not to be used on, and what is
+    /// left of the request not to go out.
     pub async fn request(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -152,7 +155,8 @@
         }
     }
 
-    /// One turn of the driver, in which it sees whether the last answer asked for the connection to be closed.
+    /// One turn of the driver, in which it sees whether the last answer asked for the connection to
+    /// be closed.
     pub async fn turn(&mut self) {
         poll_fn(|cx| {
             self.ended = self.ended || Pin::new(&mut self.driver).poll(cx).is_ready();
@@ -161,7 +165,8 @@
         .await;
     }
 
-    /// Waits for something that this connection brings; `None` once it has ended without bringing it.
+    /// Waits for something that this connection brings; `None` once it has ended without bringing
+    /// it.
     pub async fn drive<T>(&mut self, what: impl Future<Output = T>) -> Option<T> {
         drive(&mut self.driver, &mut self.ended, what).await
     }
@@ -174,8 +179,8 @@
 ) -> Option<T> {
     let mut what = pin!(what);
     poll_fn(|cx| {
-        // What is asked for is looked at between two turns of the driver: it hands the request over first,
-        // and an answer that came with the end of the connection still counts.
+        // What is asked for is looked at between two turns of the driver: it hands the request over
+        // first, and an answer that came with the end of the connection still counts.
         if let Poll::Ready(value) = what.as_mut().poll(cx) {
             return Poll::Ready(Some(value));
         }
--- a/src/bin/sidecar/connection/tests.rs
+++ b/src/bin/sidecar/connection/tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 use std::time::Duration;
 
-// What the runtime has not polled yet it does not know: a request would go out on a connection that its
-// peer has closed, and end as a reset.
+// What the runtime has not polled yet it does not know: a request would go out on a connection that
+// its peer has closed, and end as a reset.
 #[tokio::test]
 async fn a_connection_closed_a_moment_ago_is_not_used_again() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
--- a/src/bin/sidecar/descriptors.rs
+++ b/src/bin/sidecar/descriptors.rs
@@ -14,8 +14,8 @@
 }
 
 impl Limits {
-    /// Of so many descriptors some stay in reserve for discovery, peers, signals and accepting; of the rest
-    /// both sides get half, as a request takes one on each.
+    /// Of so many descriptors some stay in reserve for discovery, peers, signals and accepting; of
+    /// the rest both sides get half, as a request takes one on each.
     pub fn of(sockets: usize) -> Self {
         let each =
             ((sockets - sockets / 8).saturating_sub(16).max(2) / 2).min(Semaphore::MAX_PERMITS);
@@ -26,7 +26,8 @@
     }
 }
 
-/// What Linux says where the process or the machine has no room for a socket: ENOMEM, ENFILE, EMFILE, ENOBUFS.
+/// What Linux says where the process or the machine has no room for a socket: ENOMEM, ENFILE,
+/// EMFILE, ENOBUFS.
 const NO_ROOM: [i32; 4] = [12, 23, 24, 105];
 
 /// Whether the process or its machine lacked something, which says nothing of the peer.
--- a/src/bin/sidecar/discovery.rs
+++ b/src/bin/sidecar/discovery.rs
@@ -16,8 +16,9 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// Least time from one watch call to the next. A watch is only kept when the next call goes within 200 ms of
-/// the last answer; less than that keeps a discovery that answers at once from being called in a tight loop.
+/// Least time from one watch call to the next. A watch is only kept when the next call goes within
+/// 200 ms of the last answer; less than that keeps a discovery that answers at once from being
+/// called in a tight loop.
 const SPACING: Duration = Duration::from_millis(50);
 /// Longest list taken.
 const LONGEST: usize = 4 << 20;
@@ -54,7 +55,8 @@
         }
     }
 
-    /// Watches. One that runs goes on: a second would only put more load on discovery. One that has ended has failed.
+    /// Watches. One that runs goes on: a second would only put more load on discovery. One that has
+    /// ended has failed.
     fn watch(&mut self, rng: fastrand::Rng) {
         if running(&self.watching) {
             return;
@@ -109,7 +111,8 @@
     task.as_ref().is_some_and(|task| !task.is_finished())
 }
 
-/// Carries out what is asked, one watch at most at a time. Where discovery moves, the watch moves along at once.
+/// Carries out what is asked, one watch at most at a time. Where discovery moves, the watch moves
+/// along at once.
 pub async fn run(
     mut at: watch::Receiver<SocketAddr>,
     known: Option<u64>,
@@ -194,7 +197,8 @@
                 // Another call was answered meanwhile, with something newer.
                 return;
             }
-            // Where changes go back to an earlier version, discovery has begun anew: what they build on is not held here.
+            // Where changes go back to an earlier version, discovery has begun anew: what they
+            // build on is not held here.
             let follows = list.snapshot || after.is_none_or(|after| after <= list.index);
             index.set(follows.then_some(list.index));
             inputs.send(Input::EndpointList(list));
@@ -218,8 +222,9 @@
     }
 }
 
-/// One call, for news after a version where that is given, over the connection of the last one where that is still good.
-/// Bounded in time and in size: a discovery that is cut off says nothing at all.
+/// One call, for news after a version where that is given, over the connection of the last one
+/// where that is still good. Bounded in time and in size: a discovery that is cut off says nothing
+/// at all.
 async fn call(
     at: SocketAddr,
     link: &mut Option<Connection>,
--- a/src/bin/sidecar/endpoint_directory.rs
+++ b/src/bin/sidecar/endpoint_directory.rs
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Brings the sockets' view of the endpoints up to date, before the module, which `knows` some, can send anything
-    /// more; returns what it is to hear.
+    /// Brings the sockets' view of the endpoints up to date, before the module, which `knows` some,
+    /// can send anything more; returns what it is to hear.
     pub fn apply(
         &mut self,
         list: HostList,
--- a/src/bin/sidecar/engine.rs
+++ b/src/bin/sidecar/engine.rs
@@ -117,7 +117,8 @@
         };
         spawn_local(pool.retire_idle());
         let known = config.known.as_ref().map(|list| list.index);
-        // Where changes are pushed the module never asks for them: a watch is how they come unasked here.
+        // Where changes are pushed the module never asks for them: a watch is how they come unasked
+        // here.
         if pushed {
             let _ = engine.asks.send(Ask::Watch);
         }
@@ -153,7 +154,8 @@
                     Some(input) => self.take(input),
                     None => return,
                 },
-                // A process that was held up may not have looked yet at what came before the timer was due.
+                // A process that was held up may not have looked yet at what came before the timer
+                // was due.
                 () = self.timers.wait() => yield_now().await,
             }
             // Inputs that are there go first, and a stream of them can't hold up the timers.
--- a/src/bin/sidecar/engine/actions.rs
+++ b/src/bin/sidecar/engine/actions.rs
@@ -9,8 +9,9 @@
 use std::rc::Rc;
 use tokio::task::spawn_local;
 
-/// An attempt is given up this much before its time. Where the time of its request ends with it, the module hears of
-/// the time-out first: otherwise it would call the attempt back, and never learn that the endpoint hangs.
+/// An attempt is given up this much before its time. Where the time of its request ends with it,
+/// the module hears of the time-out first: otherwise it would call the attempt back, and never
+/// learn that the endpoint hangs.
 const ATTEMPT_FIRST: Micros = 5_000;
 
 impl Engine {
@@ -61,7 +62,8 @@
     }
 
     fn send(&mut self, request: RequestId, endpoint: usize, times: Times) {
-        // The module holds no request that is not held here: both learn of every end in the same turn.
+        // The module holds no request that is not held here: both learn of every end in the same
+        // turn.
         let Some((attempt, outgoing)) = self.open.next(request, self.listed.name(endpoint)) else {
             return;
         };
--- a/src/bin/sidecar/gossip.rs
+++ b/src/bin/sidecar/gossip.rs
@@ -77,7 +77,7 @@
         })
     }
 
-    /// The bindings, where they are hosted.
+    /// The affinity entries, where they are hosted.
     pub fn affinity(&self) -> Option<&Host> {
         self.affinity.as_ref()
     }
@@ -170,7 +170,7 @@
         self.member.leave();
     }
 
-    /// What a steward may be told of the servers.
+    /// What a coordinator may be told of the servers.
     pub fn servers(&self) -> Servers {
         self.member.servers()
     }
--- a/src/bin/sidecar/headers.rs
+++ b/src/bin/sidecar/headers.rs
@@ -3,7 +3,7 @@
 use hyper::Uri;
 use hyper::header::{self, HeaderMap, HeaderName};
 
-/// Headers that belong to one connection and are not passed on.
+/// Headers that belong to one connection and are not forwarded.
 const HOP_BY_HOP: [HeaderName; 7] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
--- a/src/bin/sidecar/host_list.rs
+++ b/src/bin/sidecar/host_list.rs
@@ -19,7 +19,8 @@
     pub unread: usize,
 }
 
-/// The list as it is written; each entry is read by itself, so that an odd one costs the others nothing.
+/// The list as it is written; each entry is read by itself, so that an odd one costs the others
+/// nothing.
 #[derive(Deserialize)]
 struct Form {
     index: u64,
@@ -114,7 +115,8 @@
     }
 }
 
-/// The same for a number: who is in one cell is decided by it, and must be neither guessed nor thrown together.
+/// The same for a number: who is in one cell is decided by it, and must be neither guessed nor
+/// thrown together.
 fn group(value: &Value) -> u64 {
     if value.is_null() {
         return 0;
--- a/src/bin/sidecar/inbound.rs
+++ b/src/bin/sidecar/inbound.rs
@@ -49,8 +49,9 @@
 }
 
 impl Room {
-    /// Waits for one. Clients that say nothing must not hold up a request: where there is none, idle connections
-    /// make way. That holds until there is one, as a connection that was just accepted may not yet listen for it.
+    /// Waits for one. Clients that say nothing must not hold up a request: where there is none,
+    /// idle connections make way. That holds until there is one, as a connection that was just
+    /// accepted may not yet listen for it.
     async fn place(&self) -> Option<OwnedSemaphorePermit> {
         if let Ok(place) = Arc::clone(&self.places).try_acquire_owned() {
             return Some(place);
@@ -62,7 +63,8 @@
     }
 }
 
-/// Accepts connections until told that no more are to come; `longest` is the longest that a client waits.
+/// Accepts connections until told that no more are to come; `longest` is the longest that a client
+/// waits.
 pub async fn accept(
     listener: TcpListener,
     limits: Limits,
@@ -91,7 +93,8 @@
         stop,
     };
     let serve = async |stream| {
-        // At the very end what waits for a place is told so without one: its descriptor is held already.
+        // At the very end what waits for a place is told so without one: its descriptor is held
+        // already.
         let place = tokio::select! {
             biased;
             place = room.place() => place,
--- a/src/bin/sidecar/log_throttle.rs
+++ b/src/bin/sidecar/log_throttle.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Lets one through in so much time and counts the others, for lines that input from outside can bring about.
+/// Lets one through in so much time and counts the others, for lines that input from outside can
+/// bring about.
 #[derive(Debug)]
 pub struct LogThrottle {
     spacing: Duration,
--- a/src/bin/sidecar/main.rs
+++ b/src/bin/sidecar/main.rs
@@ -66,10 +66,12 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// How long new connections are accepted after SIGTERM: clients go on opening them for up to 400 ms.
+/// How long new connections are accepted after SIGTERM: clients go on opening them for up to 400
+/// ms.
 const ACCEPT_AFTER_TERM: Duration = Duration::from_millis(500);
-/// SIGKILL comes no sooner than the longest deadline, held to `LONGEST_GRACE`, and 700 ms more after SIGTERM:
-/// what is unanswered this long after the deadline is failed, so that the answer is out before that.
+/// SIGKILL comes no sooner than the longest deadline, held to `LONGEST_GRACE`, and 700 ms more
+/// after SIGTERM: what is unanswered this long after the deadline is failed, so that the answer is
+/// out before that.
 const ANSWER_AFTER_TERM: Duration = Duration::from_millis(500);
 const LONGEST_GRACE: Duration = Duration::from_secs(3);
 /// Time for the last answers to leave.
@@ -153,7 +155,8 @@
                 reload(&discovery, &fixed);
                 product.reload();
             }
-            // Without its decisions a sidecar only fails requests: better to end, and be started anew.
+            // Without its decisions a sidecar only fails requests: better to end, and be started
+            // anew.
             _ = &mut running => return Err(failed("the engine has failed".to_owned())),
         }
     }
@@ -199,7 +202,8 @@
     let _ = timeout(LAST_WRITES, all_closed).await;
 }
 
-/// Takes in what may change while the sidecar runs: where discovery is. A file that can't be used changes nothing.
+/// Takes in what may change while the sidecar runs: where discovery is. A file that can't be used
+/// changes nothing.
 fn reload(discovery: &watch::Sender<SocketAddr>, fixed: &serde_json::Value) {
     match Config::reload() {
         Ok(config) => {
--- a/src/bin/sidecar/messages.rs
+++ b/src/bin/sidecar/messages.rs
@@ -106,8 +106,8 @@
     Failed,
 }
 
-/// Where inputs go. The channel has no bound of its own: bounded are the connections, attempts, calls and
-/// datagrams whose news it carries, and a client's leaving must never be lost.
+/// Where inputs go. The channel has no bound of its own: bounded are the connections, attempts,
+/// calls and datagrams whose news it carries, and a client's leaving must never be lost.
 #[derive(Clone)]
 pub struct Inputs(mpsc::UnboundedSender<Input>);
 
--- a/src/bin/sidecar/open_requests.rs
+++ b/src/bin/sidecar/open_requests.rs
@@ -86,7 +86,8 @@
         self.open.insert(request.id, held);
     }
 
-    /// The client of a request has left; whether it was still without its answer, as the two may cross.
+    /// The client of a request has left; whether it was still without its answer, as the two may
+    /// cross.
     pub fn withdraw(&mut self, id: RequestId) -> bool {
         let Some(held) = self.open.remove(&id) else {
             return false;
@@ -134,8 +135,8 @@
         );
     }
 
-    /// An attempt ended by itself; what the module is to hear of it. One that was called back has ended already,
-    /// whatever it still brings.
+    /// An attempt ended by itself; what the module is to hear of it. One that was cancelled has
+    /// ended already, whatever it still brings.
     pub fn ended(&mut self, ended: Ended) -> Option<Event> {
         let id = ended.id;
         let out = self.in_flight.remove(&id)?;
@@ -149,7 +150,7 @@
         Some(self.end(id, &out, ended.outcome, ended.load))
     }
 
-    /// An attempt is called back; what the module is to hear of it.
+    /// An attempt is cancelled; what the module is to hear of it.
     pub fn cancel(&mut self, id: AttemptId) -> Option<Event> {
         let out = self.in_flight.remove(&id)?;
         out.task.abort();
--- a/src/bin/sidecar/peers.rs
+++ b/src/bin/sidecar/peers.rs
@@ -25,7 +25,8 @@
 }
 
 impl Peers {
-    /// Binds `at`; `addresses` are the peers' in the order of their numbers, `all` reaches every one.
+    /// Binds `at`; `addresses` are the peers' in the order of their numbers, `all` reaches every
+    /// one.
     pub fn bind(
         at: SocketAddr,
         addresses: &[SocketAddr],
--- a/src/bin/sidecar/pool.rs
+++ b/src/bin/sidecar/pool.rs
@@ -12,13 +12,14 @@
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// An idle connection is retired this part of its idle time before the endpoint would close it: a request
-/// written later than that would end as a reset.
+/// An idle connection is retired this part of its idle time before the endpoint would close it: a
+/// request written later than that would end as a reset.
 const IDLE_MARGIN: u32 = 8;
-/// A connection rests this long after an answer before anything is written on it. Some endpoints answer a request
-/// twice, the second time some milliseconds later, and nothing tells that answer from one to the next request. What has
-/// come by the end of the rest ends the connection. A request that finds no other waits for the end of the rest: a
-/// new connection would take longer, and cost its endpoint a handshake.
+/// A connection rests this long after an answer before anything is written on it. Some endpoints
+/// answer a request twice, the second time some milliseconds later, and nothing tells that answer
+/// from one to the next request. What has come by the end of the rest ends the connection. A
+/// request that finds no other waits for the end of the rest: a new connection would take longer,
+/// and cost its endpoint a handshake.
 const REST: Duration = Duration::from_millis(25);
 
 /// A process and where it is reached: one that is started later at the same address is another.
@@ -30,7 +31,8 @@
     pub since_ms: i64,
 }
 
-/// An endpoint as the sockets see it: where it is, whether it may be sent anything, and idle connections.
+/// An endpoint as the sockets see it: where it is, whether it may be sent anything, and idle
+/// connections.
 #[derive(Default)]
 pub struct Endpoint {
     at: Cell<Option<Target>>,
@@ -48,9 +50,9 @@
 }
 
 impl Endpoint {
-    /// Follows the list. Idle connections to an address that is no longer in use, or to a process that has made way
-    /// for another at the same address, are closed: a machine that vanished has said nothing on them, and a request
-    /// would end as a reset.
+    /// Follows the list. Idle connections to an address that is no longer in use, or to a process
+    /// that has made way for another at the same address, are closed: a machine that vanished has
+    /// said nothing on them, and a request would end as a reset.
     pub fn set(&self, at: Option<Target>, ready: bool) {
         let before = self.at.replace(at);
         self.ready.set(ready && at.is_some());
@@ -107,7 +109,8 @@
 }
 
 impl Pool {
-    /// At most `most` connections, made within `dial_timeout`, closed by endpoints after `idle_close`.
+    /// At most `most` connections, made within `dial_timeout`, closed by endpoints after
+    /// `idle_close`.
     pub fn new(most: usize, dial_timeout: Micros, idle_close: Micros) -> Self {
         let time = |us: Micros| Duration::from_micros(us.unsigned_abs());
         let idle_close = time(if idle_close > 0 {
@@ -154,8 +157,9 @@
         }
     }
 
-    /// The most recently used idle connection that has rested and is still good, so that the others may grow old and
-    /// close; where none has, the one that will have first, after the rest of its rest.
+    /// The most recently used idle connection that has rested and is still good, so that the others
+    /// may grow old and close; where none has, the one that will have first, after the rest of its
+    /// rest.
     pub async fn reuse(&self, endpoint: &Endpoint) -> Option<(Connection, OwnedSemaphorePermit)> {
         loop {
             let taken = {
@@ -188,7 +192,8 @@
         }
     }
 
-    /// Idle connections make way: those that their endpoints have closed or spoken on, or else the oldest one.
+    /// Idle connections make way: those that their endpoints have closed or spoken on, or else the
+    /// oldest one.
     fn make_room(&self) {
         let endpoints = self.endpoints.borrow();
         for endpoint in endpoints.iter() {
@@ -247,15 +252,16 @@
     }
 }
 
-/// When a process started that is listed with this Unix time in milliseconds; one that is yet to come has started now.
+/// When a process started that is listed with this Unix time in milliseconds; one that is yet to
+/// come has started now.
 fn start_time(since_ms: i64) -> SystemTime {
     let since = UNIX_EPOCH.checked_add(Duration::from_millis(since_ms.max(0).unsigned_abs()));
     let now = SystemTime::now();
     since.map_or(now, |since| since.min(now))
 }
 
-/// Which of these, that were used last at those times, was used last of all that have rested, or else rests the
-/// shortest from now on; `None` where there are none.
+/// Which of these, that were used last at those times, was used last of all that have rested, or
+/// else rests the shortest from now on; `None` where there are none.
 fn next_rested(
     since: impl DoubleEndedIterator<Item = Instant> + ExactSizeIterator + Clone,
     now: Instant,
--- a/src/bin/sidecar/pool/tests.rs
+++ b/src/bin/sidecar/pool/tests.rs
@@ -57,7 +57,8 @@
     assert_eq!((0..3).filter(|_| listener.accept().is_ok()).count(), 2);
 }
 
-/// Two connections, the older one idle at endpoint 0 and the newer one at endpoint 1, and their peers.
+/// Two connections, the older one idle at endpoint 0 and the newer one at endpoint 1, and their
+/// peers.
 async fn two_idle(pool: &Pool) -> [std::net::TcpStream; 2] {
     let mut peers = Vec::new();
     for id in 0..2 {
@@ -154,7 +155,8 @@
     }
 }
 
-/// Connections made for that many requests a second to one endpoint, which answers each after 30 ms on average.
+/// Connections made for that many requests a second to one endpoint, which answers each after 30 ms
+/// on average.
 fn made(per_second: f64, idle_time: Duration, rest: Duration) -> usize {
     let (mut rng, start) = (fastrand::Rng::with_seed(1), Instant::now());
     let mut wait = |mean: f64| Duration::from_secs_f64(-mean * (1.0 - rng.f64()).ln());
--- a/src/bin/sidecar/product.rs
+++ b/src/bin/sidecar/product.rs
@@ -27,20 +27,21 @@
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-/// The program's name before it was called `sidecar`, as log targets in older product configurations have it.
+/// The program's name before it was called `sidecar`, as log targets in older product
+/// configurations have it.
 const EARLIER_PROGRAM: &str = "tinflow";
 
-/// A sidecar load balancer. The platform's LB_CONFIG, LB_LISTEN and LB_DISCOVERY say where it stands and what it
-/// balances; without a product configuration it does nothing else. SIGHUP makes it read both again, SIGTERM stops
-/// it once what it has taken is answered.
+/// A sidecar load balancer. The platform's LB_CONFIG, LB_LISTEN and LB_DISCOVERY say where it
+/// stands and what it balances; without a product configuration it does nothing else. SIGHUP makes
+/// it read both again, SIGTERM stops it once what it has taken is answered.
 #[derive(Parser)]
 #[command(name = "sidecar")]
 struct Call {
     /// The product configuration: a TOML file, see docs/configuration.md.
     #[arg(long, value_name = "FILE", env = CONFIG_VARIABLE)]
     config: Option<PathBuf>,
-    /// Read the product configuration and, where LB_CONFIG is set, the platform's; print what would hold, defaults
-    /// included, and exit.
+    /// Read the product configuration and, where LB_CONFIG is set, the platform's; print what would
+    /// hold, defaults included, and exit.
     #[arg(long)]
     check: bool,
 }
@@ -95,8 +96,8 @@
 }
 
 impl Product {
-    /// Reads the command line and the product configuration, and starts the log. Where the process is not to go
-    /// on, the code to end with comes back; what there was to say has been said.
+    /// Reads the command line and the product configuration, and starts the log. Where the process
+    /// is not to go on, the code to end with comes back; what there was to say has been said.
     pub fn begin() -> Result<Self, ExitCode> {
         let call: Call = cli::parse()?;
         let file = call
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Begins a life in the state directory, where one is configured.
+    /// Begins an incarnation in the state directory, where one is configured.
     pub fn recover(
         &self,
         config: &mut Config,
@@ -228,7 +229,8 @@
         Ok(())
     }
 
-    /// SIGHUP came: takes in what may change, all of it or nothing, and names what waits for a restart.
+    /// SIGHUP came: takes in what may change, all of it or nothing, and names what waits for a
+    /// restart.
     pub fn reload(&mut self) {
         let Some(file) = &self.file else { return };
         let new = match Sections::load(file) {
--- a/src/bin/sidecar/product_disabled.rs
+++ b/src/bin/sidecar/product_disabled.rs
@@ -115,7 +115,7 @@
     }
 }
 
-/// A request that was given a binding; there is none.
+/// A request that was given an affinity entry; there is none.
 pub struct Pick {
     /// Where it is to go, the best first.
     pub endpoints: Vec<EndpointId>,
--- a/src/bin/sidecar/request_headers.rs
+++ b/src/bin/sidecar/request_headers.rs
@@ -61,7 +61,8 @@
         };
         let class = text(&SERVICE_CLASS)?;
         let class = lanes.classes.iter().position(|(name, _)| name == class)?;
-        // The method follows from the class: a request in another form is not what the class promises.
+        // The method follows from the class: a request in another form is not what the class
+        // promises.
         let keyed = headers.contains_key(IDEMPOTENCY_KEY);
         let fits = match lanes.classes[class].1 {
             Effect::Safe => method == Method::GET,
--- a/src/bin/sidecar/serving.rs
+++ b/src/bin/sidecar/serving.rs
@@ -20,7 +20,8 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// A body that has not wholly come this long after its head never will: the application is on this machine.
+/// A body that has not wholly come this long after its head never will: the application is on this
+/// machine.
 const BODY_TIME: Duration = Duration::from_millis(500);
 
 /// An answer as it is written.
@@ -140,13 +141,13 @@
     if client.has_left() {
         return Err(Unanswered::Left);
     }
-    // There is no time left in which it could be answered: it must not be sent on.
+    // There is no time left in which it could be answered: it must not be forwarded.
     if *stop.borrow() == ShutdownStage::Now {
         return Ok(closing(StatusCode::SERVICE_UNAVAILABLE));
     }
     let mut owed = handle.submit(request, outgoing);
-    // The module answers in time by itself. These bound it from outside; each drops what is owed, which tells the
-    // module that the request is over.
+    // The module answers in time by itself. These bound it from outside; each drops what is owed,
+    // which tells the module that the request is over.
     let answer = tokio::select! {
         biased;
         answer = owed.answer() => answer,
--- a/src/bin/sidecar/session.rs
+++ b/src/bin/sidecar/session.rs
@@ -21,14 +21,15 @@
 
 /// Longest head of a request.
 const LONGEST_HEAD: usize = 32 << 10;
-/// A connection that stays without a whole head this long is closed, and sooner once told to stop. Anyone may
-/// connect and say little or nothing, and is owed an error or a close within 3 s; clients keep theirs for 2 s.
+/// A connection that stays without a whole head this long is closed, and sooner once told to stop.
+/// Anyone may connect and say little or nothing, and is owed an error or a close within 3 s;
+/// clients keep theirs for 2 s.
 const IDLE: Duration = Duration::from_millis(2300);
 const IDLE_AT_STOP: Duration = Duration::from_millis(500);
 /// Time in which the runtime sees what the system holds already.
 const LAST_LOOK: Duration = Duration::from_millis(2);
-/// How often it is given that time again, as more keeps coming. A request that is being answered holds up what came
-/// behind it, so this has to end.
+/// How often it is given that time again, as more keeps coming. A request that is being answered
+/// holds up what came behind it, so this has to end.
 const MOST_LOOKS: usize = 3;
 
 /// What every connection is served with.
@@ -49,7 +50,8 @@
 impl Session {
     /// Serves a connection and closes it. The process waits with its end until this has ended.
     pub async fn run(self, stream: TcpStream, _place: Option<OwnedSemaphorePermit>) {
-        // Without it an answer could wait for an acknowledgement; it is no reason to turn anyone away.
+        // Without it an answer could wait for an acknowledgement; it is no reason to turn anyone
+        // away.
         let _ = stream.set_nodelay(true);
         let client = Rc::new(Client::new(stream));
         self.converse(&client).await;
@@ -86,13 +88,14 @@
         let mut connection = pin!(builder.serve_connection(TokioIo::new(inlet), service));
         tokio::select! {
             biased;
-            // What is wrong with a connection concerns its client alone, who has been told 400 or has left.
+            // What is wrong with a connection concerns its client alone, who has been told 400 or
+            // has left.
             _ = connection.as_mut() => return,
             () = self.stopped(ShutdownStage::Closing) => {}
             () = self.crowding() => {}
         }
-        // A request that has come in but was not seen yet is still read: closing on it would cost its client a
-        // second one.
+        // A request that has come in but was not seen yet is still read: closing on it would cost
+        // its client a second one.
         for _ in 0..MOST_LOOKS {
             if timeout(LAST_LOOK, connection.as_mut()).await.is_ok() {
                 return;
@@ -147,9 +150,10 @@
     }
 }
 
-/// Drives a connection until it has ended, which is told, or holds nothing more that is to be waited for: a request
-/// that has come in part, or that the client of a new connection is about to send, while there is patience; requests
-/// that have come behind the one that is being answered, for as long as a connection may stay without one.
+/// Drives a connection until it has ended, which is told, or holds nothing more that is to be
+/// waited for: a request that has come in part, or that the client of a new connection is about to
+/// send, while there is patience; requests that have come behind the one that is being answered,
+/// for as long as a connection may stay without one.
 async fn settle(
     mut connection: Pin<&mut impl Future>,
     client: &Client,
--- a/src/bin/sidecar/snapshot.rs
+++ b/src/bin/sidecar/snapshot.rs
@@ -22,7 +22,8 @@
 
 /// Longest name of a sidecar here, in bytes: with its cluster's it is the owner of what is kept.
 const LONGEST_NAME: usize = 200;
-/// How often pace is kept anew while no circuit opens or closes: a twelfth of the time for which it is believed.
+/// How often pace is kept anew while no circuit opens or closes: a twelfth of the time for which it
+/// is believed.
 const PACE_EVERY: Micros = 5_000_000;
 /// How soon a disk that failed is tried again.
 const AGAIN: Duration = Duration::from_secs(10);
@@ -38,14 +39,15 @@
     incarnation_record: Option<IncarnationRecord>,
     lists: RefCell<Lists>,
     known: RefCell<Vec<Process>>,
-    /// Endpoints whose circuits were open as verdicts were kept last, and when that was.
+    /// Endpoints whose circuits were open as ejections were kept last, and when that was.
     open: RefCell<Vec<String>>,
     kept: Cell<Micros>,
 }
 
 impl SnapshotHost {
-    /// Begins a life of `name` in the directory of the section, where it names one; a list that is newer than the
-    /// platform's takes its place. Waits for the disk no longer than the section says.
+    /// Begins a life of `name` in the directory of the section, where it names one; a list that is
+    /// newer than the platform's takes its place. Waits for the disk no longer than the section
+    /// says.
     pub fn begin(
         section: &SnapshotSection,
         cluster: &str,
@@ -139,8 +141,8 @@
         });
     }
 
-    /// The process is told to stop: hands over what it knows, marked as a clean end. Whether that is written in time is
-    /// not waited for; it has as long as requests are still accepted.
+    /// The process is told to stop: hands over what it knows, marked as a clean end. Whether that
+    /// is written in time is not waited for; it has as long as requests are still accepted.
     pub fn stop(&self, inputs: &Inputs) {
         let (this, inputs) = (self.clone(), inputs.clone());
         spawn_local(async move {
--- a/src/bin/sidecar/stored_form.rs
+++ b/src/bin/sidecar/stored_form.rs
@@ -7,7 +7,8 @@
 use load_balancer_snapshot::{Entry, List, Micros, Process};
 use std::collections::BTreeMap;
 
-/// How often a list is kept anew that discovery only confirms: a tenth of the time for which it is believed.
+/// How often a list is kept anew that discovery only confirms: a tenth of the time for which it is
+/// believed.
 const CONFIRMED_EVERY: Micros = 60_000_000;
 
 /// The list as it is followed, to be kept.
@@ -24,8 +25,9 @@
 }
 
 impl Lists {
-    /// Begins with what was kept: where it is newer than the platform's it takes that one's place. Discovery is asked
-    /// for what came after the platform's version all the same, so that it need not know the kept one.
+    /// Begins with what was kept: where it is newer than the platform's it takes that one's place.
+    /// Discovery is asked for what came after the platform's version all the same, so that it need
+    /// not know the kept one.
     pub fn begin(kept: Option<List>, config: &mut Config) -> Self {
         let platform = config.known.as_ref().map_or(0, |list| list.index);
         if let Some(list) = kept.filter(|list| list.index > platform) {
--- a/src/bin/sidecar/upstream.rs
+++ b/src/bin/sidecar/upstream.rs
@@ -45,7 +45,8 @@
     }
 }
 
-/// Where an attempt goes: the process that it is meant for, and its endpoint, which may move or drain meanwhile.
+/// Where an attempt goes: the process that it is meant for, and its endpoint, which may move or
+/// drain meanwhile.
 pub struct Destination {
     target: Option<Target>,
     endpoint: Rc<Endpoint>,
@@ -131,7 +132,8 @@
             reply = exchange.as_mut() => return reply,
             () = sleep_until(times.until) => {}
         }
-        // An answer that has come by then counts, also where a process that was held up has not looked at it yet.
+        // An answer that has come by then counts, also where a process that was held up has not
+        // looked at it yet.
         yield_now().await;
         let reply = timeout_at(times.until, exchange).await;
         reply.unwrap_or(Outcome::TimedOut.into())
@@ -153,8 +155,8 @@
                 Some((connection, permit)) => (connection, permit, true),
                 None => match self.pool.dial(target.address).await {
                     Ok((mut connection, permit)) => {
-                        // Made ready to write at once, and then what has come meanwhile is heard first: a client's
-                        // leaving, the list.
+                        // Made ready to write at once, and then what has come meanwhile is heard
+                        // first: a client's leaving, the list.
                         connection.turn().await;
                         yield_now().await;
                         (connection, permit, false)
@@ -172,7 +174,8 @@
                 return Outcome::NotSent.into();
             };
             let Ok(response) = connection.request(request, progress.clone()).await else {
-                // Closed by the endpoint in the moment it was taken up again, before anything was written.
+                // Closed by the endpoint in the moment it was taken up again, before anything was
+                // written.
                 if reused && !progress.begun() {
                     continue;
                 }
@@ -261,8 +264,8 @@
     }
 }
 
-/// How an attempt ends that must not begin any more: its request has its answer, the process that it was meant for
-/// has been told to leave, has moved or been replaced, or its time is over.
+/// How an attempt ends that must not begin any more: its request has its answer, the process that
+/// it was meant for has been told to leave, has moved or been replaced, or its time is over.
 fn barred(to: To<'_>, out: &Outgoing, times: Times) -> Option<Outcome> {
     if out.settled.get() || to.endpoint.target() != Some(to.target) {
         return Some(Outcome::NotSent);
@@ -288,7 +291,8 @@
     }
 }
 
-/// Reads a load report: `name=value` pairs set apart by commas. What can't be read was not reported.
+/// Reads a load report: `name=value` pairs set apart by commas. What can't be read was not
+/// reported.
 fn read_load(value: &HeaderValue) -> Load {
     let mut load = Load::default();
     for (name, value) in value
--- a/src/bin/sidecar/watch_schedule/tests.rs
+++ b/src/bin/sidecar/watch_schedule/tests.rs
@@ -41,7 +41,8 @@
     Lost::ResetLate,
 ];
 
-/// Follows a list as `discovery` and the engine do: the module says when to begin anew after a call that failed.
+/// Follows a list as `discovery` and the engine do: the module says when to begin anew after a call
+/// that failed.
 struct Follower {
     balancer: Balancer,
     timers: BTreeSet<(Micros, u64)>,
@@ -148,8 +149,8 @@
     time.as_micros() as Micros
 }
 
-// Invariant: a call that a change just missed, and one more, may be lost in whatever way: a third begins in time for its
-// answer before the change counts as told.
+// Invariant: a call that a change just missed, and one more, may be lost in whatever way: a third
+// begins in time for its answer before the change counts as told.
 #[test]
 fn two_calls_may_be_lost_before_a_change_counts_as_told() {
     every_order(5, |begun, what| {
@@ -162,8 +163,8 @@
     });
 }
 
-// Invariant: the same from the signal of a reload on, after which the whole list is asked for, with whatever failures
-// at the old address the module remembers.
+// Invariant: the same from the signal of a reload on, after which the whole list is asked for, with
+// whatever failures at the old address the module remembers.
 #[test]
 fn two_calls_may_be_lost_after_a_reload_before_changes_count_as_told() {
     for mode in ["pushed", "on_request"] {
@@ -205,7 +206,8 @@
     }
 }
 
-// Processes whose calls were refused in the same instant must not all call again in one, where they share a discovery.
+// Processes whose calls were refused in the same instant must not all call again in one, where they
+// share a discovery.
 #[test]
 fn the_calls_of_many_processes_are_spread() {
     let mut last: Vec<_> = (0..300)
@@ -224,8 +226,9 @@
     );
 }
 
-// What the agent gets as discovery returns counts as told at once where lists are pushed: a call must be open then. A
-// silent call is followed at once; it has taken time enough, so that this is no tight loop.
+// What the agent gets as discovery returns counts as told at once where lists are pushed: a call
+// must be open then. A silent call is followed at once; it has taken time enough, so that this is
+// no tight loop.
 #[test]
 fn a_silence_is_never_without_an_open_call_and_no_tight_loop() {
     for news in [true, false] {
--- a/src/bin/sidecar/write_progress.rs
+++ b/src/bin/sidecar/write_progress.rs
@@ -3,8 +3,8 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// How much of a request the socket has taken. An endpoint begins one when its last byte has come, so until
-/// that is written it has surely not run.
+/// How much of a request the socket has taken. An endpoint begins one when its last byte has come,
+/// so until that is written it has surely not run.
 #[derive(Clone, Default)]
 pub struct WriteProgress(Rc<WriteProgressState>);
 
--- a/src/bin/simulator-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -3,7 +3,8 @@
 use std::io::{BufWriter, stdin, stdout};
 use std::process::ExitCode;
 
-/// The balancer behind the simulator's wire: events on standard input, actions on standard output, until it ends.
+/// The balancer behind the simulator's wire: events on standard input, actions on standard output,
+/// until it ends.
 #[cfg(feature = "product")]
 #[derive(clap::Parser)]
 #[command(name = "simulator-adapter")]
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,5 +1,5 @@
-//! The settings object that an instance is given at its start, as JSON: on the simulator's wire and in a
-//! sidecar's configuration alike. Decoded here and nowhere else.
+//! The settings object that an instance is given at its start, as JSON: on the simulator's wire and
+//! in a sidecar's configuration alike. Decoded here and nowhere else.
 
 mod form;
 mod names;
@@ -40,8 +40,8 @@
     })
 }
 
-/// The names, none of them empty or given twice: requests name their class and tenant, and a second one of that name
-/// would lend the first one's effect and limits to the other's requests.
+/// The names, none of them empty or given twice: requests name their class and tenant, and a second
+/// one of that name would lend the first one's effect and limits to the other's requests.
 fn told_apart(what: &str, names: impl Iterator<Item = String>) -> Result<Vec<String>, String> {
     let mut seen = HashSet::new();
     names
--- a/src/simulator_wire.rs
+++ b/src/simulator_wire.rs
@@ -1,5 +1,5 @@
-//! The adapter: reads the simulator's wire, hands each event to its instance, writes down the actions.
-//! It translates and decides nothing. Names are interned for each instance on its own.
+//! The adapter: reads the simulator's wire, hands each event to its instance, writes down the
+//! actions. It translates and decides nothing. Names are interned for each instance on its own.
 
 mod instance;
 mod line;
--- a/tests/failures/circuits.rs
+++ b/tests/failures/circuits.rs
@@ -123,7 +123,8 @@
     }
 }
 
-// Many sidecars see an endpoint once in seconds each. With short aims that is long ago, and one failure enough.
+// Many sidecars see an endpoint once in seconds each. With short latency objectives that is long
+// ago, and one failure enough.
 #[test]
 fn how_long_ago_an_outcome_was_is_counted_in_aims() {
     for (aim, opens) in [(1000 * MS, false), (250 * MS, true)] {
--- a/tests/failures/cold.rs
+++ b/tests/failures/cold.rs
@@ -233,7 +233,8 @@
     assert!((1..=8).contains(&back), "{back}");
 }
 
-// Turns give a cold server no more than its warm part; the bound on bursts must leave room for that.
+// Turns give a cold server no more than its warm part; the bound on bursts must leave room for
+// that.
 #[test]
 fn endpoints_that_are_all_cold_are_sent_most_of_their_warm_part() {
     let mut sent = 0;
@@ -270,7 +271,8 @@
     );
 }
 
-// Trials are a small part of what a sidecar sends: a site of twenty that returns would wait for them half a minute.
+// Trials are a small part of what a sidecar sends: a site of twenty that returns would wait for
+// them half a minute.
 #[test]
 fn listed_restarts_bring_a_lost_site_back_within_seconds() {
     let set = Settings {
--- a/tests/failures/cold_fleet.rs
+++ b/tests/failures/cold_fleet.rs
@@ -1,5 +1,6 @@
-//! What a whole fleet of sidecars, each deciding alone, sends to one server that has just started, against the bound
-//! beyond which such a server falls: in any window, what the settings allow it, and what is put down to chance.
+//! What a whole fleet of sidecars, each deciding alone, sends to one server that has just started,
+//! against the bound beyond which such a server falls: in any window, what the settings allow it,
+//! and what is put down to chance.
 
 use crate::common::*;
 use load_balancer::*;
@@ -115,7 +116,8 @@
         allowed + 2.0 * allowed.sqrt() + 2.0
     }
 
-    /// When one sidecar sent something to servers that restarted: server and time since the restart.
+    /// When one sidecar sent something to servers that restarted: server and time since the
+    /// restart.
     fn plays(
         self,
         (sidecars, servers): (u32, usize),
@@ -176,7 +178,8 @@
         to_cold
     }
 
-    /// The most that one restarted server got in a window, as a part of what it falls from, and that number.
+    /// The most that one restarted server got in a window, as a part of what it falls from, and
+    /// that number.
     fn worst(self, fleet: (u32, usize), cold: usize, traffic: Traffic) -> (f64, usize) {
         let mut times: BTreeMap<usize, Vec<Micros>> = BTreeMap::new();
         for (server, at) in (0..fleet.0).flat_map(|index| self.plays(fleet, cold, traffic, index)) {
--- a/tests/failures/crowd.rs
+++ b/tests/failures/crowd.rs
@@ -121,8 +121,8 @@
 
 #[test]
 fn caps_rise_by_even_steps_from_the_smallest() {
-    // Steps in proportion to the cap would keep sidecars apart for good once one has fallen behind; and a
-    // cap under two must not pass for unused while the one call it allows is out.
+    // Steps in proportion to the cap would keep sidecars apart for good once one has fallen behind;
+    // and a cap under two must not pass for unused while the one call it allows is out.
     let mut rig = Rig::new(
         Settings {
             instances: 4,
@@ -143,7 +143,8 @@
 
 #[test]
 fn caps_fall_while_calls_take_half_of_their_aim() {
-    // Their mean is inside the aim, but in a queue's spread one in seven of them is late.
+    // Their mean is inside the latency objective, but in a queue's spread one in seven of them is
+    // late.
     let mut rig = Rig::new(settings(), 4, 1);
     (0..80).for_each(|_| {
         rig.request(SAFE);
@@ -159,7 +160,8 @@
 
 #[test]
 fn a_lasting_new_pace_passes_for_the_usual_one_in_the_end() {
-    // A fleet that has become eight times slower for good, still well inside the aim, is not refused for good.
+    // A fleet that has become eight times slower for good, still well inside the latency objective,
+    // is not refused for good.
     let mut rig = Rig::new(
         Settings {
             instances: 4,
--- a/tests/failures/lines.rs
+++ b/tests/failures/lines.rs
@@ -1,4 +1,4 @@
-//! The lines for the people on call.
+//! The lines for the on-call engineers.
 
 use crate::common::*;
 use load_balancer::*;
--- a/tests/failures/lists.rs
+++ b/tests/failures/lists.rs
@@ -113,7 +113,8 @@
     }
 }
 
-// Endpoints that are replaced over and over must not make each pick dearer: their numbers come free again.
+// Endpoints that are replaced over and over must not make each pick dearer: their numbers come free
+// again.
 #[test]
 fn a_gone_endpoint_is_forgotten_once_no_open_request_has_been_there() {
     let gone = |endpoint| Listing {
--- a/tests/failures/pace.rs
+++ b/tests/failures/pace.rs
@@ -3,7 +3,8 @@
 use crate::common::*;
 use load_balancer::*;
 
-// A stalled answer is one error in the breaker's eyes. It says nothing of the pace of the answers that come.
+// A stalled answer is one error in the breaker's eyes. It says nothing of the pace of the answers
+// that come.
 #[test]
 fn one_answer_that_never_comes_costs_an_endpoint_no_turns() {
     let mut rig = Rig::new(settings(), 3, 1);
@@ -72,7 +73,8 @@
     assert!((8..40).contains(&slow), "{slow}");
 }
 
-// A sidecar with little traffic takes seconds for a round: by then what it learnt at the last send is old.
+// A sidecar with little traffic takes seconds for a round: by then what it learnt at the last send
+// is old.
 #[test]
 fn a_turn_follows_what_was_learnt_since_the_last_one() {
     let mut rig = Rig::new(settings(), 4, 1);
@@ -101,8 +103,8 @@
     assert!(!to.contains(&crowded), "{to:?} after {crowded} was slow");
 }
 
-/// Sidecar traffic of two requests a second over eight seconds, each answered by its endpoint's own time;
-/// returns what each endpoint got in the second half.
+/// Sidecar traffic of two requests a second over eight seconds, each answered by its endpoint's own
+/// time; returns what each endpoint got in the second half.
 fn sparse(rig: &mut Rig, requests: usize, time: impl Fn(EndpointId) -> Micros) -> Vec<EndpointId> {
     let mut to = Vec::new();
     for n in 0..requests {
@@ -159,7 +161,8 @@
     assert!(slow <= 160, "{slow} of 480 to the slow kind");
 }
 
-// A limited group is overdriven within a second by many sidecars, each of which sees an endpoint once in seconds.
+// A limited group is overdriven within a second by many sidecars, each of which sees an endpoint
+// once in seconds.
 #[test]
 fn a_group_that_slows_down_together_soon_gets_fewer_turns() {
     let in_slow = |endpoint: EndpointId| endpoint / 8 == 1;
@@ -191,7 +194,8 @@
     assert!(to_slow <= 40, "{to_slow} of 400 to the slow group");
 }
 
-// Choked servers at a third of their pace need rest, and a third of their turns keeps them just as busy.
+// Choked servers at a third of their pace need rest, and a third of their turns keeps them just as
+// busy.
 #[test]
 fn a_group_at_a_third_of_the_pace_gets_less_than_a_third_of_its_turns() {
     let in_slow = |endpoint: EndpointId| endpoint / 8 == 1;
--- a/tests/failures/shedding.rs
+++ b/tests/failures/shedding.rs
@@ -79,7 +79,8 @@
     assert_eq!(taken(100 * MS), 200, "taken once the pace is back");
 }
 
-/// Requests refused of so many, sixteen a second at twelve servers; some never answer, the others in 100 ms.
+/// Requests refused of so many, sixteen a second at twelve servers; some never answer, the others
+/// in 100 ms.
 fn refused_of(requests: usize, silent: &[EndpointId]) -> usize {
     let mut rig = Rig::new(
         Settings {
--- a/tests/gossip/affinity.rs
+++ b/tests/gossip/affinity.rs
@@ -39,7 +39,8 @@
     assert_ne!(picks(2.0, Some(5)), picks(0.0, None));
 }
 
-/// An endpoint is never more than the stated turns ahead of its weight, and a key keeps to few endpoints.
+/// An endpoint is never more than the stated turns ahead of its weight, and a key keeps to few
+/// endpoints.
 #[test]
 fn keys_keep_to_their_endpoints_within_the_stated_turns() {
     let ahead = 2.0;
--- a/tests/gossip/ejection.rs
+++ b/tests/gossip/ejection.rs
@@ -1,4 +1,5 @@
-//! Endpoints that others' word takes out of the rotation, and those that are to be tried again.
+//! Endpoints that other members' observations takes out of the rotation, and those that are to be
+//! tried again.
 
 use crate::common::*;
 use crate::{SECOND, ejection, end_at, sharing};
--- a/tests/gossip/main.rs
+++ b/tests/gossip/main.rs
@@ -1,4 +1,5 @@
-//! What gossip from other members does to decisions, what it must not do, and how keys find their endpoints.
+//! What gossip from other members does to decisions, what it must not do, and how keys find their
+//! endpoints.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/gossip/staleness.rs
+++ b/tests/gossip/staleness.rs
@@ -39,7 +39,8 @@
     all
 }
 
-/// Past its bound a word counts as never said: decisions equal a lone instance's over random histories.
+/// Past its bound a word counts as never said: decisions equal a lone instance's over random
+/// histories.
 #[test]
 fn words_past_their_bound_change_no_decision_at_all() {
     for seed in 0..60 {
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,5 +1,5 @@
-//! What holds for the files of the decision module: the deploy file names each of them, none is too long to read in
-//! one go, and none does I/O or reads a clock.
+//! What holds for the files of the decision module: the deploy file names each of them, none is too
+//! long to read in one go, and none does I/O or reads a clock.
 
 use std::fs;
 use std::path::{Path, PathBuf};
--- a/tests/ordinary/guards.rs
+++ b/tests/ordinary/guards.rs
@@ -1,4 +1,4 @@
-//! Breaker and bulwark.
+//! Breaker and bulkhead.
 
 use crate::common::*;
 use load_balancer::*;
--- a/tests/ordinary/main.rs
+++ b/tests/ordinary/main.rs
@@ -1,4 +1,4 @@
-//! The ordinary path: turns, retries with waits, time-outs, breaker and bulwark.
+//! The ordinary path: turns, retries with waits, time-outs, breaker and bulkhead.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/ordinary/turns.rs
+++ b/tests/ordinary/turns.rs
@@ -46,7 +46,8 @@
     }
 }
 
-// What a sidecar learns of an endpoint fades within four longest aims, long before a long deadline has passed.
+// What a sidecar learns of an endpoint fades within four longest latency objectives, long before a
+// long deadline has passed.
 #[test]
 fn an_endpoint_has_its_next_turn_before_what_was_learnt_there_fades() {
     let mut set = settings();
@@ -79,7 +80,8 @@
     );
 }
 
-// Refused clients come back: their repeats, and a moment's more traffic, must not lead on to endpoints not met yet.
+// Refused clients come back: their repeats, and a moment's more traffic, must not lead on to
+// endpoints not met yet.
 #[test]
 fn repeats_and_a_short_burst_do_not_lead_on_to_further_endpoints() {
     let mut rig = Rig::new(
--- a/tests/product/harness.rs
+++ b/tests/product/harness.rs
@@ -108,7 +108,7 @@
     command.output().expect("it starts")
 }
 
-/// Reads a page of the metrics' address; empty where the reader is turned away.
+/// Reads a page of the metrics' address; empty where the reader is rejected.
 pub fn page(at: SocketAddr, path: &str) -> String {
     let Ok(mut stream) = TcpStream::connect(at) else {
         return String::new();
--- a/tests/product/logs.rs
+++ b/tests/product/logs.rs
@@ -70,7 +70,8 @@
         assert_eq!(ask(&sidecar), 200);
     }
     let mut pipe = sidecar.process.stderr.take().expect("it is a pipe");
-    // Its capacity is 64 KiB; the rest of 1,000 requests' lines is gone. Room makes it speak again, with the count.
+    // Its capacity is 64 KiB; the rest of 1,000 requests' lines is gone. Room makes it speak again,
+    // with the count.
     let mut pipe = within_long("the pipe is filled", move || {
         pipe.read_exact(&mut vec![0; 48 << 10])
             .expect("it was filled");
--- a/tests/product/snapshot.rs
+++ b/tests/product/snapshot.rs
@@ -5,8 +5,8 @@
 use std::path::Path;
 use std::sync::atomic::Ordering;
 
-/// A configuration with a state directory and a page of figures. A start waits for as long as a machine under load may
-/// need: what is found is the verdict, not how soon.
+/// A configuration with a state directory and a page of figures. A start waits for as long as a
+/// machine under load may need: what is found is the health status, not how soon.
 fn keeping(dir: &Path, page: std::net::SocketAddr) -> File {
     File::new(&metrics(
         page,
@@ -145,8 +145,8 @@
     assert!(!page(at, "/metrics").contains("sidecar_state") && said.count("state") == 0);
 }
 
-/// Lives that end in SIGKILL under load, at a different moment each, and one that is told to stop. `KILLS` in the
-/// environment says how many.
+/// Lives that end in SIGKILL under load, at a different moment each, and one that is told to stop.
+/// `KILLS` in the environment says how many.
 #[test]
 fn killed_under_load_over_and_over_it_begins_each_life_with_a_new_number_and_sets_nothing_aside() {
     let kills: u64 = std::env::var("KILLS")
--- a/tests/sidecar/answers.rs
+++ b/tests/sidecar/answers.rs
@@ -15,8 +15,8 @@
     request("book", &format!("X-Number: {number}\r\n"), "{}")
 }
 
-/// Answers a request with its number, and once more in front of the answer to the next request, if that is written on
-/// the connection before some milliseconds are over.
+/// Answers a request with its number, and once more in front of the answer to the next request, if
+/// that is written on the connection before some milliseconds are over.
 fn answer_twice(stream: &mut TcpStream, number: &str) -> Then {
     let written = Instant::now();
     answer(stream, 200, "", number.as_bytes());
@@ -28,8 +28,8 @@
     Then::KeepOn
 }
 
-// Two answers can't be told apart by looking at them: the second one would be served as the answer to whatever
-// request the connection is used for next.
+// Two answers can't be told apart by looking at them: the second one would be served as the answer
+// to whatever request the connection is used for next.
 #[test]
 fn a_second_answer_never_becomes_the_answer_to_the_next_request() {
     let discovery = Discovery::start();
@@ -54,7 +54,7 @@
     assert_eq!(endpoint.requests(), 20);
 }
 
-// The same with both in one piece.
+// The same with both in one fragment.
 #[test]
 fn what_comes_behind_an_answer_is_none_to_the_next_request() {
     let discovery = Discovery::start();
@@ -80,7 +80,8 @@
     assert_eq!(endpoint.requests(), 5);
 }
 
-/// Bytes of an answer, what its endpoint does then, and what the client gets: 200 with the body `whole`, or 502.
+/// Bytes of an answer, what its endpoint does then, and what the client gets: 200 with the body
+/// `whole`, or 502.
 const FORMS: [(&str, Then, u16); 15] = [
     // A reset is no end, a close is one, where no length was told.
     ("HTTP/1.1 200 OK\r\n\r\nwhole", Then::Close, 200),
@@ -199,7 +200,8 @@
     }
 }
 
-/// An endpoint that takes little before it reads, some 35 kB in all: far less than the longest request.
+/// An endpoint that takes little before it reads, some 35 kB in all: far less than the longest
+/// request.
 fn narrow() -> TcpListener {
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
@@ -216,7 +218,7 @@
 
 /// What is left to read on a connection until the sidecar has closed it.
 fn taken(mut stream: TcpStream) -> usize {
-    // The rest need not come in small pieces.
+    // The rest need not come in small fragments.
     SockRef::from(&stream)
         .set_recv_buffer_size(1 << 20)
         .expect("a size can be set");
@@ -226,8 +228,8 @@
     rest.len()
 }
 
-// An endpoint begins a request when its last byte has come. What answers before that can be no answer to it, and its
-// last byte must not go out later, in front of the next request.
+// An endpoint begins a request when its last byte has come. What answers before that can be no
+// answer to it, and its last byte must not go out later, in front of the next request.
 #[test]
 fn an_answer_that_comes_before_the_request_is_written_ends_the_attempt_and_the_connection() {
     for early in [200, 500] {
@@ -261,7 +263,8 @@
     }
 }
 
-// Only the client's time ends an attempt that the endpoint takes no further. What it did not take never follows.
+// Only the client's time ends an attempt that the endpoint takes no further. What it did not take
+// never follows.
 #[test]
 fn a_request_that_is_not_taken_to_its_end_ends_in_time() {
     let (discovery, listener) = (Discovery::start(), narrow());
--- a/tests/sidecar/bad_settings.rs
+++ b/tests/sidecar/bad_settings.rs
@@ -1,5 +1,5 @@
-//! Configurations that are damaged in one place each: either the program ends with one plain line, or it serves. At a
-//! SIGHUP the same damage costs one line, and the old configuration stays.
+//! Configurations that are damaged in one place each: either the program ends with one plain line,
+//! or it serves. At a SIGHUP the same damage costs one line, and the old configuration stays.
 
 mod starts;
 
@@ -45,13 +45,14 @@
     "\u{0}",
 ];
 
-/// What is taken although it says little: the field keeps its meaning of absent, or nothing is decided by it. One line
-/// a field, with the damages that are taken.
+/// What is taken although it says little: the field keeps its meaning of absent, or nothing is
+/// decided by it. One line a field, with the damages that are taken.
 const TAKEN: &str = include_str!("bad_settings/taken.txt");
 
 /// A good configuration that names every field.
 fn whole(listen: SocketAddr, discovery: SocketAddr, endpoint: SocketAddr) -> Value {
-    /// Where peers' datagrams would arrive; the same for all, as each address is kept until the tests end.
+    /// Where peers' datagrams would arrive; the same for all, as each address is kept until the
+    /// tests end.
     static PEERS: OnceLock<[SocketAddr; 2]> = OnceLock::new();
     let known = list(1, true, &[("s-1", endpoint, "active")]);
     let mut file: Value =
@@ -200,7 +201,8 @@
     assert!(wrong.is_empty(), "taken: {wrong:?}");
 }
 
-// The repeat of a class that says nothing of who drops repeats goes to servers that surely do: those of the same cell.
+// The repeat of a class that says nothing of who drops repeats goes to servers that surely do:
+// those of the same cell.
 #[test]
 fn a_keyed_class_without_a_scope_is_repeated_in_its_cell_alone() {
     let discovery = Discovery::start();
--- a/tests/sidecar/closing.rs
+++ b/tests/sidecar/closing.rs
@@ -1,4 +1,5 @@
-//! How a client's connection is closed: nothing that comes late takes an answer along, and nobody holds it open.
+//! How a client's connection is closed: nothing that comes late takes an answer along, and nobody
+//! holds it open.
 
 use crate::ok;
 use crate::stubs::*;
@@ -21,7 +22,8 @@
     socket.into()
 }
 
-/// Whether the other side closes the connection without a reset: one that comes after the end shows on closing only.
+/// Whether the other side closes the connection without a reset: one that comes after the end shows
+/// on closing only.
 fn closes_cleanly(stream: &mut TcpStream) -> bool {
     stream
         .set_read_timeout(Some(LONG))
--- a/tests/sidecar/connections.rs
+++ b/tests/sidecar/connections.rs
@@ -17,8 +17,9 @@
     });
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
     let made = || endpoint.made.load(Ordering::SeqCst);
-    // The last answer on the first connection does not say that it is the last. The next request must not be
-    // written to a connection that is closed, where it would end as a reset and, being unsafe, fail.
+    // The last answer on the first connection does not say that it is the last. The next request
+    // must not be written to a connection that is closed, where it would end as a reset and, being
+    // unsafe, fail.
     for headers in ["", "", "X-Last: 1\r\n"] {
         assert_eq!(
             sidecar
@@ -68,7 +69,8 @@
     drop(crowd);
 }
 
-// Anyone may connect. Half a minute is what these stubs wait at the most; the requests would wait for longer.
+// Anyone may connect. Half a minute is what these stubs wait at the most; the requests would wait
+// for longer.
 #[test]
 fn peers_that_say_nothing_or_stop_half_way_are_closed_or_told_of_an_error() {
     let discovery = Discovery::start();
@@ -106,8 +108,8 @@
     });
 }
 
-// A process that is stopped and goes on finds its timers due before it hears of what has come meanwhile: the connection
-// would be closed as idle over a request that was not read.
+// A process that is stopped and goes on finds its timers due before it hears of what has come
+// meanwhile: the connection would be closed as idle over a request that was not read.
 #[test]
 fn a_request_that_came_while_the_process_was_stopped_is_served() {
     let discovery = Discovery::start();
--- a/tests/sidecar/cuts.rs
+++ b/tests/sidecar/cuts.rs
@@ -1,4 +1,5 @@
-//! A request that may not be repeated, whose connection ends at every byte of the request and of the answer.
+//! A request that may not be repeated, whose connection ends at every byte of the request and of
+//! the answer.
 
 use crate::stubs::*;
 use socket2::SockRef;
@@ -83,7 +84,7 @@
                 continue;
             }
             Mode::CutRequest(length) => {
-                // A short request comes in one piece here.
+                // A short request comes in one fragment here.
                 let _ = stream.read(&mut vec![0; length]);
                 End::Reset
             }
@@ -102,8 +103,8 @@
     }
 }
 
-/// Sends one unsafe request to endpoints of that mode, and then good ones; returns the status, and how many endpoints
-/// it began to arrive at.
+/// Sends one unsafe request to endpoints of that mode, and then good ones; returns the status, and
+/// how many endpoints it began to arrive at.
 fn ask(sidecar: &Sidecar, cutters: &Cutters, mode: Mode) -> (u16, usize) {
     cutters.set(mode);
     let status = sidecar
--- a/tests/sidecar/dials.rs
+++ b/tests/sidecar/dials.rs
@@ -7,8 +7,8 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// An endpoint whose connections do not come up while `filler` is open: with its queue full the system drops further
-/// openings, and the client's system tries again after a second.
+/// An endpoint whose connections do not come up while `filler` is open: with its queue full the
+/// system drops further openings, and the client's system tries again after a second.
 struct Full {
     listener: TcpListener,
     filler: TcpStream,
@@ -57,7 +57,8 @@
     assert_eq!(endpoint.requests(), 1);
 }
 
-// A dial that was given up is over: what it was made for goes out on no connection that comes up after it.
+// A dial that was given up is over: what it was made for goes out on no connection that comes up
+// after it.
 #[test]
 fn a_connection_that_comes_up_too_late_is_none() {
     let (discovery, full) = (Discovery::start(), Full::start());
--- a/tests/sidecar/draining.rs
+++ b/tests/sidecar/draining.rs
@@ -1,4 +1,5 @@
-//! What crosses a planned stop: requests half read, behind others, in queues, and what comes back for those under way.
+//! What crosses a planned stop: requests half read, behind others, in queues, and what comes back
+//! for those under way.
 
 use crate::ok;
 use crate::stubs::*;
@@ -117,7 +118,8 @@
     true
 }
 
-// Clients go on using what they have just opened; a new connection that is closed with no answer costs them a request.
+// Clients go on using what they have just opened; a new connection that is closed with no answer
+// costs them a request.
 #[test]
 fn a_connection_that_was_just_opened_may_still_bring_its_request() {
     in_time(|| {
--- a/tests/sidecar/extremes.rs
+++ b/tests/sidecar/extremes.rs
@@ -1,4 +1,5 @@
-//! Settings at their ends: each request gets its one answer, and nothing is repeated that may not be.
+//! Settings at their ends: each request gets its one answer, and nothing is repeated that may not
+//! be.
 
 use crate::ok;
 use crate::stubs::*;
--- a/tests/sidecar/handovers.rs
+++ b/tests/sidecar/handovers.rs
@@ -14,7 +14,8 @@
         .replace("\"DialTimeoutUs\":5000000", "\"DialTimeoutUs\":20000000")
 }
 
-// What was decided for a process was decided by what it can take; one that was started in its place is another.
+// What was decided for a process was decided by what it can take; one that was started in its place
+// is another.
 #[test]
 fn a_dial_under_way_as_the_process_is_replaced_writes_nothing_to_the_new_one() {
     let (discovery, held) = (Discovery::start(), Held::start());
@@ -44,8 +45,8 @@
     assert_eq!(endpoint.requests(), 0);
 }
 
-// Both have come while the process was stopped, the connection first: before the request is written, the other is to
-// be heard, also where an attempt may not be called back.
+// Both have come while the process was stopped, the connection first: before the request is
+// written, the other is to be heard, also where an attempt may not be cancelled.
 #[test]
 fn a_client_that_left_before_the_connection_came_up_is_noticed_before_anything_is_written() {
     let (discovery, held) = (Discovery::start(), Held::start());
@@ -100,7 +101,8 @@
     assert_eq!(endpoint.requests(), 0);
 }
 
-// The answer has come, and then the time of the attempt ran out, before either was seen: it is an answer.
+// The answer has come, and then the time of the attempt ran out, before either was seen: it is an
+// answer.
 #[test]
 fn an_answer_that_came_while_the_process_was_stopped_counts_though_its_time_is_over() {
     let discovery = Discovery::start();
@@ -124,11 +126,13 @@
     );
 }
 
-// What became of a request at the process before says nothing of the one that was started in its place.
+// What became of a request at the process before says nothing of the one that was started in its
+// place.
 #[test]
 fn what_breaks_at_the_process_before_is_not_held_against_the_new_one() {
     let (discovery, old) = (Discovery::start(), Holding::start());
-    // With short aims what is known fades within a second, and one failure opens the circuit.
+    // With short latency objectives what is known fades within a second, and one failure opens the
+    // circuit.
     let short = |config: String| config.replace("\"AimUs\":8000000", "\"AimUs\":100000");
     let sidecar = Sidecar::start_altered(&discovery, &[("s-1", &old.endpoint)], 1024, short);
     let mut client = sidecar.connect();
@@ -212,8 +216,9 @@
     assert_eq!((first.endpoint.requests(), second.requests()), (1, 0));
 }
 
-// An attempt at a class that may not be repeated has all the time of its request: the two end together. The endpoint's
-// time-out is learnt first, or its circuit would stay closed for as long as it hangs.
+// An attempt at a class that may not be repeated has all the time of its request: the two end
+// together. The endpoint's time-out is learnt first, or its circuit would stay closed for as long
+// as it hangs.
 #[test]
 fn an_endpoint_that_hangs_until_its_requests_are_over_has_its_circuit_opened() {
     let discovery = Discovery::start();
--- a/tests/sidecar/leaving.rs
+++ b/tests/sidecar/leaving.rs
@@ -1,4 +1,5 @@
-//! Clients that leave while bytes of theirs are unread: a connection does not read on to its end then.
+//! Clients that leave while bytes of theirs are unread: a connection does not read on to its end
+//! then.
 
 use crate::ok;
 use crate::stubs::*;
--- a/tests/sidecar/list_forms.rs
+++ b/tests/sidecar/list_forms.rs
@@ -54,7 +54,7 @@
         "0\r\n\r\n".to_owned(),
     ];
     let _watch = tell(&agent, 2, |mut call| {
-        // Byte by byte, so that the sidecar reads it in many pieces.
+        // Byte by byte, so that the sidecar reads it in many fragments.
         for byte in parts.concat().bytes() {
             std::io::Write::write_all(&mut call.stream, &[byte]).expect("the sidecar reads");
         }
--- a/tests/sidecar/lists.rs
+++ b/tests/sidecar/lists.rs
@@ -44,7 +44,8 @@
     }
 }
 
-// Where the settings say that changes are pushed, the module waits for them: the sidecar must fetch them.
+// Where the settings say that changes are pushed, the module waits for them: the sidecar must fetch
+// them.
 #[test]
 fn a_list_that_is_pushed_is_followed_and_taken_up_again_after_a_failure() {
     let discovery = Discovery::start();
@@ -82,8 +83,8 @@
     assert_eq!(old.requests(), 0);
 }
 
-// A send counts from its first byte: one whose connection comes up only after the endpoint was told to leave
-// must not be written any more.
+// A send counts from its first byte: one whose connection comes up only after the endpoint was told
+// to leave must not be written any more.
 #[test]
 fn a_dial_under_way_to_an_endpoint_that_leaves_writes_nothing() {
     let other: std::net::SocketAddr = "127.0.0.1:9".parse().expect("an address");
@@ -110,7 +111,8 @@
         .expect("a free port");
     let listener = TcpListener::from(socket);
     let address = listener.local_addr().expect("an address");
-    // With its queue full the system drops further openings, and the client's system tries again in a while.
+    // With its queue full the system drops further openings, and the client's system tries again in
+    // a while.
     let filler = TcpStream::connect(address).expect("one fits");
     let full = TcpStream::connect_timeout(&address, Duration::from_millis(300)).is_err();
     assert!(full, "the queue takes more than one");
@@ -161,7 +163,8 @@
     );
 }
 
-// Numbers of endpoints that are gone are given out anew: answers must still come from whom the list names.
+// Numbers of endpoints that are gone are given out anew: answers must still come from whom the list
+// names.
 #[test]
 fn endpoints_replaced_over_and_over_are_told_apart() {
     let discovery = Discovery::start();
--- a/tests/sidecar/moves.rs
+++ b/tests/sidecar/moves.rs
@@ -28,7 +28,8 @@
     )
 }
 
-/// The next call at an agent asks for the whole list and is answered; returns the watch that follows.
+/// The next call at an agent asks for the whole list and is answered; returns the watch that
+/// follows.
 fn follow(agent: &Agent, index: u64, body: &str) -> Call {
     let mut call = agent.call();
     assert_eq!(call.after(), None, "{}", call.start);
@@ -95,7 +96,8 @@
     }
 }
 
-// Failures at the old address must not have the new one wait, nor failures at the new one pass the time.
+// Failures at the old address must not have the new one wait, nor failures at the new one pass the
+// time.
 #[test]
 fn a_move_while_calls_fail_is_followed_in_time() {
     let (before, after) = (Agent::start(), Agent::start());
@@ -172,7 +174,8 @@
     );
 }
 
-// A process that knows no list asks for the whole one; what it asks in vain is asked three times within a second each.
+// A process that knows no list asks for the whole one; what it asks in vain is asked three times
+// within a second each.
 #[test]
 fn the_first_list_of_a_new_process_comes_though_two_calls_are_lost() {
     let agent = Agent::start();
--- a/tests/sidecar/repeats.rs
+++ b/tests/sidecar/repeats.rs
@@ -1,4 +1,5 @@
-//! What may run twice, and until when: checked as bytes are about to go out, not only as the attempt is decided.
+//! What may run twice, and until when: checked as bytes are about to go out, not only as the
+//! attempt is decided.
 
 use crate::ok;
 use crate::stubs::*;
@@ -17,8 +18,8 @@
         .replace("\"DialTimeoutUs\":5000000", "\"DialTimeoutUs\":20000000")
 }
 
-// A repeat is decided while the window is open, and its connection comes up only once it is over: what is written
-// then would run a second time.
+// A repeat is decided while the window is open, and its connection comes up only once it is over:
+// what is written then would run a second time.
 #[test]
 fn a_repeat_whose_window_ends_while_its_connection_comes_up_is_not_written() {
     let (discovery, first, held) = (Discovery::start(), Holding::start(), Held::start());
@@ -42,7 +43,8 @@
     assert_eq!((first.endpoint.requests(), second.requests()), (1, 0));
 }
 
-// Half written as the window ends, it must not be written to its end: with its last byte it would begin to run.
+// Half written as the window ends, it must not be written to its end: with its last byte it would
+// begin to run.
 #[test]
 fn a_repeat_half_written_as_its_window_ends_is_not_written_to_its_end() {
     let (discovery, first, second) = (Discovery::start(), Holding::start(), narrow());
@@ -67,7 +69,8 @@
     assert_eq!(read_message(&mut client).expect("an answer").status(), 503);
 }
 
-/// A listener over whose connections the system takes only a part of a long request before it is read.
+/// A listener over whose connections the system takes only a part of a long request before it is
+/// read.
 fn narrow() -> TcpListener {
     let socket =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
@@ -82,8 +85,8 @@
     TcpListener::from(socket)
 }
 
-// Only the group in which a request may have run knows its key: that is the one that the endpoint was in when it got
-// the request, not one that a later list moved it to.
+// Only the group in which a request may have run knows its key: that is the one that the endpoint
+// was in when it got the request, not one that a later list moved it to.
 #[test]
 fn a_repeat_goes_by_the_group_in_which_the_request_may_have_run() {
     let (discovery, first) = (Discovery::start(), Holding::start());
@@ -111,7 +114,8 @@
     assert_eq!((first.endpoint.requests(), second.requests()), (1, 0));
 }
 
-// An answer that cannot be read as it is meant counts as one that may have run, whatever its head promised.
+// An answer that cannot be read as it is meant counts as one that may have run, whatever its head
+// promised.
 #[test]
 fn an_unsafe_request_turned_away_in_a_broken_answer_is_not_sent_again() {
     for (headers, body) in [
@@ -134,7 +138,8 @@
     }
 }
 
-// By the client's clock, which began with the head of its request: what an endpoint is told may not be more.
+// By the client's clock, which began with the head of its request: what an endpoint is told may not
+// be more.
 #[test]
 fn each_attempt_tells_no_more_time_than_its_client_has_left() {
     let (discovery, first) = (Discovery::start(), Holding::start());
--- a/tests/sidecar/requests.rs
+++ b/tests/sidecar/requests.rs
@@ -72,8 +72,8 @@
     assert_eq!(sidecar.ask(&good).expect("an answer").status(), 200);
 }
 
-// A broken connection says nothing of whether the request has run, so an unsafe one must neither go out again
-// nor be refused, which would invite the client to repeat it.
+// A broken connection says nothing of whether the request has run, so an unsafe one must neither go
+// out again nor be refused, which would invite the client to repeat it.
 #[test]
 fn an_unsafe_request_that_may_have_run_is_sent_once_and_fails() {
     for reply in [
@@ -134,7 +134,8 @@
     assert!(asked.elapsed() < Duration::from_millis(9500));
 }
 
-// A machine that has vanished says nothing, ever: only the sidecar's own timers end what is out there.
+// A machine that has vanished says nothing, ever: only the sidecar's own timers end what is out
+// there.
 #[test]
 fn a_silent_endpoint_costs_no_client_its_answer() {
     for class in ["look", "book", "pay"] {
@@ -147,7 +148,8 @@
             status != 200 && (class != "book" || status != 503),
             "{class}: {status}"
         );
-        // Giving up an attempt closes its connection, or the answer to it would meet the next request.
+        // Giving up an attempt closes its connection, or the answer to it would meet the next
+        // request.
         await_that("all connections are closed", || {
             let made = endpoint.made.load(Ordering::SeqCst);
             made >= 1 && endpoint.closed() == made
--- a/tests/sidecar/restarts.rs
+++ b/tests/sidecar/restarts.rs
@@ -16,15 +16,17 @@
         .replace("\"since_ms\":0", &format!("\"since_ms\":{since}"))
 }
 
-/// A sidecar for which a process is warm as soon as it has started: how much a cold one may be sent is not asked here.
+/// A sidecar for which a process is warm as soon as it has started: how much a cold one may be sent
+/// is not asked here.
 fn sidecar(discovery: &Discovery, endpoint: &Endpoint) -> Sidecar {
     Sidecar::start_altered(discovery, &[("s-1", endpoint)], 1024, |config| {
         config.replace("\"WarmWithinUs\":8900000", "\"WarmWithinUs\":1")
     })
 }
 
-// A machine that vanishes says nothing on its connections, and resets them once it is back: a request that is written
-// on one of them may have run, for all that can be told, and an unsafe one fails.
+// A machine that vanishes says nothing on its connections, and resets them once it is back: a
+// request that is written on one of them may have run, for all that can be told, and an unsafe one
+// fails.
 #[test]
 fn a_connection_from_before_a_restart_is_not_used_again() {
     let discovery = Discovery::start();
--- a/tests/sidecar/room.rs
+++ b/tests/sidecar/room.rs
@@ -30,8 +30,8 @@
     read_message(client).expect("an answer").status()
 }
 
-// Whom it could not even dial is not to blame, and is served by again as soon as there is room: a circuit that opened
-// stays open for as long as an aim, 8 s here.
+// Whom it could not even dial is not to blame, and is served by again as soon as there is room: a
+// circuit that opened stays open for as long as an latency objective, 8 s here.
 #[test]
 fn a_want_of_descriptors_is_booked_against_no_endpoint() {
     let discovery = Discovery::start();
--- a/tests/sidecar/starting.rs
+++ b/tests/sidecar/starting.rs
@@ -71,7 +71,8 @@
     );
 }
 
-// A port that was noted and let go of would be found in use by some of the sidecars that are to listen there.
+// A port that was noted and let go of would be found in use by some of the sidecars that are to
+// listen there.
 #[test]
 fn an_unused_address_is_kept_from_others_until_a_sidecar_listens_there() {
     let at = unused_address();
--- a/tests/sidecar/stopping.rs
+++ b/tests/sidecar/stopping.rs
@@ -49,7 +49,7 @@
     assert_eq!(sidecar.await_end().code(), Some(0));
 }
 
-// What it still holds may be sent on by the list until it ends.
+// What it still holds may be forwarded by the list until it ends.
 #[test]
 fn told_to_stop_it_still_follows_discovery_to_where_a_reload_says() {
     let (before, after) = (Discovery::start(), Discovery::start());
--- a/tests/sidecar/two_settings.rs
+++ b/tests/sidecar/two_settings.rs
@@ -1,5 +1,5 @@
-//! One build under two settings, with the same servers and the same requests: what each deployment's clients and servers
-//! see follows its own settings, and nothing of the other's shows.
+//! One build under two settings, with the same servers and the same requests: what each
+//! deployment's clients and servers see follows its own settings, and nothing of the other's shows.
 
 use crate::ok;
 use crate::stubs::*;
@@ -10,7 +10,8 @@
 use std::sync::mpsc;
 use std::thread;
 
-/// A freight terminal: four attempts, hold-offs are told, repeats are dropped everywhere and for long.
+/// A freight terminal: four attempts, hold-offs are told, repeats are dropped everywhere and for
+/// long.
 const FREIGHT: &str = r#"{"Balancers":3,"Discovery":"on_request","Index":0,
 "Lanes":[{"AimUs":2000000,"DeadlineUs":3000000,"Effect":"pure","Name":"status"},
 {"AimUs":2000000,"DeadlineUs":3000000,"Effect":"pure","Name":"manifest"},
@@ -22,7 +23,8 @@
 "Rules":{"AskWithinUs":2000000,"ColdShare":0.3,"OverloadFactor":3.0,"TipAfterUs":1500000,"WarmWithinUs":8900000},
 "Tenants":[{"Name":"north-line","QuotaPerS":98.0,"Share":1.0}],"TickUs":5000,"Zone":"quay","Zones":["quay","yard"]}"#;
 
-/// A hospital: two attempts, no hold-offs, repeats are dropped by the own cell alone, or for no time at all.
+/// A hospital: two attempts, no hold-offs, repeats are dropped by the own cell alone, or for no
+/// time at all.
 const CLINIC: &str = r#"{"Balancers":1,"Discovery":"pushed","Index":0,
 "Lanes":[{"AimUs":1000000,"DeadlineUs":1000000,"Effect":"side_effect","Name":"discharge"},
 {"AimUs":1000000,"DeadlineUs":1000000,"DedupScope":"all","Effect":"token","KeyTtlUs":5001,"Name":"tally"},
@@ -36,7 +38,8 @@
 
 const SERVERS: usize = 4;
 
-/// Four servers, each a cell of its own, that do what the request says, and two sidecars of one build before them.
+/// Four servers, each a cell of its own, that do what the request says, and two sidecars of one
+/// build before them.
 struct Two {
     servers: Vec<Endpoint>,
     freight: Sidecar,
@@ -187,7 +190,8 @@
         "{freight:?} {clinic:?}"
     );
     assert_eq!([freight.status, clinic.status], [503, 503]);
-    // A quarter of the aim, and at most what clients honour, where they are told one at all.
+    // A quarter of the latency objective, and at most what clients honour, where they are told one
+    // at all.
     assert_eq!(
         [freight.hold_off.as_deref(), clinic.hold_off.as_deref()],
         [Some("0.300"), None]
@@ -216,7 +220,8 @@
 #[test]
 fn the_servers_that_drop_repeats_are_those_of_the_own_settings() {
     let two = Two::start();
-    // Everywhere at the one; in the own cell alone at the other, whose client may then not come again elsewhere.
+    // Everywhere at the one; in the own cell alone at the other, whose client may then not come
+    // again elsewhere.
     let [freight, clinic] = two.ask(&of("order", POST_WITH_KEY, "break"));
     assert!(
         freight.servers() > 1 && freight.status == 503,
@@ -251,7 +256,8 @@
     assert_eq!(heads[0], heads[1]);
 }
 
-// The time from SIGTERM to the end is that of the longest deadline: 1 s at the one, 3 s at the other.
+// The time from SIGTERM to the end is that of the longest deadline: 1 s at the one, 3 s at the
+// other.
 #[test]
 fn a_stop_waits_as_long_as_the_own_deadlines_say() {
     let two = Two::start();
--- a/tests/sidecar/watches.rs
+++ b/tests/sidecar/watches.rs
@@ -43,8 +43,8 @@
         .body
 }
 
-// Invariant: whatever the settings allow between two questions, discovery that failed is asked again before what it has
-// to tell counts as told.
+// Invariant: whatever the settings allow between two questions, discovery that failed is asked
+// again before what it has to tell counts as told.
 #[test]
 fn a_discovery_that_failed_often_is_asked_again_before_a_change_counts_as_told() {
     for within in ["30000000", "3600000000"] {
@@ -68,7 +68,8 @@
     }
 }
 
-// A second holds at most ten waits of 100 ms or more and some shorter ones before them; a tight loop holds hundreds.
+// A second holds at most ten waits of 100 ms or more and some shorter ones before them; a tight
+// loop holds hundreds.
 #[test]
 fn settings_that_allow_no_time_between_two_questions_make_no_tight_loop() {
     for within in ["0", "1"] {
@@ -90,8 +91,8 @@
     }
 }
 
-// What ended the watch may have come in place of a change: it is asked for without a wait, so that silence right then does
-// not last as long as a watch.
+// What ended the watch may have come in place of a change: it is asked for without a wait, so that
+// silence right then does not last as long as a watch.
 #[test]
 fn after_a_watch_that_broke_what_it_may_have_missed_is_asked_for_without_a_wait() {
     for mode in ["on_request", "pushed"] {
@@ -169,7 +170,8 @@
     assert_eq!((body(&sidecar), old.requests()), (b"new".to_vec(), 0));
 }
 
-// An agent that began anew numbers its versions anew: changes to what it held do not fit to what is held here.
+// An agent that began anew numbers its versions anew: changes to what it held do not fit to what is
+// held here.
 #[test]
 fn changes_under_a_lower_version_are_followed_by_the_whole_list() {
     let agent = Agent::start();
@@ -208,8 +210,8 @@
     assert_eq!((body(&sidecar), old.requests()), (b"new".to_vec(), 0));
 }
 
-// Clients may take no descriptor that discovery needs; where the system grants fewer than it says, discovery is called
-// again once there are some.
+// Clients may take no descriptor that discovery needs; where the system grants fewer than it says,
+// discovery is called again once there are some.
 #[test]
 fn discovery_is_called_again_though_idle_clients_fill_the_descriptors() {
     for granted in [64, 24] {
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -7,10 +7,12 @@
 use std::thread;
 use stubs::*;
 
-/// When what a silent watch misses counts as told, in milliseconds after it fell silent (the protocol).
+/// When what a silent watch misses counts as told, in milliseconds after it fell silent (the
+/// protocol).
 const TOLD_MS: u64 = 6000;
 
-/// An agent whose open watches are never answered; what it says to other calls is what it knows last.
+/// An agent whose open watches are never answered; what it says to other calls is what it knows
+/// last.
 struct Agent {
     address: SocketAddr,
     state: Arc<Mutex<Known>>,
@@ -95,8 +97,8 @@
     value?.parse().ok()
 }
 
-// Invariant: what a silent watch misses is in hand when it counts as told, even where the next call fails too. So the
-// wait that is asked for leaves time for three answers that take a second each.
+// Invariant: what a silent watch misses is in hand when it counts as told, even where the next call
+// fails too. So the wait that is asked for leaves time for three answers that take a second each.
 #[test]
 fn a_watch_that_falls_silent_is_opened_anew_before_what_it_misses_counts_as_told() {
     for mode in ["pushed", "on_request"] {
--- a/tests/stubs/agent.rs
+++ b/tests/stubs/agent.rs
@@ -57,8 +57,8 @@
             .ok()
     }
 
-    /// A sidecar that follows it, and that knows these endpoints as version 1 of the list; `mode` is what the settings say
-    /// of how lists come.
+    /// A sidecar that follows it, and that knows these endpoints as version 1 of the list; `mode`
+    /// is what the settings say of how lists come.
     pub fn sidecar(&self, mode: &str, endpoints: &[(&str, &Endpoint)]) -> Sidecar {
         self.sidecar_altered(endpoints, |config| config.replace("on_request", mode))
     }
--- a/tests/stubs/discovery.rs
+++ b/tests/stubs/discovery.rs
@@ -96,7 +96,8 @@
         self.state.0.lock().expect("no stub panics").calls.clone()
     }
 
-    /// Waits until that version has been written to somebody's connection, whether it is read or not.
+    /// Waits until that version has been written to somebody's connection, whether it is read or
+    /// not.
     pub fn await_told(&self, version: u64) {
         let told = format!("\"index\":{version},");
         let written = || {
@@ -111,7 +112,8 @@
         await_that("the news is written", written);
     }
 
-    /// Waits until a watch for news after `version` is open: what came before has then been taken in.
+    /// Waits until a watch for news after `version` is open: what came before has then been taken
+    /// in.
     pub fn await_watch(&self, version: u64) {
         let call = format!("after={version}&");
         await_that("the watch goes on", || {
--- a/tests/stubs/held.rs
+++ b/tests/stubs/held.rs
@@ -3,7 +3,8 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// A listener whose queue is full: the system drops further openings, and the other side tries again in a while.
+/// A listener whose queue is full: the system drops further openings, and the other side tries
+/// again in a while.
 pub struct Held {
     pub address: SocketAddr,
     listener: TcpListener,
@@ -31,7 +32,8 @@
         }
     }
 
-    /// Empties the queue; what is accepted next may be the connection that filled it, which is closed.
+    /// Empties the queue; what is accepted next may be the connection that filled it, which is
+    /// closed.
     pub fn release(self) -> TcpListener {
         drop(self.filler);
         self.listener
--- a/tests/stubs/message.rs
+++ b/tests/stubs/message.rs
@@ -30,7 +30,8 @@
     }
 }
 
-/// Reads one message; `None` once the other side has closed or reset the connection, or said nothing for long.
+/// Reads one message; `None` once the other side has closed or reset the connection, or said
+/// nothing for long.
 pub fn read_message(stream: &mut TcpStream) -> Option<Message> {
     read_message_within(stream, LONG)
 }
--- a/tests/stubs/mod.rs
+++ b/tests/stubs/mod.rs
@@ -49,17 +49,18 @@
 
 /// The host of whatever listens for connections.
 const LOCALHOST: [u8; 4] = [127, 0, 0, 1];
-/// The host of whatever listens for datagrams at an address that was kept for it, and of nothing else.
+/// The host of whatever listens for datagrams at an address that was kept for it, and of nothing
+/// else.
 const DATAGRAMS: [u8; 4] = [127, 0, 0, 2];
 
 static STARTED: AtomicU64 = AtomicU64::new(0);
 
 /// Keeps an address: nobody listens there, and the system gives its port to nobody else.
 ///
-/// A port that was only noted and let go of may be given to another process before the one that it is meant for has
-/// started; and a process that is just being started still holds every socket of the one that starts it. So this is a
-/// bound socket that does not listen and allows reuse: a sidecar, which allows reuse as well, may listen there, again
-/// and again.
+/// A port that was only noted and let go of may be given to another process before the one that it
+/// is meant for has started; and a process that is just being started still holds every socket of
+/// the one that starts it. So this is a bound socket that does not listen and allows reuse: a
+/// sidecar, which allows reuse as well, may listen there, again and again.
 pub struct Reserved {
     pub address: SocketAddr,
     _socket: Socket,
@@ -86,13 +87,14 @@
     }
 }
 
-/// An address at which nobody listens. It is kept until this process ends: no other socket takes the port.
+/// An address at which nobody listens. It is kept until this process ends: no other socket takes
+/// the port.
 pub fn unused_address() -> SocketAddr {
     kept(LOCALHOST)
 }
 
-/// An address at which nobody listens for datagrams. Whoever does so on this host has the port from here, and so from
-/// the system, which gives each one out once.
+/// An address at which nobody listens for datagrams. Whoever does so on this host has the port from
+/// here, and so from the system, which gives each one out once.
 pub fn unused_datagrams() -> SocketAddr {
     kept(DATAGRAMS)
 }
@@ -105,7 +107,8 @@
     address
 }
 
-/// Whether some process here is trying to connect to that port (state 2 of the system's table: SYN sent).
+/// Whether some process here is trying to connect to that port (state 2 of the system's table: SYN
+/// sent).
 pub fn being_dialled(address: SocketAddr) -> bool {
     let table = std::fs::read_to_string("/proc/net/tcp").expect("the table of sockets");
     table
@@ -113,8 +116,8 @@
         .any(|l| l.contains(&format!(":{:04X} 02 ", address.port())))
 }
 
-/// The state in which the system's table has the connection's end at `local`, as its two digits there ("01": established);
-/// `None` once it is gone.
+/// The state in which the system's table has the connection's end at `local`, as its two digits
+/// there ("01": established); `None` once it is gone.
 pub fn state_of(local: SocketAddr, remote: SocketAddr) -> Option<String> {
     entry(local, remote).map(|(state, _)| state)
 }
@@ -150,8 +153,8 @@
     )
 }
 
-/// Whether whoever listens there has a connection that is up (state 1), or a close of its own on the way (state 4: the
-/// other side's system has not confirmed it).
+/// Whether whoever listens there has a connection that is up (state 1), or a close of its own on
+/// the way (state 4: the other side's system has not confirmed it).
 pub fn holds_open(address: SocketAddr) -> bool {
     let table = std::fs::read_to_string("/proc/net/tcp").expect("the table of sockets");
     let SocketAddr::V4(at) = address else {
--- a/tests/stubs/sidecar.rs
+++ b/tests/stubs/sidecar.rs
@@ -23,7 +23,8 @@
 
 /// Pause between two looks at a process.
 const LOOK: Duration = Duration::from_millis(5);
-/// How long one look at a sidecar that starts may take, so that a connection that is lost costs one look alone.
+/// How long one look at a sidecar that starts may take, so that a connection that is lost costs one
+/// look alone.
 const LOOK_WITHIN: Duration = Duration::from_secs(1);
 
 /// A sidecar's process.
--- a/tests/stubs/stop.rs
+++ b/tests/stubs/stop.rs
@@ -55,8 +55,8 @@
 /// Half of the time that a sidecar has patience: the rest is its own.
 pub const PATIENCE: Duration = Duration::from_millis(250);
 
-/// Tries an order of events until it came about within the time that a sidecar waits for it, which the try tells. On a
-/// busy machine a try may take longer, and shows nothing then.
+/// Tries an order of events until it came about within the time that a sidecar waits for it, which
+/// the try tells. On a busy machine a try may take longer, and shows nothing then.
 pub fn in_time(attempt: impl Fn() -> bool) {
     assert!(
         (0..40).any(|_| attempt()),
--- a/tests/warm_restart.rs
+++ b/tests/warm_restart.rs
@@ -1,4 +1,4 @@
-//! What knowledge from a life before does to decisions, and what it must not do.
+//! What knowledge from an incarnation before does to decisions, and what it must not do.
 
 mod common;
 use common::*;
@@ -42,7 +42,8 @@
     let with = sent_to_one(&mut rig, 60, Outcome::Error);
     assert!(with == 1 && with * 3 <= without, "{with} against {without}");
     assert_eq!(rig.balancer.summary().circuits_open, 1);
-    // The same knowledge of one that is well again costs it nothing but the wait for a first answer.
+    // The same knowledge of one that is well again costs it nothing but the wait for a first
+    // answer.
     let mut rig = Rig::new(settings(), 4, 1);
     rig.event(Event::Restored(vec![known(1, true)]));
     assert!(sent_to_one(&mut rig, 60, Outcome::Ok) > 8);
@@ -135,8 +136,8 @@
     );
 }
 
-/// Pace is a prior: after the time in which what is learnt fades, one that knew and one that did not part their turns
-/// alike.
+/// Pace is a prior: after the time in which what is learnt fades, one that knew and one that did
+/// not part their turns alike.
 #[test]
 fn pace_from_before_gives_way_to_own_answers() {
     let mut rig = Rig::new(settings(), 4, 1);
