--- a/src/api.rs
+++ b/src/api.rs
@@ -10,6 +10,7 @@
 mod request;
 mod restored;
 mod settings;
+mod settings_check;
 
 pub use ids::*;
 pub use list::*;
@@ -17,6 +18,7 @@
 pub use request::*;
 pub use restored::*;
 pub use settings::*;
+pub use settings_check::*;
 
 /// What an instance is told.
 #[derive(Clone, Debug)]
--- a/src/bin/sidecar/config.rs
+++ b/src/bin/sidecar/config.rs
@@ -1,10 +1,12 @@
 //! The platform's configuration: the file that `LB_CONFIG` names, and the variables beside it.
 
+use crate::config_error::{ConfigError, ContentError};
 use crate::host_list::HostList;
 use load_balancer::settings::{self, Decoded};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
+use std::path::PathBuf;
 use std::time::Duration;
 
 type Address = Option<SocketAddr>;
@@ -71,32 +73,28 @@
 const FEWEST_SOCKETS: usize = 32;
 
 impl Config {
-    /// Reads the configuration; the text of a failure is one plain line.
-    pub fn from_env() -> Result<Self, String> {
+    /// Reads the configuration.
+    pub fn from_env() -> Result<Self, ConfigError> {
         Self::load(|given, file| given.or(file))
     }
 
     /// Reads it once more. Discovery is where the file says now: a variable still says where it was
     /// at the start.
-    pub fn reload() -> Result<Self, String> {
+    pub fn reload() -> Result<Self, ConfigError> {
         Self::load(|given, file| file.or(given))
     }
 
     /// `which` picks discovery's address from that of the variable and that of the file.
-    fn load(which: fn(Address, Address) -> Address) -> Result<Self, String> {
-        let path = std::env::var_os("LB_CONFIG").ok_or("LB_CONFIG is not set")?;
-        let text = std::fs::read_to_string(&path)
-            .map_err(|e| format!("cannot read LB_CONFIG {}: {e}", path.display()))?;
-        let address = |name: &str| match std::env::var(name) {
-            Ok(value) => value
-                .parse()
-                .map(Some)
-                .map_err(|_| format!("{name} is not an address and port: {value}")),
-            Err(_) => Ok(None),
+    fn load(which: fn(Address, Address) -> Address) -> Result<Self, ConfigError> {
+        let path = std::env::var_os("LB_CONFIG").ok_or(ConfigError::NotSet)?;
+        let path = PathBuf::from(path);
+        let text = match std::fs::read_to_string(&path) {
+            Ok(text) => text,
+            Err(error) => return Err(ConfigError::Unreadable { path, error }),
         };
         let (listen, discovery) = (address("LB_LISTEN")?, address("LB_DISCOVERY")?);
         Self::read(&text, listen, |file| which(discovery, file))
-            .map_err(|e| format!("LB_CONFIG {}: {e}", path.display()))
+            .map_err(|error| ConfigError::Content { path, error })
     }
 
     /// Reads the text of the file; an address to listen on that is given beside it holds.
@@ -104,23 +102,22 @@
         text: &str,
         listen: Option<SocketAddr>,
         discovery: impl Fn(Address) -> Address,
-    ) -> Result<Self, String> {
-        let file: File = serde_json::from_str(text).map_err(|e| e.to_string())?;
-        let mut fixed: serde_json::Value = serde_json::from_str(text).map_err(|e| e.to_string())?;
+    ) -> Result<Self, ContentError> {
+        let file: File = serde_json::from_str(text)?;
+        let mut fixed: serde_json::Value = serde_json::from_str(text)?;
         if let Some(fields) = fixed.as_object_mut() {
             fields.retain(|name, _| !matches!(name.as_str(), "discovery" | "known" | "seed"));
         }
-        let decoded =
-            settings::decode(file.settings.get()).map_err(|e| format!("settings: {e}"))?;
-        decoded.settings.check().map_err(|e| e.to_string())?;
+        let decoded = settings::decode(file.settings.get())?;
+        decoded.settings.check()?;
         if file.limits.sockets < FEWEST_SOCKETS {
-            return Err(format!("limits: sockets must be {FEWEST_SOCKETS} or more"));
+            return Err(ContentError::TooFewSockets(FEWEST_SOCKETS));
         }
         Ok(Self {
             #[cfg(feature = "product")]
             name: std::env::var("LB_NAME").unwrap_or(file.name),
-            listen: listen.or(file.listen).ok_or("no address to listen on")?,
-            discovery: discovery(file.discovery).ok_or("no address of discovery")?,
+            listen: listen.or(file.listen).ok_or(ContentError::NoListen)?,
+            discovery: discovery(file.discovery).ok_or(ContentError::NoDiscovery)?,
             seed: seed(&file.seed),
             sockets: file.limits.sockets,
             peer_listen: file.peer_listen,
@@ -146,6 +143,17 @@
     }
 }
 
+/// The address in a variable, where that is set.
+fn address(variable: &'static str) -> Result<Address, ConfigError> {
+    let Ok(value) = std::env::var(variable) else {
+        return Ok(None);
+    };
+    match value.parse() {
+        Ok(address) => Ok(Some(address)),
+        Err(_) => Err(ConfigError::NoAddress { variable, value }),
+    }
+}
+
 /// The seed is 16 hexadecimal digits; any other text is a seed as well.
 fn seed(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or_else(|_| {
--- a/src/bin/sidecar/engine.rs
+++ b/src/bin/sidecar/engine.rs
@@ -21,7 +21,7 @@
 use crate::report::say;
 use crate::timers::Timers;
 use crate::upstream::Upstream;
-use load_balancer::{Balancer, Discovery, Event, ListUpdate};
+use load_balancer::{Balancer, Discovery, Event, ListUpdate, SettingsError};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -77,7 +77,7 @@
         config: Config,
         discovery_at: watch::Receiver<SocketAddr>,
         parts: EngineParts,
-    ) -> Result<(Self, EngineHandle), String> {
+    ) -> Result<(Self, EngineHandle), SettingsError> {
         let EngineParts {
             inputs: sender,
             arriving: inputs,
@@ -92,8 +92,7 @@
         let most = Limits::of(config.sockets).upstream;
         let pool = Rc::new(Pool::new(most, limits.dial_timeout, decoded.idle_close));
         let pushed = decoded.settings.discovery == Discovery::Pushed;
-        let mut balancer =
-            Balancer::new(decoded.settings, config.seed).map_err(|e| e.to_string())?;
+        let mut balancer = Balancer::new(decoded.settings, config.seed)?;
         if let Some(fleet) = &fleet {
             balancer.share(fleet.sharing());
         }
--- a/src/bin/sidecar/main.rs
+++ b/src/bin/sidecar/main.rs
@@ -12,12 +12,14 @@
 mod clock;
 mod closing;
 mod config;
+mod config_error;
 mod connection;
 mod descriptors;
 mod discovery;
 mod endpoint_directory;
 mod engine;
 mod engine_handle;
+mod exit_error;
 #[cfg(feature = "product")]
 mod gossip;
 mod headers;
@@ -35,6 +37,8 @@
 #[cfg_attr(not(feature = "product"), path = "product_disabled.rs")]
 mod product;
 mod product_file;
+#[cfg(feature = "product")]
+mod product_sections;
 mod report;
 mod request_headers;
 mod serving;
@@ -53,6 +57,7 @@
 use config::Config;
 use descriptors::Limits;
 use engine::{Engine, EngineParts};
+use exit_error::ExitError;
 use messages::Inputs;
 use product::Product;
 use report::say;
@@ -83,41 +88,36 @@
         Err(code) => return code,
     };
     let ended = start(&mut product);
-    if let Err((what, _)) = &ended {
-        say!(error, "sidecar", "{what}");
+    if let Err(error) = &ended {
+        say!(error, "sidecar", "{error}");
     }
     product.end();
-    ended.map_or_else(|(_, code)| code, |()| ExitCode::SUCCESS)
+    ended.map_or_else(|error| error.code(), |()| ExitCode::SUCCESS)
 }
 
-/// Why the process ends, in one line, and the code that it ends with.
-type Failure = (String, ExitCode);
-
-fn start(product: &mut Product) -> Result<(), Failure> {
-    let failed = |what| (what, ExitCode::FAILURE);
-    let config = Config::from_env().map_err(failed)?;
+fn start(product: &mut Product) -> Result<(), ExitError> {
+    let config = Config::from_env().map_err(ExitError::failure)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(|e| failed(format!("cannot start the runtime: {e}")))?;
+        .map_err(|e| ExitError::failure(format!("cannot start the runtime: {e}")))?;
     LocalSet::new().block_on(&runtime, serve(config, product))
 }
 
-async fn serve(mut config: Config, product: &mut Product) -> Result<(), Failure> {
-    let failed = |what| (what, ExitCode::FAILURE);
+async fn serve(mut config: Config, product: &mut Product) -> Result<(), ExitError> {
     let listener = inbound::bind(config.listen)
-        .map_err(|e| failed(format!("cannot listen on {}: {e}", config.listen)))?;
+        .map_err(|e| ExitError::failure(format!("cannot listen on {}: {e}", config.listen)))?;
     // Awaited before anything else: unawaited, this one ends the process.
-    let mut hup =
-        signal(SignalKind::hangup()).map_err(|e| failed(format!("cannot await SIGHUP: {e}")))?;
+    let mut hup = signal(SignalKind::hangup())
+        .map_err(|e| ExitError::failure(format!("cannot await SIGHUP: {e}")))?;
     let mut term = signal(SignalKind::terminate())
-        .map_err(|e| failed(format!("cannot await SIGTERM: {e}")))?;
-    let mut int =
-        signal(SignalKind::interrupt()).map_err(|e| failed(format!("cannot await SIGINT: {e}")))?;
+        .map_err(|e| ExitError::failure(format!("cannot await SIGTERM: {e}")))?;
+    let mut int = signal(SignalKind::interrupt())
+        .map_err(|e| ExitError::failure(format!("cannot await SIGINT: {e}")))?;
     let peers = match config.peer_listen {
         Some(at) => Some(
             peers::Peers::bind(at, &config.peers, config.peers_all)
-                .map_err(|e| failed(format!("cannot bind {at}: {e}")))?,
+                .map_err(|e| ExitError::failure(format!("cannot bind {at}: {e}")))?,
         ),
         None => None,
     };
@@ -139,7 +139,7 @@
         fleet: fleet.clone(),
         state: state.clone(),
     };
-    let (engine, handle) = Engine::new(config, discovery_at, parts).map_err(failed)?;
+    let (engine, handle) = Engine::new(config, discovery_at, parts).map_err(ExitError::failure)?;
     product.host(&observer, handle.inputs(), fleet.as_ref(), state.as_ref())?;
     let (stop, stopped) = watch::channel(ShutdownStage::No);
     let mut running = spawn_local(engine.run());
@@ -157,7 +157,7 @@
             }
             // Without its decisions a sidecar only fails requests: better to end, and be started
             // anew.
-            _ = &mut running => return Err(failed("the engine has failed".to_owned())),
+            _ = &mut running => return Err(ExitError::failure("the engine has failed".to_owned())),
         }
     }
     say!(info, "sidecar", "told to stop");
--- a/src/bin/sidecar/product.rs
+++ b/src/bin/sidecar/product.rs
@@ -4,33 +4,28 @@
 pub use crate::affinity::Pick;
 use crate::clock::Clock;
 use crate::config::Config;
+use crate::exit_error::ExitError;
 pub use crate::gossip::Fleet;
 use crate::messages::Inputs;
 pub use crate::observer::Observer;
 use crate::pages::Pages;
 use crate::product_file::{CONFIG_VARIABLE, EARLIER_CONFIG_VARIABLE};
+use crate::product_sections::{self, Sections};
 use crate::report::say;
 pub use crate::snapshot::SnapshotHost;
 use clap::Parser;
 use load_balancer_common::cli::{self, Exit};
-use load_balancer_common::config::{self, Configuration, Contradiction, Problem};
-use load_balancer_common::logging::{self, Log, LogSection};
-use load_balancer_common::metering::{Figures, MetricsSection};
+use load_balancer_common::config;
+use load_balancer_common::logging::{self, Log};
+use load_balancer_common::metering::Figures;
 use load_balancer_common::pages::{self, Bounds};
-use load_balancer_gossip::section::FleetSection;
-use load_balancer_snapshot::SnapshotSection;
-use serde::{Deserialize, Serialize};
 use std::io::Write;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::process::ExitCode;
 use std::rc::Rc;
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
-/// The program's name before it was called `sidecar`, as log targets in older product
-/// configurations have it.
-const EARLIER_PROGRAM: &str = "tinflow";
-
 /// A sidecar load balancer. The platform's LB_CONFIG, LB_LISTEN and LB_DISCOVERY say where it
 /// stands and what it balances; without a product configuration it does nothing else. SIGHUP makes
 /// it read both again, SIGTERM stops it once what it has taken is answered.
@@ -46,43 +41,6 @@
     check: bool,
 }
 
-/// The product configuration, section by section.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-#[serde(default, deny_unknown_fields)]
-struct Sections {
-    log: LogSection,
-    metrics: MetricsSection,
-    fleet: FleetSection,
-    #[serde(alias = "state")]
-    snapshot: SnapshotSection,
-}
-
-impl Configuration for Sections {
-    fn check(&self) -> Result<(), Contradiction> {
-        self.log.check()?;
-        self.metrics.check()?;
-        self.fleet.check()?;
-        self.snapshot.check()
-    }
-}
-
-impl Sections {
-    /// Reads a product configuration, in which log targets may have the program's earlier name.
-    fn load(file: &Path) -> Result<Self, Problem> {
-        let mut sections: Self = config::load(file)?;
-        sections
-            .log
-            .rename_targets(EARLIER_PROGRAM, env!("CARGO_BIN_NAME"));
-        Ok(sections)
-    }
-
-    /// Takes over from another configuration what may change while the sidecar runs.
-    fn follow(&mut self, new: Self) {
-        (self.log.level, self.log.targets) = (new.log.level, new.log.targets);
-        (self.metrics.readers, self.metrics.timeout) = (new.metrics.readers, new.metrics.timeout);
-    }
-}
-
 /// Longest name of a member and of a zone on the wire, in bytes.
 const LONGEST_NAME: usize = 32;
 
@@ -113,7 +71,7 @@
             None => Sections::default(),
         };
         if call.check {
-            return Err(match check(&holds) {
+            return Err(match product_sections::print(&holds) {
                 Ok(()) => Exit::Done.into(),
                 Err(what) => plain(&what, Exit::Config),
             });
@@ -140,7 +98,7 @@
         &self,
         config: &mut Config,
         clock: Clock,
-    ) -> Result<Option<SnapshotHost>, (String, ExitCode)> {
+    ) -> Result<Option<SnapshotHost>, ExitError> {
         SnapshotHost::begin(
             &self.holds.snapshot,
             &self.holds.fleet.cluster,
@@ -156,14 +114,14 @@
         inputs: &Inputs,
         clock: Clock,
         state: Option<&SnapshotHost>,
-    ) -> Result<Option<Fleet>, (String, ExitCode)> {
+    ) -> Result<Option<Fleet>, ExitError> {
         let section = &self.holds.fleet;
         if !section.enabled {
             return Ok(None);
         }
         if config.name.is_empty() || config.name.len() > LONGEST_NAME {
             let what = "fleet.enabled needs a name of 1 to 32 bytes: LB_NAME, or name in the platform's file";
-            return Err((what.to_owned(), Exit::Config.into()));
+            return Err(ExitError::new(what, Exit::Config));
         }
         let zone = config
             .decoded
@@ -182,7 +140,7 @@
             Ok(fleet) => Ok(Some(fleet)),
             Err(e) => {
                 let what = format!("cannot listen on fleet.listen {}: {e}", section.listen);
-                Err((what, Exit::Unavailable.into()))
+                Err(ExitError::new(what, Exit::Unavailable))
             }
         }
     }
@@ -194,7 +152,7 @@
         inputs: &Inputs,
         fleet: Option<&Fleet>,
         state: Option<&SnapshotHost>,
-    ) -> Result<(), (String, ExitCode)> {
+    ) -> Result<(), ExitError> {
         if let Some(state) = state {
             state.host(inputs, config::written(&self.holds));
         }
@@ -206,10 +164,8 @@
             .and_then(|listener| listener.set_nonblocking(true).map(|()| listener))
             .and_then(TcpListener::from_std)
             .map_err(|e| {
-                (
-                    format!("cannot listen on metrics.address {at}: {e}"),
-                    Exit::Unavailable.into(),
-                )
+                let what = format!("cannot listen on metrics.address {at}: {e}");
+                ExitError::new(what, Exit::Unavailable)
             })?;
         // Where the system was to pick the port, nobody could know it otherwise.
         if let Some(at) = listener.local_addr().ok().filter(|_| at.port() == 0) {
@@ -282,24 +238,3 @@
         if keys.len() == 1 { "waits" } else { "wait" }
     )
 }
-
-/// Prints what would hold.
-fn check(holds: &Sections) -> Result<(), String> {
-    let mut text = format!(
-        "# The product configuration that would hold.\n{}",
-        config::written(holds)
-    );
-    if std::env::var_os("LB_CONFIG").is_some() {
-        let platform = Config::from_env()?;
-        text += &format!(
-            "\n# The platform's configuration can be used: listen {}, discovery {}, {} classes, {} descriptors.\n",
-            platform.listen,
-            platform.discovery,
-            platform.decoded.classes.len(),
-            platform.sockets
-        );
-    }
-    // A closed standard output is no fault of the configuration.
-    let _ = std::io::stdout().write_all(text.as_bytes());
-    Ok(())
-}
--- a/src/bin/sidecar/product_disabled.rs
+++ b/src/bin/sidecar/product_disabled.rs
@@ -3,6 +3,7 @@
 
 use crate::clock::Clock;
 use crate::config::Config;
+use crate::exit_error::ExitError;
 use crate::host_list::HostList;
 use crate::messages::{Answer, Inputs, Outgoing};
 use crate::product_file::{CONFIG_VARIABLE, EARLIER_CONFIG_VARIABLE};
@@ -33,11 +34,7 @@
     }
 
     /// Keeps nothing.
-    pub fn recover(
-        &self,
-        _: &mut Config,
-        _: Clock,
-    ) -> Result<Option<SnapshotHost>, (String, ExitCode)> {
+    pub fn recover(&self, _: &mut Config, _: Clock) -> Result<Option<SnapshotHost>, ExitError> {
         Ok(None)
     }
 
@@ -48,7 +45,7 @@
         _: &Inputs,
         _: Clock,
         _: Option<&SnapshotHost>,
-    ) -> Result<Option<Fleet>, (String, ExitCode)> {
+    ) -> Result<Option<Fleet>, ExitError> {
         Ok(None)
     }
 
@@ -59,7 +56,7 @@
         _: &Inputs,
         _: Option<&Fleet>,
         _: Option<&SnapshotHost>,
-    ) -> Result<(), (String, ExitCode)> {
+    ) -> Result<(), ExitError> {
         Ok(())
     }
 
--- /dev/null
+++ b/src/bin/sidecar/product_sections.rs
@@ -0,0 +1,78 @@
+//! The product configuration: its sections, and which keys may change while the sidecar runs.
+
+use crate::config::Config;
+use crate::config_error::ConfigError;
+use load_balancer_common::config::{self, Configuration, Contradiction, Problem};
+use load_balancer_common::logging::LogSection;
+use load_balancer_common::metering::MetricsSection;
+use load_balancer_gossip::section::FleetSection;
+use load_balancer_snapshot::SnapshotSection;
+use serde::{Deserialize, Serialize};
+use std::io::Write;
+use std::path::Path;
+
+/// The program's name before it was called `sidecar`, as log targets in older product
+/// configurations have it.
+const EARLIER_PROGRAM: &str = "tinflow";
+
+/// The product configuration, section by section.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+#[serde(default, deny_unknown_fields)]
+pub struct Sections {
+    /// Logs.
+    pub log: LogSection,
+    /// Metrics, and the pages at their address.
+    pub metrics: MetricsSection,
+    /// Membership in a fleet of sidecars.
+    pub fleet: FleetSection,
+    /// What is stored over crashes.
+    #[serde(alias = "state")]
+    pub snapshot: SnapshotSection,
+}
+
+impl Configuration for Sections {
+    fn check(&self) -> Result<(), Contradiction> {
+        self.log.check()?;
+        self.metrics.check()?;
+        self.fleet.check()?;
+        self.snapshot.check()
+    }
+}
+
+impl Sections {
+    /// Reads a product configuration, in which log targets may have the program's earlier name.
+    pub fn load(file: &Path) -> Result<Self, Problem> {
+        let mut sections: Self = config::load(file)?;
+        sections
+            .log
+            .rename_targets(EARLIER_PROGRAM, env!("CARGO_BIN_NAME"));
+        Ok(sections)
+    }
+
+    /// Takes over from another configuration what may change while the sidecar runs.
+    pub fn follow(&mut self, new: Self) {
+        (self.log.level, self.log.targets) = (new.log.level, new.log.targets);
+        (self.metrics.readers, self.metrics.timeout) = (new.metrics.readers, new.metrics.timeout);
+    }
+}
+
+/// Prints what would hold.
+pub fn print(holds: &Sections) -> Result<(), ConfigError> {
+    let mut text = format!(
+        "# The product configuration that would hold.\n{}",
+        config::written(holds)
+    );
+    if std::env::var_os("LB_CONFIG").is_some() {
+        let platform = Config::from_env()?;
+        text += &format!(
+            "\n# The platform's configuration can be used: listen {}, discovery {}, {} classes, {} descriptors.\n",
+            platform.listen,
+            platform.discovery,
+            platform.decoded.classes.len(),
+            platform.sockets
+        );
+    }
+    // A closed standard output is no fault of the configuration.
+    let _ = std::io::stdout().write_all(text.as_bytes());
+    Ok(())
+}
--- a/src/bin/sidecar/snapshot.rs
+++ b/src/bin/sidecar/snapshot.rs
@@ -3,6 +3,7 @@
 
 use crate::clock::Clock;
 use crate::config::Config;
+use crate::exit_error::ExitError;
 use crate::host_list::HostList;
 use crate::messages::{Exported, Input, Inputs};
 use crate::report::say;
@@ -14,7 +15,6 @@
     SnapshotSection, ValidSnapshot, Writer, validate,
 };
 use std::cell::{Cell, RefCell};
-use std::process::ExitCode;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::task::spawn_local;
@@ -53,13 +53,13 @@
         cluster: &str,
         config: &mut Config,
         clock: Clock,
-    ) -> Result<Option<Self>, (String, ExitCode)> {
+    ) -> Result<Option<Self>, ExitError> {
         let Some(dir) = section.dir.clone() else {
             return Ok(None);
         };
         if config.name.is_empty() || config.name.len() > LONGEST_NAME {
             let what = "snapshot.dir needs a name of 1 to 200 bytes: LB_NAME, or name in the platform's file";
-            return Err((what.to_owned(), Exit::Config.into()));
+            return Err(ExitError::new(what, Exit::Config));
         }
         let owner = format!("{cluster}/{}", config.name);
         let take = move || Directory::take(&dir);
@@ -73,7 +73,8 @@
         let now = clock.now();
         let (incarnation_record, believed) = match begun {
             Begun::InUse(what) => {
-                return Err((format!("snapshot.dir: {what}"), Exit::Unavailable.into()));
+                let what = format!("snapshot.dir: {what}");
+                return Err(ExitError::new(what, Exit::Unavailable));
             }
             Begun::Without => (None, ValidSnapshot::default()),
             Begun::Found(found) => {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,10 +1,12 @@
 //! The settings object that an instance is given at its start, as JSON: on the simulator's wire and
 //! in a sidecar's configuration alike. Decoded here and nowhere else.
 
+mod error;
 mod form;
 mod names;
 
 use crate::api::*;
+pub use error::{DecodeError, Named};
 use form::{Conf, Lane};
 pub use names::Names;
 use std::collections::HashSet;
@@ -24,11 +26,14 @@
 }
 
 /// Reads a settings object.
-pub fn decode(text: &str) -> Result<Decoded, String> {
-    let conf: Conf = serde_json::from_str(text).map_err(|e| e.to_string())?;
+///
+/// # Errors
+/// It is not of the form; [`Settings::check`] says whether requests can be decided under it.
+pub fn decode(text: &str) -> Result<Decoded, DecodeError> {
+    let conf: Conf = serde_json::from_str(text)?;
     let mut zones = Names::default();
-    let classes = told_apart("class", conf.lanes.iter().map(|l| l.name.clone()))?;
-    let tenants = told_apart("tenant", conf.tenants.iter().map(|t| t.name.clone()))?;
+    let classes = unique_names(Named::Class, conf.lanes.iter().map(|l| l.name.clone()))?;
+    let tenants = unique_names(Named::Tenant, conf.tenants.iter().map(|t| t.name.clone()))?;
     let idle_close = conf.limits.idle_close_us;
     let settings = conf.settings(&mut zones)?;
     Ok(Decoded {
@@ -42,19 +47,26 @@
 
 /// The names, none of them empty or given twice: requests name their class and tenant, and a second
 /// one of that name would lend the first one's effect and limits to the other's requests.
-fn told_apart(what: &str, names: impl Iterator<Item = String>) -> Result<Vec<String>, String> {
+fn unique_names(
+    kind: Named,
+    names: impl Iterator<Item = String>,
+) -> Result<Vec<String>, DecodeError> {
     let mut seen = HashSet::new();
-    names
-        .map(|name| match () {
-            () if name.is_empty() => Err(format!("a {what} without a name")),
-            () if !seen.insert(name.clone()) => Err(format!("two of {what} {name:?}")),
-            () => Ok(name),
-        })
-        .collect()
+    let mut unique = Vec::new();
+    for name in names {
+        if name.is_empty() {
+            return Err(DecodeError::NoName(kind));
+        }
+        if !seen.insert(name.clone()) {
+            return Err(DecodeError::NameTwice { kind, name });
+        }
+        unique.push(name);
+    }
+    Ok(unique)
 }
 
 impl Conf {
-    fn settings(self, zones: &mut Names) -> Result<Settings, String> {
+    fn settings(self, zones: &mut Names) -> Result<Settings, DecodeError> {
         for zone in &self.zones {
             zones.id(zone);
         }
@@ -129,7 +141,7 @@
 }
 
 impl Lane {
-    fn class(self) -> Result<Class, String> {
+    fn class(self) -> Result<Class, DecodeError> {
         let effect = match self.effect.as_str() {
             "pure" => Effect::Safe,
             "token" => Effect::Keyed {
@@ -137,7 +149,7 @@
                 ttl: self.key_ttl_us,
             },
             "side_effect" => Effect::Unsafe,
-            other => return Err(format!("unknown Effect {other:?}")),
+            other => return Err(DecodeError::UnknownEffect(other.to_owned())),
         };
         Ok(Class {
             latency_objective: self.aim_us,
@@ -151,12 +163,12 @@
     }
 
     /// Which endpoints drop repeats. Where that is not said, it is those that surely do.
-    fn scope(&self) -> Result<DedupScope, String> {
+    fn scope(&self) -> Result<DedupScope, DecodeError> {
         match self.dedup_scope.as_deref() {
             Some("all") => Ok(DedupScope::All),
             Some("zone") => Ok(DedupScope::Zone),
             Some("cell") | None => Ok(DedupScope::Cell),
-            Some(other) => Err(format!("unknown DedupScope {other:?}")),
+            Some(other) => Err(DecodeError::UnknownScope(other.to_owned())),
         }
     }
 }
--- a/src/simulator_wire.rs
+++ b/src/simulator_wire.rs
@@ -1,39 +1,17 @@
 //! The adapter: reads the simulator's wire, hands each event to its instance, writes down the
 //! actions. It translates and decides nothing. Names are interned for each instance on its own.
 
+mod error;
 mod instance;
 mod line;
 
 use crate::api::{Action, Micros};
+pub use error::{LineError, WireError};
 use instance::{Entry, Instance};
 use line::Line;
 use std::collections::HashMap;
-use std::fmt::{self, Write as _};
-use std::io::{self, BufRead, Write};
-
-/// Why the wire could not be served.
-#[derive(Debug)]
-pub enum WireError {
-    /// Input that cannot be read: line number, and what is wrong with it.
-    Line(u64, String),
-    /// Reading or writing failed.
-    Io(io::Error),
-}
-
-impl fmt::Display for WireError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Line(number, what) => write!(f, "line {number}: {what}"),
-            Self::Io(error) => write!(f, "{error}"),
-        }
-    }
-}
-impl std::error::Error for WireError {}
-impl From<io::Error> for WireError {
-    fn from(error: io::Error) -> Self {
-        Self::Io(error)
-    }
-}
+use std::fmt::Write as _;
+use std::io::{BufRead, Write};
 
 /// Serves the wire until the end of input, one reply a batch.
 pub fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), WireError> {
@@ -45,17 +23,22 @@
         if input.read_until(b'\n', &mut bytes)? == 0 {
             let open = host.batch.is_some();
             return if open {
-                Err(WireError::Line(number, "batch without its go".into()))
+                Err(WireError::Line {
+                    number,
+                    error: LineError::UnfinishedBatch,
+                })
             } else {
                 Ok(())
             };
         }
-        let text =
-            std::str::from_utf8(&bytes).map_err(|_| WireError::Line(number, "not UTF-8".into()))?;
+        let text = std::str::from_utf8(&bytes).map_err(|_| WireError::Line {
+            number,
+            error: LineError::NotText,
+        })?;
         let text = text.trim_end_matches(['\n', '\r']);
         if host
             .line(text)
-            .map_err(|what| WireError::Line(number, what))?
+            .map_err(|error| WireError::Line { number, error })?
         {
             output.write_all(host.reply.as_bytes())?;
             output.flush()?;
@@ -78,17 +61,20 @@
 
 impl Host {
     /// Takes one line; true once a reply is complete.
-    fn line(&mut self, text: &str) -> Result<bool, String> {
+    fn line(&mut self, text: &str) -> Result<bool, LineError> {
         let line = Line::new(text);
-        if let Some((roster, left)) = self.reading {
+        if let Some((catalog, left)) = self.reading {
             if line.name != "m" {
-                return Err(format!("catalog {roster} has {left} entries too few"));
+                return Err(LineError::CatalogTooShort {
+                    catalog,
+                    missing: left,
+                });
             }
             self.catalogs
-                .entry(roster)
+                .entry(catalog)
                 .or_default()
                 .push(Entry::read(&line)?);
-            self.reading = Some((roster, left - 1)).filter(|(_, left)| *left > 0);
+            self.reading = Some((catalog, left - 1)).filter(|(_, left)| *left > 0);
             return Ok(false);
         }
         let Some((now, number)) = self.batch else {
@@ -99,21 +85,21 @@
             return if text.is_empty() {
                 Ok(false)
             } else {
-                Err(format!("{} outside a batch", line.name))
+                Err(LineError::OutsideBatch(line.name.to_owned()))
             };
         };
         match line.name {
-            "mark" => return Err("mark inside a batch".into()),
+            "mark" => return Err(LineError::BatchInsideBatch),
             "go" => {
                 self.batch = None;
                 let _ = writeln!(self.reply, "next batch={number}");
                 return Ok(true);
             }
-            "m" => return Err("entry outside a catalog".into()),
+            "m" => return Err(LineError::EntryOutsideCatalog),
             "catalog" => {
-                let (roster, hosts) = (line.get("RosterId")?, line.get("Hosts")?);
-                self.catalogs.insert(roster, Vec::new());
-                self.reading = Some((roster, hosts)).filter(|(_, left)| *left > 0);
+                let (catalog, hosts) = (line.get("RosterId")?, line.get("Hosts")?);
+                self.catalogs.insert(catalog, Vec::new());
+                self.reading = Some((catalog, hosts)).filter(|(_, left)| *left > 0);
             }
             "start" => {
                 self.instances
--- a/src/simulator_wire/instance.rs
+++ b/src/simulator_wire/instance.rs
@@ -1,6 +1,7 @@
 //! One instance on the simulator's wire: its names, its events, and its actions as they are
 //! written.
 
+use super::error::LineError;
 use super::line::Line;
 use crate::api::*;
 use crate::balancer::Balancer;
@@ -21,12 +22,18 @@
 }
 
 impl Entry {
-    pub fn read(line: &Line) -> Result<Self, String> {
+    pub fn read(line: &Line) -> Result<Self, LineError> {
         let status = match line.need("Status")? {
             "1" => Status::Ready,
             "2" => Status::Draining,
             "0" => Status::Gone,
-            other => return Err(format!("m: unknown Status {other}")),
+            other => {
+                return Err(LineError::UnknownValue {
+                    message: "m".to_owned(),
+                    field: "Status",
+                    value: other.to_owned(),
+                });
+            }
         };
         Ok(Self {
             endpoint: line.need("Endpoint")?.to_owned(),
@@ -50,10 +57,9 @@
 }
 
 impl Instance {
-    pub fn start(line: &Line) -> Result<Self, String> {
+    pub fn start(line: &Line) -> Result<Self, LineError> {
         let seed: i128 = line.get("RandomSeed")?;
-        let decoded =
-            settings::decode(line.text("Conf")?).map_err(|e| format!("start: Conf: {e}"))?;
+        let decoded = settings::decode(line.text("Conf")?)?;
         let Decoded {
             settings,
             classes,
@@ -61,8 +67,7 @@
             zones,
             ..
         } = decoded;
-        let balancer =
-            Balancer::new(settings, seed as u64).map_err(|e| format!("start: Conf: {e}"))?;
+        let balancer = Balancer::new(settings, seed as u64)?;
         Ok(Self {
             balancer,
             classes,
@@ -78,7 +83,7 @@
         &mut self,
         line: &Line,
         catalogs: &HashMap<u64, Vec<Entry>>,
-    ) -> Result<Option<Event>, String> {
+    ) -> Result<Option<Event>, LineError> {
         Ok(Some(match line.name {
             "endpoints" => {
                 line.get::<i64>("Epoch")?;
@@ -86,16 +91,22 @@
                 if kind == 0 {
                     return Ok(Some(Event::Endpoints(ListUpdate::Failed)));
                 }
-                let roster: u64 = line.get("RosterId")?;
+                let catalog: u64 = line.get("RosterId")?;
                 let entries = catalogs
-                    .get(&roster)
-                    .ok_or(format!("endpoints: RosterId {roster} is no catalog"))?;
+                    .get(&catalog)
+                    .ok_or(LineError::UnknownCatalog(catalog))?;
                 let list = entries.iter().map(|e| self.listing(e)).collect();
                 Event::Endpoints(match kind {
                     1 => ListUpdate::Delta(list),
                     2 => ListUpdate::Cached(list),
                     3 => ListUpdate::Full(list),
-                    _ => return Err(format!("endpoints: unknown Kind {kind}")),
+                    _ => {
+                        return Err(LineError::UnknownValue {
+                            message: "endpoints".to_owned(),
+                            field: "Kind",
+                            value: kind.to_string(),
+                        });
+                    }
                 })
             }
             "demand" => {
@@ -105,7 +116,11 @@
                 let project = line.find("Project");
                 Event::Request(NewRequest {
                     id: line.bounded("Ticket", 52)?,
-                    class: class.ok_or(format!("demand: unknown Profile {profile}"))?,
+                    class: class.ok_or_else(|| LineError::UnknownValue {
+                        message: "demand".to_owned(),
+                        field: "Profile",
+                        value: profile.to_owned(),
+                    })?,
                     tenant: self
                         .tenants
                         .iter()
@@ -159,7 +174,7 @@
                 } else {
                     STANDARD.decode(text)
                 };
-                let bytes = bytes.map_err(|e| format!("peer_data: Bytes: {e}"))?;
+                let bytes = bytes?;
                 Event::PeerMessage {
                     from: line.get("By")?,
                     bytes,
--- a/src/simulator_wire/line.rs
+++ b/src/simulator_wire/line.rs
@@ -1,5 +1,6 @@
 //! A line of the simulator's wire: a message name and fields.
 
+use super::error::LineError;
 use crate::api::{Load, Outcome};
 use std::str::FromStr;
 
@@ -21,7 +22,7 @@
             .find_map(|part| part.strip_prefix(field)?.strip_prefix('='))
     }
     /// The value of a field of type text, which runs to the end of the line.
-    pub fn text(&self, field: &str) -> Result<&'a str, String> {
+    pub fn text(&self, field: &str) -> Result<&'a str, LineError> {
         let mut rest = self.rest;
         loop {
             if let Some(value) = rest.strip_prefix(field).and_then(|r| r.strip_prefix('=')) {
@@ -30,32 +31,40 @@
             rest = rest.split_once(' ').ok_or_else(|| self.missing(field))?.1;
         }
     }
-    fn missing(&self, field: &str) -> String {
-        format!("{} has no field {field}", self.name)
+    fn missing(&self, field: &str) -> LineError {
+        LineError::MissingField {
+            message: self.name.to_owned(),
+            field: field.to_owned(),
+        }
     }
-    pub fn need(&self, field: &str) -> Result<&'a str, String> {
+    pub fn need(&self, field: &str) -> Result<&'a str, LineError> {
         self.find(field).ok_or_else(|| self.missing(field))
     }
-    pub fn may<T: FromStr>(&self, field: &str) -> Result<Option<T>, String> {
+    pub fn may<T: FromStr>(&self, field: &str) -> Result<Option<T>, LineError> {
         self.find(field)
             .map(|v| {
-                v.parse()
-                    .map_err(|_| format!("{}: {field} is not a number it can hold", self.name))
+                v.parse().map_err(|_| LineError::NotANumber {
+                    message: self.name.to_owned(),
+                    field: field.to_owned(),
+                })
             })
             .transpose()
     }
-    pub fn get<T: FromStr>(&self, field: &str) -> Result<T, String> {
+    pub fn get<T: FromStr>(&self, field: &str) -> Result<T, LineError> {
         self.may(field)?.ok_or_else(|| self.missing(field))
     }
-    pub fn bounded(&self, field: &str, bits: u32) -> Result<u64, String> {
+    pub fn bounded(&self, field: &str, bits: u32) -> Result<u64, LineError> {
         let value: u64 = self.get(field)?;
         if value >> bits == 0 {
             Ok(value)
         } else {
-            Err(format!("{}: {field} is too large", self.name))
+            Err(LineError::TooLarge {
+                message: self.name.to_owned(),
+                field: field.to_owned(),
+            })
         }
     }
-    pub fn load(&self) -> Result<Load, String> {
+    pub fn load(&self) -> Result<Load, LineError> {
         let mut load = Load::default();
         for pair in self
             .find("Load")
@@ -63,7 +72,7 @@
             .split(',')
             .filter(|p| !p.is_empty())
         {
-            let (name, value) = pair.split_once(':').ok_or("Load is not name:value pairs")?;
+            let (name, value) = pair.split_once(':').ok_or(LineError::LoadNotPairs)?;
             let slot = match name {
                 "active" => &mut load.active,
                 "waiting" => &mut load.waiting,
@@ -75,12 +84,12 @@
             };
             let value: f64 = value
                 .parse()
-                .map_err(|_| format!("Load: {name} is not a number"))?;
+                .map_err(|_| LineError::LoadNotANumber(name.to_owned()))?;
             *slot = Some(value).filter(|v| v.is_finite());
         }
         Ok(load)
     }
-    pub fn outcome(&self) -> Result<Outcome, String> {
+    pub fn outcome(&self) -> Result<Outcome, LineError> {
         Ok(match self.need("Disposition")? {
             "OK" => Outcome::Ok,
             "INTERNAL" => Outcome::Error,
@@ -90,7 +99,13 @@
             "ABORTED" => Outcome::Reset,
             "CANCELLED" => Outcome::Cancelled,
             "TOO_LATE" => Outcome::NotSent,
-            other => return Err(format!("{}: unknown Disposition {other}", self.name)),
+            other => {
+                return Err(LineError::UnknownValue {
+                    message: self.name.to_owned(),
+                    field: "Disposition",
+                    value: other.to_owned(),
+                });
+            }
         })
     }
 }
