--- a/src/bin/sidecar/affinity.rs
+++ b/src/bin/sidecar/affinity.rs
@@ -1,13 +1,12 @@
 //! Hosts the affinity table of this sidecar: uses, the list and other members' messages go in;
 //! affinity entries come out.
 
+pub mod reports;
+
 use crate::affinity_list::List;
 use crate::clock::Clock;
 use load_balancer::{EndpointId, Micros};
-use load_balancer_affinity::drain_phase::EpochRefused;
-use load_balancer_affinity::entry::AffinityEntry;
 use load_balancer_affinity::exchange::TICK;
-use load_balancer_affinity::report::{AffinitySummary, DrainStatus};
 use load_balancer_affinity::{AffinityMember, Process};
 use load_balancer_gossip::connectivity::AffinityEntries as Permission;
 use load_balancer_gossip::core::{CarriedFragment, Listed};
@@ -61,20 +60,6 @@
     }
 }
 
-/// A process that drains, or has come back, as the page has it.
-pub struct Draining {
-    /// Its name, where it is listed.
-    pub name: Option<String>,
-    /// It.
-    pub process: Process,
-    /// In which epoch.
-    pub epoch: u64,
-    /// That epoch has ended.
-    pub leaves: bool,
-    /// Members that are drained of affinity to it.
-    pub reported: usize,
-}
-
 impl Host {
     /// Begins with no entry, as a member of that fleet.
     pub fn start(section: &FleetSection, member: &udp::Fleet, clock: Clock) -> Self {
@@ -205,65 +190,4 @@
             self.0.core.borrow_mut().record_use(now, key, process);
         }
     }
-
-    /// That process drains, in that epoch; gives how far it is drained of affinity.
-    pub fn begin_drain(&self, process: Process, epoch: u64) -> Result<DrainStatus, EpochRefused> {
-        let (now, mono) = self.now();
-        let mut core = self.0.core.borrow_mut();
-        core.begin_drain(now, process, epoch)?;
-        Ok(core.clear(now, mono, process, epoch, &self.0.running.borrow()))
-    }
-
-    /// It stays after all, or is back, in that epoch.
-    pub fn cancel_drain(&self, process: Process, epoch: u64) -> Result<(), EpochRefused> {
-        let (now, _) = self.now();
-        self.0.core.borrow_mut().cancel_drain(now, process, epoch)
-    }
-
-    /// Figures, what the connectivity state allows, and the slot of now.
-    pub fn summary(&self) -> (AffinitySummary, Permission, i64) {
-        let (now, mono) = self.now();
-        let core = self.0.core.borrow();
-        (core.summary(mono), self.0.may.get(), core.slot_of(now))
-    }
-
-    /// Processes that drain or have come back.
-    pub fn draining(&self) -> Vec<Draining> {
-        let (core, list) = (self.0.core.borrow(), self.0.list.borrow());
-        let draining = |(process, phase, reported): (Process, _, _)| {
-            let phase: load_balancer_affinity::drain_phase::Phase = phase;
-            Draining {
-                name: list.names.get(&process).cloned(),
-                process,
-                epoch: phase.epoch,
-                leaves: phase.leaves,
-                reported,
-            }
-        };
-        core.phases().map(draining).collect()
-    }
-
-    /// Affinity entries, at most so many: key, name of the endpoint where it is listed, process,
-    /// entry.
-    pub fn dump(&self, most: usize) -> Vec<(u64, Option<String>, Process, AffinityEntry)> {
-        let (core, list) = (self.0.core.borrow(), self.0.list.borrow());
-        let named =
-            |(key, process, entry)| (key, list.names.get(&process).cloned(), process, entry);
-        core.dump().take(most).map(named).collect()
-    }
-
-    /// Picks by an entry since the start, for processes that are listed: how many, and how long ago
-    /// the last one was.
-    pub fn picks(&self) -> Vec<(String, Process, u64, Micros)> {
-        let ((_, mono), list) = (self.now(), self.0.list.borrow());
-        let named = |(process, (count, last)): (&Process, &(u64, Micros))| {
-            Some((
-                list.names.get(process)?.clone(),
-                *process,
-                *count,
-                mono - last,
-            ))
-        };
-        self.0.picks.borrow().iter().filter_map(named).collect()
-    }
 }
--- a/src/bin/sidecar/affinity_pages.rs
+++ b/src/bin/sidecar/affinity_pages.rs
@@ -154,7 +154,7 @@
         Permission::RunOut => "run out",
         Permission::Idle => "not used",
     };
-    let leaves = |l: crate::affinity::Draining| Leaves {
+    let leaves = |l: crate::affinity::reports::Draining| Leaves {
         server: l.name,
         started_ms: l.process.started,
         epoch: l.epoch,
--- a/src/bin/sidecar/engine/actions.rs
+++ b/src/bin/sidecar/engine/actions.rs
@@ -1,10 +1,10 @@
 //! Carries out the actions of the decision module.
 
 use super::Engine;
+use crate::attempt::{Destination, Times};
 use crate::discovery::Ask;
 use crate::messages::{Answer, AttemptId};
 use crate::report::say;
-use crate::upstream::{Destination, Times};
 use load_balancer::{Action, Micros, RequestId};
 use std::rc::Rc;
 use tokio::task::spawn_local;
--- a/src/bin/sidecar/upstream/tests.rs
+++ b/src/bin/sidecar/load_report/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `upstream.rs`.
+//! Tests of `load_report.rs`.
 
 use super::*;
 
--- a/src/bin/sidecar/main.rs
+++ b/src/bin/sidecar/main.rs
@@ -7,6 +7,7 @@
 mod affinity_list;
 #[cfg(feature = "product")]
 mod affinity_pages;
+mod attempt;
 mod client;
 mod client_socket;
 mod clock;
@@ -25,6 +26,7 @@
 mod headers;
 mod host_list;
 mod inbound;
+mod load_report;
 mod log_throttle;
 mod messages;
 #[cfg(feature = "product")]
--- a/src/bin/sidecar/observer.rs
+++ b/src/bin/sidecar/observer.rs
@@ -1,5 +1,7 @@
 //! Debug log lines and metrics of requests, attempts and lists.
 
+mod gossip;
+
 use crate::messages::{Answer, EngineSummary, Outgoing};
 use load_balancer::{AttemptNo, Micros, Outcome};
 use load_balancer_common::cli;
@@ -228,68 +230,6 @@
         }
     }
 
-    /// Takes in how this member of a fleet stands.
-    pub fn fleet(&self, members: &load_balancer_gossip::core::MembershipSummary) {
-        let Some(seen) = &self.0 else { return };
-        let f = &seen.figures;
-        f.gauge("sidecar_fleet_members", "Other members that run.", &[])
-            .set(members.members.len() as f64);
-        f.gauge(
-            "sidecar_fleet_resting",
-            "Endpoints that rest by others' word.",
-            &[],
-        )
-        .set(members.ejections.len() as f64);
-        let counts = &members.counts;
-        for (name, what, value) in [
-            (
-                "sidecar_fleet_datagrams_sent_total",
-                "Datagrams sent.",
-                counts.sent,
-            ),
-            (
-                "sidecar_fleet_sent_bytes_total",
-                "Bytes of datagrams sent.",
-                counts.sent_bytes,
-            ),
-            (
-                "sidecar_fleet_datagrams_received_total",
-                "Datagrams that came.",
-                counts.received,
-            ),
-            (
-                "sidecar_fleet_evidence_said_total",
-                "Evidence given by this member.",
-                counts.said,
-            ),
-            (
-                "sidecar_fleet_evidence_heard_total",
-                "Evidence of others that was new.",
-                counts.heard,
-            ),
-            (
-                "sidecar_fleet_trials_total",
-                "Trials that fell to this member.",
-                counts.trials,
-            ),
-            (
-                "sidecar_fleet_rests_total",
-                "Endpoints sent to rest.",
-                counts.rests,
-            ),
-        ] {
-            f.counter(name, what, &[]).absolute(value);
-        }
-        for (why, count) in &members.dropped {
-            f.counter(
-                "sidecar_fleet_dropped_total",
-                "What was dropped, by reason.",
-                &[("reason", why)],
-            )
-            .absolute(*count);
-        }
-    }
-
     /// Takes in what the engine found when it was asked, and writes all figures.
     pub fn page(&self, summarize: &EngineSummary, lines_dropped: u64) -> Option<String> {
         let seen = self.0.as_deref()?;
--- /dev/null
+++ b/src/bin/sidecar/observer/gossip.rs
@@ -0,0 +1,60 @@
+//! The metrics of gossip.
+
+use super::Observer;
+use load_balancer_gossip::core::MembershipSummary;
+
+impl Observer {
+    /// Brings the figures of this sidecar's membership up to date.
+    pub fn fleet(&self, members: &MembershipSummary) {
+        let Some(seen) = &self.0 else { return };
+        let f = &seen.figures;
+        f.gauge("sidecar_fleet_members", "Other members that run.", &[])
+            .set(members.members.len() as f64);
+        f.gauge("sidecar_fleet_resting", "Endpoints that are ejected.", &[])
+            .set(members.ejections.len() as f64);
+        let counts = &members.counts;
+        for (name, what, value) in [
+            (
+                "sidecar_fleet_datagrams_sent_total",
+                "Datagrams sent.",
+                counts.sent,
+            ),
+            (
+                "sidecar_fleet_sent_bytes_total",
+                "Bytes of datagrams sent.",
+                counts.sent_bytes,
+            ),
+            (
+                "sidecar_fleet_datagrams_received_total",
+                "Datagrams that came.",
+                counts.received,
+            ),
+            (
+                "sidecar_fleet_evidence_said_total",
+                "Health observations published by this member.",
+                counts.said,
+            ),
+            (
+                "sidecar_fleet_evidence_heard_total",
+                "Health observations of others that were new.",
+                counts.heard,
+            ),
+            (
+                "sidecar_fleet_trials_total",
+                "Trials that fell to this member.",
+                counts.trials,
+            ),
+            ("sidecar_fleet_rests_total", "Ejections.", counts.rests),
+        ] {
+            f.counter(name, what, &[]).absolute(value);
+        }
+        for (why, count) in &members.dropped {
+            f.counter(
+                "sidecar_fleet_dropped_total",
+                "What was dropped, by reason.",
+                &[("reason", why)],
+            )
+            .absolute(*count);
+        }
+    }
+}
--- a/src/bin/sidecar/snapshot.rs
+++ b/src/bin/sidecar/snapshot.rs
@@ -1,6 +1,8 @@
 //! Hosts the stored state: what was known before a restart goes to the engine, what is known now
 //! goes to the writer.
 
+mod metrics;
+
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::exit_error::ExitError;
@@ -9,7 +11,6 @@
 use crate::report::say;
 use crate::stored_form::{Lists, restored, stored};
 use load_balancer_common::cli::Exit;
-use load_balancer_common::metering::Figures;
 use load_balancer_snapshot::{
     Begun, Changes, Directory, Found, IncarnationRecord, Micros, Process, Processes,
     SnapshotSection, ValidSnapshot, Writer, validate,
@@ -201,42 +202,6 @@
             say!(warn, "sidecar::state", "{line}");
         }
     }
-
-    /// Brings its figures up to date.
-    pub fn count(&self, figures: &Figures) {
-        let counts = self.0.writer.counts();
-        for (name, what, total) in [
-            (
-                "sidecar_state_commits_total",
-                "Commits of what is kept, each with a sync.",
-                counts.commits,
-            ),
-            (
-                "sidecar_state_bytes_total",
-                "Bytes of payload in them.",
-                counts.bytes,
-            ),
-            (
-                "sidecar_state_coalesced_total",
-                "Changes replaced by later ones unwritten.",
-                counts.coalesced,
-            ),
-            (
-                "sidecar_state_failures_total",
-                "Times that the disk did not do what was asked.",
-                counts.failures,
-            ),
-            (
-                "sidecar_state_set_aside_total",
-                "Files that were not believed.",
-                counts.quarantined,
-            ),
-        ] {
-            figures.counter(name, what, &[]).absolute(total);
-        }
-        let failing = figures.gauge("sidecar_state_failing", "1 while nothing can be kept.", &[]);
-        failing.set(f64::from(u8::from(counts.failing)));
-    }
 }
 
 /// Says what was found; what of it is believed.
--- a/src/bin/sidecar/upstream.rs
+++ b/src/bin/sidecar/upstream.rs
@@ -1,13 +1,15 @@
 //! Attempts at endpoints: how one is made, and how its end is read.
 
+use crate::attempt::{Destination, Reply, Times, To, barred};
 use crate::connection::WriteProgress;
-use crate::messages::{AttemptId, Ended, Input, Inputs, LONGEST_BODY, Outgoing, Served, TIME_LEFT};
-use crate::pool::{DialError, Endpoint, Pool, Target};
+use crate::load_report::read_load;
+use crate::messages::{AttemptId, Ended, Input, Inputs, LONGEST_BODY, Outgoing, Served};
+use crate::pool::{DialError, Pool};
 use bytes::Bytes;
-use http_body_util::{BodyExt, Full, Limited};
+use http_body_util::{BodyExt, Limited};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
-use hyper::{Method, Request, StatusCode, Uri};
-use load_balancer::{Load, Micros, Outcome};
+use hyper::{Method, StatusCode, Uri};
+use load_balancer::{Micros, Outcome};
 use std::cell::Cell;
 use std::pin::pin;
 use std::rc::Rc;
@@ -21,63 +23,6 @@
 const UNPROCESSED: HeaderName = HeaderName::from_static("x-unprocessed");
 const BACKEND_LOAD: HeaderName = HeaderName::from_static("x-backend-load");
 
-/// How an attempt ended.
-struct Reply {
-    outcome: Outcome,
-    served: Option<Served>,
-    load: Load,
-}
-
-impl Reply {
-    /// One without an answer to pass on.
-    fn of(outcome: Outcome, load: Load) -> Self {
-        Self {
-            outcome,
-            served: None,
-            load,
-        }
-    }
-}
-
-impl From<Outcome> for Reply {
-    fn from(outcome: Outcome) -> Self {
-        Self::of(outcome, Load::default())
-    }
-}
-
-/// Where an attempt goes: the process that it is meant for, and its endpoint, which may move or
-/// drain meanwhile.
-pub struct Destination {
-    target: Option<Target>,
-    endpoint: Rc<Endpoint>,
-}
-
-impl Destination {
-    /// The process that is at an endpoint now.
-    pub fn of(endpoint: Rc<Endpoint>) -> Self {
-        Self {
-            target: endpoint.target(),
-            endpoint,
-        }
-    }
-}
-
-/// A process at an endpoint.
-#[derive(Clone, Copy)]
-struct To<'a> {
-    target: Target,
-    endpoint: &'a Endpoint,
-}
-
-/// Until when an attempt may do what.
-#[derive(Clone, Copy)]
-pub struct Times {
-    /// Its last byte is out by then, or never goes out.
-    pub write_by: Instant,
-    /// Then it is given up.
-    pub until: Instant,
-}
-
 /// What makes attempts, over the connections of a pool.
 pub struct Upstream {
     pool: Rc<Pool>,
@@ -263,57 +208,3 @@
         });
     }
 }
-
-/// How an attempt ends that must not begin any more: its request has its answer, the process that
-/// it was meant for has been told to leave, has moved or been replaced, or its time is over.
-fn barred(to: To<'_>, out: &Outgoing, times: Times) -> Option<Outcome> {
-    if out.settled.get() || to.endpoint.target() != Some(to.target) {
-        return Some(Outcome::NotSent);
-    }
-    (Instant::now() >= times.write_by).then_some(Outcome::ConnectFailed)
-}
-
-impl Outgoing {
-    fn request(&self, until: Instant) -> Option<Request<Full<Bytes>>> {
-        let mut request = Request::new(Full::new(self.body.clone()));
-        *request.method_mut() = self.method.clone();
-        *request.uri_mut() = self.uri.clone();
-        *request.headers_mut() = self.headers.clone();
-        // No time at all is no figure that an endpoint could keep to.
-        let left = until
-            .saturating_duration_since(Instant::now())
-            .as_micros()
-            .max(1);
-        request
-            .headers_mut()
-            .insert(TIME_LEFT, HeaderValue::from_str(&format!("{left}u")).ok()?);
-        Some(request)
-    }
-}
-
-/// Reads a load report: `name=value` pairs set apart by commas. What can't be read was not
-/// reported.
-fn read_load(value: &HeaderValue) -> Load {
-    let mut load = Load::default();
-    for (name, value) in value
-        .to_str()
-        .unwrap_or("")
-        .split(',')
-        .filter_map(|pair| pair.split_once('='))
-    {
-        let slot = match name.trim() {
-            "inflight" => &mut load.active,
-            "queue" => &mut load.waiting,
-            "util" => &mut load.cpu,
-            "latency_ms" => &mut load.avg_ms,
-            "qps" => &mut load.rps,
-            "eps" => &mut load.err_rps,
-            _ => continue,
-        };
-        *slot = value.trim().parse().ok().filter(|v: &f64| v.is_finite());
-    }
-    load
-}
-
-#[cfg(test)]
-mod tests;
