--- a/crates/affinity/src/entry.rs
+++ b/crates/affinity/src/entry.rs
@@ -29,7 +29,7 @@
     /// That of a use in a slot.
     pub fn of(last: Slot, epoch: u64, held: bool, times: &Times) -> Self {
         Self {
-            ends: last + times.life(held),
+            ends: last + times.lifetime(held),
             epoch,
             held,
         }
@@ -37,7 +37,7 @@
 
     /// The slot of the use.
     pub fn last(&self, times: &Times) -> Slot {
-        self.ends.saturating_sub(times.life(self.held))
+        self.ends.saturating_sub(times.lifetime(self.held))
     }
 }
 
--- a/crates/affinity/src/exchange.rs
+++ b/crates/affinity/src/exchange.rs
@@ -56,7 +56,7 @@
         }
         for (key, process, mut entry) in message.each_entry() {
             if !self.rules.ages_from_use {
-                entry.ends = oldest + self.times.life(entry.held);
+                entry.ends = oldest + self.times.lifetime(entry.held);
             }
             let ended = self.phases.ended(process, entry.epoch) && self.rules.refuses_ended;
             let ended = ended || self.closed.contains(&process);
--- a/crates/affinity/src/histories.rs
+++ b/crates/affinity/src/histories.rs
@@ -43,8 +43,8 @@
 }
 
 struct Node {
-    bindings: AffinityMember,
-    life: u64,
+    affinity: AffinityMember,
+    lifetime: u64,
     offset: Micros,
     stopped: bool,
     booted: Micros,
@@ -120,10 +120,10 @@
 
     fn boot(&mut self, i: usize, offset: Micros, founds: bool) -> Node {
         self.sent += 1;
-        let (members, life) = (self.cut.len(), self.sent);
+        let (members, lifetime) = (self.cut.len(), self.sent);
         let rates = section().rates(members as u32);
         let number = member(i as u64);
-        let mut bindings = AffinityMember::new(
+        let mut affinity = AffinityMember::new(
             self.t + offset,
             self.times,
             self.capacity,
@@ -132,15 +132,15 @@
             founds,
         );
         (
-            bindings.rules,
-            bindings.publishing.rules,
-            bindings.table.rules,
+            affinity.rules,
+            affinity.publishing.rules,
+            affinity.table.rules,
         ) = (self.rules, self.rules, self.rules);
-        bindings.members(&(0..members as u64).map(member).collect::<Vec<_>>());
+        affinity.members(&(0..members as u64).map(member).collect::<Vec<_>>());
         let (booted, steady, under_way) = (self.t, self.t, Vec::new());
         Node {
-            bindings,
-            life,
+            affinity,
+            lifetime,
             offset,
             stopped: false,
             booted,
@@ -218,7 +218,7 @@
         }
         let now = self.now(to);
         // What cannot be read is no history's business.
-        let _ = self.nodes[to].bindings.receive(now, from as u64, bytes);
+        let _ = self.nodes[to].affinity.receive(now, from as u64, bytes);
     }
 
     fn tick(&mut self, i: usize) {
@@ -228,10 +228,10 @@
         let (now, t) = (self.now(i), self.t);
         let node = &mut self.nodes[i];
         for (_, process) in node.under_way.extract_if(.., |(until, _)| *until <= t) {
-            node.bindings.under_way(process, false);
+            node.affinity.under_way(process, false);
         }
         let mono = self.mono(i);
-        let told = self.nodes[i].bindings.tick(now, mono);
+        let told = self.nodes[i].affinity.tick(now, mono);
         for to in (0..self.nodes.len()).filter(|to| *to != i) {
             told.nearby
                 .iter()
@@ -252,7 +252,7 @@
             let key = self.rng.u64(..KEYS);
             let (now, mono) = (self.now(i), self.mono(i));
             let cached_at = self.nodes[i]
-                .bindings
+                .affinity
                 .picks(now, mono, key, |_| true)
                 .first()
                 .copied();
@@ -260,15 +260,15 @@
             if cached_at.is_some() {
                 let until = self.t + self.rng.i64(0..self.times.longest_use);
                 self.nodes[i].under_way.push((until, at));
-                self.nodes[i].bindings.under_way(at, true);
+                self.nodes[i].affinity.under_way(at, true);
             }
-            self.nodes[i].bindings.record_use(now, key, at);
+            self.nodes[i].affinity.record_use(now, key, at);
             // A use by an affinity entry that is about to end is told too late: the spread, two
             // clocks and a slot before.
             let late =
                 self.times.slot(now + 2 * self.times.skew) + self.times.dissemination_time + 2;
             let in_time = self.nodes[i]
-                .bindings
+                .affinity
                 .table
                 .at(key, at)
                 .is_some_and(|w| w.ends > late);
@@ -290,7 +290,7 @@
         let (now, mono) = (self.now(i), self.mono(i));
         // It knows for sure of itself alone; whom it heard of, it knows by itself.
         if self.nodes[i]
-            .bindings
+            .affinity
             .clear(now, mono, process(0), 0, &[member(i as u64)])
             .clear
         {
--- a/crates/affinity/src/histories/checks.rs
+++ b/crates/affinity/src/histories/checks.rs
@@ -6,17 +6,17 @@
 use crate::time::Slot;
 use std::collections::HashMap;
 
-type Binding = (u64, Process);
+type Entry = (u64, Process);
 
 /// What really happened.
 #[derive(Default)]
 pub(super) struct Truth {
     /// The last use of each, in the slot of who used it.
-    last: HashMap<Binding, Slot>,
+    last: HashMap<Entry, Slot>,
     /// The last use by way of an affinity entry: when, and by whom.
-    cached_at: HashMap<Binding, (Micros, usize)>,
+    cached_at: HashMap<Entry, (Micros, usize)>,
     /// Affinity entries that a member held and then no more, and the word that it knew.
-    held: HashMap<(usize, u64, Binding), (AffinityEntry, bool)>,
+    held: HashMap<(usize, u64, Entry), (AffinityEntry, bool)>,
     /// Processes that left, or were about to.
     pub(super) left: Vec<Process>,
     pub(super) looked: HashMap<&'static str, u64>,
@@ -29,7 +29,7 @@
         t: Micros,
         slot: Slot,
         by: usize,
-        of: Binding,
+        of: Entry,
         cached_at: bool,
     ) {
         let last = self.last.entry(of).or_insert(slot);
@@ -61,9 +61,9 @@
 
     /// Property a.
     fn nothing_comes_back(&self, truth: &mut Truth, i: usize) {
-        let (slot, life) = (self.times.slot(self.now(i)), self.nodes[i].life);
-        let dump: Vec<_> = self.nodes[i].bindings.dump().collect();
-        let alive: HashMap<Binding, AffinityEntry> = dump
+        let (slot, lifetime) = (self.times.slot(self.now(i)), self.nodes[i].lifetime);
+        let dump: Vec<_> = self.nodes[i].affinity.dump().collect();
+        let alive: HashMap<Entry, AffinityEntry> = dump
             .iter()
             .filter(|(.., entry)| slot < entry.ends)
             .map(|(key, at, entry)| ((*key, *at), *entry))
@@ -77,7 +77,10 @@
                     "a: {of:?} at {i} is of slot {last}, last used {record_use:?}"
                 ));
             }
-            if let Some((gone, _)) = truth.held.get(&(i, life, *of)).filter(|(_, alive)| !alive)
+            if let Some((gone, _)) = truth
+                .held
+                .get(&(i, lifetime, *of))
+                .filter(|(_, alive)| !alive)
                 && entry.epoch == gone.epoch
                 && entry <= gone
             {
@@ -88,11 +91,11 @@
         }
         for (key, at, entry) in &dump {
             if self.nodes[i]
-                .bindings
+                .affinity
                 .phases
                 .reported(*at)
-                .any(|m| m == self.nodes[i].bindings.member)
-                && self.nodes[i].bindings.phases.ended(*at, entry.epoch)
+                .any(|m| m == self.nodes[i].affinity.member)
+                && self.nodes[i].affinity.phases.ended(*at, entry.epoch)
             {
                 truth.breach(format!(
                     "a: {key} at {at:?} is back at {i}, which was clear of it"
@@ -105,7 +108,7 @@
         truth.held.extend(
             alive
                 .into_iter()
-                .map(|(of, entry)| ((i, life, of), (entry, true))),
+                .map(|(of, entry)| ((i, lifetime, of), (entry, true))),
         );
     }
 
@@ -170,7 +173,7 @@
             }
             truth.look("b");
             let slot = self.times.slot(now);
-            let entry = self.nodes[i].bindings.table.at(key, at);
+            let entry = self.nodes[i].affinity.table.at(key, at);
             let alive = entry.is_some_and(|w| slot < w.ends);
             if !alive {
                 truth.breach(format!("b: {key} at {at:?}, used by {by}, is gone at {i}"));
@@ -184,7 +187,7 @@
         truth.look("d");
         for key in 0..KEYS {
             let picked = self.nodes[i]
-                .bindings
+                .affinity
                 .picks(self.now(i), self.mono(i), key, |_| true);
             if picked.contains(&process(0)) {
                 let ago = self.t - since;
@@ -224,10 +227,10 @@
                     2 + self.times.slots(self.times.skew),
                     self.times.slot(self.t),
                 );
-                let held: Vec<_> = self.nodes[i].bindings.dump().collect();
+                let held: Vec<_> = self.nodes[i].affinity.dump().collect();
                 for (key, at, entry) in held.iter().filter(|(.., w)| w.ends > slot + edge) {
                     truth.look("c");
-                    let other = self.nodes[j].bindings.table.at(*key, *at);
+                    let other = self.nodes[j].affinity.table.at(*key, *at);
                     if other.is_none() {
                         truth.breach(format!(
                             "c: {key} at {at:?} {entry:?} is at {i} and not at {j}"
--- a/crates/affinity/src/histories/events.rs
+++ b/crates/affinity/src/histories/events.rs
@@ -21,7 +21,7 @@
                 self.asked = Some(i);
                 let now = self.now(i);
                 self.nodes[i]
-                    .bindings
+                    .affinity
                     .begin_drain(now, process(0), 0)
                     .expect("there is room");
                 self.truth.left.push(process(0));
@@ -30,10 +30,10 @@
                 // Another process leaves and stays after all.
                 let (now, other) = (self.now(i), process(1 + self.rng.u64(..PROCESSES - 1)));
                 if !self.nodes[i].stopped
-                    && self.nodes[i].bindings.begin_drain(now, other, 0).is_ok()
+                    && self.nodes[i].affinity.begin_drain(now, other, 0).is_ok()
                 {
                     self.truth.left.push(other);
-                    let _ = self.nodes[i].bindings.cancel_drain(now, other, 1);
+                    let _ = self.nodes[i].affinity.cancel_drain(now, other, 1);
                 }
             }
             _ => {}
@@ -67,7 +67,7 @@
     /// who left is up.
     fn crash(&mut self, i: usize) {
         let fresh = (0..self.nodes.len())
-            .filter(|j| *j != i && !self.nodes[*j].bindings.contact_lease.sound());
+            .filter(|j| *j != i && !self.nodes[*j].affinity.contact_lease.sound());
         if fresh.count() < (self.nodes.len() - 1) / 2 {
             let offset = self.nodes[i].offset;
             self.nodes[i] = self.boot(i, offset, false);
@@ -75,7 +75,7 @@
             if self.asked == Some(i) {
                 let now = self.now(i);
                 self.nodes[i]
-                    .bindings
+                    .affinity
                     .begin_drain(now, process(0), 0)
                     .expect("there is room");
             }
@@ -109,7 +109,7 @@
 
     fn pulse(&mut self, i: usize) {
         let now = self.now(i);
-        let pulse = self.nodes[i].bindings.pulse(now);
+        let pulse = self.nodes[i].affinity.pulse(now);
         (0..self.nodes.len())
             .filter(|to| *to != i)
             .for_each(|to| self.send(i, to, &pulse, 1));
--- a/crates/affinity/src/lib.rs
+++ b/crates/affinity/src/lib.rs
@@ -6,7 +6,7 @@
 //! reordered, the same words make the same table. What is gone follows from a word and the hour
 //! alone, so that a late word revives nothing. docs/affinity.md states the rules.
 //!
-//! - [`section`]: the `[fleet.bindings]` section of a product configuration.
+//! - [`section`]: the `[fleet.affinity]` section of a product configuration.
 //! - [`time`]: slots that all members count alike.
 //! - [`entry`]: processes, words on uses, and their merge for one key.
 //! - [`table`]: words on all keys, bounded.
--- a/crates/affinity/src/pending_updates.rs
+++ b/crates/affinity/src/pending_updates.rs
@@ -12,7 +12,7 @@
 /// 4,000 is missed by all who pass a word on.
 pub const ROUNDS: u8 = 3;
 /// Words that wait; what went most often makes room.
-const MOST: usize = 1024;
+const MAX_ENTRIES: usize = 1024;
 
 /// Words that are to be forwarded.
 #[derive(Clone, Debug, Default)]
@@ -25,7 +25,7 @@
 impl PendingUpdates {
     /// A word is new here.
     pub fn add(&mut self, key: u64, process: Process) {
-        if self.left.len() >= MOST && !self.left.contains_key(&(key, process)) {
+        if self.left.len() >= MAX_ENTRIES && !self.left.contains_key(&(key, process)) {
             let least = self
                 .left
                 .iter()
--- a/crates/affinity/src/pending_updates/tests.rs
+++ b/crates/affinity/src/pending_updates/tests.rs
@@ -20,6 +20,9 @@
     (1..ROUNDS).for_each(|_| pending.went(of(1), false));
     pending.went(of(2), true);
     assert_eq!(pending.count(), 0);
-    (0..2 * MOST as u64).for_each(|key| pending.add(key, of(0).1));
-    assert_eq!((pending.count(), pending.dropped), (MOST, MOST as u64));
+    (0..2 * MAX_ENTRIES as u64).for_each(|key| pending.add(key, of(0).1));
+    assert_eq!(
+        (pending.count(), pending.dropped),
+        (MAX_ENTRIES, MAX_ENTRIES as u64)
+    );
 }
--- a/crates/affinity/src/publishing.rs
+++ b/crates/affinity/src/publishing.rs
@@ -90,7 +90,7 @@
         // With everybody before anybody's clock says that it ended.
         let before = times.dissemination_time + times.slots(times.skew);
         let latest = entry.ends - before;
-        let over = ((times.life(entry.held) - before) / 2).max(1) * times.slot;
+        let over = ((times.lifetime(entry.held) - before) / 2).max(1) * times.slot;
         let drawn = mix(mix(self.member, key), entry.ends.cast_unsigned());
         let uniform = (drawn >> 11) as f64 / (1u64 << 53) as f64;
         let waits =
--- a/crates/affinity/src/time.rs
+++ b/crates/affinity/src/time.rs
@@ -41,7 +41,7 @@
     }
 
     /// How long an affinity entry lives from its last use.
-    pub fn life(&self, held: bool) -> Slot {
+    pub fn lifetime(&self, held: bool) -> Slot {
         if held {
             self.renewed_lifetime
         } else {
--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -166,7 +166,7 @@
 }
 
 /// Most coordinators: five bear two failures, more only make each agreement slower.
-const MOST_STEWARDS: usize = 7;
+const MAX_COORDINATORS: usize = 7;
 /// Longest name of a coordinator, in bytes.
 const MAX_NAME_BYTES: usize = 64;
 
@@ -191,8 +191,8 @@
                 format!("{name:?} is not one of [coordinators]"),
             );
         }
-        if self.coordinators.len() > MOST_STEWARDS {
-            return wrong("coordinators", format!("are more than {MOST_STEWARDS}"));
+        if self.coordinators.len() > MAX_COORDINATORS {
+            return wrong("coordinators", format!("are more than {MAX_COORDINATORS}"));
         }
         if self.coordinator.heartbeat < Time::ms(10)
             || self.coordinator.heartbeat > Time::ms(10_000)
--- a/crates/coordinator/src/core/coordinator.rs
+++ b/crates/coordinator/src/core/coordinator.rs
@@ -48,9 +48,9 @@
         match input {
             Input::Tick => {
                 self.node.tick();
-                self.duties(now);
+                self.propose_due(now);
             }
-            Input::Message(from, message) => self.hear(from, message),
+            Input::Message(from, message) => self.receive(from, message),
             Input::Bring(caller, event) => {
                 let refused = match &event {
                     Event::Ask(_) if self.node.acts() && !self.leadership.looked => {
@@ -100,7 +100,7 @@
         }
     }
 
-    fn hear(&mut self, from: String, message: Message) {
+    fn receive(&mut self, from: String, message: Message) {
         if !self.settings.names.contains(&from) {
             return;
         }
@@ -116,13 +116,13 @@
     pub(super) fn propose(
         &mut self,
         now: Now,
-        whose: Proposer,
+        proposer: Proposer,
         event: &Event,
     ) -> Result<(), Refused> {
         self.last_ticket += 1;
         self.node
             .propose(now.unix_ms, self.last_ticket, replica::event(event))?;
-        self.tickets.insert(self.last_ticket, whose);
+        self.tickets.insert(self.last_ticket, proposer);
         Ok(())
     }
 
@@ -175,7 +175,7 @@
 
     /// Callers who wait for an answer.
     pub fn callers(&self) -> Vec<u64> {
-        let callers = self.tickets.values().filter_map(|whose| match whose {
+        let callers = self.tickets.values().filter_map(|proposer| match proposer {
             Proposer::Caller(caller) => Some(*caller),
             Proposer::Leader(_) => None,
         });
--- a/crates/coordinator/src/core/interface.rs
+++ b/crates/coordinator/src/core/interface.rs
@@ -29,7 +29,7 @@
     pub lost_ms: u64,
     /// For how long after it was asked for a majority's word that this coordinator leads may be
     /// acted on, in milliseconds: no longer than others wait before they stand for election.
-    pub word_ms: u64,
+    pub confirmation_ms: u64,
 }
 
 /// What a host tells.
--- a/crates/coordinator/src/core/leadership.rs
+++ b/crates/coordinator/src/core/leadership.rs
@@ -35,7 +35,7 @@
     }
 
     /// Time passed.
-    pub(super) fn duties(&mut self, now: Now) {
+    pub(super) fn propose_due(&mut self, now: Now) {
         if !self.leads() {
             return;
         }
@@ -53,11 +53,11 @@
             self.own(now, LeaderProposal::Time, &Event::Tick);
         }
         // A word that did not come in time never comes.
-        let word_ms = self.settings.word_ms;
+        let confirmation_ms = self.settings.confirmation_ms;
         self.leadership.asked = self
             .leadership
             .asked
-            .filter(|(_, at)| now.mono_ms.saturating_sub(*at) < word_ms);
+            .filter(|(_, at)| now.mono_ms.saturating_sub(*at) < confirmation_ms);
         if self.leadership.asked.is_none() && !self.to_begin(now).is_empty() {
             self.leadership.asked = Some((self.ask_majority(), now.mono_ms));
         }
@@ -91,7 +91,7 @@
             return;
         };
         self.leadership.asked = None;
-        let until_ms = at + self.settings.word_ms;
+        let until_ms = at + self.settings.confirmation_ms;
         if !self.leads() || until_ms <= now.mono_ms {
             return;
         }
--- a/crates/coordinator/src/log_thread.rs
+++ b/crates/coordinator/src/log_thread.rs
@@ -167,7 +167,7 @@
             again_ms: timeout / 2,
             // Its own time-out, one of a page of sidecars, and the way there and back.
             lost_ms: timeout.saturating_mul(4),
-            word_ms: heartbeat.saturating_mul(own.patience as u64),
+            confirmation_ms: heartbeat.saturating_mul(own.patience as u64),
         };
         CoordinatorCore::new(log_store, options, settings, found)
     }
--- a/crates/coordinator/tests/core/world.rs
+++ b/crates/coordinator/tests/core/world.rs
@@ -114,13 +114,13 @@
             patience: PATIENCE,
             least: names.len().min(3),
         };
-        let word_ms = TICK_MS * PATIENCE as u64;
+        let confirmation_ms = TICK_MS * PATIENCE as u64;
         let settings = Settings {
             names,
             budget: self.budget.clone(),
             again_ms: 500,
             lost_ms: 4_000,
-            word_ms,
+            confirmation_ms,
         };
         slot.coordinator =
             Some(CoordinatorCore::new(log_store, options, settings, found).expect("starts"));
--- a/crates/coordinator/tests/process/cluster.rs
+++ b/crates/coordinator/tests/process/cluster.rs
@@ -117,21 +117,21 @@
             let file = folder.path().join(format!("s{own}.toml"));
             fs::write(file, text(folder.path(), own, &at, platform)).expect("it is written");
         }
-        let mut crew = Self {
+        let mut cluster = Self {
             at,
             _kept: kept,
             folder,
             running: (0..size).map(|_| None).collect(),
         };
-        (0..size).for_each(|n| crew.run(n));
+        (0..size).for_each(|n| cluster.run(n));
         wait_for("all have a voice and one leads", || {
             (0..size).all(|n| {
-                crew.status(n)["voters"]
+                cluster.status(n)["voters"]
                     .as_array()
                     .is_some_and(|all| all.len() == size)
-            }) && crew.leads().is_some_and(|n| crew.ready(n))
+            }) && cluster.leads().is_some_and(|n| cluster.ready(n))
         });
-        crew
+        cluster
     }
 
     fn file(&self, coordinator: usize, kind: &str) -> PathBuf {
@@ -247,10 +247,15 @@
 }
 
 /// Whether a window of a server that nobody lists is refused by the leader.
-pub fn refused(crew: &Cluster, name: &str) -> bool {
+pub fn refused(cluster: &Cluster, name: &str) -> bool {
     let latest: i64 = soon().parse().expect("a number");
     let ask = json!({"name": name, "target": {"servers": ["b"]}, "earliest_ms": 0, "latest_ms": latest,
         "length_ms": 5});
-    let answer = exchange(crew.at[crew.leader()], "POST", "/windows", &ask.to_string());
+    let answer = exchange(
+        cluster.at[cluster.leader()],
+        "POST",
+        "/windows",
+        &ask.to_string(),
+    );
     answer.is_some_and(|(code, _)| code == 422)
 }
--- a/crates/coordinator/tests/process/main.rs
+++ b/crates/coordinator/tests/process/main.rs
@@ -108,9 +108,9 @@
 
 #[test]
 fn wrong_requests_are_refused_with_key_and_reason_and_readers_keep_nobody_out() {
-    let crew = Cluster::start(3);
-    let leader = crew.leader();
-    let at = crew.at[leader];
+    let cluster = Cluster::start(3);
+    let leader = cluster.leader();
+    let at = cluster.at[leader];
     // More who say nothing than may be connected.
     let stuck: Vec<TcpStream> = (0..80)
         .map(|_| TcpStream::connect(at).expect("it accepts"))
@@ -178,7 +178,7 @@
     drop(stuck);
     let (code, _) = exchange(at, "GET", "/status", "").expect("an answer");
     assert_eq!(
-        (code, crew.leader()),
+        (code, cluster.leader()),
         (200, leader),
         "nothing of it has moved anybody"
     );
@@ -186,73 +186,73 @@
 
 #[test]
 fn a_leader_that_is_told_to_stop_hands_over_and_a_lost_disk_comes_in_anew() {
-    let mut crew = Cluster::start(3);
-    let first = crew.leader();
-    let term = crew.status(first)["term"].as_u64();
-    assert!(crew.stop(first), "it ends by itself");
+    let mut cluster = Cluster::start(3);
+    let first = cluster.leader();
+    let term = cluster.status(first)["term"].as_u64();
+    assert!(cluster.stop(first), "it ends by itself");
     assert!(
-        crew.said(first).contains("hands the lead over"),
+        cluster.said(first).contains("hands the lead over"),
         "{}",
-        crew.said(first)
+        cluster.said(first)
     );
     wait_for("another leads, by a hand-over and no waiting", || {
-        crew.leads().is_some()
+        cluster.leads().is_some()
     });
-    let second = crew.leader();
+    let second = cluster.leader();
     assert_eq!(
-        crew.status(second)["term"].as_u64(),
+        cluster.status(second)["term"].as_u64(),
         term.map(|term| term + 1),
         "no failed election between"
     );
     // Its disk is gone: no founder, though it is first by name where it is s0.
-    crew.empty(first);
-    crew.run(first);
+    cluster.empty(first);
+    cluster.run(first);
     wait_for("the new disk has a voice", || {
-        crew.status(first)["voice"] == true
+        cluster.status(first)["voice"] == true
     });
-    let disks = crew.status(first)["voters"].as_array().map(Vec::len);
+    let disks = cluster.status(first)["voters"].as_array().map(Vec::len);
     assert_eq!(disks, Some(3));
     // A file that is torn is quarantined, and said so.
     let follower = (0..3)
-        .find(|n| *n != crew.leader())
+        .find(|n| *n != cluster.leader())
         .expect("one that follows");
-    crew.kill(follower);
-    crew.tear(follower);
-    crew.run(follower);
+    cluster.kill(follower);
+    cluster.tear(follower);
+    cluster.run(follower);
     wait_for("the torn one has a voice again", || {
-        crew.status(follower)["voice"] == true
+        cluster.status(follower)["voice"] == true
     });
     assert!(
-        crew.said(follower).contains("is not believed"),
+        cluster.said(follower).contains("is not believed"),
         "{}",
-        crew.said(follower)
+        cluster.said(follower)
     );
     assert!(
-        crew.said(follower).contains(".aside-1"),
+        cluster.said(follower).contains(".aside-1"),
         "{}",
-        crew.said(follower)
+        cluster.said(follower)
     );
 }
 
 #[test]
 fn a_steward_whose_disk_fails_stands_back_and_says_so() {
-    let mut crew = Cluster::start(3);
+    let mut cluster = Cluster::start(3);
     let follower = (0..3)
-        .find(|n| *n != crew.leader())
+        .find(|n| *n != cluster.leader())
         .expect("one that follows");
-    crew.kill(follower);
-    crew.block(follower);
-    crew.run(follower);
+    cluster.kill(follower);
+    cluster.block(follower);
+    cluster.run(follower);
     wait_for("it says why", || {
-        crew.status(follower)["halted"].is_string()
+        cluster.status(follower)["halted"].is_string()
     });
-    let (code, _) = exchange(crew.at[follower], "GET", "/windows", "").expect("an answer");
+    let (code, _) = exchange(cluster.at[follower], "GET", "/windows", "").expect("an answer");
     assert_eq!(code, 503);
-    let lines = crew.said(follower);
+    let lines = cluster.said(follower);
     assert_eq!(lines.matches("stands back").count(), 1, "{lines}");
-    crew.free(follower);
+    cluster.free(follower);
     wait_for("it takes part again", || {
-        crew.status(follower)["voice"] == true
+        cluster.status(follower)["voice"] == true
     });
-    assert!(refused(&crew, "w0"), "whom nobody lists");
+    assert!(refused(&cluster, "w0"), "whom nobody lists");
 }
--- a/crates/emulator/src/audit/ageing.rs
+++ b/crates/emulator/src/audit/ageing.rs
@@ -13,7 +13,7 @@
 /// clocks may be off, and how long a word needs.
 const SLOT: Us = 500_000;
 const LIFE_NEW: i64 = 24;
-const LIFE_AGAIN: i64 = 72;
+const INCARNATION_AGAIN: i64 = 72;
 const SKEW: Us = 500_000;
 const SPREAD: Us = 3_000_000;
 /// What an answer is under way, a dump takes, and members' looks are apart.
@@ -127,9 +127,13 @@
                 held.place
             ));
         }
-        let life = if held.again { LIFE_AGAIN } else { LIFE_NEW };
+        let incarnation = if held.again {
+            INCARNATION_AGAIN
+        } else {
+            LIFE_NEW
+        };
         // The beginning of the slot of its last use, on the clock of the run.
-        let last = (held.ends - life) * SLOT as i64 - (began_ms * 1000) as i64;
+        let last = (held.ends - incarnation) * SLOT as i64 - (began_ms * 1000) as i64;
         let truly = used
             .get(&(held.place.key, held.place.server))
             .and_then(|times| times.last());
--- a/crates/emulator/src/bin/fleet-emulator/main.rs
+++ b/crates/emulator/src/bin/fleet-emulator/main.rs
@@ -150,10 +150,10 @@
 
 /// Brings up a program so that it ends with this process.
 fn kept(program: PathBuf, within: Time) -> Launch {
-    let keeper = std::env::current_exe().ok();
+    let parent_guard = std::env::current_exe().ok();
     Launch::Program(LaunchOptions {
         program,
-        keeper,
+        parent_guard,
         within: within.0,
     })
 }
--- a/crates/emulator/src/coordinators.rs
+++ b/crates/emulator/src/coordinators.rs
@@ -35,7 +35,7 @@
 /// How long a coordinator may take to answer the emulator.
 const WITHIN: Duration = Duration::from_secs(1);
 /// Pause between two looks.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// How long an election may take at the beginning of a run.
 const ELECTED_WITHIN: Duration = Duration::from_secs(30);
 
@@ -192,7 +192,7 @@
                 }
                 return Err(words);
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         match self.begins {
             Some(at) if Instant::now() > at => {
--- a/crates/emulator/src/coordinators/asker.rs
+++ b/crates/emulator/src/coordinators/asker.rs
@@ -1,6 +1,6 @@
 //! Requests every window of a plan from the coordinators, as an operator's tool does.
 
-use super::{Coordinators, LOOK, WITHIN};
+use super::{Coordinators, POLL_INTERVAL, WITHIN};
 use crate::draw::DRAINS_FOR;
 use crate::page::ask;
 use crate::plan::WindowSpec;
@@ -97,7 +97,7 @@
                 );
                 return None;
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         None
     }
@@ -110,7 +110,7 @@
         );
         loop {
             while self.platform.place(server) != Place::Away {
-                sleep(LOOK).await;
+                sleep(POLL_INTERVAL).await;
             }
             sleep(Duration::from_micros(length.saturating_sub(DRAINS_FOR))).await;
             while self.platform.place(server) == Place::Away {
--- a/crates/emulator/src/coordinators/faults.rs
+++ b/crates/emulator/src/coordinators/faults.rs
@@ -1,7 +1,7 @@
 //! Faults of coordinators, at a time or at a step of a window.
 
 use super::process::CoordinatorProcess;
-use super::{Coordinators, LOOK, WITHIN};
+use super::{Coordinators, POLL_INTERVAL, WITHIN};
 use crate::experiment::{CoordinatorFault, CoordinatorFaultKind, Who};
 use crate::page::ask;
 use crate::record::Seen;
@@ -68,7 +68,7 @@
             .await;
         if let Some(state) = &fault.on {
             while !self.has_come_to(state).await {
-                sleep(LOOK).await;
+                sleep(POLL_INTERVAL).await;
             }
         }
         let chosen = self.chosen(fault.who).await;
--- a/crates/emulator/src/datagrams/tests.rs
+++ b/crates/emulator/src/datagrams/tests.rs
@@ -7,8 +7,8 @@
 
 const LONG: Duration = Duration::from_secs(20);
 /// Pause between two looks at a socket, and most of them: twenty seconds.
-const LOOK: Duration = Duration::from_millis(1);
-const LOOKS: usize = 20_000;
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
+const POLLS: usize = 20_000;
 
 /// Waits until all that was sent to the socket at that address has been read, whatever the machine
 /// is busy with: what was true of the network until then is what counted. On one thread, who reads
@@ -22,7 +22,7 @@
         u32::from_ne_bytes(at.ip().octets()),
         at.port()
     );
-    for _ in 0..LOOKS {
+    for _ in 0..POLLS {
         let table = std::fs::read_to_string("/proc/net/udp").expect("the table of sockets");
         let line = table
             .lines()
@@ -34,7 +34,7 @@
         if queues.ends_with(":00000000") {
             return;
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     panic!("what was sent to {at} is not read");
 }
--- a/crates/emulator/src/links.rs
+++ b/crates/emulator/src/links.rs
@@ -2,7 +2,7 @@
 
 use crate::net::Net;
 use crate::relay::{Link, join};
-use crate::server_listener::{Life, ServerListener};
+use crate::server_listener::{Incarnation, ServerListener};
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 use tokio::net::TcpStream;
@@ -26,25 +26,26 @@
         to,
     };
     // The listener behind it says itself whether it is there.
-    let (alive, life) = watch::channel(Life {
+    let (alive, incarnation) = watch::channel(Incarnation {
         up: true,
         number: 1,
     });
-    let door = ServerListener::bind(host, life, link.clone())?;
-    let address = door.address();
+    let listener = ServerListener::bind(host, incarnation, link.clone())?;
+    let address = listener.address();
     let task = tokio::spawn(async move {
         let _alive = alive;
-        door.run(move |stream, _| {
-            let link = link.clone();
-            tokio::spawn(async move {
-                // Where nobody listens the connection is closed before anything is said.
-                if let Ok(server) = TcpStream::connect(target).await {
-                    let _ = server.set_nodelay(true);
-                    join(stream, server, link, std::future::pending()).await;
-                }
-            });
-        })
-        .await;
+        listener
+            .run(move |stream, _| {
+                let link = link.clone();
+                tokio::spawn(async move {
+                    // Where nobody listens the connection is closed before anything is said.
+                    if let Ok(server) = TcpStream::connect(target).await {
+                        let _ = server.set_nodelay(true);
+                        join(stream, server, link, std::future::pending()).await;
+                    }
+                });
+            })
+            .await;
     });
     Ok((address, task.abort_handle()))
 }
--- a/crates/emulator/src/pairs/builds.rs
+++ b/crates/emulator/src/pairs/builds.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 /// Pause between two looks at a build.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// The profile of a pinned build: that of today's product programs.
 const PROFILE: &str = "product";
 /// A revision's sidecar, whatever its name is there, in its folder of builds.
@@ -213,7 +213,7 @@
                 let _ = child.wait();
                 return Err(BuildError::Late(what.to_owned()));
             }
-            sleep(LOOK);
+            sleep(POLL_INTERVAL);
         }
     }
 }
--- a/crates/emulator/src/pairs/coordinators.rs
+++ b/crates/emulator/src/pairs/coordinators.rs
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 
 /// Coordinators.
-pub const STEWARDS: usize = 3;
+pub const COORDINATORS: usize = 3;
 /// Ticks of a stage: some elections, and several snapshots' worth of orders in all.
 pub const STAGE: u64 = 600;
 /// Ticks between two orders.
@@ -50,15 +50,19 @@
 ///
 /// # Errors
 /// A program cannot be started, or a coordinator cannot go on.
-pub fn play(folder: &Path, stages: &[[Option<&Path>; STEWARDS]], ticks: u64) -> io::Result<Came> {
-    let files = (0..STEWARDS)
+pub fn play(
+    folder: &Path,
+    stages: &[[Option<&Path>; COORDINATORS]],
+    ticks: u64,
+) -> io::Result<Came> {
+    let files = (0..COORDINATORS)
         .map(|n| folder.join(format!("coordinator-{n}.redb")))
         .collect();
     let came = Came {
-        told: vec![Vec::new(); STEWARDS],
+        told: vec![Vec::new(); COORDINATORS],
         ..Came::default()
     };
-    let (coordinators, ids) = ((0..STEWARDS).map(|_| None).collect(), BTreeMap::new());
+    let (coordinators, ids) = ((0..COORDINATORS).map(|_| None).collect(), BTreeMap::new());
     let mut room = Room {
         coordinators,
         ids,
@@ -83,7 +87,7 @@
     }
     // What is under way arrives.
     room.run(FOUNDING, false)?;
-    for coordinator in 0..STEWARDS {
+    for coordinator in 0..COORDINATORS {
         let state = room.ask(coordinator, "state")?;
         let book = state
             .first()
@@ -186,7 +190,7 @@
     fn run(&mut self, ticks: u64, orders: bool) -> io::Result<()> {
         for tick in 0..ticks {
             self.now += 10;
-            let running: Vec<usize> = (0..STEWARDS)
+            let running: Vec<usize> = (0..COORDINATORS)
                 .filter(|n| self.coordinators[*n].is_some())
                 .collect();
             for coordinator in &running {
--- a/crates/emulator/src/run/build.rs
+++ b/crates/emulator/src/run/build.rs
@@ -77,7 +77,7 @@
         watch::channel(Datagrams::default()).0,
         watch::channel(false).0,
     );
-    let liar = experiment
+    let byzantine_member = experiment
         .fault
         .iter()
         .find(|f| f.kind == FaultKind::MemberLies);
@@ -86,12 +86,12 @@
         true => {
             let mut zones: Vec<usize> = plan.sidecars.iter().map(|spec| spec.zone).collect();
             // The last one is nobody's but a Byzantine member's.
-            zones.push(liar.and_then(|fault| fault.zone).unwrap_or(0));
+            zones.push(byzantine_member.and_then(|fault| fault.zone).unwrap_or(0));
             let hosts = |sidecar| (host(3, sidecar), host(4, sidecar));
             let opened = MemberAddresses::open(&zones, hosts, &net, &datagrams.subscribe()).await;
             let (fronts, handles) = opened.map_err(io("no socket between sidecars"))?;
             tasks.0.extend(handles);
-            if let Some(zone) = liar.map(|_| zones[plan.sidecars.len()]) {
+            if let Some(zone) = byzantine_member.map(|_| zones[plan.sidecars.len()]) {
                 let others = fronts.addresses[..plan.sidecars.len()]
                     .iter()
                     .map(|a| a.front)
@@ -114,8 +114,8 @@
     for (sidecar, spec) in plan.sidecars.iter().enumerate() {
         let mut addresses = Vec::new();
         for server in 0..plan.servers.len() {
-            let door = servers.door(host(0, server), &net, sidecar, server);
-            let (address, task) = door.map_err(io("no socket for a server"))?;
+            let listener = servers.listener(host(0, server), &net, sidecar, server);
+            let (address, task) = listener.map_err(io("no socket for a server"))?;
             addresses.push(address);
             tasks.0.push(task);
         }
--- a/crates/emulator/src/server_listener.rs
+++ b/crates/emulator/src/server_listener.rs
@@ -12,7 +12,7 @@
 
 /// Whether a process listens behind a listener; the number tells one life of it from the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Life {
+pub struct Incarnation {
     /// It runs.
     pub up: bool,
     /// The how-manieth.
@@ -47,7 +47,7 @@
     listener: Option<TcpListener>,
     /// Its port stays its own while nobody listens there.
     reserved: Reserved,
-    life: watch::Receiver<Life>,
+    incarnation: watch::Receiver<Incarnation>,
     link: Link,
 }
 
@@ -55,7 +55,7 @@
     /// Binds a port of the system's choice on that host.
     pub fn bind(
         host: std::net::IpAddr,
-        life: watch::Receiver<Life>,
+        incarnation: watch::Receiver<Incarnation>,
         link: Link,
     ) -> io::Result<Self> {
         let reserved = Reserved::on(host)?;
@@ -63,7 +63,7 @@
         Ok(Self {
             listener: Some(listener),
             reserved,
-            life,
+            incarnation,
             link,
         })
     }
@@ -77,10 +77,10 @@
     pub async fn run(mut self, serve: impl Fn(TcpStream, u64)) {
         let mut changes = self.link.net.subscribe();
         loop {
-            let life = *self.life.borrow_and_update();
-            if !life.up {
+            let incarnation = *self.incarnation.borrow_and_update();
+            if !incarnation.up {
                 self.listener = None;
-                if self.life.changed().await.is_err() {
+                if self.incarnation.changed().await.is_err() {
                     return;
                 }
                 continue;
@@ -97,7 +97,7 @@
                 let fillers = fill(listener, self.address()).await;
                 tokio::select! {
                     changed = changes.changed() => if changed.is_err() { return },
-                    changed = self.life.changed() => if changed.is_err() { return },
+                    changed = self.incarnation.changed() => if changed.is_err() { return },
                 }
                 if self.link.opens() {
                     drain(listener).await;
@@ -108,11 +108,11 @@
             }
             tokio::select! {
                 accepted = listener.accept() => match accepted {
-                    Ok((stream, _)) => serve(stream, life.number),
+                    Ok((stream, _)) => serve(stream, incarnation.number),
                     Err(_) => sleep(PAUSE).await,
                 },
                 changed = changes.changed() => if changed.is_err() { return },
-                changed = self.life.changed() => if changed.is_err() { return },
+                changed = self.incarnation.changed() => if changed.is_err() { return },
             }
         }
     }
--- a/crates/emulator/src/server_listener/tests.rs
+++ b/crates/emulator/src/server_listener/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `door.rs`.
+//! Tests of `listener.rs`.
 
 use super::*;
 use crate::experiment::{Network, Way};
@@ -11,9 +11,9 @@
 const HOST: IpAddr = IpAddr::V4(Ipv4Addr::LOCALHOST);
 
 /// An echo behind a listener, in zone 1, for who dials in zone 0.
-async fn echo() -> (SocketAddr, Net, watch::Sender<Life>) {
+async fn echo() -> (SocketAddr, Net, watch::Sender<Incarnation>) {
     let net = Net::new(&Network::default());
-    let (life, lives) = watch::channel(Life {
+    let (incarnation, lives) = watch::channel(Incarnation {
         up: true,
         number: 1,
     });
@@ -22,9 +22,9 @@
         from: 0,
         to: 1,
     };
-    let door = ServerListener::bind(HOST, lives.clone(), link.clone()).expect("a free port");
-    let address = door.address();
-    tokio::spawn(door.run(move |stream, number| {
+    let listener = ServerListener::bind(HOST, lives.clone(), link.clone()).expect("a free port");
+    let address = listener.address();
+    tokio::spawn(listener.run(move |stream, number| {
         let (link, mut lives) = (link.clone(), lives.clone());
         let (near, far) = tokio::io::duplex(1024);
         tokio::spawn(async move {
@@ -39,7 +39,7 @@
             join(stream, near, link, ended).await;
         });
     }));
-    (address, net, life)
+    (address, net, incarnation)
 }
 
 async fn said(stream: &mut TcpStream, what: &[u8]) -> io::Result<Vec<u8>> {
@@ -118,10 +118,10 @@
 
 #[tokio::test]
 async fn a_process_that_ends_resets_and_refuses_until_it_is_back() {
-    let (address, _net, life) = echo().await;
+    let (address, _net, incarnation) = echo().await;
     let mut stream = TcpStream::connect(address).await.expect("it is up");
     said(&mut stream, b"before").await.expect("an echo");
-    life.send_replace(Life {
+    incarnation.send_replace(Incarnation {
         up: false,
         number: 1,
     });
@@ -140,7 +140,7 @@
         other.bind(address).expect_err("it is kept").kind(),
         io::ErrorKind::AddrInUse
     );
-    life.send_replace(Life {
+    incarnation.send_replace(Incarnation {
         up: true,
         number: 2,
     });
--- a/crates/emulator/src/servers.rs
+++ b/crates/emulator/src/servers.rs
@@ -8,7 +8,7 @@
 use crate::plan::Plan;
 use crate::record::{Record, Seen, Try};
 use crate::relay::{Link, join};
-use crate::server_listener::{Life, ServerListener};
+use crate::server_listener::{Incarnation, ServerListener};
 use crate::world::{Done, World};
 use std::collections::{HashMap, HashSet};
 use std::io;
@@ -49,7 +49,7 @@
     state: Mutex<(World, Waiting)>,
     reached: Mutex<HashSet<Try>>,
     wake: Notify,
-    lives: Vec<watch::Sender<Life>>,
+    lives: Vec<watch::Sender<Incarnation>>,
     connections: Vec<AtomicUsize>,
     most_connections: usize,
     attempts: AtomicU64,
@@ -63,8 +63,8 @@
         record: Record,
         most_connections: usize,
     ) -> Arc<Self> {
-        let life = |first: bool| {
-            watch::channel(Life {
+        let incarnation = |first: bool| {
+            watch::channel(Incarnation {
                 up: first,
                 number: 1,
             })
@@ -73,7 +73,7 @@
         Arc::new(Self {
             state: Mutex::new((World::new(&plan), Waiting::new())),
             reached: Mutex::default(),
-            lives: plan.servers.iter().map(|s| life(s.first)).collect(),
+            lives: plan.servers.iter().map(|s| incarnation(s.first)).collect(),
             connections: plan.servers.iter().map(|_| AtomicUsize::new(0)).collect(),
             plan,
             clock,
@@ -122,10 +122,10 @@
         });
         self.record
             .note(self.clock.now(), Seen::ServerUp { server });
-        self.lives[server].send_modify(|life| {
-            *life = Life {
+        self.lives[server].send_modify(|incarnation| {
+            *incarnation = Incarnation {
                 up: true,
-                number: life.number + 1,
+                number: incarnation.number + 1,
             }
         });
     }
@@ -169,7 +169,7 @@
     fn end(&self, server: usize) {
         self.record
             .note(self.clock.now(), Seen::ServerDown { server });
-        self.lives[server].send_modify(|life| life.up = false);
+        self.lives[server].send_modify(|incarnation| incarnation.up = false);
     }
 
     /// Brings the core on as time passes. Runs for good.
@@ -192,7 +192,7 @@
     }
 
     /// Opens the listener through which that sidecar reaches that server, until it is told to end.
-    pub fn door(
+    pub fn listener(
         self: &Arc<Self>,
         host: IpAddr,
         net: &Net,
@@ -208,16 +208,16 @@
             from,
             to,
         };
-        let door = ServerListener::bind(host, self.lives[server].subscribe(), link.clone())?;
-        let address = door.address();
+        let listener = ServerListener::bind(host, self.lives[server].subscribe(), link.clone())?;
+        let address = listener.address();
         let this = Arc::clone(self);
-        let task = tokio::spawn(door.run(move |stream, life| {
+        let task = tokio::spawn(listener.run(move |stream, incarnation| {
             let (near, far) = duplex(BUFFER);
             this.record
                 .note(this.clock.now(), Seen::Handshake { sidecar, server });
             let mut lives = this.lives[server].subscribe();
             let ended = async move {
-                let _ = lives.wait_for(|l| !l.up || l.number != life).await;
+                let _ = lives.wait_for(|l| !l.up || l.number != incarnation).await;
             };
             tokio::spawn(Arc::clone(&this).connection(far, sidecar, server));
             tokio::spawn(join(stream, near, link.clone(), ended));
--- a/crates/emulator/src/supervisor.rs
+++ b/crates/emulator/src/supervisor.rs
@@ -28,7 +28,7 @@
 /// A sidecar that is not ready after this has failed to start, unless something else was said.
 pub const READY_WITHIN: Duration = Duration::from_secs(30);
 /// Pause between two looks at a sidecar that starts.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// SIGKILL comes this long after SIGTERM: the longest deadline, taken as 3 s where it is longer,
 /// and 700 ms.
 const STOPS_WITHIN: Duration = Duration::from_millis(3700);
@@ -150,7 +150,7 @@
                     self.bringing.within.as_secs_f64()
                 ));
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         self.record.note(
             self.clock.now(),
--- a/crates/emulator/src/supervisor/launch_options.rs
+++ b/crates/emulator/src/supervisor/launch_options.rs
@@ -14,7 +14,7 @@
     pub program: PathBuf,
     /// An emulator's program through which it is started, so that it ends with the emulator however
     /// that ends; see [`keep`].
-    pub keeper: Option<PathBuf>,
+    pub parent_guard: Option<PathBuf>,
     /// It must be ready within this.
     pub within: Duration,
 }
@@ -24,7 +24,7 @@
     pub fn plain(program: PathBuf) -> Self {
         Self {
             program,
-            keeper: None,
+            parent_guard: None,
             within: READY_WITHIN,
         }
     }
@@ -46,9 +46,9 @@
     }
 
     pub(crate) fn command(&self) -> Command {
-        match &self.keeper {
-            Some(keeper) => {
-                let mut command = Command::new(keeper);
+        match &self.parent_guard {
+            Some(parent_guard) => {
+                let mut command = Command::new(parent_guard);
                 command
                     .arg(KEEP)
                     .arg(std::process::id().to_string())
--- a/crates/emulator/src/supervisor/running.rs
+++ b/crates/emulator/src/supervisor/running.rs
@@ -7,9 +7,9 @@
 use tokio::process::{Child, Command};
 
 /// Pause between two looks at a process that was killed and is let go of.
-const LOOK: Duration = Duration::from_millis(1);
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
 /// Most such looks: a process that the system can't end in five seconds is left to it.
-const LOOKS: usize = 5000;
+const POLLS: usize = 5000;
 
 /// A process that runs. Where this is dropped, the process is killed and has ended afterwards:
 /// SIGKILL alone only says that it is to end, and on a busy machine it goes on until it has a turn.
@@ -47,9 +47,9 @@
     fn drop(&mut self) {
         // It may have ended already.
         let _ = self.0.start_kill();
-        for _ in 0..LOOKS {
+        for _ in 0..POLLS {
             match self.0.try_wait() {
-                Ok(None) => thread::sleep(LOOK),
+                Ok(None) => thread::sleep(POLL_INTERVAL),
                 Ok(Some(_)) | Err(_) => return,
             }
         }
--- a/crates/emulator/src/tally/recovery.rs
+++ b/crates/emulator/src/tally/recovery.rs
@@ -20,13 +20,13 @@
 const COUNTED: Us = 5 * SECOND;
 
 /// A sidecar's death and return.
-struct Life {
+struct Incarnation {
     sidecar: usize,
     killed: Us,
     started: Us,
 }
 
-fn lives(plan: &Plan) -> Vec<Life> {
+fn lives(plan: &Plan) -> Vec<Incarnation> {
     let started = |sidecar: usize, after: Us| {
         let later = plan
             .steps
@@ -35,7 +35,7 @@
         later.map(|(at, _)| *at).min()
     };
     let kills = plan.steps.iter().filter_map(|(killed, step)| match step {
-        Step::SidecarKill(sidecar) => Some(Life {
+        Step::SidecarKill(sidecar) => Some(Incarnation {
             sidecar: *sidecar,
             killed: *killed,
             started: started(*sidecar, *killed)?,
@@ -73,7 +73,10 @@
     let mut answered: Vec<Option<Us>> = vec![None; plan.arrivals.len()];
     let mut first: Vec<Option<Us>> = vec![None; lives.len()];
     let mut wasted = 0.0;
-    let bads: Vec<HashMap<usize, Us>> = lives.iter().map(|life| bad(plan, life.killed)).collect();
+    let bads: Vec<HashMap<usize, Us>> = lives
+        .iter()
+        .map(|incarnation| bad(plan, incarnation.killed))
+        .collect();
     for (at, seen) in record {
         match seen {
             Seen::Taken {
@@ -89,9 +92,9 @@
                 };
                 answered[*arrival].get_or_insert(*at);
                 let sidecar = plan.arrivals[*arrival].sidecar;
-                for (life, first) in lives.iter().zip(&mut first) {
-                    if life.sidecar == sidecar && *at >= life.started {
-                        first.get_or_insert(*at - life.started);
+                for (incarnation, first) in lives.iter().zip(&mut first) {
+                    if incarnation.sidecar == sidecar && *at >= incarnation.started {
+                        first.get_or_insert(*at - incarnation.started);
                     }
                 }
             }
@@ -101,12 +104,13 @@
                 began,
                 ..
             } => {
-                for (life, bad) in lives
+                for (incarnation, bad) in lives
                     .iter()
                     .zip(&bads)
-                    .filter(|(life, _)| life.sidecar == *sidecar)
+                    .filter(|(incarnation, _)| incarnation.sidecar == *sidecar)
                 {
-                    let counts = (life.started..life.started + COUNTED).contains(began);
+                    let counts =
+                        (incarnation.started..incarnation.started + COUNTED).contains(began);
                     wasted += f64::from(u8::from(
                         counts && bad.get(server).is_some_and(|until| began < until),
                     ));
@@ -117,7 +121,7 @@
     }
     let count = lives.len().max(1) as f64;
     let seconds = |us: Us| us as f64 / SECOND as f64;
-    let none = |life: &Life| plan.lasts.saturating_sub(life.started);
+    let none = |incarnation: &Incarnation| plan.lasts.saturating_sub(incarnation.started);
     let firsts: f64 = lives
         .iter()
         .zip(&first)
@@ -132,7 +136,7 @@
 
 /// Time from the first start until requests that come within a second are worth as much as before,
 /// over all sidecars that were killed.
-fn back(plan: &Plan, lives: &[Life], answered: &[Option<Us>]) -> f64 {
+fn back(plan: &Plan, lives: &[Incarnation], answered: &[Option<Us>]) -> f64 {
     let (Some(killed), Some(started)) = (
         lives.iter().map(|l| l.killed).min(),
         lives.iter().map(|l| l.started).min(),
@@ -141,7 +145,11 @@
     };
     let share = |from: Us, until: Us| {
         let (mut asked, mut served) = (0.0, 0.0);
-        let concerned = |sidecar: usize| lives.iter().any(|life| life.sidecar == sidecar);
+        let concerned = |sidecar: usize| {
+            lives
+                .iter()
+                .any(|incarnation| incarnation.sidecar == sidecar)
+        };
         let all = plan.arrivals.iter().zip(answered);
         for (a, at) in all.filter(|(a, _)| (from..until).contains(&a.at) && concerned(a.sidecar)) {
             let class = &CLASSES[a.class];
--- a/crates/emulator/src/uncoordinated.rs
+++ b/crates/emulator/src/uncoordinated.rs
@@ -13,7 +13,7 @@
 use tokio::time::sleep;
 
 /// How often the crew looks whether a server is back, before it goes on to the next.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Carries out all windows of a plan.
 pub async fn carry_out(plan: Arc<Plan>, clock: Clock, platform: Arc<Platform>, how: Carried) {
@@ -45,6 +45,6 @@
     sleep(Duration::from_micros(length.saturating_sub(DRAINS_FOR))).await;
     platform.act(Act::Return, name, window, 2);
     while platform.place(server) != Place::Serving {
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/emulator/tests/leftovers.rs
+++ b/crates/emulator/tests/leftovers.rs
@@ -11,7 +11,7 @@
 
 /// Looks for something so often at most, this far apart: a bound in count for what a slow machine
 /// may take.
-const LOOKS: usize = 600;
+const POLLS: usize = 600;
 const APART: Duration = Duration::from_millis(50);
 /// Lives of one sidecar: a single process might have ended by chance.
 const LIVES: usize = 20;
@@ -20,7 +20,7 @@
     [[variant]]\nname = \"today\"\n";
 
 /// An emulator that runs for a minute; its own files lie in `folder`.
-fn lab(folder: &Path, more: &[&str]) -> Child {
+fn emulator(folder: &Path, more: &[&str]) -> Child {
     let file = folder.join("left.toml");
     fs::write(&file, EXPERIMENT).expect("it can be written");
     Command::new(env!("CARGO_BIN_EXE_fleet-emulator"))
@@ -53,7 +53,7 @@
 }
 
 fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    for _ in 0..LOOKS {
+    for _ in 0..POLLS {
         if holds() {
             return;
         }
@@ -62,10 +62,10 @@
     panic!("{what}: never");
 }
 
-fn ended(mut lab: Child) -> ExitStatus {
+fn ended(mut emulator: Child) -> ExitStatus {
     let mut status = None;
     until("the lab ends", || {
-        status = lab.try_wait().expect("it can be asked");
+        status = emulator.try_wait().expect("it can be asked");
         status.is_some()
     });
     status.expect("it has ended")
@@ -82,14 +82,14 @@
 /// Ends an emulator by a signal in the middle of a run.
 fn ended_by(signal: &str) -> (tempfile::TempDir, ExitStatus) {
     let folder = tempfile::tempdir().expect("a folder");
-    let lab = lab(folder.path(), &[]);
+    let emulator = emulator(folder.path(), &[]);
     until("its sidecars run", || started(folder.path()).len() == 3);
     let killed = Command::new("sh")
-        .args(["-c", &format!("kill {signal} {}", lab.id())])
+        .args(["-c", &format!("kill {signal} {}", emulator.id())])
         .status()
         .expect("it starts");
     assert!(killed.success());
-    let status = ended(lab);
+    let status = ended(emulator);
     (folder, status)
 }
 
@@ -115,11 +115,11 @@
     // One that never answers, and one that ends at once.
     for (program, patience) in [("/usr/bin/yes", "300ms"), ("/bin/false", "20s")] {
         let folder = tempfile::tempdir().expect("a folder");
-        let lab = lab(
+        let emulator = emulator(
             folder.path(),
             &["--program", program, "--ready-within", patience],
         );
-        assert_eq!(ended(lab).code(), Some(69), "{program}");
+        assert_eq!(ended(emulator).code(), Some(69), "{program}");
         assert_eq!(started(folder.path()), [] as [u32; 0], "{program}");
         assert_eq!(folders(folder.path()), [] as [PathBuf; 0], "{program}");
     }
--- a/crates/emulator/tests/pairs.rs
+++ b/crates/emulator/tests/pairs.rs
@@ -148,7 +148,7 @@
     other[0].dropped[load_balancer_gossip::frame::Dropped::Version as usize] = 1;
     assert_eq!(lan::judge(&other, |_| false).len(), 1);
     let folder = tempfile::tempdir().expect("a folder");
-    let mut came = coordinators::play(folder.path(), &[[None; coordinators::STEWARDS]], 60)
+    let mut came = coordinators::play(folder.path(), &[[None; coordinators::COORDINATORS]], 60)
         .expect("they play");
     assert_eq!(coordinators::judge(&came), [""; 0]);
     came.books[1].push('1');
--- a/crates/emulator/tests/processes.rs
+++ b/crates/emulator/tests/processes.rs
@@ -261,7 +261,7 @@
     );
 }
 
-fn lab(args: &[&str]) -> Output {
+fn emulator(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_fleet-emulator"))
         .args(args)
         .output()
@@ -286,8 +286,8 @@
     let check: Vec<&str> = std::iter::once("check")
         .chain(files.iter().map(String::as_str))
         .collect();
-    assert_eq!(lab(&check).status.code(), Some(0));
-    let missing = lab(&["run", "/nonexistent.toml"]);
+    assert_eq!(emulator(&check).status.code(), Some(0));
+    let missing = emulator(&["run", "/nonexistent.toml"]);
     assert_eq!(missing.status.code(), Some(78));
     let said = String::from_utf8(missing.stderr).expect("text");
     assert!(
@@ -297,7 +297,7 @@
     let calm = experiments.join("calm.toml");
     let calm = calm.to_str().expect("a plain name");
     let simulated = || {
-        lab(&[
+        emulator(&[
             "sim",
             calm,
             "--sidecars",
--- a/crates/gossip/benches/cost.rs
+++ b/crates/gossip/benches/cost.rs
@@ -79,7 +79,7 @@
                     ..FleetSection::default()
                 };
                 let mut core = Core::new(&section, &all[n].name, &all[n].zone, 1, n as u64, now);
-                core.recall(
+                core.restore_incarnation(
                     now,
                     all.iter().filter(|m| m.address != all[n].address).cloned(),
                 );
--- a/crates/gossip/src/connectivity_tracker.rs
+++ b/crates/gossip/src/connectivity_tracker.rs
@@ -27,7 +27,7 @@
     zones: BTreeMap<u64, ZoneReachability>,
     asking: ProbeSchedule,
     /// Nobody is heard; since when somebody is again.
-    alone: Option<Option<Micros>>,
+    isolated: Option<Option<Micros>>,
     joined: bool,
     connectivity: Connectivity,
     next: Micros,
@@ -38,7 +38,7 @@
     pub fn new(now: Micros) -> Self {
         Self {
             baseline: now,
-            alone: Some(None),
+            isolated: Some(None),
             next: now,
             ..Self::default()
         }
@@ -112,7 +112,7 @@
             asks.push((None, ask));
         }
         let kind = match () {
-            () if self.alone.is_some() => ConnectivityState::Isolated,
+            () if self.isolated.is_some() => ConnectivityState::Isolated,
             () if !cut.is_empty() => ConnectivityState::Partitioned,
             () if self.views.divergent(now) => ConnectivityState::Divergent,
             () => ConnectivityState::Connected,
@@ -131,13 +131,13 @@
     fn anybody(&mut self, now: Micros, all: usize) -> usize {
         if all <= 1 {
             // There is nobody else.
-            self.alone.get_or_insert(None);
+            self.isolated.get_or_insert(None);
             return 0;
         }
         let age = now - self.heard.any().unwrap_or(self.baseline).max(self.baseline);
         if age <= DOUBT && self.heard.any().is_some() {
             self.asking.asked = 0;
-            self.alone = match self.alone {
+            self.isolated = match self.isolated {
                 // Who has just come need not prove that it was found again.
                 Some(_) if !self.joined => None,
                 Some(None) => Some(Some(now)),
@@ -149,14 +149,14 @@
         }
         self.next = self.next.min(now + ROUND / 2);
         if age >= LOST && self.asking.asked >= ASKED {
-            self.alone = Some(None);
+            self.isolated = Some(None);
         }
         if !self.joined {
             return 0;
         }
         self.asking.round(
             now,
-            if self.alone.is_some() {
+            if self.isolated.is_some() {
                 ROUND_LOST
             } else {
                 ROUND
--- a/crates/gossip/src/core/anti_entropy.rs
+++ b/crates/gossip/src/core/anti_entropy.rs
@@ -71,14 +71,14 @@
             });
             let mut any = false;
             while let Some(observation) = data.peek() {
-                let Ok(piece) = postcard::to_stdvec(observation) else {
+                let Ok(part) = postcard::to_stdvec(observation) else {
                     break;
                 };
                 if !frame::add(
                     &mut bytes,
                     &MessagePart {
                         kind: OBSERVATION,
-                        bytes: &piece,
+                        bytes: &part,
                     },
                 ) {
                     break;
--- a/crates/gossip/src/core/dissemination.rs
+++ b/crates/gossip/src/core/dissemination.rs
@@ -93,12 +93,12 @@
                 any = true;
             }
             for waiting in self.fragments.waiting() {
-                let piece = MessagePart {
+                let part = MessagePart {
                     kind: waiting.kind,
                     bytes: &waiting.envelope,
                 };
                 // A shorter one may still fit.
-                if frame::add(&mut bytes, &piece) {
+                if frame::add(&mut bytes, &part) {
                     waiting.left -= 1;
                     any = true;
                 }
--- a/crates/gossip/src/core/inbound.rs
+++ b/crates/gossip/src/core/inbound.rs
@@ -31,8 +31,8 @@
                 if late < -self.skew || late > self.skew + UNDER_WAY {
                     return self.drop_one(Dropped::Clock);
                 }
-                for piece in frame::pieces(content) {
-                    match piece {
+                for part in frame::message_parts(content) {
+                    match part {
                         Ok(MessagePart {
                             kind: OBSERVATION,
                             bytes,
--- a/crates/gossip/src/core/membership.rs
+++ b/crates/gossip/src/core/membership.rs
@@ -179,7 +179,7 @@
 
     /// Takes members as known to run, without telling others of them: what was known before, or is
     /// known from elsewhere.
-    pub fn recall(&mut self, now: Micros, members: impl Iterator<Item = Member>) {
+    pub fn restore_incarnation(&mut self, now: Micros, members: impl Iterator<Item = Member>) {
         let alive = members.map(foca::Member::alive);
         // Who does not run is found out as anyone is.
         let _ = self.foca.apply_many(alive, false, &mut self.runtime);
--- a/crates/gossip/src/frame.rs
+++ b/crates/gossip/src/frame.rs
@@ -124,13 +124,13 @@
 }
 
 /// Adds a fragment, where there is still room for it.
-pub fn add(bytes: &mut Vec<u8>, piece: &MessagePart<'_>) -> bool {
-    let Ok(piece) = postcard::to_stdvec(piece) else {
+pub fn add(bytes: &mut Vec<u8>, part: &MessagePart<'_>) -> bool {
+    let Ok(part) = postcard::to_stdvec(part) else {
         return false;
     };
-    let fits = bytes.len() + piece.len() <= LONGEST;
+    let fits = bytes.len() + part.len() <= LONGEST;
     if fits {
-        bytes.extend_from_slice(&piece);
+        bytes.extend_from_slice(&part);
     }
     fits
 }
@@ -159,15 +159,17 @@
 }
 
 /// The fragments of a content, up to the first that cannot be read.
-pub fn pieces<'a>(mut content: &'a [u8]) -> impl Iterator<Item = Result<MessagePart<'a>, Dropped>> {
+pub fn message_parts<'a>(
+    mut content: &'a [u8],
+) -> impl Iterator<Item = Result<MessagePart<'a>, Dropped>> {
     std::iter::from_fn(move || {
         if content.is_empty() {
             return None;
         }
         match postcard::take_from_bytes::<MessagePart<'a>>(content) {
-            Ok((piece, rest)) => {
+            Ok((part, rest)) => {
                 content = rest;
-                Some(Ok(piece))
+                Some(Ok(part))
             }
             Err(_) => {
                 content = &[];
--- a/crates/gossip/src/frame/tests.rs
+++ b/crates/gossip/src/frame/tests.rs
@@ -14,14 +14,17 @@
 #[test]
 fn what_is_written_is_read_and_what_is_not_for_us_has_its_reason() {
     let mut bytes = begin(&head());
-    let piece = MessagePart {
+    let part = MessagePart {
         kind: OBSERVATION,
         bytes: &[1, 2, 3],
     };
-    assert!(add(&mut bytes, &piece) && add(&mut bytes, &piece));
+    assert!(add(&mut bytes, &part) && add(&mut bytes, &part));
     let (read_head, content) = read(&bytes, "a").expect("it is good");
     assert_eq!(read_head, head());
-    assert_eq!(pieces(content).collect::<Vec<_>>(), [Ok(piece), Ok(piece)]);
+    assert_eq!(
+        message_parts(content).collect::<Vec<_>>(),
+        [Ok(part), Ok(part)]
+    );
     assert_eq!(read(&bytes, "b").map(|_| ()), Err(Dropped::Cluster));
     assert_eq!(
         read(&[0; LONGEST + 1], "a").map(|_| ()),
@@ -29,7 +32,7 @@
     );
     assert_eq!(read(b"LPF", "a").map(|_| ()), Err(Dropped::Malformed));
     assert_eq!(read(b"", "a").map(|_| ()), Err(Dropped::Malformed));
-    while add(&mut bytes, &piece) {}
+    while add(&mut bytes, &part) {}
     assert!(bytes.len() <= LONGEST && bytes.len() > LONGEST - 8);
 }
 
@@ -53,7 +56,7 @@
     ));
     later[3] = 2;
     let (_, content) = read(&later, "a").expect("it can be read");
-    let kinds: Vec<u8> = pieces(content)
+    let kinds: Vec<u8> = message_parts(content)
         .filter_map(|p| p.ok().map(|p| p.kind))
         .collect();
     assert_eq!(kinds, [200, OBSERVATION]);
@@ -81,7 +84,7 @@
         good.extend(&bytes[..bytes.len().min(200)]);
         good.truncate(cut.max(5));
         if let Ok((_, content)) = read(&good, "a") {
-            prop_assert!(pieces(content).count() <= content.len());
+            prop_assert!(message_parts(content).count() <= content.len());
         }
     }
 }
--- a/crates/gossip/src/local_health.rs
+++ b/crates/gossip/src/local_health.rs
@@ -11,7 +11,7 @@
 /// Lateness that one timer adds at most: beyond, a long stop would be remembered for long.
 const MOST: f64 = 2.0;
 /// Seconds of lateness from which on it is unwell, and below which it is well again.
-const UNWELL: f64 = 1.0;
+const DEGRADED_FROM: f64 = 1.0;
 const WELL: f64 = 0.2;
 /// Seconds of it that are forgotten a second: a fifth of the time late is too much.
 const FORGOTTEN: f64 = 0.2;
@@ -37,7 +37,7 @@
         if late > LATE {
             self.lateness += (late as f64 / SECOND as f64).min(MOST);
         }
-        self.degraded = self.lateness >= if self.degraded { WELL } else { UNWELL };
+        self.degraded = self.lateness >= if self.degraded { WELL } else { DEGRADED_FROM };
         late > LATE
     }
 
--- a/crates/gossip/tests/connectivity.rs
+++ b/crates/gossip/tests/connectivity.rs
@@ -170,10 +170,10 @@
     let mut lan = Lan::settled(18, 6);
     lan.isolated = vec![7];
     lan.run(3 * PERIOD);
-    let alone: Vec<usize> = (0..18)
+    let isolated: Vec<usize> = (0..18)
         .filter(|m| lan.connectivity_states()[*m] == ConnectivityState::Isolated)
         .collect();
-    assert_eq!(alone, [7]);
+    assert_eq!(isolated, [7]);
     assert!(
         (0..18).all(|m| m == 7 || lan.connectivity_states()[m] == ConnectivityState::Connected)
     );
--- a/crates/gossip/tests/connectivity_long.rs
+++ b/crates/gossip/tests/connectivity_long.rs
@@ -21,10 +21,10 @@
 /// each, of 60 members.
 #[test]
 fn loss_alone_cuts_nobody() {
-    let (pieces, minutes) = (asked("FLEET_PIECES", 1), asked("FLEET_MINUTES", 3));
+    let (message_parts, minutes) = (asked("FLEET_PIECES", 1), asked("FLEET_MINUTES", 3));
     let first = asked("FLEET_SEED", 1);
     let (mut wrong, mut others) = (0, 0);
-    for seed in first..first + pieces {
+    for seed in first..first + message_parts {
         let mut lan = Lan::settled(60, seed as u64);
         lan.lost = 0.3;
         lan.run(minutes as i64 * 60 * SECOND);
@@ -45,7 +45,7 @@
             }
         }
     }
-    let hours = (60 * pieces * minutes) as f64 / 60.0;
+    let hours = (60 * message_parts * minutes) as f64 / 60.0;
     println!(
         "{hours:.0} member-hours: {wrong} times cut or alone, {others} times disputed or unwell"
     );
--- a/crates/gossip/tests/lan/mod.rs
+++ b/crates/gossip/tests/lan/mod.rs
@@ -130,7 +130,7 @@
                 .iter()
                 .filter(|other| other.address != address(member))
                 .cloned();
-            lan.with(member, |core, now| core.recall(now, others));
+            lan.with(member, |core, now| core.restore_incarnation(now, others));
         }
         lan.run(10 * SECOND);
         lan.notes.clear();
--- a/crates/leases/src/model.rs
+++ b/crates/leases/src/model.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeSet;
 
 const NAMES: [&str; 2] = ["a", "b"];
-const DUTY: &str = "d";
+const TASK: &str = "d";
 /// A lease, in milliseconds, and how much time passes in a step.
 const LEASE_MS: u64 = 300;
 const STEP_MS: u64 = 100;
@@ -79,7 +79,7 @@
     // A stop ends a holder's right in the model only by its clock and the gate, so that these are
     // what is tried.
     Holder::new(
-        DUTY,
+        TASK,
         claimant(who, incarnation),
         LeaseTerms {
             rate_permille: RATE_PERMILLE,
@@ -235,7 +235,7 @@
             }
             Move::Effect(token, who) => {
                 moment.acts.remove(&(token, who));
-                if self.0.no_gate || moment.fencing_gate.pass(DUTY, token, 1).is_ok() {
+                if self.0.no_gate || moment.fencing_gate.pass(TASK, token, 1).is_ok() {
                     moment.broken |=
                         token < moment.done.0 || (token == moment.done.0 && who != moment.done.1);
                     moment.done = moment.done.max((token, who));
@@ -265,7 +265,7 @@
             Property::always("in order", |_, m: &Moment| !m.broken),
             Property::always("tokens grow", |_, m: &Moment| {
                 m.fencing_gate
-                    .seen(DUTY)
+                    .seen(TASK)
                     .is_none_or(|seen| seen >= m.done.0)
             }),
             Property::sometimes("taken again", |_, m: &Moment| m.done.0 >= 2),
--- a/crates/maintenance/src/booking.rs
+++ b/crates/maintenance/src/booking.rs
@@ -8,7 +8,7 @@
 use crate::machine::Machine;
 use crate::plan::{OPEN_END_MS, Times, end_of};
 use crate::request::{MAX_NAMED_SERVERS, Request, Target};
-use crate::timeline::Piece;
+use crate::timeline::Placement;
 use crate::window::{ServerSlot, State, Window};
 
 /// Most seats of open windows together: every server in one window, by the longest list.
@@ -124,53 +124,56 @@
     fn fit(&mut self, budget: &DisruptionBudget, id: u64) -> Result<(), Outcome> {
         let ledger = self.ledger(budget, self.at_ms);
         let base = self.timeline(budget, &ledger);
-        let pieces: Vec<Piece> = self
+        let placements: Vec<Placement> = self
             .windows
             .values()
-            .flat_map(|w| self.pieces(budget, &ledger, w))
+            .flat_map(|w| self.placements(budget, &ledger, w))
             .collect();
-        let had: Times = pieces.iter().map(|piece| self.start_of(piece)).collect();
-        let times = self.best(&base, budget, &pieces, &had);
-        let kept = |(index, piece): (usize, &Piece)| {
-            times[index].is_some() || (piece.window != id && had[index].is_none())
+        let had: Times = placements
+            .iter()
+            .map(|placement| self.start_of(placement))
+            .collect();
+        let times = self.best(&base, budget, &placements, &had);
+        let kept = |(index, placement): (usize, &Placement)| {
+            times[index].is_some() || (placement.window != id && had[index].is_none())
         };
-        if pieces.iter().enumerate().all(kept) {
-            self.book(&pieces, &times);
+        if placements.iter().enumerate().all(kept) {
+            self.book(&placements, &times);
             return Ok(());
         }
         let mut around = base.clone();
-        for (piece, start) in pieces.iter().zip(&had) {
+        for (placement, start) in placements.iter().zip(&had) {
             if let Some(start) = start {
-                around.put(piece, *start);
+                around.put(placement, *start);
             }
         }
         let (mut fits, mut block) = (true, None);
         let (mut start_ms, mut end_ms) = (Some(i64::MAX), Some(i64::MIN));
         let mut times = had.clone();
-        for (index, piece) in pieces
+        for (index, placement) in placements
             .iter()
             .enumerate()
-            .filter(|(_, piece)| piece.window == id)
+            .filter(|(_, placement)| placement.window == id)
         {
-            let found = around.place(piece, OPEN_END_MS);
-            let too_late = found.map_or(true, |start| start > piece.upper_ms);
+            let found = around.place(placement, OPEN_END_MS);
+            let too_late = found.map_or(true, |start| start > placement.upper_ms);
             if too_late && block.is_none() {
-                let tried = around.place(piece, piece.upper_ms).err();
-                block = tried.map(|block| self.against(&ledger, block, piece));
+                let tried = around.place(placement, placement.upper_ms).err();
+                block = tried.map(|block| self.against(&ledger, block, placement));
             }
             fits &= !too_late;
             times[index] = found.ok();
             match found {
                 Ok(start) => {
                     start_ms = start_ms.map(|least| least.min(start));
-                    end_ms = end_ms.map(|most| most.max(start.saturating_add(piece.span_ms)));
-                    around.put(piece, start);
+                    end_ms = end_ms.map(|most| most.max(start.saturating_add(placement.span_ms)));
+                    around.put(placement, start);
                 }
                 Err(_) => (start_ms, end_ms) = (None, None),
             }
         }
         if fits {
-            self.book(&pieces, &times);
+            self.book(&placements, &times);
             return Ok(());
         }
         let reason = block.unwrap_or_default();
@@ -181,9 +184,9 @@
         })
     }
 
-    fn start_of(&self, piece: &Piece) -> Option<i64> {
-        let window = self.windows.get(&piece.window)?;
-        let starts = piece
+    fn start_of(&self, placement: &Placement) -> Option<i64> {
+        let window = self.windows.get(&placement.window)?;
+        let starts = placement
             .slots
             .iter()
             .map(|index| window.slots.get(*index).and_then(|slot| slot.start_ms));
@@ -192,12 +195,12 @@
         (start >= self.at_ms).then_some(start)
     }
 
-    fn book(&mut self, pieces: &[Piece], times: &Times) {
-        for (piece, time) in pieces.iter().zip(times) {
-            let Some(window) = self.windows.get_mut(&piece.window) else {
+    fn book(&mut self, placements: &[Placement], times: &Times) {
+        for (placement, time) in placements.iter().zip(times) {
+            let Some(window) = self.windows.get_mut(&placement.window) else {
                 continue;
             };
-            for index in &piece.slots {
+            for index in &placement.slots {
                 let slot = &mut window.slots[*index];
                 slot.start_ms = *time;
                 slot.state = if time.is_some() {
@@ -212,17 +215,20 @@
     /// Plans all that waits anew.
     pub(crate) fn replan(&mut self, budget: &DisruptionBudget) {
         let ledger = self.ledger(budget, self.at_ms);
-        let pieces: Vec<Piece> = self
+        let placements: Vec<Placement> = self
             .windows
             .values()
-            .flat_map(|w| self.pieces(budget, &ledger, w))
+            .flat_map(|w| self.placements(budget, &ledger, w))
             .collect();
-        if pieces.is_empty() {
+        if placements.is_empty() {
             return;
         }
-        let had: Times = pieces.iter().map(|piece| self.start_of(piece)).collect();
-        let times = self.best(&self.timeline(budget, &ledger), budget, &pieces, &had);
-        self.book(&pieces, &times);
+        let had: Times = placements
+            .iter()
+            .map(|placement| self.start_of(placement))
+            .collect();
+        let times = self.best(&self.timeline(budget, &ledger), budget, &placements, &had);
+        self.book(&placements, &times);
     }
 }
 
--- a/crates/maintenance/src/order.rs
+++ b/crates/maintenance/src/order.rs
@@ -4,7 +4,7 @@
 
 use crate::disruption_budget::DisruptionBudget;
 use crate::machine::Machine;
-use crate::timeline::Piece;
+use crate::timeline::Placement;
 use crate::window::Window;
 
 impl Machine {
@@ -20,32 +20,32 @@
     pub(crate) fn order(
         &self,
         budget: &DisruptionBudget,
-        pieces: &[Piece],
+        placements: &[Placement],
         number: usize,
     ) -> Vec<usize> {
-        let turns = self.turns(pieces);
-        let class = |piece: &Piece| {
+        let turns = self.turns(placements);
+        let class = |placement: &Placement| {
             self.windows
-                .get(&piece.window)
+                .get(&placement.window)
                 .map_or(0, |w| self.class(budget, w))
         };
-        let mut order: Vec<(i64, i128, usize, usize)> = pieces
+        let mut order: Vec<(i64, i128, usize, usize)> = placements
             .iter()
             .enumerate()
-            .map(|(index, piece)| {
+            .map(|(index, placement)| {
                 let (span, weight) = (
-                    i128::from(piece.span_ms),
-                    i128::from(piece.full.weights[0].max(1)),
+                    i128::from(placement.span_ms),
+                    i128::from(placement.full.weights[0].max(1)),
                 );
                 let key = match number {
                     0 => 0,
                     1 => -span,
                     2 => -weight,
                     3 => -span.saturating_mul(weight),
-                    4 => i128::from(piece.upper_ms),
+                    4 => i128::from(placement.upper_ms),
                     _ => i128::from(shuffle((number as u64) << 32 | index as u64)),
                 };
-                (-class(piece), key, turns[index], index)
+                (-class(placement), key, turns[index], index)
             })
             .collect();
         order.sort_unstable();
@@ -53,26 +53,26 @@
     }
 
     /// Indexes of the fragments in the order of the times that they have, those without one last.
-    pub(crate) fn kept_order(&self, pieces: &[Piece]) -> Vec<usize> {
-        let start = |piece: &Piece| {
-            let window = self.windows.get(&piece.window)?;
-            piece
+    pub(crate) fn kept_order(&self, placements: &[Placement]) -> Vec<usize> {
+        let start = |placement: &Placement| {
+            let window = self.windows.get(&placement.window)?;
+            placement
                 .slots
                 .iter()
                 .filter_map(|index| window.slots.get(*index)?.start_ms)
                 .max()
         };
-        let mut order: Vec<usize> = (0..pieces.len()).collect();
-        order.sort_by_key(|index| start(&pieces[*index]).unwrap_or(i64::MAX));
+        let mut order: Vec<usize> = (0..placements.len()).collect();
+        order.sort_by_key(|index| start(&placements[*index]).unwrap_or(i64::MAX));
         order
     }
 
     /// Each fragment's turn: zones in rounds, the one whose last grant is oldest first; within a
     /// zone as they were asked.
-    fn turns(&self, pieces: &[Piece]) -> Vec<usize> {
+    fn turns(&self, placements: &[Placement]) -> Vec<usize> {
         let mut zones: BTreeMap<&str, Vec<usize>> = BTreeMap::new();
-        for (index, piece) in pieces.iter().enumerate() {
-            let zone = piece
+        for (index, placement) in placements.iter().enumerate() {
+            let zone = placement
                 .servers
                 .first()
                 .and_then(|name| self.servers.get(name));
@@ -81,7 +81,7 @@
                 .or_default()
                 .push(index);
         }
-        let mut rounds: Vec<(usize, u64, &str, usize)> = Vec::with_capacity(pieces.len());
+        let mut rounds: Vec<(usize, u64, &str, usize)> = Vec::with_capacity(placements.len());
         for (zone, members) in zones {
             let last = self.turns.get(zone).copied().unwrap_or(0);
             rounds.extend(
@@ -92,7 +92,7 @@
             );
         }
         rounds.sort_unstable();
-        let mut turns = vec![0; pieces.len()];
+        let mut turns = vec![0; placements.len()];
         for (turn, (_, _, _, index)) in rounds.into_iter().enumerate() {
             turns[index] = turn;
         }
--- a/crates/maintenance/src/plan.rs
+++ b/crates/maintenance/src/plan.rs
@@ -8,7 +8,7 @@
 use crate::disruption_budget::DisruptionBudget;
 use crate::ledger::Ledger;
 use crate::machine::Machine;
-use crate::timeline::{Block, Load, Piece, Timeline};
+use crate::timeline::{Block, Load, Placement, Timeline};
 use crate::window::{ServerSlot, Window};
 
 /// Placements that one plan may try in all its orders together; keeps a plan of a thousand
@@ -84,12 +84,12 @@
 
     /// The fragments of a window that wait: its waves' single servers, or all together if it can't
     /// be split.
-    pub(crate) fn pieces(
+    pub(crate) fn placements(
         &self,
         budget: &DisruptionBudget,
         ledger: &Ledger<'_>,
         window: &Window,
-    ) -> Vec<Piece> {
+    ) -> Vec<Placement> {
         let waiting: Vec<usize> = (0..window.slots.len())
             .filter(|i| window.slots[*i].state.waits())
             .collect();
@@ -102,7 +102,7 @@
         groups
             .into_iter()
             .map(|slots| {
-                let mut piece = Piece {
+                let mut placement = Placement {
                     window: window.id,
                     servers: slots
                         .iter()
@@ -117,9 +117,9 @@
                     hard_ms: hard_ms(budget, window),
                     listed: true,
                 };
-                for name in &piece.servers {
+                for name in &placement.servers {
                     let Some(known) = self.servers.get(name) else {
-                        piece.listed = false;
+                        placement.listed = false;
                         continue;
                     };
                     let mut load = Load::zero(ledger.listed.len());
@@ -128,12 +128,12 @@
                         .shape
                         .of(known)
                         .for_each(|number| load.weights[number] = i64::from(known.weight));
-                    piece.full.add(&load);
+                    placement.full.add(&load);
                     if !ledger.debits.contains_key(name.as_str()) {
-                        piece.live.add(&load);
+                        placement.live.add(&load);
                     }
                 }
-                piece
+                placement
             })
             .collect()
     }
@@ -146,22 +146,22 @@
         &self,
         base: &Timeline<'_>,
         budget: &DisruptionBudget,
-        pieces: &[Piece],
+        placements: &[Placement],
         had: &Times,
     ) -> Times {
-        let count = (MOST_PLACEMENTS / pieces.len().max(1)).clamp(1, MOST_ORDERS);
-        let orders = (0..count).map(|number| self.order(budget, pieces, number));
+        let count = (MOST_PLACEMENTS / placements.len().max(1)).clamp(1, MOST_ORDERS);
+        let orders = (0..count).map(|number| self.order(budget, placements, number));
         let mut best: Option<(Rank, Times)> = None;
-        for order in orders.chain(std::iter::once(self.kept_order(pieces))) {
+        for order in orders.chain(std::iter::once(self.kept_order(placements))) {
             let mut timeline = base.clone();
-            let mut times = vec![None; pieces.len()];
+            let mut times = vec![None; placements.len()];
             for index in order {
-                if let Ok(start) = timeline.place(&pieces[index], pieces[index].upper_ms) {
-                    timeline.put(&pieces[index], start);
+                if let Ok(start) = timeline.place(&placements[index], placements[index].upper_ms) {
+                    timeline.put(&placements[index], start);
                     times[index] = Some(start);
                 }
             }
-            let rank = self.rank(budget, pieces, had, &times);
+            let rank = self.rank(budget, placements, had, &times);
             if best.as_ref().is_none_or(|(least, _)| rank < *least) {
                 best = Some((rank, times));
             }
@@ -172,15 +172,15 @@
     fn rank(
         &self,
         budget: &DisruptionBudget,
-        pieces: &[Piece],
+        placements: &[Placement],
         had: &Times,
         times: &Times,
     ) -> Rank {
         let mut unplaced: BTreeMap<Reverse<i64>, usize> = BTreeMap::new();
-        for (piece, time) in pieces.iter().zip(times) {
+        for (placement, time) in placements.iter().zip(times) {
             let class = self
                 .windows
-                .get(&piece.window)
+                .get(&placement.window)
                 .map_or(0, |w| self.class(budget, w));
             *unplaced.entry(Reverse(class)).or_default() += usize::from(time.is_none());
         }
@@ -191,11 +191,11 @@
             .count();
         let mut zones: BTreeMap<&str, i64> = BTreeMap::new();
         let mut sum = 0i128;
-        for (piece, time) in pieces.iter().zip(times) {
+        for (placement, time) in placements.iter().zip(times) {
             let Some(start) = time else { continue };
-            let end = start.saturating_add(piece.span_ms);
+            let end = start.saturating_add(placement.span_ms);
             sum += i128::from(end);
-            for zone in piece
+            for zone in placement
                 .servers
                 .iter()
                 .filter_map(|name| self.servers.get(name))
@@ -215,7 +215,12 @@
     }
 
     /// Words for what stands against a fragment.
-    pub(crate) fn against(&self, ledger: &Ledger<'_>, block: Block, piece: &Piece) -> String {
+    pub(crate) fn against(
+        &self,
+        ledger: &Ledger<'_>,
+        block: Block,
+        placement: &Placement,
+    ) -> String {
         match block {
             Block::Count => "too many servers would be away at once (most_away)".into(),
             Block::Weight(number) => {
@@ -224,7 +229,7 @@
                 format!("{name} would fall below {keep} of {listed}")
             }
             Block::Blackout => "a blackout, or a time of which blackouts are not yet known".into(),
-            Block::Busy => format!("{} is in another window", piece.servers.join(", ")),
+            Block::Busy => format!("{} is in another window", placement.servers.join(", ")),
             Block::Unlisted => "a server is not in the list".into(),
         }
     }
--- a/crates/maintenance/src/timeline.rs
+++ b/crates/maintenance/src/timeline.rs
@@ -55,7 +55,7 @@
 
 /// A wish for a place: seats that go together.
 #[derive(Clone, Debug)]
-pub(crate) struct Piece {
+pub(crate) struct Placement {
     pub(crate) window: u64,
     /// Indexes of the seats within the window.
     pub(crate) slots: Vec<usize>,
@@ -140,24 +140,24 @@
     }
 
     /// Puts a fragment at a start.
-    pub(crate) fn put(&mut self, piece: &Piece, start_ms: i64) {
-        let end_ms = start_ms.saturating_add(piece.span_ms);
+    pub(crate) fn put(&mut self, placement: &Placement, start_ms: i64) {
+        let end_ms = start_ms.saturating_add(placement.span_ms);
         let change = self.down_until_ms.clamp(start_ms, end_ms);
         self.load(
             Span {
                 from_ms: start_ms,
                 until_ms: change,
             },
-            &piece.live,
+            &placement.live,
         );
         self.load(
             Span {
                 from_ms: change,
                 until_ms: end_ms,
             },
-            &piece.full,
+            &placement.full,
         );
-        for server in &piece.servers {
+        for server in &placement.servers {
             self.occupy(
                 server,
                 Span {
@@ -169,12 +169,12 @@
     }
 
     /// What stands against a fragment at a start, and the first moment at which that may be over.
-    fn against(&self, piece: &Piece, start_ms: i64) -> Option<(Block, Option<i64>)> {
-        if !piece.listed {
+    fn against(&self, placement: &Placement, start_ms: i64) -> Option<(Block, Option<i64>)> {
+        if !placement.listed {
             return Some((Block::Unlisted, None));
         }
-        let end_ms = start_ms.saturating_add(piece.span_ms);
-        let hard_end = start_ms.saturating_add(piece.hard_ms);
+        let end_ms = start_ms.saturating_add(placement.span_ms);
+        let hard_end = start_ms.saturating_add(placement.hard_ms);
         if hard_end > self.known_until_ms {
             return Some((Block::Blackout, None));
         }
@@ -188,7 +188,7 @@
         {
             return Some((Block::Blackout, Some(span.until_ms)));
         }
-        for server in &piece.servers {
+        for server in &placement.servers {
             let spans = self.busy.get(server).into_iter().flatten();
             let hit = spans.filter(|span| span.from_ms < end_ms && span.until_ms > start_ms);
             if let Some(until_ms) = hit.map(|span| span.until_ms).max() {
@@ -206,9 +206,9 @@
                 break;
             }
             let mine = if *at < self.down_until_ms {
-                &piece.live
+                &placement.live
             } else {
-                &piece.full
+                &placement.full
             };
             if let Some(block) = load.passes(mine, &self.most) {
                 found = Some((block, self.points.get(index + 1).map(|(next, _)| *next)));
@@ -222,11 +222,11 @@
     /// # Errors
     ///
     /// What stands against the first start that was tried.
-    pub(crate) fn place(&self, piece: &Piece, upper_ms: i64) -> Result<i64, Block> {
-        let mut start_ms = piece.lower_ms;
+    pub(crate) fn place(&self, placement: &Placement, upper_ms: i64) -> Result<i64, Block> {
+        let mut start_ms = placement.lower_ms;
         let mut first = None;
         while start_ms <= upper_ms {
-            match self.against(piece, start_ms) {
+            match self.against(placement, start_ms) {
                 None => return Ok(start_ms),
                 Some((block, next)) => {
                     first = first.or(Some(block));
--- a/crates/snapshot/src/writer.rs
+++ b/crates/snapshot/src/writer.rs
@@ -101,10 +101,10 @@
     fn run(self, tell: &SyncSender<Begun>) {
         let queue = &self.queue;
         let mut storage = None;
-        let mut keeper = None;
+        let mut snapshot_store = None;
         match self.begin(&mut storage) {
             Ok((begun, found)) => {
-                keeper = Some(begun);
+                snapshot_store = Some(begun);
                 let _ = tell.try_send(Begun::Found(Box::new(found)));
                 queue.recovered();
             }
@@ -118,13 +118,16 @@
             }
         }
         let mut tried = Instant::now();
-        while let Some((changes, last)) = queue.next(keeper.is_none().then_some(tried + self.again))
+        while let Some((changes, last)) =
+            queue.next(snapshot_store.is_none().then_some(tried + self.again))
         {
-            let kept = match &keeper {
-                Some(keeper) => keeper.commit(&changes).map_err(DirectoryError::StoreError),
+            let kept = match &snapshot_store {
+                Some(snapshot_store) => snapshot_store
+                    .commit(&changes)
+                    .map_err(DirectoryError::StoreError),
                 None => self.begin(&mut storage).and_then(|(begun, _)| {
                     let kept = begun.commit(&changes).map_err(DirectoryError::StoreError);
-                    keeper = Some(begun);
+                    snapshot_store = Some(begun);
                     kept
                 }),
             };
@@ -136,7 +139,7 @@
                 }
                 Err(why) => {
                     // Nobody knows what is kept now.
-                    keeper = None;
+                    snapshot_store = None;
                     tried = Instant::now();
                     queue.failed(&why);
                     let mut pending = queue.pending();
--- a/crates/snapshot/tests/crashes.rs
+++ b/crates/snapshot/tests/crashes.rs
@@ -23,7 +23,7 @@
         };
         disks.fail_after(random.u64(0..70));
         let begins = SnapshotStore::begin(&disks, OWNER, now);
-        if let Ok((keeper, found)) = &begins {
+        if let Ok((snapshot_store, found)) = &begins {
             begun += 1;
             assert!(
                 found.incarnation > last,
@@ -61,7 +61,7 @@
             }
             for turn in 0..random.usize(0..4) {
                 let changes = changes(3 + turn * 4, now + turn as Micros);
-                if keeper.commit(&changes).is_err() {
+                if snapshot_store.commit(&changes).is_err() {
                     tried.push(changes);
                     break;
                 }
@@ -96,11 +96,11 @@
     let (mut length, mut last) = (0, 0);
     for incarnation_record in 0..1000 {
         let now = NOW + incarnation_record * SECOND;
-        let (keeper, found) = SnapshotStore::begin(&disks, OWNER, now).expect("begins");
+        let (snapshot_store, found) = SnapshotStore::begin(&disks, OWNER, now).expect("begins");
         assert!(found.incarnation > last && found.quarantined.is_empty());
         assert_eq!(found.known.list.is_some(), incarnation_record > 0);
         last = found.incarnation;
-        keeper.commit(&changes(50, now)).expect("kept");
+        snapshot_store.commit(&changes(50, now)).expect("kept");
         if incarnation_record == 20 {
             length =
                 disks.disk(FileKind::Snapshot).length() + disks.disk(FileKind::Numbers).length();
@@ -116,10 +116,10 @@
 #[test]
 fn a_clock_that_was_put_back_a_day_costs_what_was_known_and_no_number() {
     let disks = Disks::default();
-    let (keeper, first) = SnapshotStore::begin(&disks, OWNER, NOW).expect("begins");
-    keeper.commit(&changes(5, NOW)).expect("kept");
-    drop(keeper);
-    let (keeper, found) =
+    let (snapshot_store, first) = SnapshotStore::begin(&disks, OWNER, NOW).expect("begins");
+    snapshot_store.commit(&changes(5, NOW)).expect("kept");
+    drop(snapshot_store);
+    let (snapshot_store, found) =
         SnapshotStore::begin(&disks, OWNER, NOW - 86_400 * SECOND).expect("begins");
     assert_eq!(found.known, Snapshot::default());
     assert_eq!(
@@ -135,5 +135,5 @@
         "{:?}",
         found.quarantined
     );
-    drop(keeper);
+    drop(snapshot_store);
 }
--- a/crates/snapshot/tests/faults.rs
+++ b/crates/snapshot/tests/faults.rs
@@ -8,8 +8,10 @@
 
 fn written(endpoints: usize) -> Disks {
     let disks = Disks::default();
-    let (keeper, _) = SnapshotStore::begin(&disks, OWNER, NOW).expect("begins");
-    keeper.commit(&changes(endpoints, NOW)).expect("kept");
+    let (snapshot_store, _) = SnapshotStore::begin(&disks, OWNER, NOW).expect("begins");
+    snapshot_store
+        .commit(&changes(endpoints, NOW))
+        .expect("kept");
     disks
 }
 
@@ -201,9 +203,9 @@
         Directory::take(&path).err(),
         Some(DirectoryError::InUse(InUse(path.clone())))
     );
-    let (keeper, _) = SnapshotStore::begin(&taken, OWNER, NOW).expect("begins");
-    keeper.commit(&changes(5, NOW)).expect("kept");
-    drop((keeper, taken));
+    let (snapshot_store, _) = SnapshotStore::begin(&taken, OWNER, NOW).expect("begins");
+    snapshot_store.commit(&changes(5, NOW)).expect("kept");
+    drop((snapshot_store, taken));
     let taken = Directory::take(&path).expect("free again");
     let (_, found) = SnapshotStore::begin(&taken, OWNER, NOW).expect("begins");
     assert_eq!(
--- a/crates/snapshot/tests/migration.rs
+++ b/crates/snapshot/tests/migration.rs
@@ -41,17 +41,17 @@
 fn the_form_before_is_read_as_if_it_were_this_one() {
     let disks = Disks::default();
     disks.put(FileKind::Snapshot, before());
-    let (keeper, found) = SnapshotStore::begin(&disks, OWNER, NOW).expect("begins");
+    let (snapshot_store, found) = SnapshotStore::begin(&disks, OWNER, NOW).expect("begins");
     assert!(found.quarantined.is_empty(), "{:?}", found.quarantined);
     assert_eq!(held(&found.known), changes(10, NOW));
     // What is kept from now on is in the new form, part by part.
-    keeper
+    snapshot_store
         .commit(&Changes {
             processes: changes(10, NOW).processes,
             ..Changes::default()
         })
         .expect("kept");
-    drop(keeper);
+    drop(snapshot_store);
     let (_, again) = SnapshotStore::begin(&disks, OWNER, NOW).expect("begins");
     assert_eq!(held(&again.known), changes(10, NOW));
 }
@@ -65,8 +65,8 @@
         drop(SnapshotStore::begin(&disks, OWNER, NOW - SECOND).expect("begins"));
         disks.put(FileKind::Snapshot, before());
         disks.fail_after(writes);
-        if let Ok((keeper, _)) = SnapshotStore::begin(&disks, OWNER, NOW) {
-            let _ = keeper.commit(&changes(10, NOW + SECOND));
+        if let Ok((snapshot_store, _)) = SnapshotStore::begin(&disks, OWNER, NOW) {
+            let _ = snapshot_store.commit(&changes(10, NOW + SECOND));
         }
         disks.crash(&mut random);
         let (_, found) = SnapshotStore::begin(&disks, OWNER, NOW + SECOND).expect("begins");
@@ -90,7 +90,7 @@
         .commit(&[Change::Put("list", 0, &newer)])
         .expect("kept");
     drop(store);
-    let (keeper, found) = SnapshotStore::begin(&disks, OWNER, NOW).expect("begins");
+    let (snapshot_store, found) = SnapshotStore::begin(&disks, OWNER, NOW).expect("begins");
     assert_eq!(
         (found.known, found.quarantined.len(), disks.quarantined()),
         (Snapshot::default(), 1, 1)
@@ -100,5 +100,5 @@
         "{:?}",
         found.quarantined
     );
-    keeper.commit(&changes(3, NOW)).expect("serves on");
+    snapshot_store.commit(&changes(3, NOW)).expect("serves on");
 }
--- a/crates/snapshot/tests/tool.rs
+++ b/crates/snapshot/tests/tool.rs
@@ -27,9 +27,9 @@
     let (live, copy) = (directory.path().join("live"), directory.path().join("copy"));
     let taken = Directory::take(&live).expect("taken");
     // A real clock is past this time; nothing in it is from the future.
-    let (keeper, _) =
+    let (snapshot_store, _) =
         SnapshotStore::begin(&taken, OWNER, NOW - 1_000_000_000 * SECOND).expect("begins");
-    keeper
+    snapshot_store
         .commit(&changes(10, NOW - 1_000_000_000 * SECOND))
         .expect("kept");
     std::fs::create_dir(&copy).expect("made");
@@ -52,7 +52,7 @@
         assert_eq!(bytes(dir), before);
     }
     // The sidecar still has it.
-    keeper.commit(&changes(11, NOW)).expect("kept");
+    snapshot_store.commit(&changes(11, NOW)).expect("kept");
 }
 
 #[test]
--- a/src/bin/sidecar/affinity.rs
+++ b/src/bin/sidecar/affinity.rs
@@ -24,7 +24,7 @@
 /// Members that a pulse goes to.
 const FANOUT: usize = 4;
 /// Ticks from one look at who is there to the next.
-const LOOKS: u64 = 10;
+const TICKS_PER_REFRESH: u64 = 10;
 
 /// The affinity table of this sidecar.
 #[derive(Clone)]
@@ -110,7 +110,7 @@
     async fn run(self) {
         let every = Duration::from_micros(TICK.unsigned_abs());
         for tick in 0_u64.. {
-            if tick.is_multiple_of(LOOKS) {
+            if tick.is_multiple_of(TICKS_PER_REFRESH) {
                 self.look();
             }
             let (now, mono) = self.now();
--- a/src/bin/sidecar/snapshot.rs
+++ b/src/bin/sidecar/snapshot.rs
@@ -25,7 +25,7 @@
 const LONGEST_NAME: usize = 200;
 /// How often pace is kept anew while no circuit opens or closes: a twelfth of the time for which it
 /// is believed.
-const PACE_EVERY: Micros = 5_000_000;
+const LATENCY_STORE_INTERVAL: Micros = 5_000_000;
 /// How soon a disk that failed is tried again.
 const AGAIN: Duration = Duration::from_secs(10);
 
@@ -177,7 +177,8 @@
             .map(|endpoint| endpoint.name.clone())
             .collect();
         open.sort_unstable();
-        let due = now.saturating_sub(inner.kept.get()) >= PACE_EVERY && !known.is_empty();
+        let due =
+            now.saturating_sub(inner.kept.get()) >= LATENCY_STORE_INTERVAL && !known.is_empty();
         let list = inner.lists.borrow_mut().due(now, last);
         let processes = (last || due || *inner.open.borrow() != open).then(|| {
             inner.kept.set(now);
