--- a/crates/coordinator/src/observations.rs
+++ b/crates/coordinator/src/observations.rs
@@ -33,13 +33,15 @@
 
 /// How a server is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
-#[serde(rename_all = "lowercase")]
 pub enum State {
     /// It serves.
+    #[serde(rename = "well")]
     Healthy,
     /// It does not.
+    #[serde(rename = "sick")]
     Unhealthy,
     /// The member cannot tell.
+    #[serde(rename = "unknown")]
     Unknown,
 }
 
--- a/crates/emulator/src/audit/ageing.rs
+++ b/crates/emulator/src/audit/ageing.rs
@@ -3,7 +3,7 @@
 
 use super::{Finding, Rule};
 use crate::Us;
-use crate::affinity_dumps::{Dump, Held, Place};
+use crate::affinity_dump::{Dump, Held, Place};
 use crate::plan::Plan;
 use crate::record::{Entry, Seen};
 use crate::servers::arrival_of;
--- a/crates/emulator/src/audit/clear/tests.rs
+++ b/crates/emulator/src/audit/clear/tests.rs
@@ -62,7 +62,7 @@
         let picks = vec![(4, 0, last)];
         (
             at,
-            Seen::Dump(Box::new(crate::affinity_dumps::Dump {
+            Seen::Dump(Box::new(crate::affinity_dump::Dump {
                 sidecar: 1,
                 slot: 0,
                 hears: true,
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -5,6 +5,7 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs, clippy::too_many_lines, clippy::cognitive_complexity)]
 
+pub mod affinity_dump;
 pub mod affinity_dumps;
 pub mod agent;
 pub mod apps;
--- a/crates/emulator/src/record.rs
+++ b/crates/emulator/src/record.rs
@@ -1,7 +1,7 @@
 //! The record of a run: everything seen on the emulator's own sockets, in order of time.
 
 use crate::Us;
-use crate::affinity_dumps::Dump;
+use crate::affinity_dump::Dump;
 use crate::directory::State;
 use crate::experiment::CoordinatorFaultKind;
 use std::sync::{Arc, Mutex, PoisonError};
--- a/src/balancer/bulkhead.rs
+++ b/src/balancer/bulkhead.rs
@@ -1,8 +1,6 @@
 //! The bulkhead of one endpoint: a concurrency limit that is learnt from latency, as capacities are
 //! never told and crowded servers fall over.
 
-use super::endpoint::Endpoint;
-
 /// Limit of a new endpoint, and unit of its rise, for a single instance.
 const INITIAL_LIMIT: f64 = 2.0;
 /// Part of the unit by which a limit changes at most with an answer.
@@ -13,8 +11,6 @@
 const MAX_LIMIT: f64 = 1000.0;
 /// Most steps down for one answer.
 const MAX_STEPS_DOWN: f64 = 2.0;
-/// Part of the sum of all limits that must be in use for limits to rise.
-const RISE_FROM_UTILIZATION: f64 = 0.6;
 /// What a first attempt may find in flight at one endpoint, as a multiple of its fair part of all
 /// that is in flight.
 pub const FAIR_SHARE_SLACK: f64 = 1.3;
@@ -31,35 +27,6 @@
     }
 }
 
-/// What is in flight over closed circuits, against the limits there.
-#[derive(Clone, Copy)]
-pub struct Concurrency {
-    /// Attempts in flight, one more counted in.
-    pub in_flight: f64,
-    /// Sum of the limits.
-    pub limits: f64,
-}
-
-impl Concurrency {
-    /// That of all endpoints that take traffic.
-    pub fn of(endpoints: &[Endpoint]) -> Self {
-        let open = endpoints.iter().filter(|endpoint| endpoint.takes_traffic());
-        let none = Self {
-            in_flight: 1.0,
-            limits: 0.0,
-        };
-        open.fold(none, |sum, endpoint| Self {
-            in_flight: sum.in_flight + endpoint.in_flight.len() as f64,
-            limits: sum.limits + endpoint.bulkhead.limit(),
-        })
-    }
-
-    /// Whether enough of the limits is in use that more would be.
-    fn presses(self) -> bool {
-        self.in_flight + 1.0 > RISE_FROM_UTILIZATION * self.limits
-    }
-}
-
 /// The concurrency limit of one endpoint, in attempts.
 #[derive(Default)]
 pub struct Bulkhead {
@@ -84,15 +51,9 @@
 
     /// Takes in an answer: up evenly while answers take less than `target` per unit of work, down
     /// in proportion beyond, so that sidecars that crowd each other even out.
-    pub fn adapt(
-        &mut self,
-        latency: f64,
-        target: f64,
-        concurrency: Concurrency,
-        initial: InitialLimit,
-    ) {
+    pub fn adapt(&mut self, latency: f64, target: f64, limits_press: bool, initial: InitialLimit) {
         let step = (1.0 - latency / target).clamp(-MAX_STEPS_DOWN, 1.0) * LIMIT_STEP;
-        if step < 0.0 || concurrency.presses() {
+        if step < 0.0 || limits_press {
             let unit = if step > 0.0 { initial.0 } else { self.limit };
             self.limit = (self.limit + step * unit).clamp(MIN_LIMIT, MAX_LIMIT);
         }
--- a/src/balancer/endpoint.rs
+++ b/src/balancer/endpoint.rs
@@ -2,8 +2,8 @@
 
 use super::bulkhead::Bulkhead;
 use super::circuit_breaker::{CircuitBreaker, CircuitState};
-use super::latency::EndpointLatency;
-use super::slow_start::SlowStartCredit;
+use super::endpoint_latency::EndpointLatency;
+use super::slow_start_credit::SlowStartCredit;
 use super::time::END_OF_TIME;
 use crate::api::*;
 
--- a/src/balancer/endpoint_list.rs
+++ b/src/balancer/endpoint_list.rs
@@ -4,7 +4,7 @@
 use super::bulkhead::Bulkhead;
 use super::circuit_breaker::CircuitBreaker;
 use super::endpoint::Endpoint;
-use super::latency::EndpointLatency;
+use super::endpoint_latency::EndpointLatency;
 use super::time::after;
 use super::timers::Wake;
 use crate::api::*;
--- a/src/balancer/latency.rs
+++ b/src/balancer/latency.rs
@@ -34,13 +34,6 @@
 /// latencies.
 pub const MAX_STRETCH: f64 = 3.6;
 
-/// Latency of one endpoint by its own answers.
-#[derive(Default)]
-pub struct EndpointLatency {
-    /// Time that it takes for a unit of expected work, in such units.
-    pub per_work: f64,
-}
-
 /// Latency of one kind of endpoint.
 struct KindLatency {
     per_work: f64,
--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -1,7 +1,7 @@
 //! What the outcome of an attempt updates, and in which order.
 
 use super::Balancer;
-use super::bulkhead::Concurrency;
+use super::concurrency::Concurrency;
 use super::decayed_sum::part_left;
 use super::endpoint::InFlight;
 use super::time::LONGEST_TIME;
@@ -48,7 +48,7 @@
         let objective_use = self.work.objective_use();
         let unloaded = self.latency.unloaded(objective_use);
         let target = self.latency.target(objective_use);
-        let concurrency = Concurrency::of(&self.endpoints);
+        let limits_press = Concurrency::of(&self.endpoints).presses();
         let before = self.latency.of_endpoint(now, &self.endpoints[id]);
         let sample = self.latency.sample(took, attempt.work);
 
@@ -66,7 +66,7 @@
         endpoint.bulkhead.adapt(
             endpoint.latency.per_work,
             target,
-            concurrency,
+            limits_press,
             self.initial_limit,
         );
     }
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -1,8 +1,9 @@
 //! The selection of an endpoint for an attempt, in the order in which the policies are asked.
 
 use super::Balancer;
-use super::bulkhead::{Concurrency, FAIR_SHARE_SLACK};
+use super::bulkhead::FAIR_SHARE_SLACK;
 use super::circuit_breaker::CircuitState;
+use super::concurrency::Concurrency;
 use super::endpoint::Endpoint;
 use super::request::Request;
 use super::send_rules;
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -3,6 +3,7 @@
 
 use super::decayed_sum::DecayedSum;
 use super::endpoint::Endpoint;
+use super::slow_start_credit::SlowStartCredit;
 use crate::api::*;
 
 /// Part of the overload factor that a warming endpoint is sent at most.
@@ -14,20 +15,6 @@
 /// Credit that an endpoint saves up at most, as a part of what an overload window brings.
 const SAVED_PART_OF_WINDOW: f64 = 1.0 / 4.0;
 
-/// Work that a warming endpoint may still be sent, in microseconds.
-#[derive(Default)]
-pub struct SlowStartCredit {
-    work: f64,
-    updated: Timestamp,
-}
-
-impl SlowStartCredit {
-    /// That of a process that has just started.
-    pub fn new(work: f64, now: Timestamp) -> Self {
-        Self { work, updated: now }
-    }
-}
-
 /// How much warming endpoints may be sent.
 pub struct SlowStart {
     /// Part of its capacity that an endpoint has at its start.
