--- a/crates/affinity/src/contact.rs
+++ b/crates/affinity/src/contact.rs
@@ -13,13 +13,13 @@
 use std::collections::BTreeMap;
 
 /// Members that stand for all, where there are as many.
-pub const MOST_BEACONS: usize = 16;
+pub const MAX_BEACONS: usize = 16;
 /// Eighths of the beacons that a quorum has, rounded up: 10 of 16, so that two members whose
 /// beacons differ by three still have one in common.
 const QUORUM_EIGHTHS: usize = 5;
 /// Ages are told in steps of so much, rounded up, and not at all from the longest on.
 const STEP: Micros = 10_000;
-const LONGEST: Micros = 60_000_000;
+const MAX_AGE: Micros = 60_000_000;
 /// Draws the beacons.
 const DRAW: u64 = 0x6265_6163;
 
@@ -61,7 +61,7 @@
         let mut drawn: Vec<u64> = members.collect();
         drawn.sort_unstable_by_key(|number| (mix(*number, DRAW), *number));
         drawn.dedup();
-        drawn.truncate(MOST_BEACONS);
+        drawn.truncate(MAX_BEACONS);
         let heard = |number: u64| {
             let known = self
                 .beacons
@@ -82,11 +82,11 @@
     pub fn told(&self, now: Micros, sound: bool) -> Vec<BeaconAge> {
         let told = |(short, heard): (&[u8; 4], &BeaconContact)| {
             let (at, knew) = match self.heard_at(heard, now, sound) {
-                (_, Some(knew)) if now - knew < LONGEST => (knew, true),
+                (_, Some(knew)) if now - knew < MAX_AGE => (knew, true),
                 (at, _) => (at?, false),
             };
             let steps = u32::try_from((now - at).max(0).div_euclid(STEP) + 1).ok()?;
-            (now - at < LONGEST).then_some(BeaconAge(*short, steps * 2 + u32::from(knew)))
+            (now - at < MAX_AGE).then_some(BeaconAge(*short, steps * 2 + u32::from(knew)))
         };
         self.beacons.iter().filter_map(told).collect()
     }
@@ -105,7 +105,7 @@
 
     /// A pulse of that time told this, and all that it says of who left was taken in.
     pub fn heard(&mut self, stamp: Micros, told: &[BeaconAge]) {
-        for BeaconAge(short, packed) in told.iter().take(MOST_BEACONS) {
+        for BeaconAge(short, packed) in told.iter().take(MAX_BEACONS) {
             let at = stamp.saturating_sub(Micros::from(packed / 2).saturating_mul(STEP));
             if let Some(heard) = self.beacons.get_mut(short) {
                 heard.at_all = heard.at_all.max(Some(at));
--- a/crates/affinity/src/drain_phase.rs
+++ b/crates/affinity/src/drain_phase.rs
@@ -13,9 +13,9 @@
 
 /// Processes of which phases are known at the most: all of them, and what else must be, fits into
 /// each pulse.
-pub const MOST_PHASES: usize = 12;
+pub const MAX_PHASES: usize = 12;
 /// Members whose reports are kept for each of them: all of the largest fleet.
-const MOST_REPORTS: usize = 10_240;
+const MAX_REPORTS: usize = 10_240;
 
 /// How far a process has come: the greater phase holds, fields compared in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -68,7 +68,7 @@
             state.phase = state.phase.max(phase);
             return Ok(());
         }
-        if self.known.len() >= MOST_PHASES {
+        if self.known.len() >= MAX_PHASES {
             self.overflowed = true;
             return Err(EpochRefused::TooMany);
         }
@@ -129,7 +129,7 @@
         if let Some(state) = self.known.get_mut(&process)
             && state.phase.leaves
             && state.phase.epoch == epoch
-            && state.reported.len() < MOST_REPORTS
+            && state.reported.len() < MAX_REPORTS
         {
             state.reported.insert(member);
         }
@@ -176,7 +176,7 @@
         let recent = |phase: &Phase| slot < phase.since.0.saturating_add(long);
         self.known
             .retain(|process, s| recent(&s.phase) || s.phase.leaves && listed(*process));
-        self.overflowed &= self.known.len() >= MOST_PHASES;
+        self.overflowed &= self.known.len() >= MAX_PHASES;
     }
 }
 
--- a/crates/affinity/src/drain_phase/tests.rs
+++ b/crates/affinity/src/drain_phase/tests.rs
@@ -73,7 +73,7 @@
     assert_eq!(phases.complete(P, 3, 60, &[7, 8]), Some(60));
     assert_eq!(phases.complete(P, 3, 70, &[7, 8, 9]), Some(60));
     assert_eq!(phases.complete(P, 2, 70, &[]), None);
-    for name in 2..=MOST_PHASES as u64 {
+    for name in 2..=MAX_PHASES as u64 {
         assert!(
             phases
                 .merge(Process { name, started: 0 }, leaves(0, 0))
--- a/crates/affinity/src/exchange.rs
+++ b/crates/affinity/src/exchange.rs
@@ -1,7 +1,7 @@
 //! The exchange of affinity messages between members.
 
 use crate::member::AffinityMember;
-use crate::message::{AffinityMessage, LONGEST, MessageRefused};
+use crate::message::{AffinityMessage, MAX_MESSAGE_BYTES, MessageRefused};
 use crate::report::Outgoing;
 use crate::time::Slot;
 use crate::{Micros, mix};
@@ -12,7 +12,7 @@
 const PULSE: Micros = 500_000;
 /// Members that are answered at a time, and keys in one turn of an answer: they fit into one
 /// fragment or two.
-const MOST_ASKED: usize = 4;
+const MAX_ASKED: usize = 4;
 const ANSWER: usize = 32;
 /// Words that wait from which on there is a pulse between: as many as fit into one.
 const MANY: usize = 40;
@@ -75,7 +75,7 @@
             self.contact.heard(message.stamp, &message.heard);
         }
         if message.asks
-            && self.asked.len() < MOST_ASKED
+            && self.asked.len() < MAX_ASKED
             && self.asked.iter().all(|(who, _)| *who != from)
         {
             self.asked.push_back((from, None));
@@ -191,7 +191,7 @@
             let reported = self.phases.reported(process);
             let skip = self.turn as usize % reported.clone().count().max(1);
             let around = reported.clone().skip(skip).chain(reported.take(skip));
-            if message.bytes().len() + REPORT_ROOM > LONGEST {
+            if message.bytes().len() + REPORT_ROOM > MAX_MESSAGE_BYTES {
                 break;
             }
             message.report(process, phase.epoch, around);
--- a/crates/affinity/src/message.rs
+++ b/crates/affinity/src/message.rs
@@ -12,7 +12,7 @@
 
 /// Longest fragment in bytes: what is left of a datagram of 1,200 beside heads and some
 /// observations.
-pub const LONGEST: usize = 1024;
+pub const MAX_MESSAGE_BYTES: usize = 1024;
 const VERSION: u8 = 1;
 /// Longest slots back from a fragment's own that a word may lie: a day of slots of a millisecond.
 const FARTHEST: u64 = 86_400_000;
@@ -89,7 +89,7 @@
     pub fn report(&mut self, of: Process, epoch: u64, members: impl Iterator<Item = u64>) {
         self.reports.push((name(of), epoch, Vec::new()));
         // Room for the length's second byte.
-        let room = (LONGEST - 2).saturating_sub(self.bytes().len());
+        let room = (MAX_MESSAGE_BYTES - 2).saturating_sub(self.bytes().len());
         if let Some((.., listed)) = self.reports.last_mut() {
             listed.extend(members.take(room / 8).map(u64::to_le_bytes));
         }
@@ -116,7 +116,7 @@
                 } else {
                     8 + 10 + varint(entry.epoch) + 2
                 };
-            if length > LONGEST {
+            if length > MAX_MESSAGE_BYTES {
                 break;
             }
             let at = at.unwrap_or_else(|| {
@@ -159,7 +159,7 @@
                 } else {
                     8 + 10 + varint(entry.epoch) + 2
                 };
-            if length + cost > LONGEST {
+            if length + cost > MAX_MESSAGE_BYTES {
                 pieces.push(std::mem::replace(&mut message, empty()));
                 length = empty().bytes().len() + 2 + 8 + 10 + varint(entry.epoch) + 2 + 10;
                 message.groups.push((name(of), entry.epoch, Vec::new()));
@@ -191,7 +191,7 @@
     /// Why it is to be dropped.
     pub fn read(bytes: &[u8]) -> Result<Self, MessageRefused> {
         match bytes {
-            [VERSION, rest @ ..] if bytes.len() <= LONGEST => {
+            [VERSION, rest @ ..] if bytes.len() <= MAX_MESSAGE_BYTES => {
                 postcard::from_bytes(rest).map_err(|_| MessageRefused::Malformed)
             }
             [VERSION, ..] | [] => Err(MessageRefused::Malformed),
--- a/crates/affinity/src/message/tests.rs
+++ b/crates/affinity/src/message/tests.rs
@@ -16,7 +16,7 @@
         let mut out = Vec::new();
         for message in AffinityMessage::entries(1_900_000_000_000_000, entries.clone()) {
             let bytes = message.bytes();
-            prop_assert!(bytes.len() <= LONGEST, "{}", bytes.len());
+            prop_assert!(bytes.len() <= MAX_MESSAGE_BYTES, "{}", bytes.len());
             let read = AffinityMessage::read(&bytes);
             prop_assert!(read.is_ok());
             out.extend(read.iter().flat_map(|p| p.each_entry().collect::<Vec<_>>()));
@@ -43,7 +43,7 @@
         floor: Some((4_000_000_000, u64::MAX)),
         ..AffinityMessage::at(i64::MAX)
     };
-    for i in 0..crate::drain_phase::MOST_PHASES as u64 {
+    for i in 0..crate::drain_phase::MAX_PHASES as u64 {
         let phase = Phase {
             epoch: 1000,
             leaves: true,
@@ -60,7 +60,7 @@
     let mut contact = crate::contact::Contact::new(0);
     contact.members((0..100).map(|n| crate::hash(&[n])));
     let sure = contact.told(0, true);
-    message.heard = (0..crate::contact::MOST_BEACONS)
+    message.heard = (0..crate::contact::MAX_BEACONS)
         .flat_map(|_| sure.first().copied())
         .collect();
     message.report(
@@ -72,7 +72,7 @@
         0..1000,
     );
     assert!(
-        message.bytes().len() <= LONGEST && message.reports().count() >= 10,
+        message.bytes().len() <= MAX_MESSAGE_BYTES && message.reports().count() >= 10,
         "{}",
         message.bytes().len()
     );
--- a/crates/affinity/src/publishing.rs
+++ b/crates/affinity/src/publishing.rs
@@ -14,12 +14,12 @@
 use std::collections::{HashMap, VecDeque};
 
 /// Words told at once: they fit into a pulse, were each on another process.
-const MOST_AT_ONCE: usize = 32;
+const MAX_AT_ONCE: usize = 32;
 /// First uses that wait to be told; the one that waited longest makes room.
-const MOST_FRESH: usize = 1024;
+const MAX_UNPUBLISHED: usize = 1024;
 /// Seconds of its part of the words that a member may save up, and the least that this comes to.
 const SAVES: f64 = 4.0;
-const LEAST_SAVED: f64 = 16.0;
+const MIN_BURST: f64 = 16.0;
 
 /// What may be told of keys that are not bound yet.
 #[derive(Clone, Copy, Debug)]
@@ -54,7 +54,7 @@
             member,
             uses,
             fresh,
-            tokens: LEAST_SAVED,
+            tokens: MIN_BURST,
             filled: Micros::MAX,
             dropped: 0,
             rules,
@@ -77,7 +77,7 @@
             .take(64)
             .any(|(k, p, _)| (*k, *p) == (key, process))
         {
-            if self.fresh.len() >= MOST_FRESH {
+            if self.fresh.len() >= MAX_UNPUBLISHED {
                 self.fresh.pop_front();
                 self.dropped += 1;
             }
@@ -121,17 +121,17 @@
                 continue;
             }
             let due = now + every > self.due(key, entry, times) || !self.rules.tells_sparsely;
-            match due && self.rules.renews && told.len() < MOST_AT_ONCE {
+            match due && self.rules.renews && told.len() < MAX_AT_ONCE {
                 true => told.push((key, process, mine)),
                 false => drop(self.uses.insert((key, process), last)),
             }
         }
         let part = self.rates.updates_per_s / self.rates.members;
         let passed = now.saturating_sub(self.filled).max(0) as f64 / 1e6;
-        self.tokens = (self.tokens + passed * part).min((SAVES * part).max(LEAST_SAVED));
+        self.tokens = (self.tokens + passed * part).min((SAVES * part).max(MIN_BURST));
         self.filled = now;
         while self.tokens >= 1.0
-            && told.len() < MOST_AT_ONCE
+            && told.len() < MAX_AT_ONCE
             && let Some((key, process, last)) = self.fresh.pop_front()
         {
             let Some(epoch) = epoch(process) else {
--- a/crates/affinity/src/publishing/tests.rs
+++ b/crates/affinity/src/publishing/tests.rs
@@ -47,7 +47,7 @@
     let told = publishing.due_now(now, 0, &table, &times, |_| Some(0));
     assert_eq!(
         (told.len(), told.iter().any(|(key, ..)| *key == 7)),
-        (LEAST_SAVED as usize, false)
+        (MIN_BURST as usize, false)
     );
     let latest = (100 + times.renewed_lifetime - times.dissemination_time - 1) * times.slot;
     let told = publishing.due_now(latest, 1, &table, &times, |_| Some(0));
--- a/crates/affinity/src/section.rs
+++ b/crates/affinity/src/section.rs
@@ -70,7 +70,7 @@
 }
 
 /// Most keys: 100 bytes each.
-const MOST_KEYS: usize = 1 << 20;
+const MAX_KEYS: usize = 1 << 20;
 
 impl AffinityEntriesSection {
     /// Finds what nothing could work with.
@@ -112,7 +112,7 @@
                 "it must be no shorter than first_lifetime",
             );
         }
-        if !(1..=MOST_KEYS).contains(&self.keys) {
+        if !(1..=MAX_KEYS).contains(&self.keys) {
             return wrong("keys", "it must be 1 to 1,048,576");
         }
         if !(self.updates_per_s > 0.0 && self.updates_per_s <= 100_000.0) {
--- a/crates/common/src/config.rs
+++ b/crates/common/src/config.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 
 /// Longest file that is read, in bytes: a configuration is written by people.
-const LONGEST: u64 = 1 << 20;
+const MAX_FILE_BYTES: u64 = 1 << 20;
 
 /// A whole configuration of one program: sections, all optional, each with defaults.
 pub trait Configuration: DeserializeOwned + Serialize {
@@ -81,8 +81,8 @@
     let length = std::fs::metadata(path)
         .map_err(|e| unreadable(format!("cannot read it: {e}")))?
         .len();
-    if length > LONGEST {
-        return Err(unreadable(format!("longer than {LONGEST} bytes")));
+    if length > MAX_FILE_BYTES {
+        return Err(unreadable(format!("longer than {MAX_FILE_BYTES} bytes")));
     }
     let text =
         std::fs::read_to_string(path).map_err(|e| unreadable(format!("cannot read it: {e}")))?;
--- a/crates/common/src/logging.rs
+++ b/crates/common/src/logging.rs
@@ -58,7 +58,7 @@
 }
 
 /// Least buffer: one line of ordinary length must fit.
-const LEAST_BUFFER: Size = Size(1024);
+const MIN_BUFFER: Size = Size(1024);
 
 impl Default for LogSection {
     fn default() -> Self {
@@ -77,10 +77,10 @@
     /// # Errors
     /// The buffer holds no line.
     pub fn check(&self) -> Result<(), Contradiction> {
-        if self.buffer < LEAST_BUFFER {
+        if self.buffer < MIN_BUFFER {
             return Err(Contradiction::new(
                 "log.buffer",
-                format!("below {LEAST_BUFFER}, which a line may need"),
+                format!("below {MIN_BUFFER}, which a line may need"),
             ));
         }
         Ok(())
--- a/crates/common/src/pages.rs
+++ b/crates/common/src/pages.rs
@@ -22,7 +22,7 @@
 /// Pause after a failed accept: with no descriptor to be had, the next one would fail as well.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 /// Longest body that a reader may post.
-const LONGEST_BODY: usize = 4 << 10;
+const MAX_BODY_BYTES: usize = 4 << 10;
 
 /// What a reader asks for.
 pub struct Ask {
@@ -147,10 +147,10 @@
     let path = request.uri().path().to_owned();
     let posted = match *request.method() {
         Method::GET => Ok(None),
-        Method::POST if request.body().size_hint().lower() > LONGEST_BODY as u64 => {
+        Method::POST if request.body().size_hint().lower() > MAX_BODY_BYTES as u64 => {
             Err(StatusCode::PAYLOAD_TOO_LARGE)
         }
-        Method::POST => match Limited::new(request.into_body(), LONGEST_BODY)
+        Method::POST => match Limited::new(request.into_body(), MAX_BODY_BYTES)
             .collect()
             .await
         {
--- a/crates/coordinator/src/fetch.rs
+++ b/crates/coordinator/src/fetch.rs
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 
 /// Longest answer that is read, in bytes: the longest list, with as much again.
-const LONGEST: usize = 4 << 20;
+const MAX_ANSWER_BYTES: usize = 4 << 20;
 
 /// A connection on which one question at a time is asked.
 pub struct Line(SendRequest<Full<Bytes>>);
@@ -40,7 +40,7 @@
             .await
             .map_err(|e| e.to_string())?;
         let status = response.status().as_u16();
-        let body = Limited::new(response.into_body(), LONGEST)
+        let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES)
             .collect()
             .await
             .map_err(|e| e.to_string())?;
--- a/crates/coordinator/src/pages.rs
+++ b/crates/coordinator/src/pages.rs
@@ -19,7 +19,7 @@
 use tokio::sync::watch;
 
 /// Longest content of a request by people, in bytes.
-const LONGEST: usize = 256 << 10;
+const MAX_CONTENT_BYTES: usize = 256 << 10;
 
 /// What pages are made from.
 #[derive(Clone)]
@@ -65,8 +65,8 @@
     pub async fn answer(self, asked: Asked, coordinator: Rc<Cell<bool>>) -> Answer {
         let parts: Vec<&str> = asked.path.trim_matches('/').split('/').collect();
         let number = |text: &str| text.parse::<u64>().ok();
-        if asked.path != peers::PATH && asked.content.len() > LONGEST {
-            let what = format!("the content is longer than {LONGEST} bytes");
+        if asked.path != peers::PATH && asked.content.len() > MAX_CONTENT_BYTES {
+            let what = format!("the content is longer than {MAX_CONTENT_BYTES} bytes");
             return Answer::wrong(StatusCode::PAYLOAD_TOO_LARGE, None, what);
         }
         match (asked.method.as_str(), parts.as_slice()) {
--- a/crates/coordinator/src/peers.rs
+++ b/crates/coordinator/src/peers.rs
@@ -24,10 +24,10 @@
 /// Bytes of messages in one request, unless a single one is longer.
 const TOGETHER: usize = 1 << 20;
 /// Longest content of a request, in bytes: a snapshot of the longest list, and more.
-pub const LONGEST: usize = 16 << 20;
+pub const MAX_CONTENT_BYTES: usize = 16 << 20;
 /// Pause after a failure: doubled up to the longest, each drawn from its upper half.
 const PAUSE: Duration = Duration::from_millis(50);
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
+const MAX_PAUSE: Duration = Duration::from_secs(1);
 
 /// What waits for one coordinator.
 #[derive(Default)]
@@ -109,7 +109,7 @@
         } else {
             dropped.set(dropped.get() + count);
             sleep(pause.mul_f64(0.5 + fastrand::f64() / 2.0)).await;
-            pause = (pause * 2).min(LONGEST_PAUSE);
+            pause = (pause * 2).min(MAX_PAUSE);
         }
     }
 }
--- a/crates/coordinator/src/replicated_log/drive.rs
+++ b/crates/coordinator/src/replicated_log/drive.rs
@@ -10,7 +10,7 @@
 
 /// Entries after which a snapshot takes their place: enough that ordinary lag is bridged by
 /// entries, and so few that a start reads them at once.
-const MOST_ENTRIES: u64 = 512;
+const MAX_ENTRIES: u64 = 512;
 impl<M: Replicated> Node<M> {
     /// Keeps and applies what the steps so far came to.
     ///
@@ -45,7 +45,7 @@
             effects.messages.extend(light.take_messages());
             self.apply(light.take_committed_entries(), &mut effects)?;
             self.raw.advance_apply();
-            if self.applied >= self.raw.store().start() + MOST_ENTRIES {
+            if self.applied >= self.raw.store().start() + MAX_ENTRIES {
                 self.compact()?;
             }
         }
--- a/crates/coordinator/src/replicated_log/node.rs
+++ b/crates/coordinator/src/replicated_log/node.rs
@@ -9,9 +9,9 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Most bytes of entries in one message, and of entries that wait for agreement.
-const MOST_BYTES: u64 = 1 << 20;
+const MAX_BYTES: u64 = 1 << 20;
 /// Messages on their way to one coordinator.
-const MOST_INFLIGHT: usize = 64;
+const MAX_INFLIGHT: usize = 64;
 
 /// A node.
 pub struct Node<M> {
@@ -57,11 +57,11 @@
             election_tick: options.patience,
             heartbeat_tick: 1,
             applied,
-            max_size_per_msg: MOST_BYTES,
-            max_inflight_msgs: MOST_INFLIGHT,
+            max_size_per_msg: MAX_BYTES,
+            max_inflight_msgs: MAX_INFLIGHT,
             check_quorum: true,
             pre_vote: true,
-            max_uncommitted_size: MOST_BYTES,
+            max_uncommitted_size: MAX_BYTES,
             ..Config::default()
         };
         let state = raft::Storage::initial_state(&log_store)
--- a/crates/coordinator/src/run.rs
+++ b/crates/coordinator/src/run.rs
@@ -86,7 +86,7 @@
         listener,
         own.connections,
         own.timeout.0,
-        peers::LONGEST,
+        peers::MAX_CONTENT_BYTES,
         answer,
     ));
     spawn_local(poller.run());
--- a/crates/emulator/src/agent.rs
+++ b/crates/emulator/src/agent.rs
@@ -24,7 +24,7 @@
 use tokio::task::AbortHandle;
 
 /// Longest wait of a watch, as the protocol page has it.
-const LONGEST_WATCH: Us = 60_000_000;
+const MAX_WATCH: Us = 60_000_000;
 
 /// One sidecar's agent.
 pub struct Agent {
@@ -128,7 +128,7 @@
             number("after"),
             number("wait_ms").unwrap_or(0).saturating_mul(1000),
         );
-        let until = self.clock.now().saturating_add(wait.min(LONGEST_WATCH));
+        let until = self.clock.now().saturating_add(wait.min(MAX_WATCH));
         let (mut mood, mut changes) = (self.mood.clone(), self.catalogue.subscribe());
         let text = loop {
             let now = *mood.borrow_and_update();
--- a/crates/emulator/src/apps.rs
+++ b/crates/emulator/src/apps.rs
@@ -24,7 +24,7 @@
 const BODY: &str =
     "{\"entry\":\"0000000000000000000000000000000000000000000000000000000000000000\"}";
 /// Longest hold-off that clients honour, as the settings state it.
-const LONGEST_HOLD_OFF: Us = 2_000_000;
+const MAX_RETRY_AFTER: Us = 2_000_000;
 
 /// All applications.
 pub struct Apps {
@@ -126,7 +126,7 @@
         let Some(wait) = arrival.waits.get(attempt as usize) else {
             return false;
         };
-        let wait = hold_off.map_or(*wait, |told| told.min(LONGEST_HOLD_OFF).max(*wait));
+        let wait = hold_off.map_or(*wait, |told| told.min(MAX_RETRY_AFTER).max(*wait));
         let left = (arrival.at + CLASSES[arrival.class].deadline).saturating_sub(self.clock.now());
         if wait >= left {
             return false;
--- a/crates/emulator/src/audit/ageing.rs
+++ b/crates/emulator/src/audit/ageing.rs
@@ -24,7 +24,7 @@
 /// word may miss a member.
 const MISSED: f64 = 0.01;
 /// Fewer looks than this tell nothing of a part.
-const LEAST: usize = 200;
+const MIN_LOOKS: usize = 200;
 
 type Binding = (Place, u64);
 
@@ -211,7 +211,7 @@
         round += needs;
     }
     let part = missed as f64 / f64::max(looked as f64, 1.0);
-    (looked >= LEAST && part > MISSED).then(|| Finding {
+    (looked >= MIN_LOOKS && part > MISSED).then(|| Finding {
         rule: Rule::Ageing,
         at: first,
         what: format!(
--- a/crates/emulator/src/audit/repeats.rs
+++ b/crates/emulator/src/audit/repeats.rs
@@ -63,10 +63,10 @@
                     at: *at,
                     may_have_run: true,
                 });
-                if attempts.len() == site::MOST_ATTEMPTS + 1 {
+                if attempts.len() == site::MAX_ATTEMPTS + 1 {
                     broken(
                         *request,
-                        format!("was sent {} times", site::MOST_ATTEMPTS + 1),
+                        format!("was sent {} times", site::MAX_ATTEMPTS + 1),
                     );
                 }
             }
--- a/crates/emulator/src/draw.rs
+++ b/crates/emulator/src/draw.rs
@@ -15,6 +15,7 @@
 use fastrand::Rng;
 pub(crate) use faults::DRAINS_FOR;
 use faults::Faults;
+use std::ops::RangeInclusive;
 use windows::{kept, windows};
 
 fn us(time: load_balancer_common::units::Time) -> Us {
@@ -28,7 +29,8 @@
     rng
 }
 
-fn between(rng: &mut Rng, (least, most): (f64, f64)) -> f64 {
+fn between(rng: &mut Rng, range: RangeInclusive<f64>) -> f64 {
+    let (least, most) = range.into_inner();
     least + rng.f64() * (most - least)
 }
 
@@ -41,12 +43,12 @@
 /// Spread of the sidecars' traffic at `uneven = 1`: the largest of 60 then has about eight times
 /// the mean.
 const UNEVEN_SPREAD: f64 = 1.2;
-/// Range of the requests that wait at a server, per core; and of the keys that it remembers.
-const QUEUE: (f64, f64) = (6.0, 12.0);
-/// See [`QUEUE`].
-const KEYS: (f64, f64) = (40.0, 120.0);
-/// Range of a handshake's work in microseconds.
-const HANDSHAKE: (f64, f64) = (500.0, 1000.0);
+/// Requests that may wait at a server, per core.
+const QUEUE_PER_CORE: RangeInclusive<f64> = 6.0..=12.0;
+/// Affinity keys that a server remembers.
+const REMEMBERED_KEYS: RangeInclusive<f64> = 40.0..=120.0;
+/// Work of a handshake, in microseconds.
+const HANDSHAKE_US: RangeInclusive<f64> = 500.0..=1000.0;
 
 /// Draws a run.
 pub fn draw(experiment: &Experiment, seed: u64) -> Plan {
@@ -59,7 +61,7 @@
     let limits = (0..groups)
         .map(|_| {
             if rng.f64() < t.limited {
-                between(&mut rng, site::LIMITED)
+                between(&mut rng, site::LIMITED_CAPACITY)
             } else {
                 1.0
             }
@@ -121,15 +123,15 @@
         group,
         kind,
         cores: of.cores,
-        speed: between(rng, of.speed),
-        queue: (between(rng, QUEUE) * f64::from(of.cores)) as usize,
-        memory: between(rng, site::KEY_MEMORY) as Us,
-        keys: between(rng, KEYS) as usize,
-        saves: between(rng, site::KEY_SAVES),
-        slowed: between(rng, site::SLOWED),
-        crowded_for: between(rng, site::CROWDED_FOR) as Us,
-        idle_for: between(rng, site::IDLE_FOR) as Us,
-        handshake: between(rng, HANDSHAKE),
+        speed: between(rng, of.speed.clone()),
+        queue: (between(rng, QUEUE_PER_CORE) * f64::from(of.cores)) as usize,
+        memory: between(rng, site::KEY_MEMORY_US) as Us,
+        keys: between(rng, REMEMBERED_KEYS) as usize,
+        saves: between(rng, site::KEY_SAVED_WORK),
+        slowed: between(rng, site::OVERDRIVEN_SLOWDOWN),
+        crowded_for: between(rng, site::OVERDRIVEN_AFTER_US) as Us,
+        idle_for: between(rng, site::OVERDRIVEN_RECOVERY_US) as Us,
+        handshake: between(rng, HANDSHAKE_US),
         first: true,
     }
 }
--- a/crates/emulator/src/draw/arrivals.rs
+++ b/crates/emulator/src/draw/arrivals.rs
@@ -5,11 +5,12 @@
 use crate::plan::{Arrival, SidecarSpec};
 use crate::site::{self, CLASSES};
 use crate::{SECOND, Us};
+use std::ops::RangeInclusive;
 
 /// Longest work as a multiple of its class's mean.
-const LONGEST_WORK: f64 = 5.0;
-/// Range of a client's wait before a further try.
-const CLIENT_WAIT: (f64, f64) = (100e3, 300e3);
+const MAX_WORK: f64 = 5.0;
+/// A client's wait before a further try, in microseconds.
+const CLIENT_WAIT_US: RangeInclusive<f64> = 100e3..=300e3;
 
 /// Poisson arrivals of each sidecar, whose rate wanders in a wave of its own; thinned from the
 /// highest rate (Lewis and Shedler, Naval Research Logistics Quarterly 26, 1979, p. 403).
@@ -22,7 +23,7 @@
     let mut rng = stream(seed, 4);
     let works: Vec<f64> = CLASSES
         .iter()
-        .map(|c| between(&mut rng, c.work) * l.work)
+        .map(|c| between(&mut rng, c.work.clone()) * l.work)
         .collect();
     let popularity: Vec<f64> = (0..l.keys)
         .scan(0.0, |sum, rank| {
@@ -51,16 +52,16 @@
             });
             let class = class.unwrap_or(0);
             let place = rng.f64() * popularity[popularity.len() - 1];
-            let spread = (-(1.0 - rng.f64()).ln()).min(LONGEST_WORK);
+            let spread = (-(1.0 - rng.f64()).ln()).min(MAX_WORK);
             all.push(Arrival {
                 at: at as Us,
                 sidecar,
                 class,
                 key: popularity.partition_point(|sum| *sum < place) as u64,
                 work: (works[class] * spread).max(1000.0),
-                patience: (between(&mut rng, site::PATIENCE) * CLASSES[class].deadline as f64)
-                    as Us,
-                waits: [(); 2].map(|()| between(&mut rng, CLIENT_WAIT) as Us),
+                patience: (between(&mut rng, site::CLIENT_PATIENCE)
+                    * CLASSES[class].deadline as f64) as Us,
+                waits: [(); 2].map(|()| between(&mut rng, CLIENT_WAIT_US) as Us),
             });
         }
     }
--- a/crates/emulator/src/experiment/check.rs
+++ b/crates/emulator/src/experiment/check.rs
@@ -3,10 +3,10 @@
 use super::{Carried, Experiment, FaultKind};
 use load_balancer_common::config::{Configuration, Contradiction};
 
-const MOST_SIDECARS: usize = 10_000;
-const MOST_SERVERS: usize = 1000;
+const MAX_SIDECARS: usize = 10_000;
+const MAX_SERVERS: usize = 1000;
 /// Most requests of one run.
-const MOST_REQUESTS: f64 = 5e6;
+const MAX_REQUESTS: f64 = 5e6;
 
 impl Configuration for Experiment {
     #[expect(
@@ -25,10 +25,10 @@
         {
             return wrong("name", "letters, digits and hyphens, at least one");
         }
-        if !(1..=MOST_SIDECARS).contains(&t.sidecars) {
+        if !(1..=MAX_SIDECARS).contains(&t.sidecars) {
             return wrong("topology.sidecars", "1 to 10000");
         }
-        if !(1..=MOST_SERVERS).contains(&t.servers) {
+        if !(1..=MAX_SERVERS).contains(&t.servers) {
             return wrong("topology.servers", "1 to 1000");
         }
         if !(1..=3).contains(&t.zones) || t.zones > t.servers {
@@ -41,7 +41,7 @@
             );
         }
         if !(0.01..=1000.0).contains(&l.rate)
-            || l.rate * t.sidecars as f64 * l.lasts.0.as_secs_f64() > MOST_REQUESTS
+            || l.rate * t.sidecars as f64 * l.lasts.0.as_secs_f64() > MAX_REQUESTS
         {
             return wrong(
                 "load.rate",
@@ -97,7 +97,7 @@
         for window in &self.window {
             if window.at >= l.lasts
                 || window.servers == 0
-                || !(1..=MOST_SERVERS).contains(&window.times)
+                || !(1..=MAX_SERVERS).contains(&window.times)
                 || window.zone.is_some_and(|z| z >= t.zones)
             {
                 return wrong(
--- a/crates/emulator/src/listing.rs
+++ b/crates/emulator/src/listing.rs
@@ -25,7 +25,7 @@
 /// The size that the list gives a server: its kind's mean speed, as registered.
 pub fn weight(spec: &ServerSpec) -> f64 {
     let kind = &KINDS[spec.kind];
-    (kind.speed.0 + kind.speed.1) / 2.0
+    (kind.speed.start() + kind.speed.end()) / 2.0
 }
 
 /// The capacity of a server in thousandths of a core of speed 1, as whole numbers for who adds them
--- a/crates/emulator/src/member_addresses.rs
+++ b/crates/emulator/src/member_addresses.rs
@@ -21,7 +21,7 @@
 /// Pause after a failed receive.
 const PAUSE: Duration = Duration::from_millis(5);
 /// Longest datagram that passes.
-const LONGEST: usize = 65_536;
+const MAX_DATAGRAM_BYTES: usize = 65_536;
 /// Members that each one is told of at its start.
 const SEEDS: usize = 5;
 
@@ -95,7 +95,7 @@
                 address.own,
             );
             let task = tokio::spawn(async move {
-                let mut bytes = vec![0; LONGEST];
+                let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
                 loop {
                     let Ok((length, from)) = sockets[to].recv_from(&mut bytes).await else {
                         sleep(PAUSE).await;
--- a/crates/emulator/src/page.rs
+++ b/crates/emulator/src/page.rs
@@ -12,7 +12,7 @@
 use tokio::time::timeout;
 
 /// Longest page.
-const LONGEST: usize = 4 << 20;
+const MAX_PAGE_BYTES: usize = 4 << 20;
 
 /// What a process answers: its status and content, `Null` where that is no JSON. None where nothing
 /// whole came in time.
@@ -37,7 +37,7 @@
             .body(Full::new(Bytes::from(content)));
         let response = sender.send_request(request.ok()?).await.ok()?;
         let status = response.status().as_u16();
-        let content = Limited::new(response.into_body(), LONGEST)
+        let content = Limited::new(response.into_body(), MAX_PAGE_BYTES)
             .collect()
             .await
             .ok()?
--- a/crates/emulator/src/platform/http.rs
+++ b/crates/emulator/src/platform/http.rs
@@ -18,7 +18,7 @@
 use tokio::net::TcpListener;
 
 /// Longest body of an act.
-const LONGEST: usize = 16 << 10;
+const MAX_BODY_BYTES: usize = 16 << 10;
 
 /// An act on one server.
 #[derive(Deserialize)]
@@ -68,7 +68,7 @@
                 ));
             }
         };
-        let body = Limited::new(body, LONGEST)
+        let body = Limited::new(body, MAX_BODY_BYTES)
             .collect()
             .await
             .map(|body| body.to_bytes())
--- a/crates/emulator/src/report/plot.rs
+++ b/crates/emulator/src/report/plot.rs
@@ -3,8 +3,10 @@
 use super::escaped;
 use plotters::prelude::*;
 
-/// Size of a plot in points.
-const SIZE: (u32, u32) = (860, 300);
+/// Width of a plot in points.
+const WIDTH: u32 = 860;
+/// Height of a plot in points.
+const HEIGHT: u32 = 300;
 
 /// A name and its points.
 pub(super) type Curve<'a> = (&'a str, Vec<(f64, f64)>);
@@ -23,7 +25,7 @@
     let points = || curves.iter().flat_map(|(_, points)| points);
     let most = |of: fn(&(f64, f64)) -> f64| points().map(of).fold(0.0, f64::max).max(1e-6);
     let (right, top) = (most(|p| p.0), most(|p| p.1) * 1.05);
-    let area = SVGBackend::with_string(svg, SIZE).into_drawing_area();
+    let area = SVGBackend::with_string(svg, (WIDTH, HEIGHT)).into_drawing_area();
     area.fill(&WHITE).map_err(said)?;
     let mut chart = ChartBuilder::on(&area)
         .margin(8)
--- a/crates/emulator/src/server_listener.rs
+++ b/crates/emulator/src/server_listener.rs
@@ -25,7 +25,7 @@
 /// queue is full.
 const FILLING: Duration = Duration::from_millis(30);
 /// Such connections at most.
-const MOST_FILLERS: usize = 8;
+const MAX_FILLERS: usize = 8;
 /// Pause before a listener is tried again that could not be opened: a port may still be held by
 /// what went before.
 const PAUSE: Duration = Duration::from_millis(20);
@@ -123,7 +123,7 @@
 async fn fill(listener: &TcpListener, at: SocketAddr) -> Vec<TcpStream> {
     let _ = SockRef::from(listener).listen(0);
     let mut fillers = Vec::new();
-    while fillers.len() < MOST_FILLERS
+    while fillers.len() < MAX_FILLERS
         && let Ok(Ok(filler)) = timeout(FILLING, TcpStream::connect(at)).await
     {
         fillers.push(filler);
--- a/crates/emulator/src/servers/answering.rs
+++ b/crates/emulator/src/servers/answering.rs
@@ -25,7 +25,7 @@
 use tokio::sync::oneshot;
 
 /// Longest body, of requests and of answers.
-const LONGEST_BODY: usize = 64 << 10;
+const MAX_BODY_BYTES: usize = 64 << 10;
 
 impl Servers {
     pub(super) async fn connection(
@@ -75,7 +75,7 @@
             return Ok(self.probed(server));
         }
         let (head, body) = request.into_parts();
-        if Limited::new(body, LONGEST_BODY).collect().await.is_err() {
+        if Limited::new(body, MAX_BODY_BYTES).collect().await.is_err() {
             return Ok(plain(StatusCode::BAD_REQUEST));
         }
         let text = |name: &str| text(&head.headers, name);
--- a/crates/emulator/src/site.rs
+++ b/crates/emulator/src/site.rs
@@ -2,6 +2,7 @@
 
 use crate::{SECOND, Us};
 use serde_json::{Value, json};
+use std::ops::RangeInclusive;
 
 /// What a repeat of a request would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -15,14 +16,14 @@
 }
 
 /// A class of requests.
-#[derive(Clone, Copy, Debug)]
+#[derive(Clone, Debug)]
 pub struct Class {
     /// Its name on the wire.
     pub name: &'static str,
     /// Its part of all requests.
     pub share: f64,
     /// Range of the mean work of one, in microseconds on a core of speed 1.
-    pub work: (f64, f64),
+    pub work: RangeInclusive<f64>,
     /// An answer within this time earns its worth.
     pub aim: Us,
     /// How long a client waits over all its tries.
@@ -38,7 +39,7 @@
     Class {
         name: "statement",
         share: 0.32,
-        work: (100e3, 180e3),
+        work: 100e3..=180e3,
         aim: SECOND,
         deadline: 3 * SECOND,
         worth: 5.0,
@@ -47,7 +48,7 @@
     Class {
         name: "balance",
         share: 0.29,
-        work: (47e3, 84e3),
+        work: 47e3..=84e3,
         aim: SECOND / 2,
         deadline: 3 * SECOND / 2,
         worth: 2.0,
@@ -56,7 +57,7 @@
     Class {
         name: "entry",
         share: 0.26,
-        work: (49e3, 88e3),
+        work: 49e3..=88e3,
         aim: SECOND / 2,
         deadline: 5 * SECOND / 2,
         worth: 5.0,
@@ -65,7 +66,7 @@
     Class {
         name: "close",
         share: 0.13,
-        work: (84e3, 150e3),
+        work: 84e3..=150e3,
         aim: 4 * SECOND / 5,
         deadline: 4 * SECOND,
         worth: 5.0,
@@ -86,14 +87,14 @@
 pub const ZONES: [&str; 3] = ["zagreb", "split", "rijeka"];
 
 /// A kind of machine.
-#[derive(Clone, Copy, Debug)]
+#[derive(Clone, Debug)]
 pub struct Kind {
     /// Its name in the list.
     pub name: &'static str,
     /// Its cores.
     pub cores: u32,
     /// Range of a core's speed.
-    pub speed: (f64, f64),
+    pub speed: RangeInclusive<f64>,
 }
 
 /// The three kinds, each about a third of the servers.
@@ -101,28 +102,28 @@
     Kind {
         name: "fast",
         cores: 2,
-        speed: (1.4, 1.8),
+        speed: 1.4..=1.8,
     },
     Kind {
         name: "standard",
         cores: 2,
-        speed: (0.85, 1.1),
+        speed: 0.85..=1.1,
     },
     Kind {
         name: "small",
         cores: 2,
-        speed: (0.51, 0.69),
+        speed: 0.51..=0.69,
     },
 ];
 
 /// How long servers drop repeats of a key.
 pub const KEY_TIME: Us = 5 * SECOND;
 /// Attempts for one request.
-pub const MOST_ATTEMPTS: usize = 3;
+pub const MAX_ATTEMPTS: usize = 3;
 /// Retries of a client by itself.
 pub const CLIENT_RETRIES: u32 = 2;
-/// Range of the part of the class's deadline after which a client gives up a try.
-pub const PATIENCE: (f64, f64) = (0.4, 0.8);
+/// Part of the class's deadline after which a client gives up a try.
+pub const CLIENT_PATIENCE: RangeInclusive<f64> = 0.4..=0.8;
 /// Nothing new to a server later than this after being told that it drains or is gone.
 pub const DRAIN_GRACE: Us = 300_000;
 /// Slack of every time limit on sockets.
@@ -138,21 +139,20 @@
 /// Slack for chance on that work: one long request must not push a server over by itself (BENCH,
 /// "with a little slack for chance").
 pub const COLD_SLACK: f64 = 1.1;
-/// Share of the groups that are limited together, and to which part of their capacity.
-pub const LIMITED: (f64, f64) = (0.44, 0.67);
-/// Range of the memory for keys, and of the work that a key in memory saves.
-pub const KEY_MEMORY: (f64, f64) = (2.3e6, 12e6);
-/// See [`KEY_MEMORY`].
-pub const KEY_SAVES: (f64, f64) = (0.27, 0.56);
-/// Range of how many times slower an overdriven server turns, of how long it must be crowded for
-/// that, and of how long it must then be mostly idle.
-pub const SLOWED: (f64, f64) = (2.3, 3.4);
-/// See [`SLOWED`].
-pub const CROWDED_FOR: (f64, f64) = (1.5e6, 2.5e6);
-/// See [`SLOWED`].
-pub const IDLE_FOR: (f64, f64) = (2.2e6, 4.9e6);
-/// Range of a probe's work in microseconds.
-pub const PROBE_WORK: (f64, f64) = (92.0, 150.0);
+/// Part of its capacity to which a group is limited, where its servers share a limit.
+pub const LIMITED_CAPACITY: RangeInclusive<f64> = 0.44..=0.67;
+/// How long a server remembers an affinity key, in microseconds.
+pub const KEY_MEMORY_US: RangeInclusive<f64> = 2.3e6..=12e6;
+/// Part of a request's work that a remembered affinity key saves.
+pub const KEY_SAVED_WORK: RangeInclusive<f64> = 0.27..=0.56;
+/// How many times slower an overdriven server becomes.
+pub const OVERDRIVEN_SLOWDOWN: RangeInclusive<f64> = 2.3..=3.4;
+/// How long a server must be crowded before it is overdriven, in microseconds.
+pub const OVERDRIVEN_AFTER_US: RangeInclusive<f64> = 1.5e6..=2.5e6;
+/// How long an overdriven server must be mostly idle before it recovers, in microseconds.
+pub const OVERDRIVEN_RECOVERY_US: RangeInclusive<f64> = 2.2e6..=4.9e6;
+/// Work of a probe, in microseconds.
+pub const PROBE_WORK_US: RangeInclusive<f64> = 92.0..=150.0;
 /// Servers close a connection that has been idle for this long.
 pub const IDLE_CLOSE: Us = 15 * SECOND;
 
@@ -174,7 +174,7 @@
     json!({"Balancers": sidecars, "Index": index, "Lanes": lanes, "Clients": {"MarksRetry": true},
         "CountedBy": "request", "Discovery": "pushed",
         "Goal": {"Whole": 0.85, "WorstClass": 0.1, "WorstTenant": 0.0, "WorstWindow": 0.05},
-        "Limits": {"DialTimeoutUs": 120_000, "IdleCloseUs": IDLE_CLOSE, "MaxAttempts": MOST_ATTEMPTS,
+        "Limits": {"DialTimeoutUs": 120_000, "IdleCloseUs": IDLE_CLOSE, "MaxAttempts": MAX_ATTEMPTS,
             "MaxRetryAfterUs": 2_000_000, "MayCancel": true, "MayDuplicate": true, "Peers": false, "Probes": true,
             "RetryAfter": true},
         "OverShareWorth": 0.1,
--- a/crates/emulator/src/tally.rs
+++ b/crates/emulator/src/tally.rs
@@ -61,7 +61,7 @@
 /// The percentiles of the latency curve.
 pub const PERCENTILES: [f64; 9] = [5.0, 25.0, 50.0, 75.0, 90.0, 95.0, 98.0, 99.0, 99.9];
 /// Longest time that the histogram holds.
-const LONGEST: Us = 60 * SECOND;
+const MAX_LATENCY: Us = 60 * SECOND;
 
 /// What became of one request, over all its tries.
 #[derive(Clone, Copy, Default)]
@@ -140,7 +140,7 @@
             _ => {}
         }
     }
-    let mut latency = Histogram::<u64>::new_with_bounds(1, LONGEST, 3).ok();
+    let mut latency = Histogram::<u64>::new_with_bounds(1, MAX_LATENCY, 3).ok();
     let (mut asked, mut served) = (vec![0.0; bins], vec![0.0; bins]);
     let mut of_class = [(0.0, 0.0); CLASSES.len()];
     let (mut requests, mut answered) = (0.0, 0.0);
--- a/crates/emulator/src/world/work.rs
+++ b/crates/emulator/src/world/work.rs
@@ -253,7 +253,8 @@
     /// A probe costs a little work, which the requests that run there pay.
     pub fn probe(&mut self, now: Us, server: usize, done: &mut Vec<Done>) {
         self.advance(now, done);
-        let work = (site::PROBE_WORK.0 + site::PROBE_WORK.1) / 2.0;
+        let (least, most) = site::PROBE_WORK_US.into_inner();
+        let work = (least + most) / 2.0;
         self.change(server, |s| {
             s.running.iter_mut().take(1).for_each(|r| r.left += work)
         });
--- a/crates/gossip/src/core.rs
+++ b/crates/gossip/src/core.rs
@@ -16,7 +16,7 @@
 use crate::connectivity_tracker::ConnectivityTracker;
 pub use crate::effects::{CarriedFragment, Counts, Effects, EjectionUpdate, Listed};
 use crate::fragments::FragmentCarrier;
-pub use crate::fragments::{CARRIED, FragmentRefused, LONGEST_BODY};
+pub use crate::fragments::{CARRIED, FragmentRefused, MAX_BODY_BYTES};
 use crate::frame::Dropped;
 use crate::health_status::EjectionPolicy;
 use crate::member::Member;
--- a/crates/gossip/src/core/connectivity.rs
+++ b/crates/gossip/src/core/connectivity.rs
@@ -31,7 +31,7 @@
 /// Members that were missed so long before their zone was lost were cut off with it.
 const MISSED_WITH: Micros = 15 * SECOND;
 /// Longest text of a version, in bytes.
-pub(super) const LONGEST_VERSION: usize = 32;
+pub(super) const MAX_VERSION_BYTES: usize = 32;
 
 /// A member's view as it is written.
 #[derive(Serialize, Deserialize)]
@@ -54,7 +54,7 @@
 
     /// The version of the program, as others' membership table show it; to be said before it runs.
     pub fn set_version(&mut self, version: &str) {
-        let end = (0..=LONGEST_VERSION.min(version.len()))
+        let end = (0..=MAX_VERSION_BYTES.min(version.len()))
             .rev()
             .find(|n| version.is_char_boundary(*n));
         self.version = version[..end.unwrap_or(0)].to_owned();
@@ -69,7 +69,7 @@
     /// not heard.
     pub fn placed<'a>(&mut self, zones: impl Iterator<Item = (usize, &'a str)>) {
         self.placed = zones
-            .take(super::observations::MOST_ENDPOINTS)
+            .take(super::observations::MAX_ENDPOINTS)
             .map(|(e, zone)| (e, hash(zone)))
             .collect();
     }
@@ -327,7 +327,7 @@
         let Some((origin, zone)) = self.members.get(&from).map(|k| (k.origin, k.zone)) else {
             return;
         };
-        if view.origin != origin || view.version.len() > LONGEST_VERSION {
+        if view.origin != origin || view.version.len() > MAX_VERSION_BYTES {
             return self.drop_one(Dropped::Forged);
         }
         if !self.tracks_connectivity {
--- a/crates/gossip/src/core/membership.rs
+++ b/crates/gossip/src/core/membership.rs
@@ -2,7 +2,7 @@
 
 use super::{Core, FANOUT};
 use crate::effects::Note;
-use crate::frame::{self, Content, Dropped, Head, LONGEST};
+use crate::frame::{self, Content, Dropped, Head, MAX_DATAGRAM_BYTES};
 use crate::member::Member;
 use crate::section::FleetSection;
 use crate::{Micros, SECOND, hash};
@@ -18,7 +18,7 @@
 /// long find together.
 const SEEDS_AGAIN: Micros = 20 * SECOND;
 /// Room that a datagram's beginning takes at most: marks, the longest name of a fleet, a time.
-const MOST_HEAD: usize = 64;
+const MAX_HEADER_BYTES: usize = 64;
 
 /// A member that runs.
 pub(super) struct Known {
@@ -32,7 +32,7 @@
     let mut config =
         foca::Config::new_lan(NonZeroU32::new(section.members).unwrap_or(NonZeroU32::MIN));
     let usize_of = |n| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
-    config.max_packet_size = usize_of(LONGEST - MOST_HEAD);
+    config.max_packet_size = usize_of(MAX_DATAGRAM_BYTES - MAX_HEADER_BYTES);
     // Four probes: with three datagrams in ten lost, hardly anybody is taken for dead who is not.
     config.suspect_to_down_after = Duration::from_secs(4);
     config.probe_rtt = Duration::from_millis(400);
--- a/crates/gossip/src/core/observations.rs
+++ b/crates/gossip/src/core/observations.rs
@@ -14,7 +14,7 @@
 /// needs no more.
 const ENOUGH: usize = 4;
 /// Endpoints that are followed at most.
-pub(super) const MOST_ENDPOINTS: usize = 4096;
+pub(super) const MAX_ENDPOINTS: usize = 4096;
 
 /// What this member saw last of an endpoint process, and what it said of it last.
 pub(super) struct OwnObservation {
@@ -31,7 +31,7 @@
         self.listed.clear();
         self.processes.clear();
         self.ready = list.iter().filter(|l| l.ready).count();
-        for entry in list.into_iter().take(MOST_ENDPOINTS) {
+        for entry in list.into_iter().take(MAX_ENDPOINTS) {
             let name = hash(&entry.name);
             self.processes.insert(
                 entry.endpoint,
--- a/crates/gossip/src/fragments.rs
+++ b/crates/gossip/src/fragments.rs
@@ -13,9 +13,9 @@
 pub const CARRIED: RangeInclusive<u8> = 128..=191;
 /// Longest body of such a fragment that spreads, in bytes: two and observations fit into a
 /// datagram.
-pub const LONGEST_BODY: usize = 512;
+pub const MAX_BODY_BYTES: usize = 512;
 /// Longest body of one for a single member, in bytes: it has a datagram of 1,200 for itself.
-pub const LONGEST_DIRECT: usize = 1024;
+pub const MAX_DIRECT_BYTES: usize = 1024;
 /// From this age on a fragment is neither taken nor forwarded: by then whoever is reached has it
 /// (nine sends at ten a second), and from then on nobody need remember that it came.
 pub const BOUND: Micros = 5 * SECOND;
@@ -25,12 +25,12 @@
 const BURST: f64 = 40.0;
 /// Pieces that wait to be forwarded. The one that was forwarded most often makes room, of those the
 /// one longest here.
-const MOST: usize = 256;
+const MAX_WAITING: usize = 256;
 /// Numbers below an origin's highest that are told apart (an anti-replay window as in RFC 4303,
 /// section 3.4.3): more than a member gives in the bound, 140.
 const WINDOW: u64 = 256;
 /// Lives of members of which numbers are remembered: all of the largest fleet.
-const MOST_ORIGINS: usize = 10_240;
+const MAX_ORIGINS: usize = 10_240;
 
 /// A fragment as it is written, behind its kind.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -52,9 +52,9 @@
 /// Longest body of a fragment that spreads, or of one that does not, in bytes.
 pub fn longest(spreads: bool) -> usize {
     if spreads {
-        LONGEST_BODY
+        MAX_BODY_BYTES
     } else {
-        LONGEST_DIRECT
+        MAX_DIRECT_BYTES
     }
 }
 
@@ -208,7 +208,7 @@
     /// A fragment of another's came, within its bound.
     pub fn came(&mut self, now: Micros, envelope: &FragmentEnvelope<'_>) -> Receipt {
         let life = (envelope.origin, envelope.incarnation);
-        if !self.had.contains_key(&life) && self.had.len() >= MOST_ORIGINS {
+        if !self.had.contains_key(&life) && self.had.len() >= MAX_ORIGINS {
             return Receipt::Full;
         }
         let had = self.had.entry(life).or_default();
@@ -222,7 +222,7 @@
 
     /// Passes a fragment on; false where another made room for it.
     pub fn disseminate(&mut self, kind: u8, envelope: Vec<u8>, said: Micros, sends: u8) -> bool {
-        let room = self.waiting.len() < MOST;
+        let room = self.waiting.len() < MAX_WAITING;
         if !room {
             let most_sent = self
                 .waiting
--- a/crates/gossip/src/frame.rs
+++ b/crates/gossip/src/frame.rs
@@ -9,7 +9,7 @@
 
 /// Longest datagram, in bytes: it passes through any network of today whole (IPv6 guarantees 1,280
 /// with its headers, RFC 8200, section 5).
-pub const LONGEST: usize = 1200;
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
 /// The version that is written.
 pub const VERSION: u8 = 1;
 const MAGIC: &[u8; 3] = b"LPF";
@@ -56,7 +56,7 @@
 /// Why a datagram, or something in it, was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Dropped {
-    /// Longer than [`LONGEST`].
+    /// Longer than [`MAX_DATAGRAM_BYTES`].
     TooLong,
     /// Not of this form.
     Malformed,
@@ -116,7 +116,7 @@
 
 /// Writes a datagram's beginning.
 pub fn begin(head: &Head<'_>) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(LONGEST);
+    let mut bytes = Vec::with_capacity(MAX_DATAGRAM_BYTES);
     bytes.extend_from_slice(MAGIC);
     bytes.extend_from_slice(&[VERSION, VERSION]);
     // A vector takes all that is written to it.
@@ -128,7 +128,7 @@
     let Ok(part) = postcard::to_stdvec(part) else {
         return false;
     };
-    let fits = bytes.len() + part.len() <= LONGEST;
+    let fits = bytes.len() + part.len() <= MAX_DATAGRAM_BYTES;
     if fits {
         bytes.extend_from_slice(&part);
     }
@@ -140,7 +140,7 @@
 /// # Errors
 /// Why it is to be dropped.
 pub fn read<'a>(bytes: &'a [u8], cluster: &str) -> Result<(Head<'a>, &'a [u8]), Dropped> {
-    if bytes.len() > LONGEST {
+    if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(Dropped::TooLong);
     }
     let rest = bytes.strip_prefix(MAGIC).ok_or(Dropped::Malformed)?;
--- a/crates/gossip/src/frame/tests.rs
+++ b/crates/gossip/src/frame/tests.rs
@@ -27,13 +27,13 @@
     );
     assert_eq!(read(&bytes, "b").map(|_| ()), Err(Dropped::Cluster));
     assert_eq!(
-        read(&[0; LONGEST + 1], "a").map(|_| ()),
+        read(&[0; MAX_DATAGRAM_BYTES + 1], "a").map(|_| ()),
         Err(Dropped::TooLong)
     );
     assert_eq!(read(b"LPF", "a").map(|_| ()), Err(Dropped::Malformed));
     assert_eq!(read(b"", "a").map(|_| ()), Err(Dropped::Malformed));
     while add(&mut bytes, &part) {}
-    assert!(bytes.len() <= LONGEST && bytes.len() > LONGEST - 8);
+    assert!(bytes.len() <= MAX_DATAGRAM_BYTES && bytes.len() > MAX_DATAGRAM_BYTES - 8);
 }
 
 #[test]
--- a/crates/gossip/src/local_health.rs
+++ b/crates/gossip/src/local_health.rs
@@ -9,7 +9,7 @@
 /// A timer that is later than this is late: twice the pause of a busy tick.
 pub const LATE: Micros = SECOND / 5;
 /// Lateness that one timer adds at most: beyond, a long stop would be remembered for long.
-const MOST: f64 = 2.0;
+const MAX_LATENESS: f64 = 2.0;
 /// Seconds of lateness from which on it is unwell, and below which it is well again.
 const DEGRADED_FROM: f64 = 1.0;
 const WELL: f64 = 0.2;
@@ -35,7 +35,7 @@
         self.lateness = (self.lateness - gone * FORGOTTEN).max(0.0);
         let late = now - due;
         if late > LATE {
-            self.lateness += (late as f64 / SECOND as f64).min(MOST);
+            self.lateness += (late as f64 / SECOND as f64).min(MAX_LATENESS);
         }
         self.degraded = self.lateness >= if self.degraded { WELL } else { DEGRADED_FROM };
         late > LATE
--- a/crates/gossip/src/membership_table.rs
+++ b/crates/gossip/src/membership_table.rs
@@ -9,15 +9,16 @@
 /// How long one who left is remembered, as membership does.
 const FORGOTTEN: Micros = 600 * SECOND;
 /// Members that are remembered at most: the largest fleet, and some who left. A further one is not.
-const MOST: usize = 12_288;
+const MAX_MEMBERS: usize = 12_288;
 /// Failures of one member, each within [`CALM`] of the last, from which on it is quarantined.
 const FLAPS: u32 = 3;
 const CALM: Micros = 300 * SECOND;
-/// The first quarantine, doubled with each failure more, and the longest.
+/// The first quarantine; each further failure doubles it.
 const QUARANTINE: Micros = 10 * SECOND;
-const LONGEST: u32 = 5;
-/// Part of all members that may be in quarantine: where more flap, it is not theirs.
-const MOST_FLAPPING: usize = 4;
+/// How often the first quarantine is doubled at most.
+const MAX_DOUBLINGS: u32 = 5;
+/// At most one in so many members is in quarantine: where more flap, the fault is not theirs.
+const MEMBERS_PER_QUARANTINE: usize = 4;
 /// How long two processes of a name must be members before they count as two: longer than it takes
 /// to miss a dead one.
 const BOTH: Micros = 10 * SECOND;
@@ -69,7 +70,7 @@
     /// That one runs. True where it fails again and again and is quarantined from now on.
     pub fn up(&mut self, now: Micros, member: &Member, counts: bool) -> bool {
         let (origin, zone) = (hash(&member.name), hash(&member.zone));
-        let room = self.entries.len() < MOST;
+        let room = self.entries.len() < MAX_MEMBERS;
         let Some(entry) = self.entries.get_mut(&origin) else {
             if room {
                 let (since, flaps) = (now, (0, now));
@@ -128,7 +129,7 @@
     }
 
     fn flapped(&mut self, now: Micros, origin: u64) -> bool {
-        let most = self.entries.len() / MOST_FLAPPING;
+        let most = self.entries.len() / MEMBERS_PER_QUARANTINE;
         let held = self
             .entries
             .values()
@@ -143,7 +144,7 @@
         if flaps < FLAPS || held >= most {
             return false;
         }
-        entry.quarantined = Some(now + (QUARANTINE << (flaps - FLAPS).min(LONGEST)));
+        entry.quarantined = Some(now + (QUARANTINE << (flaps - FLAPS).min(MAX_DOUBLINGS)));
         true
     }
 
--- a/crates/gossip/src/observation_table.rs
+++ b/crates/gossip/src/observation_table.rs
@@ -15,7 +15,7 @@
 pub const KEPT: usize = 6;
 /// Endpoint processes and zones for which data are kept: those of a thousand endpoints in three
 /// zones, and room for their next processes.
-pub const MOST: usize = 4096;
+pub const MAX_OBSERVED: usize = 4096;
 
 /// What a merge changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,7 +43,7 @@
     /// Takes in a datum.
     pub fn merge(&mut self, observation: Observation) -> Merged {
         let place = (observation.process, observation.zone);
-        if !self.of.contains_key(&place) && self.of.len() >= MOST {
+        if !self.of.contains_key(&place) && self.of.len() >= MAX_OBSERVED {
             return Merged::Full;
         }
         let data = self.of.entry(place).or_default();
--- a/crates/gossip/src/observation_table/tests.rs
+++ b/crates/gossip/src/observation_table/tests.rs
@@ -147,9 +147,9 @@
         process: Process { name, started: 0 },
         health: ObservedHealth::Unhealthy,
     };
-    (0..MOST as u64)
+    (0..MAX_OBSERVED as u64)
         .for_each(|name| assert_eq!(table.merge(observation(name)), Merged::New { alike: 0 }));
-    assert_eq!(table.merge(observation(MOST as u64)), Merged::Full);
+    assert_eq!(table.merge(observation(MAX_OBSERVED as u64)), Merged::Full);
     assert_eq!(
         table.merge(Observation {
             seen: 2,
--- a/crates/gossip/src/section.rs
+++ b/crates/gossip/src/section.rs
@@ -144,9 +144,9 @@
 }
 
 /// Longest name of a cluster, in bytes.
-const LONGEST_NAME: usize = 32;
+const MAX_NAME_BYTES: usize = 32;
 /// Most members that a fleet is sized for.
-const MOST_MEMBERS: u32 = 10_000;
+const MAX_MEMBERS: u32 = 10_000;
 
 impl FleetSection {
     /// Finds what nothing could work with.
@@ -155,10 +155,10 @@
     /// The first such value.
     pub fn check(&self) -> Result<(), Contradiction> {
         let wrong = |key: &str, what: &str| Err(Contradiction::new(key, what));
-        if self.cluster.is_empty() || self.cluster.len() > LONGEST_NAME {
+        if self.cluster.is_empty() || self.cluster.len() > MAX_NAME_BYTES {
             return wrong("fleet.cluster", "1 to 32 bytes");
         }
-        if !(1..=MOST_MEMBERS).contains(&self.members) {
+        if !(1..=MAX_MEMBERS).contains(&self.members) {
             return wrong("fleet.members", "1 to 10000");
         }
         if self.advertise.is_none() && self.listen.ip().is_unspecified() {
--- a/crates/gossip/src/udp/driver.rs
+++ b/crates/gossip/src/udp/driver.rs
@@ -8,7 +8,7 @@
 use super::Fleet;
 use crate::Micros;
 use crate::core::TICK;
-use crate::frame::LONGEST;
+use crate::frame::MAX_DATAGRAM_BYTES;
 use std::future::pending;
 use std::io;
 use std::time::Duration;
@@ -23,7 +23,7 @@
 impl Fleet {
     /// Runs for good.
     pub async fn run(self) {
-        let mut bytes = [0; LONGEST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         let mut watched = None;
         loop {
             if self.read(&mut bytes, watched.as_ref()) {
--- a/crates/gossip/src/zone_contacts.rs
+++ b/crates/gossip/src/zone_contacts.rs
@@ -9,7 +9,7 @@
 
 /// Zones that are followed at most; a further one is not. Their pairs fit into a datagram with all
 /// else.
-pub const MOST_ZONES: usize = 16;
+pub const MAX_ZONES: usize = 16;
 
 /// Who heard whom.
 #[derive(Clone, Debug, Default)]
@@ -27,7 +27,7 @@
 impl ZoneContacts {
     fn follow(&mut self, zone: u64) -> bool {
         let known = self.zones.contains(&zone);
-        let room = self.zones.len() < MOST_ZONES;
+        let room = self.zones.len() < MAX_ZONES;
         if !known && room {
             self.zones.push(zone);
         }
--- a/crates/gossip/tests/fragments.rs
+++ b/crates/gossip/tests/fragments.rs
@@ -3,7 +3,7 @@
 mod lan;
 
 use lan::{EPOCH, Lan, address};
-use load_balancer_gossip::core::{CARRIED, FragmentRefused, LONGEST_BODY};
+use load_balancer_gossip::core::{CARRIED, FragmentRefused, MAX_BODY_BYTES};
 use load_balancer_gossip::fragments::FragmentEnvelope;
 use load_balancer_gossip::frame::{self, Content, Dropped, Head, MessagePart};
 use load_balancer_gossip::{SECOND, hash};
@@ -113,7 +113,9 @@
     lan.run(10 * SECOND);
     let kind = lan.with(0, |core, now| core.carry(now, KIND - 1, b"x"));
     assert_eq!(kind, Some(Err(FragmentRefused::Kind)));
-    let long = lan.with(0, |core, now| core.carry(now, KIND, &[0; LONGEST_BODY + 1]));
+    let long = lan.with(0, |core, now| {
+        core.carry(now, KIND, &[0; MAX_BODY_BYTES + 1])
+    });
     assert_eq!(long, Some(Err(FragmentRefused::TooLong)));
     let taken = |lan: &mut Lan| {
         (0..200)
--- a/crates/leases/src/event.rs
+++ b/crates/leases/src/event.rs
@@ -3,10 +3,11 @@
 use serde::{Deserialize, Serialize};
 
 /// Longest name of a task, a process or a zone, in bytes.
-pub const LONGEST_NAME: usize = 64;
-/// Shortest and longest lease, in milliseconds. Below the shortest, elections of those who agree
-/// would end leases; beyond the longest, a task would be left undone for an hour after a kill.
-pub const LEASE_MS: (u64, u64) = (100, 3_600_000);
+pub const MAX_NAME_BYTES: usize = 64;
+/// Shortest lease, in milliseconds: elections among those who agree would end a shorter one.
+pub const MIN_LEASE_MS: u64 = 100;
+/// Longest lease, in milliseconds: after a kill its task may stay undone for as long.
+pub const MAX_LEASE_MS: u64 = 3_600_000;
 
 /// Who wants a task.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -21,7 +21,7 @@
 mod model;
 mod task;
 
-pub use event::{Claimant, Event, LEASE_MS, LONGEST_NAME, Outcome, Refusal};
+pub use event::{Claimant, Event, MAX_LEASE_MS, MAX_NAME_BYTES, MIN_LEASE_MS, Outcome, Refusal};
 pub use fencing_gate::{FencingGate, Pass, Stale};
 pub use holder::{Holder, LeaseGrant, LeaseMessage, LeaseTerms};
 pub use holder_monitor::HolderMonitor;
--- a/crates/leases/src/machine.rs
+++ b/crates/leases/src/machine.rs
@@ -1,6 +1,6 @@
 //! The lease state machine: who gets a singleton task, and when a lease ends.
 
-use crate::event::{Claimant, Event, LEASE_MS, LONGEST_NAME, Outcome, Refusal};
+use crate::event::{Claimant, Event, MAX_LEASE_MS, MAX_NAME_BYTES, MIN_LEASE_MS, Outcome, Refusal};
 use crate::task::{HeldLease, Task, Waiting};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -245,24 +245,26 @@
 /// Whether names and lease are within bounds; else the key and why.
 fn check(task: &str, by: &Claimant) -> Result<(), (&'static str, String)> {
     let fits =
-        |name: &str| (1..=LONGEST_NAME).contains(&name.len()) && !name.contains(char::is_control);
+        |name: &str| (1..=MAX_NAME_BYTES).contains(&name.len()) && !name.contains(char::is_control);
     for (key, name) in [("duty", task), ("name", &by.name)] {
         if !fits(name) {
             return Err((
                 key,
-                format!("must have 1 to {LONGEST_NAME} bytes and no control characters"),
+                format!("must have 1 to {MAX_NAME_BYTES} bytes and no control characters"),
             ));
         }
     }
     if !by.zone.is_empty() && !fits(&by.zone) {
         return Err((
             "zone",
-            format!("must have at most {LONGEST_NAME} bytes and no control characters"),
+            format!("must have at most {MAX_NAME_BYTES} bytes and no control characters"),
         ));
     }
-    let (least, most) = LEASE_MS;
-    if !(least..=most).contains(&by.lease_ms) {
-        return Err(("lease_ms", format!("must be {least} to {most}")));
+    if !(MIN_LEASE_MS..=MAX_LEASE_MS).contains(&by.lease_ms) {
+        return Err((
+            "lease_ms",
+            format!("must be {MIN_LEASE_MS} to {MAX_LEASE_MS}"),
+        ));
     }
     Ok(())
 }
--- a/crates/maintenance/src/action_results.rs
+++ b/crates/maintenance/src/action_results.rs
@@ -6,7 +6,7 @@
 
 /// How far the tokens may be set forward at once by a token that was seen elsewhere: more is a wild
 /// answer, and must not use the numbers up.
-const MOST_SKIPPED: u64 = 1 << 32;
+const MAX_SKIPPED: u64 = 1 << 32;
 
 impl Machine {
     /// The window's and the seat's place.
@@ -124,7 +124,7 @@
     /// but a clear of before says nothing of what the other did, so a server that was to be taken
     /// is given back first.
     fn overtaken(&mut self, window: u64, index: usize, step: Step, seen: u64) -> Outcome {
-        if seen > self.token.saturating_add(MOST_SKIPPED) {
+        if seen > self.token.saturating_add(MAX_SKIPPED) {
             return Outcome::Ignored;
         }
         self.token = self.token.max(seen);
--- a/crates/maintenance/src/advance.rs
+++ b/crates/maintenance/src/advance.rs
@@ -7,7 +7,7 @@
 use crate::window::{ServerSlot, State, Window};
 
 /// Closed windows that are kept for people and for repeated requests; the oldest go first.
-const MOST_CLOSED: usize = 256;
+const MAX_CLOSED: usize = 256;
 
 impl Machine {
     /// Credits what is back, ends what is over, cancels what must not go on, plans anew what waits,
@@ -147,7 +147,7 @@
             .filter(|w| w.closed())
             .map(|w| w.id)
             .collect();
-        for id in closed.iter().take(closed.len().saturating_sub(MOST_CLOSED)) {
+        for id in closed.iter().take(closed.len().saturating_sub(MAX_CLOSED)) {
             self.windows.remove(id);
         }
     }
--- a/crates/maintenance/src/calendar.rs
+++ b/crates/maintenance/src/calendar.rs
@@ -98,8 +98,8 @@
         let mut spans = Vec::new();
         let mut count = 0i64;
         // Years from the first one to the last that anybody may ask for, by months.
-        const MOST_REPEATS: i64 = 12 * 200;
-        while count <= MOST_REPEATS {
+        const MAX_REPEATS: i64 = 12 * 200;
+        while count <= MAX_REPEATS {
             let delta = (count * self.every.months().unwrap_or(0)).months();
             let (Ok(from), Ok(until)) =
                 (self.from.checked_add(delta), self.until.checked_add(delta))
--- a/crates/maintenance/src/plan.rs
+++ b/crates/maintenance/src/plan.rs
@@ -13,9 +13,9 @@
 
 /// Placements that one plan may try in all its orders together; keeps a plan of a thousand
 /// fragments under a second.
-const MOST_PLACEMENTS: usize = 8_192;
+const MAX_PLACEMENTS: usize = 8_192;
 /// Most orders that one plan tries, which small plans reach.
-const MOST_ORDERS: usize = 32;
+const MAX_ORDERS: usize = 32;
 
 /// Times of the fragments, in the order of the fragments.
 pub(crate) type Times = Vec<Option<i64>>;
@@ -149,7 +149,7 @@
         placements: &[Placement],
         had: &Times,
     ) -> Times {
-        let count = (MOST_PLACEMENTS / placements.len().max(1)).clamp(1, MOST_ORDERS);
+        let count = (MAX_PLACEMENTS / placements.len().max(1)).clamp(1, MAX_ORDERS);
         let orders = (0..count).map(|number| self.order(budget, placements, number));
         let mut best: Option<(Rank, Times)> = None;
         for order in orders.chain(std::iter::once(self.kept_order(placements))) {
--- a/crates/maintenance/tests/solver.rs
+++ b/crates/maintenance/tests/solver.rs
@@ -11,7 +11,7 @@
 /// Instances that are compared.
 const INSTANCES: u64 = 200;
 /// Most servers of an instance, so that the solver looks at all orders.
-const MOST: usize = 8;
+const MAX_SERVERS: usize = 8;
 
 /// One server's work: what was asked for, and how long it really takes.
 struct Job {
@@ -44,7 +44,7 @@
         ..World::default()
     };
     let zones = ["a", "b", "c"];
-    let count = rng.usize(5..=MOST + 2);
+    let count = rng.usize(5..=MAX_SERVERS + 2);
     for index in 0..count {
         world.add(&format!("s{index}"), zones[index % 3], "g", rng.u32(1..5));
     }
@@ -80,7 +80,7 @@
     budget.patience_ms = 30 * 86_400_000;
     let mut servers = names.clone();
     rng.shuffle(&mut servers);
-    servers.truncate(MOST);
+    servers.truncate(MAX_SERVERS);
     let (mut requests, mut jobs) = (Vec::new(), Vec::new());
     while !servers.is_empty() {
         let part = servers.split_off(servers.len() - rng.usize(1..=servers.len().min(4)));
--- a/crates/record_store/src/lib.rs
+++ b/crates/record_store/src/lib.rs
@@ -15,5 +15,5 @@
 
 pub use file::{Opened, Quarantined, open, quarantine};
 pub use numbers::ReservedNumbers;
-pub use record::{Corruption, FORMAT, LONGEST_OWNER};
+pub use record::{Corruption, FORMAT, MAX_OWNER_BYTES};
 pub use store::{Change, OpenError, Store, StoreError};
--- a/crates/record_store/src/record.rs
+++ b/crates/record_store/src/record.rs
@@ -7,7 +7,7 @@
 /// newer ones are refused, as nobody knows what they mean.
 pub const FORMAT: u16 = 1;
 /// Longest name of an owner, in bytes: its length is one byte of the record.
-pub const LONGEST_OWNER: usize = 255;
+pub const MAX_OWNER_BYTES: usize = 255;
 /// First bytes of every record, so that other data is told from a record of ours.
 const MARK: [u8; 2] = *b"lp";
 /// Mark, format, length of the owner's name, checksum.
@@ -61,7 +61,7 @@
     sum.digest()
 }
 
-/// The record of `payload` at its place. The owner's name is at most [`LONGEST_OWNER`] bytes, which
+/// The record of `payload` at its place. The owner's name is at most [`MAX_OWNER_BYTES`] bytes, which
 /// [`crate::Store`] has seen to.
 pub(crate) fn seal(owner: &str, collection: &str, number: u64, payload: &[u8]) -> Vec<u8> {
     let owner = owner.as_bytes();
--- a/crates/record_store/src/store.rs
+++ b/crates/record_store/src/store.rs
@@ -1,6 +1,6 @@
 //! Tables of records over one redb database.
 
-use crate::record::{self, Corruption, LONGEST_OWNER};
+use crate::record::{self, Corruption, MAX_OWNER_BYTES};
 use redb::{
     Database, DatabaseError, ReadableDatabase, ReadableTable, StorageError, TableDefinition,
 };
@@ -95,7 +95,7 @@
     /// # Errors
     /// [`OpenError::Corruption`] where a page, a record or the owner's name is not as written;
     /// [`OpenError::StoreError`] where the backend fails or the owner's name is longer than
-    /// [`LONGEST_OWNER`] bytes.
+    /// [`MAX_OWNER_BYTES`] bytes.
     pub fn on(backend: impl redb::StorageBackend, owner: &str) -> Result<Self, OpenError> {
         Self::checked(builder().create_with_backend(backend)?, owner)
     }
@@ -106,8 +106,8 @@
     }
 
     fn checked(records: Database, owner: &str) -> Result<Self, OpenError> {
-        if owner.len() > LONGEST_OWNER {
-            let what = format!("the owner's name is longer than {LONGEST_OWNER} bytes");
+        if owner.len() > MAX_OWNER_BYTES {
+            let what = format!("the owner's name is longer than {MAX_OWNER_BYTES} bytes");
             return Err(OpenError::StoreError(StoreError(what)));
         }
         let store = Self {
--- a/crates/snapshot/src/section.rs
+++ b/crates/snapshot/src/section.rs
@@ -47,7 +47,7 @@
 }
 
 /// Shortest time between two looks: more often than a disk may take to sync.
-const LEAST_EVERY: Time = Time::ms(50);
+const MIN_INTERVAL: Time = Time::ms(50);
 
 impl SnapshotSection {
     /// Finds what nothing could work with.
@@ -63,7 +63,7 @@
         {
             return wrong("snapshot.dir", "a directory's name");
         }
-        if self.interval < LEAST_EVERY {
+        if self.interval < MIN_INTERVAL {
             return wrong("snapshot.interval", "at least 50ms");
         }
         if self.health_max_staleness.0 < self.interval.0 * 2 {
--- a/crates/snapshot/src/validation.rs
+++ b/crates/snapshot/src/validation.rs
@@ -7,10 +7,10 @@
 /// back, 5 s.
 pub const SKEW: Micros = 5_000_000;
 /// Most endpoints of a list: ten times what the platform has.
-const MOST_ENDPOINTS: usize = 10_000;
+const MAX_ENDPOINTS: usize = 10_000;
 /// Part of the listed endpoints whose circuits may have been open: where more were, it was likely
 /// this sidecar that was cut off, and all would be tried one by one after its return.
-const MOST_OPEN: f64 = 0.5;
+const MAX_OPEN: f64 = 0.5;
 
 /// The ages from which things are not believed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,7 +41,7 @@
     if let Some(list) = &known.list {
         let mut names: Vec<&str> = list.entries.iter().map(|e| e.name.as_str()).collect();
         names.sort_unstable();
-        if names.len() > MOST_ENDPOINTS || names.windows(2).any(|two| two[0] == two[1]) {
+        if names.len() > MAX_ENDPOINTS || names.windows(2).any(|two| two[0] == two[1]) {
             return Err(format!("its list of {} endpoints is none", names.len()));
         }
         if list
@@ -54,7 +54,7 @@
     }
     if let Some(processes) = &known.processes {
         if processes.all.len() > processes.listed as usize
-            || processes.listed as usize > MOST_ENDPOINTS
+            || processes.listed as usize > MAX_ENDPOINTS
         {
             let (known, listed) = (processes.all.len(), processes.listed);
             return Err(format!(
@@ -100,7 +100,7 @@
         .unwrap_or_default();
     all.retain(|p| now.saturating_sub(p.seen) < bounds.processes);
     let open = all.iter().filter(|p| p.open).count();
-    if open as f64 > MOST_OPEN * f64::from(listed) {
+    if open as f64 > MAX_OPEN * f64::from(listed) {
         left_out.push(format!("{open} of {listed} circuits were open"));
         all.retain(|p| !p.open);
     }
--- a/crates/snapshot/src/write_queue.rs
+++ b/crates/snapshot/src/write_queue.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 /// Lines that may wait to be said; further ones are dropped, as they say the same.
-const MOST_LINES: usize = 16;
+const MAX_LINES: usize = 16;
 
 /// What the writer has done.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -60,7 +60,7 @@
 
     pub(crate) fn log(&self, line: String) {
         let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
-        if lines.len() < MOST_LINES {
+        if lines.len() < MAX_LINES {
             lines.push(line);
         }
     }
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -61,7 +61,7 @@
 use std::collections::BTreeMap;
 use subset::EndpointSubset;
 use tenant_quotas::TenantQuotas;
-use time::{END_OF_TIME, LONGEST_TIME};
+use time::{END_OF_TIME, MAX_DURATION};
 use timers::Timers;
 use trial_budget::TrialBudget;
 use wait_queue::WaitQueue;
@@ -108,7 +108,7 @@
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let objective = settings.longest_objective();
-        let memory = MEMORY_IN_LONGEST_OBJECTIVES * objective.min(LONGEST_TIME);
+        let memory = MEMORY_IN_LONGEST_OBJECTIVES * objective.min(MAX_DURATION);
         Ok(Self {
             rng: fastrand::Rng::with_seed(seed),
             memory,
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -3,7 +3,7 @@
 use super::event_log::GiveUpReason;
 use super::load_shedder;
 use super::request::Request;
-use super::time::LONGEST_TIME;
+use super::time::MAX_DURATION;
 use super::timers::Wake;
 use crate::api::*;
 
@@ -46,7 +46,7 @@
             arrived: now,
             key: new.key,
             affinity_endpoints: new.affinity_endpoints,
-            deadline: new.deadline.clamp(now, now + LONGEST_TIME) - margin,
+            deadline: new.deadline.clamp(now, now + MAX_DURATION) - margin,
             work: expected_work,
             low_priority,
             ..Request::default()
--- a/src/balancer/endpoint_list.rs
+++ b/src/balancer/endpoint_list.rs
@@ -13,12 +13,12 @@
 /// Endpoint numbers are dense: one from here on is a fault of the caller's, and is ignored.
 const MAX_ENDPOINTS: EndpointId = 1 << 20;
 /// Longest wait in microseconds before a broken push is asked for anew.
-const LONGEST_WAIT_WHERE_PUSHED: f64 = 200_000.0;
+const MAX_WAIT_WHERE_PUSHED: f64 = 200_000.0;
 /// The same where lists are polled: with it two calls may be lost before a change counts as
 /// notified.
-const LONGEST_WAIT_WHERE_POLLED: f64 = 400_000.0;
+const MAX_WAIT_WHERE_POLLED: f64 = 400_000.0;
 /// The longest wait as a part of the polling interval.
-const LONGEST_WAIT_PART_OF_INTERVAL: f64 = 1.0 / 2.0;
+const MAX_WAIT_PART_OF_INTERVAL: f64 = 1.0 / 2.0;
 /// The wait before the first doubling, as a part of the longest one.
 const FIRST_WAIT_PART: f64 = 1.0 / 16.0;
 /// How often the wait doubles at most.
@@ -43,9 +43,9 @@
         self.failures += 1;
         let interval = settings.rules.poll_interval as f64;
         let longest = match settings.discovery {
-            Discovery::Pushed => LONGEST_WAIT_WHERE_PUSHED,
-            Discovery::OnRequest => (interval * LONGEST_WAIT_PART_OF_INTERVAL)
-                .clamp(LONGEST_WAIT_WHERE_PUSHED, LONGEST_WAIT_WHERE_POLLED),
+            Discovery::Pushed => MAX_WAIT_WHERE_PUSHED,
+            Discovery::OnRequest => (interval * MAX_WAIT_PART_OF_INTERVAL)
+                .clamp(MAX_WAIT_WHERE_PUSHED, MAX_WAIT_WHERE_POLLED),
         };
         let doubled = f64::from(1u32 << self.failures.min(MAX_DOUBLINGS));
         let grown = (longest * FIRST_WAIT_PART * doubled).min(longest);
--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -4,7 +4,7 @@
 use super::concurrency::Concurrency;
 use super::decayed_sum::part_left;
 use super::endpoint::InFlight;
-use super::time::LONGEST_TIME;
+use super::time::MAX_DURATION;
 use crate::api::*;
 
 impl Balancer {
@@ -29,7 +29,7 @@
     }
 
     fn learn_latency(&mut self, now: Timestamp, end: &AttemptEnd, attempt: &InFlight) {
-        let took = end.took.clamp(1, LONGEST_TIME) as f64;
+        let took = end.took.clamp(1, MAX_DURATION) as f64;
         match end.outcome {
             Outcome::Ok => self.learn_from_answer(now, end.endpoint, attempt, took),
             Outcome::TimedOut => {
--- a/src/balancer/timers.rs
+++ b/src/balancer/timers.rs
@@ -1,6 +1,6 @@
 //! All wake-ups of an instance behind a single timer of the caller's.
 
-use super::time::LONGEST_TIME;
+use super::time::MAX_DURATION;
 use crate::api::*;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -41,7 +41,7 @@
         if self.armed.is_none_or(|armed| when < armed) {
             self.armed = Some(when);
             out.push(Action::SetTimer {
-                after: (when - now).clamp(0, LONGEST_TIME),
+                after: (when - now).clamp(0, MAX_DURATION),
                 token: when.unsigned_abs(),
             });
         }
--- a/src/balancer/work_estimate.rs
+++ b/src/balancer/work_estimate.rs
@@ -1,6 +1,6 @@
 //! How much work requests are, in microseconds on a standard server without load.
 
-use super::time::LONGEST_TIME;
+use super::time::MAX_DURATION;
 use crate::api::*;
 
 /// Work of a class before any is seen, as a part of its latency objective.
@@ -42,7 +42,7 @@
 
     /// Work of a request by its own hint, or as is usual in its class.
     pub fn of_request(&self, class: ClassId, hint: Option<Micros>) -> f64 {
-        let bounded = |work: Micros| work.clamp(1, LONGEST_TIME) as f64;
+        let bounded = |work: Micros| work.clamp(1, MAX_DURATION) as f64;
         hint.map_or(self.classes[class], bounded)
     }
 
--- a/src/bin/sidecar/affinity_list.rs
+++ b/src/bin/sidecar/affinity_list.rs
@@ -6,7 +6,7 @@
 use std::collections::{HashMap, HashSet, VecDeque};
 
 /// Processes that are remembered to have been listed: more than words on them may be under way.
-const MOST_GONE: usize = 1024;
+const MAX_GONE: usize = 1024;
 
 /// The listed processes.
 #[derive(Default)]
@@ -45,7 +45,7 @@
         self.gone.extend(before);
         self.gone
             .retain(|process| !self.names.contains_key(process));
-        self.gone.drain(..self.gone.len().saturating_sub(MOST_GONE));
+        self.gone.drain(..self.gone.len().saturating_sub(MAX_GONE));
         let closed = |process: &&Process| !self.endpoints.contains_key(*process);
         self.names
             .keys()
--- a/src/bin/sidecar/affinity_pages.rs
+++ b/src/bin/sidecar/affinity_pages.rs
@@ -11,9 +11,9 @@
 use serde::{Deserialize, Serialize};
 
 /// Affinity entries in one dump: all of the default table.
-const MOST_DUMPED: usize = 16_384;
+const MAX_DUMPED: usize = 16_384;
 /// Longest name of a server, in bytes.
-const LONGEST_NAME: usize = 256;
+const MAX_NAME_BYTES: usize = 256;
 
 /// What is posted: a process of a server, and the token by which it leaves.
 #[derive(Deserialize)]
@@ -105,8 +105,8 @@
 
 fn read(body: &[u8]) -> Result<(Process, u64), (&'static str, String)> {
     let posted: Posted = serde_json::from_slice(body).map_err(|e| ("body", e.to_string()))?;
-    if posted.server.is_empty() || posted.server.len() > LONGEST_NAME {
-        return Err(("server", format!("1 to {LONGEST_NAME} bytes")));
+    if posted.server.is_empty() || posted.server.len() > MAX_NAME_BYTES {
+        return Err(("server", format!("1 to {MAX_NAME_BYTES} bytes")));
     }
     if posted.started_ms < 0 {
         return Err(("started_ms", "0 or above".to_owned()));
@@ -194,7 +194,7 @@
     Dump {
         slot,
         hears: summary.in_contact,
-        bindings: host.dump(MOST_DUMPED).into_iter().map(entry).collect(),
+        bindings: host.dump(MAX_DUMPED).into_iter().map(entry).collect(),
         picks: host.picks().into_iter().map(picks).collect(),
     }
 }
--- a/src/bin/sidecar/config.rs
+++ b/src/bin/sidecar/config.rs
@@ -70,7 +70,7 @@
 }
 
 /// Fewest descriptors with which requests can be served at all.
-const FEWEST_SOCKETS: usize = 32;
+const MIN_SOCKETS: usize = 32;
 
 impl Config {
     /// Reads the configuration.
@@ -110,8 +110,8 @@
         }
         let decoded = settings::decode(file.settings.get())?;
         decoded.settings.check()?;
-        if file.limits.sockets < FEWEST_SOCKETS {
-            return Err(ContentError::TooFewSockets(FEWEST_SOCKETS));
+        if file.limits.sockets < MIN_SOCKETS {
+            return Err(ContentError::TooFewSockets(MIN_SOCKETS));
         }
         Ok(Self {
             #[cfg(feature = "product")]
--- a/src/bin/sidecar/connection.rs
+++ b/src/bin/sidecar/connection.rs
@@ -25,7 +25,7 @@
 use tokio::net::TcpStream;
 
 /// Longest head of an answer.
-const LONGEST_HEAD: usize = 64 << 10;
+const MAX_HEAD_BYTES: usize = 64 << 10;
 
 /// A socket that tells a meter what is written, and that can be looked at while a connection holds
 /// it.
@@ -104,7 +104,7 @@
             meter: Rc::clone(&meter),
         };
         let handshake = http1::Builder::new()
-            .max_buf_size(LONGEST_HEAD)
+            .max_buf_size(MAX_HEAD_BYTES)
             .handshake(TokioIo::new(metered));
         let (sender, driver) = handshake.await.map_err(io::Error::other)?;
         Ok(Self {
--- a/src/bin/sidecar/discovery/call.rs
+++ b/src/bin/sidecar/discovery/call.rs
@@ -10,7 +10,7 @@
 use tokio::time::timeout;
 
 /// Longest list taken.
-const LONGEST: usize = 4 << 20;
+const MAX_LIST_BYTES: usize = 4 << 20;
 
 /// Why a call brought no list.
 pub(super) enum Failure {
@@ -68,7 +68,7 @@
         .await?;
     let (head, body) = response.into_parts();
     let body = connection
-        .drive(Limited::new(body, LONGEST).collect())
+        .drive(Limited::new(body, MAX_LIST_BYTES).collect())
         .await;
     let body = body.ok_or("connection lost")?.map_err(said)?.to_bytes();
     if head.status != StatusCode::OK {
--- a/src/bin/sidecar/main.rs
+++ b/src/bin/sidecar/main.rs
@@ -77,11 +77,11 @@
 /// How long new connections are accepted after SIGTERM: clients go on opening them for up to 400
 /// ms.
 const ACCEPT_AFTER_TERM: Duration = Duration::from_millis(500);
-/// SIGKILL comes no sooner than the longest deadline, held to `LONGEST_GRACE`, and 700 ms more
+/// SIGKILL comes no sooner than the longest deadline, held to `MAX_GRACE_PERIOD`, and 700 ms more
 /// after SIGTERM: what is unanswered this long after the deadline is failed, so that the answer is
 /// out before that.
 const ANSWER_AFTER_TERM: Duration = Duration::from_millis(500);
-const LONGEST_GRACE: Duration = Duration::from_secs(3);
+const MAX_GRACE_PERIOD: Duration = Duration::from_secs(3);
 /// Time for the last answers to leave.
 const LAST_WRITES: Duration = Duration::from_millis(80);
 
@@ -170,7 +170,7 @@
     if let Some(state) = &state {
         state.stop(&inputs);
     }
-    let ending = end(stop, accepting, longest.min(LONGEST_GRACE));
+    let ending = end(stop, accepting, longest.min(MAX_GRACE_PERIOD));
     tokio::pin!(ending);
     // What is still held goes by the list, so discovery is followed to the end.
     loop {
--- a/src/bin/sidecar/messages.rs
+++ b/src/bin/sidecar/messages.rs
@@ -10,7 +10,7 @@
 use tokio::sync::{OwnedSemaphorePermit, mpsc, oneshot};
 
 /// Longest body, of requests and of answers.
-pub const LONGEST_BODY: usize = 64 << 10;
+pub const MAX_BODY_BYTES: usize = 64 << 10;
 /// What its client calls a request.
 pub const CORRELATION_ID: HeaderName = HeaderName::from_static("x-correlation-id");
 /// How long the sender of a request will wait.
--- a/src/bin/sidecar/peers.rs
+++ b/src/bin/sidecar/peers.rs
@@ -12,9 +12,9 @@
 /// Pause after a failed receive.
 const PAUSE: Duration = Duration::from_millis(10);
 /// Datagrams that may wait to be looked at; further ones are dropped, as the network may drop any.
-const MOST_WAITING: usize = 64;
+const MAX_WAITING: usize = 64;
 /// Longest datagram.
-const LONGEST: usize = 256;
+const MAX_DATAGRAM_BYTES: usize = 256;
 
 /// The socket to the other sidecars of the tier.
 #[derive(Clone)]
@@ -47,14 +47,14 @@
             Some(number) => self.addresses.get(number as usize).copied(),
             None => self.all,
         };
-        if let Some(to) = to.filter(|_| bytes.len() <= LONGEST) {
+        if let Some(to) = to.filter(|_| bytes.len() <= MAX_DATAGRAM_BYTES) {
             let _ = self.socket.try_send_to(bytes, to);
         }
     }
 
     /// The next datagram from a known peer, with the peer's number. Others are dropped.
     async fn receive(&self) -> (u32, Vec<u8>) {
-        let mut bytes = [0; LONGEST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let Ok((length, from)) = self.socket.recv_from(&mut bytes).await else {
                 // An earlier send that was refused shows here; the socket itself stays good.
@@ -62,14 +62,14 @@
                 continue;
             };
             let number = self.addresses.iter().position(|a| *a == from);
-            if let Some(number) = number.filter(|_| length <= LONGEST) {
+            if let Some(number) = number.filter(|_| length <= MAX_DATAGRAM_BYTES) {
                 return (number as u32, bytes[..length].to_vec());
             }
         }
     }
     /// Passes on what is received. Runs for good.
     pub async fn pass_on(self, inputs: Inputs) {
-        let room = Arc::new(Semaphore::new(MOST_WAITING));
+        let room = Arc::new(Semaphore::new(MAX_WAITING));
         loop {
             let (from, bytes) = self.receive().await;
             if let Ok(permit) = Arc::clone(&room).try_acquire_owned() {
--- a/src/bin/sidecar/product.rs
+++ b/src/bin/sidecar/product.rs
@@ -42,7 +42,7 @@
 }
 
 /// Longest name of a member and of a zone on the wire, in bytes.
-const LONGEST_NAME: usize = 32;
+const MAX_NAME_BYTES: usize = 32;
 
 /// The product parts of this process.
 pub struct Product {
@@ -119,7 +119,7 @@
         if !section.enabled {
             return Ok(None);
         }
-        if config.name.is_empty() || config.name.len() > LONGEST_NAME {
+        if config.name.is_empty() || config.name.len() > MAX_NAME_BYTES {
             let what = "fleet.enabled needs a name of 1 to 32 bytes: LB_NAME, or name in the platform's file";
             return Err(ExitError::new(what, Exit::Config));
         }
@@ -128,7 +128,7 @@
             .settings
             .zone
             .map_or("", |zone| config.decoded.zones.name(zone));
-        let zone = zone.get(..LONGEST_NAME).unwrap_or(zone);
+        let zone = zone.get(..MAX_NAME_BYTES).unwrap_or(zone);
         match Fleet::join(
             section,
             &config.name,
--- a/src/bin/sidecar/request_headers.rs
+++ b/src/bin/sidecar/request_headers.rs
@@ -8,7 +8,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// No client waits longer than this, whatever it says.
-const LONGEST_WAIT: Micros = 3_600_000_000;
+const MAX_WAIT: Micros = 3_600_000_000;
 
 const SERVICE_CLASS: HeaderName = HeaderName::from_static("x-service-class");
 const ACCOUNT: HeaderName = HeaderName::from_static("x-account");
@@ -101,7 +101,7 @@
         .filter(|n| n.bytes().all(digits))?
         .parse()
         .ok()?;
-    Some(((number * unit).min(LONGEST_WAIT as f64)) as Micros)
+    Some(((number * unit).min(MAX_WAIT as f64)) as Micros)
 }
 
 /// What the request is about: the cookie `obj`, a hexadecimal number or any other text.
--- a/src/bin/sidecar/request_headers/tests.rs
+++ b/src/bin/sidecar/request_headers/tests.rs
@@ -14,7 +14,7 @@
     for (text, us) in read {
         assert_eq!(time_left(text).unwrap_or(-1), us, "{text}");
     }
-    assert_eq!(time_left(&("9".repeat(400) + "m")), Some(LONGEST_WAIT));
+    assert_eq!(time_left(&("9".repeat(400) + "m")), Some(MAX_WAIT));
     for bad in [
         "", "m", "480", "480s", "-1m", "+1m", " 1m", "1 m", "infm", "NaNu", "1.2.3m", ".",
     ] {
--- a/src/bin/sidecar/serving.rs
+++ b/src/bin/sidecar/serving.rs
@@ -3,7 +3,7 @@
 use crate::client::Client;
 use crate::engine_handle::EngineHandle;
 use crate::headers::{end_to_end, origin_form};
-use crate::messages::{Answer, LONGEST_BODY, Outgoing, Served};
+use crate::messages::{Answer, MAX_BODY_BYTES, Outgoing, Served};
 use crate::request_headers::{RequestClasses, RequestHeaders};
 use crate::shutdown::ShutdownStage;
 use bytes::Bytes;
@@ -102,12 +102,12 @@
     };
     let due = arrived.saturating_add(facts.time_left);
     let whole_by = handle.instant(due).min(Instant::now() + BODY_TIME);
-    if body.size_hint().lower() > LONGEST_BODY as u64 {
+    if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Ok(closing(StatusCode::PAYLOAD_TOO_LARGE));
     }
     let whole = tokio::select! {
         biased;
-        whole = timeout_at(whole_by, Limited::new(body, LONGEST_BODY).collect()) => whole,
+        whole = timeout_at(whole_by, Limited::new(body, MAX_BODY_BYTES).collect()) => whole,
         _ = stop.wait_for(|s| *s == ShutdownStage::Now) => return Ok(closing(StatusCode::SERVICE_UNAVAILABLE)),
     };
     let body = match whole {
--- a/src/bin/sidecar/session.rs
+++ b/src/bin/sidecar/session.rs
@@ -20,7 +20,7 @@
 use tokio::time::{sleep, timeout};
 
 /// Longest head of a request.
-const LONGEST_HEAD: usize = 32 << 10;
+const MAX_HEAD_BYTES: usize = 32 << 10;
 /// A connection that stays without a whole head this long is closed, and sooner once told to stop.
 /// Anyone may connect and say little or nothing, and is owed an error or a close within 3 s;
 /// clients keep theirs for 2 s.
@@ -30,7 +30,7 @@
 const LAST_LOOK: Duration = Duration::from_millis(2);
 /// How often it is given that time again, as more keeps coming. A request that is being answered
 /// holds up what came behind it, so this has to end.
-const MOST_LOOKS: usize = 3;
+const MAX_LOOKS: usize = 3;
 
 /// What every connection is served with.
 #[derive(Clone)]
@@ -84,7 +84,7 @@
         builder
             .timer(TokioTimer::new())
             .header_read_timeout(idle)
-            .max_buf_size(LONGEST_HEAD);
+            .max_buf_size(MAX_HEAD_BYTES);
         let mut connection = pin!(builder.serve_connection(TokioIo::new(inlet), service));
         tokio::select! {
             biased;
@@ -96,7 +96,7 @@
         }
         // A request that has come in but was not seen yet is still read: closing on it would cost
         // its client a second one.
-        for _ in 0..MOST_LOOKS {
+        for _ in 0..MAX_LOOKS {
             if timeout(LAST_LOOK, connection.as_mut()).await.is_ok() {
                 return;
             }
--- a/src/bin/sidecar/snapshot.rs
+++ b/src/bin/sidecar/snapshot.rs
@@ -22,7 +22,7 @@
 use tokio::time::sleep;
 
 /// Longest name of a sidecar here, in bytes: with its cluster's it is the owner of what is kept.
-const LONGEST_NAME: usize = 200;
+const MAX_NAME_BYTES: usize = 200;
 /// How often pace is kept anew while no circuit opens or closes: a twelfth of the time for which it
 /// is believed.
 const LATENCY_STORE_INTERVAL: Micros = 5_000_000;
@@ -58,7 +58,7 @@
         let Some(dir) = section.dir.clone() else {
             return Ok(None);
         };
-        if config.name.is_empty() || config.name.len() > LONGEST_NAME {
+        if config.name.is_empty() || config.name.len() > MAX_NAME_BYTES {
             let what = "snapshot.dir needs a name of 1 to 200 bytes: LB_NAME, or name in the platform's file";
             return Err(ExitError::new(what, Exit::Config));
         }
--- a/src/bin/sidecar/upstream.rs
+++ b/src/bin/sidecar/upstream.rs
@@ -3,7 +3,7 @@
 use crate::attempt::{Destination, Reply, Times, To, barred};
 use crate::connection::WriteProgress;
 use crate::load_report::read_load;
-use crate::messages::{AttemptId, Ended, Input, Inputs, LONGEST_BODY, Outgoing, Served};
+use crate::messages::{AttemptId, Ended, Input, Inputs, MAX_BODY_BYTES, Outgoing, Served};
 use crate::pool::{DialError, Pool};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
@@ -132,7 +132,7 @@
             };
             let (head, body) = response.into_parts();
             let body = connection
-                .drive(Limited::new(body, LONGEST_BODY).collect())
+                .drive(Limited::new(body, MAX_BODY_BYTES).collect())
                 .await;
             let whole = body.as_ref().is_some_and(|b| b.is_ok());
             let load = head
--- a/src/bin/sidecar/watch_schedule.rs
+++ b/src/bin/sidecar/watch_schedule.rs
@@ -18,7 +18,7 @@
 const SLOW: Duration = WATCH.saturating_add(Duration::from_millis(250));
 /// Least wait, as a part of that: sidecars whose watches were answered at once must not all ask
 /// again at once.
-const LEAST_WAIT: f64 = 0.75;
+const MIN_WAIT: f64 = 0.75;
 
 /// A call for the list.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -60,7 +60,7 @@
                 within: SLOW,
             };
         }
-        let wait = WATCH.mul_f64(LEAST_WAIT + (1.0 - LEAST_WAIT) * chance);
+        let wait = WATCH.mul_f64(MIN_WAIT + (1.0 - MIN_WAIT) * chance);
         Call {
             wait,
             within: wait + PATIENCE,
--- a/tests/sidecar/extremes.rs
+++ b/tests/sidecar/extremes.rs
@@ -6,7 +6,7 @@
 
 const ENDLESS: &str = "9223372036854775807";
 /// The longest window that settings may name, in microseconds.
-const LONGEST: &str = "1125899906842623";
+const MAX_WINDOW: &str = "1125899906842623";
 
 fn altered(name: &str, from: &str, to: &str) -> impl Fn(String) -> String {
     let [from, to] = [from, to].map(|value| format!("\"{name}\":{value}"));
@@ -19,7 +19,7 @@
 // What is over before the next tick is over at once: a repeat would run a second time.
 #[test]
 fn a_window_for_repeats_that_is_shorter_than_a_tick_allows_none() {
-    for (window, copies) in [("0", 1), ("1", 1), ("5000", 1), (LONGEST, 3)] {
+    for (window, copies) in [("0", 1), ("1", 1), ("5000", 1), (MAX_WINDOW, 3)] {
         let discovery = Discovery::start();
         let endpoint = Endpoint::start(|_| Reply::Close);
         let alter = altered("KeyTtlUs", "5000000", window);
