--- a/crates/coordinator/tests/process/cluster.rs
+++ b/crates/coordinator/tests/process/cluster.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpSocket;
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_coordinator");
-/// A machine under load takes its time; a health status never rests on how long.
+/// A machine under load takes its time; no assertion depends on how long.
 const PATIENCE: Duration = Duration::from_secs(60);
 
 pub struct Cluster {
--- a/crates/emulator/tests/coordinators.rs
+++ b/crates/emulator/tests/coordinators.rs
@@ -1,6 +1,6 @@
 //! A short run with real coordinators: the leader is killed while a server drains, stopped while
 //! one is away, and all are killed while one returns. Judged by the auditors and by counts alone,
-//! so that the health status is the same on a slow machine.
+//! so that the result is the same on a slow machine.
 
 use load_balancer_common::config;
 use load_balancer_emulator::draw::draw;
--- a/crates/emulator/tests/processes.rs
+++ b/crates/emulator/tests/processes.rs
@@ -1,5 +1,5 @@
 //! A short run with real sidecars, one of which is killed and one zone of which is cut off: judged
-//! by the auditors alone, so that the health status is the same on a slow machine.
+//! by the auditors alone, so that the result is the same on a slow machine.
 
 use load_balancer_common::units::Time;
 use load_balancer_emulator::draw::{Plan, draw};
--- a/crates/snapshot/tests/faults.rs
+++ b/crates/snapshot/tests/faults.rs
@@ -114,7 +114,7 @@
     )
 }
 
-/// Waits until the writer has come so far; a bound on a broken test, no health status.
+/// Waits until the writer has come so far; a bound on a broken test, not a measured result.
 fn until(writer: &Writer, holds: impl Fn(Counts) -> bool) -> Counts {
     for _ in 0..2000 {
         if holds(writer.counts()) {
--- a/tests/product/snapshot.rs
+++ b/tests/product/snapshot.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::Ordering;
 
 /// A configuration with a state directory and a page of figures. A start waits for as long as a
-/// machine under load may need: what is found is the health status, not how soon.
+/// machine under load may need: the test asserts what is found, not how soon.
 fn keeping(dir: &Path, page: std::net::SocketAddr) -> File {
     File::new(&metrics(
         page,
