--- a/crates/affinity/src/entry/tests.rs
+++ b/crates/affinity/src/entry/tests.rs
@@ -12,15 +12,15 @@
 }
 
 prop_compose! {
-    fn any_word()(name in 0..4u64, epoch in 0..2u64, ends in 0..6i64, held: bool) -> (Process, AffinityEntry) {
+    fn any_entry()(name in 0..4u64, epoch in 0..2u64, ends in 0..6i64, held: bool) -> (Process, AffinityEntry) {
         (Process { name, started: 0 }, AffinityEntry { epoch, ends, held })
     }
 }
 
 proptest! {
     #[test]
-    fn the_same_words_make_the_same_places_in_any_order_and_however_often(
-        entries in prop::collection::vec(any_word(), 0..12), again in 0..12usize, turn in 0..12usize,
+    fn the_same_entries_make_the_same_places_in_any_order_and_however_often(
+        entries in prop::collection::vec(any_entry(), 0..12), again in 0..12usize, turn in 0..12usize,
     ) {
         let mut others = entries.clone();
         others.extend(entries.iter().take(again));
--- a/crates/affinity/src/message/tests.rs
+++ b/crates/affinity/src/message/tests.rs
@@ -5,7 +5,7 @@
 
 proptest! {
     #[test]
-    fn words_come_out_as_they_went_in_and_pieces_are_bounded(
+    fn messages_come_out_as_they_went_in_and_fragments_are_bounded(
         entries in prop::collection::vec((any::<u64>(), any::<u64>(), 0..4u64, 0..5000i64, any::<bool>()), 0..200),
     ) {
         let entry = |(key, n, epoch, last, held): &(u64, u64, u64, i64, bool)| {
--- a/crates/coordinator/tests/process/main.rs
+++ b/crates/coordinator/tests/process/main.rs
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn a_steward_whose_disk_fails_stands_back_and_says_so() {
+fn a_coordinator_whose_disk_fails_halts_and_says_so() {
     let mut cluster = Cluster::start(3);
     let follower = (0..3)
         .find(|n| *n != cluster.leader())
--- a/crates/coordinator/tests/replicated_log/message_filter.rs
+++ b/crates/coordinator/tests/replicated_log/message_filter.rs
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn no_bent_message_ends_a_steward() {
+fn no_corrupt_message_ends_a_coordinator() {
     let (mut tried, mut let_in) = (0, 0);
     for seed in 0..6 {
         let mut random = fastrand::Rng::with_seed(seed);
--- a/crates/emulator/src/audit.rs
+++ b/crates/emulator/src/audit.rs
@@ -120,7 +120,7 @@
 
 fn processes(record: &[Entry], findings: &mut Vec<Finding>) {
     for (at, seen) in record {
-        if let Seen::StewardBroken { what } = seen {
+        if let Seen::CoordinatorFaultFailed { what } = seen {
             findings.push(Finding {
                 rule: Rule::Process,
                 at: *at,
--- a/crates/emulator/src/audit/ageing.rs
+++ b/crates/emulator/src/audit/ageing.rs
@@ -12,8 +12,8 @@
 /// As configured unless something else is said: the length of a slot, lives in slots, how far
 /// clocks may be off, and how long a word needs.
 const SLOT: Us = 500_000;
-const LIFE_NEW: i64 = 24;
-const INCARNATION_AGAIN: i64 = 72;
+const FIRST_LIFETIME_SLOTS: i64 = 24;
+const RENEWED_LIFETIME_SLOTS: i64 = 72;
 const SKEW: Us = 500_000;
 const SPREAD: Us = 3_000_000;
 /// What an answer is under way, a dump takes, and members' looks are apart.
@@ -127,13 +127,13 @@
                 held.place
             ));
         }
-        let incarnation = if held.again {
-            INCARNATION_AGAIN
+        let lifetime = if held.again {
+            RENEWED_LIFETIME_SLOTS
         } else {
-            LIFE_NEW
+            FIRST_LIFETIME_SLOTS
         };
         // The beginning of the slot of its last use, on the clock of the run.
-        let last = (held.ends - incarnation) * SLOT as i64 - (began_ms * 1000) as i64;
+        let last = (held.ends - lifetime) * SLOT as i64 - (began_ms * 1000) as i64;
         let truly = used
             .get(&(held.place.key, held.place.server))
             .and_then(|times| times.last());
--- a/crates/emulator/src/audit/ageing/tests.rs
+++ b/crates/emulator/src/audit/ageing/tests.rs
@@ -49,7 +49,7 @@
             let held = |key| Held {
                 place: place(key),
                 epoch: 0,
-                ends: FIRST + INCARNATION_AGAIN,
+                ends: FIRST + RENEWED_LIFETIME_SLOTS,
                 again: true,
             };
             let slot = FIRST + second * 2;
--- a/crates/emulator/src/audit/clear/tests.rs
+++ b/crates/emulator/src/audit/clear/tests.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_pick_by_a_binding_to_a_process_that_was_clear_is_found() {
+fn a_pick_by_an_affinity_entry_to_a_process_that_was_clear_is_found() {
     let dump = |at, last| {
         let picks = vec![(4, 0, last)];
         (
--- a/crates/emulator/src/coordinators/faults.rs
+++ b/crates/emulator/src/coordinators/faults.rs
@@ -58,7 +58,7 @@
         if let Err(e) = coordinator.fill_disk(full) {
             let what = format!("the emulator cannot fill coordinator {number}'s disk: {e}");
             self.record
-                .note(self.clock.now(), Seen::StewardBroken { what });
+                .note(self.clock.now(), Seen::CoordinatorFaultFailed { what });
         }
     }
 
@@ -95,7 +95,7 @@
                         let what =
                             format!("the emulator cannot change coordinator {number}'s files: {e}");
                         self.record
-                            .note(self.clock.now(), Seen::StewardBroken { what });
+                            .note(self.clock.now(), Seen::CoordinatorFaultFailed { what });
                     }
                 }
             }
@@ -113,7 +113,7 @@
             } else if let Err(e) = coordinator.run() {
                 let what = format!("coordinator {number} cannot be started: {e}");
                 self.record
-                    .note(self.clock.now(), Seen::StewardBroken { what });
+                    .note(self.clock.now(), Seen::CoordinatorFaultFailed { what });
             }
         }
     }
--- a/crates/emulator/src/observer/tests.rs
+++ b/crates/emulator/src/observer/tests.rs
@@ -4,7 +4,7 @@
 use serde_json::json;
 
 #[test]
-fn a_standing_is_read_by_itself_or_with_its_particulars() {
+fn a_connectivity_state_is_read_by_itself_or_with_its_particulars() {
     assert_eq!(
         standing(&json!({"standing": "whole"})),
         Some(ConnectivityReport::Whole)
--- a/crates/emulator/src/outcome.rs
+++ b/crates/emulator/src/outcome.rs
@@ -66,7 +66,8 @@
     /// Acts that the platform refused as their token was too low.
     TokensRefused,
     /// Faults of coordinators that happened.
-    StewardFaults,
+    #[serde(alias = "steward_faults")]
+    CoordinatorFaults,
     /// Time until the last sidecar found that there was a cut, in seconds; the longest of all cuts.
     CutFoundS,
     /// Part of the sidecars that did not find a cut before it was over, over all cuts.
@@ -121,7 +122,7 @@
         Self::CapacityBreaches,
         Self::LeastCapacity,
         Self::TokensRefused,
-        Self::StewardFaults,
+        Self::CoordinatorFaults,
         Self::CutFoundS,
         Self::CutMissed,
         Self::CutEndsS,
--- a/crates/emulator/src/pairs/histories.rs
+++ b/crates/emulator/src/pairs/histories.rs
@@ -66,7 +66,7 @@
 /// does not.
 const ROOM: f64 = 0.3;
 /// See [`ROOM`].
-const CROWD: f64 = 2.0;
+const OVERLOAD_SLOWDOWN: f64 = 2.0;
 
 /// Draws the experiment of that history.
 pub fn experiment(history: u64) -> Experiment {
@@ -86,7 +86,7 @@
     (l.rate, l.uneven, l.wander) = (10.0 + rng.f64() * 10.0, rng.f64(), rng.f64() / 2.0);
     l.keys = rng.usize(20..500);
     l.work = match kind {
-        Kind::Crowded => CROWD * (1.0 + rng.f64()),
+        Kind::Crowded => OVERLOAD_SLOWDOWN * (1.0 + rng.f64()),
         _ => ROOM * (1.0 + rng.f64()),
     };
     match kind {
--- a/crates/emulator/src/record.rs
+++ b/crates/emulator/src/record.rs
@@ -170,7 +170,7 @@
         count: usize,
     },
     /// A coordinator, or the emulator with it, did not do what it must.
-    StewardBroken {
+    CoordinatorFaultFailed {
         /// What.
         what: String,
     },
--- a/crates/emulator/src/relay.rs
+++ b/crates/emulator/src/relay.rs
@@ -48,7 +48,7 @@
 
 /// Pieces under way in one direction, and the bytes of one at most.
 const UNDER_WAY: usize = 64;
-const PIECE: usize = 16 << 10;
+const CHUNK_BYTES: usize = 16 << 10;
 
 /// Passes on what `from` says, late, until either side ends. What comes in while the way is cut is
 /// lost, and the connection with it once the way is open again.
@@ -62,7 +62,7 @@
     let read = async move {
         let mut last = Instant::now();
         loop {
-            let mut piece = vec![0; PIECE];
+            let mut piece = vec![0; CHUNK_BYTES];
             let length = from.read(&mut piece).await.unwrap_or(0);
             if !link.net.passes(link.from, link.to) {
                 // Nothing is said on either side until it is back.
--- a/crates/emulator/src/sim/tests.rs
+++ b/crates/emulator/src/sim/tests.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn no_rule_is_broken_in_any_trouble_and_calm_serves_nearly_all() {
+fn no_rule_is_broken_under_any_fault_and_without_faults_nearly_all_is_served() {
     use FaultKind::*;
     let kinds = [
         None,
--- a/crates/emulator/src/tally/maintenance.rs
+++ b/crates/emulator/src/tally/maintenance.rs
@@ -62,6 +62,6 @@
         (Measure::CapacityBreaches, breaches.len() as f64),
         (Measure::LeastCapacity, least),
         (Measure::TokensRefused, refused),
-        (Measure::StewardFaults, faults),
+        (Measure::CoordinatorFaults, faults),
     ]
 }
--- a/crates/emulator/tests/coordinators.rs
+++ b/crates/emulator/tests/coordinators.rs
@@ -121,5 +121,5 @@
     assert_eq!(measured(Measure::Maintained), Some(1.0));
     assert_eq!(measured(Measure::CapacityBreaches), Some(0.0));
     // Each has happened.
-    assert_eq!(measured(Measure::StewardFaults), Some(3.0));
+    assert_eq!(measured(Measure::CoordinatorFaults), Some(3.0));
 }
--- a/crates/emulator/tests/pairs.rs
+++ b/crates/emulator/tests/pairs.rs
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_steward_of_today_goes_on_with_an_earlier_ones_log_and_messages() {
+fn a_coordinator_of_today_goes_on_with_an_earlier_ones_log_and_messages() {
     let (folder, text) = (tempfile::tempdir().expect("a folder"), text("steward.txt"));
     let file = folder.path().join("coordinator-2.redb");
     let bytes = coordinators::whole(&self::text("steward-store.txt")).expect("it holds a file");
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn members_and_stewards_of_one_version_go_through_the_play_of_two() {
+fn members_and_coordinators_of_one_version_pass_the_run_of_two_versions() {
     let came = lan::play(&[None; lan::MEMBERS], 1).expect("they play");
     assert_eq!(lan::judge(&came, |_| false), [""; 0]);
     // A datagram that cannot be read is found.
--- a/crates/emulator/tests/processes.rs
+++ b/crates/emulator/tests/processes.rs
@@ -221,7 +221,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_sidecar_that_does_not_start_ends_the_play_with_its_last_words() {
+async fn a_sidecar_that_does_not_start_ends_the_run_with_its_last_output() {
     let experiment = Experiment {
         name: "short".to_owned(),
         ..Experiment::default()
--- a/crates/gossip/src/frame/tests.rs
+++ b/crates/gossip/src/frame/tests.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn reasons_stand_in_the_order_of_their_numbers_and_have_words_of_their_own() {
+fn reasons_stand_in_the_order_of_their_numbers_and_have_names_of_their_own() {
     assert!(
         REASONS
             .iter()
--- a/crates/gossip/src/health_status/tests.rs
+++ b/crates/gossip/src/health_status/tests.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn enough_witnesses_one_of_them_of_the_own_zone_make_it_rest() {
+fn enough_reporters_one_of_them_of_the_own_zone_eject_it() {
     let now = SECOND;
     assert!(!status(&[(1, unhealthy(1, 2))], now, 1, false).unhealthy);
     let three = status(&[(1, unhealthy(1, 3))], now, 1, false);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn it_goes_on_to_rest_while_the_newest_trial_failed_and_until_that_is_past_its_bound() {
+fn it_stays_ejected_while_the_newest_trial_failed_and_until_that_is_too_stale() {
     let last = [(
         1,
         vec![observation(1, 1, 20 * SECOND, ObservedHealth::Unhealthy)],
--- a/crates/gossip/src/local_health/tests.rs
+++ b/crates/gossip/src/local_health/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn one_stop_or_many_short_ones_make_it_unwell_for_a_while() {
+fn one_stop_or_many_short_ones_make_it_degraded_for_a_while() {
     let mut health = LocalHealth::default();
     let mut now = 0;
     let mut run = |health: &mut LocalHealth, ticks: i64, late: Micros| {
--- a/crates/gossip/tests/connectivity.rs
+++ b/crates/gossip/tests/connectivity.rs
@@ -166,7 +166,7 @@
 /// A member that nothing reaches is alone, and no other one is moved by that; back again, it is
 /// whole.
 #[test]
-fn one_that_hears_nobody_is_alone_and_the_others_stay_whole() {
+fn one_that_hears_nobody_is_isolated_and_the_others_stay_connected() {
     let mut lan = Lan::settled(18, 6);
     lan.isolated = vec![7];
     lan.run(3 * PERIOD);
@@ -190,7 +190,7 @@
 
 /// Who was stopped suspects itself first: it is unwell for a while, and takes nobody for lost.
 #[test]
-fn one_that_was_stopped_is_unwell_and_nothing_else() {
+fn one_that_was_stopped_is_degraded_and_nothing_else() {
     let mut lan = Lan::settled(18, 7);
     for member in [0, 1, 2] {
         lan.stopped[member] = lan.now + 6 * SECOND;
@@ -259,7 +259,7 @@
 /// Where a third of the fleet has no connectivity state, or is of a version without it, the others
 /// find theirs all the same.
 #[test]
-fn members_without_standing_are_heard_and_answer() {
+fn members_without_connectivity_are_heard_and_answer() {
     let mut lan = Lan::settled(60, 9);
     lan.connectivity = false;
     (0..60)
--- a/crates/gossip/tests/ejections.rs
+++ b/crates/gossip/tests/ejections.rs
@@ -64,7 +64,7 @@
 
 /// Past its bound a datum counts as never heard.
 #[test]
-fn without_news_every_verdict_lapses() {
+fn without_news_every_ejection_expires() {
     let mut lan = Lan::new(9, 1);
     lan.run(10 * SECOND);
     lan.sees([0, 1, 2], 4, ObservedHealth::Unhealthy);
@@ -81,7 +81,7 @@
 /// One member, whatever it says and however often, in its own name or in another's, makes nothing
 /// rest.
 #[test]
-fn a_liar_makes_nothing_rest() {
+fn a_false_reporter_ejects_nothing() {
     let mut lan = Lan::new(12, 3);
     lan.run(10 * SECOND);
     for round in 0..40 {
@@ -156,7 +156,7 @@
 
 /// Who comes from nothing knows what the others know as soon as it is a member.
 #[test]
-fn a_restarted_member_is_told_who_rests() {
+fn a_restarted_member_is_told_what_is_ejected() {
     for seed in 20..25 {
         let mut lan = Lan::new(12, seed);
         lan.run(10 * SECOND);
@@ -201,7 +201,7 @@
 
 /// Only a part of the endpoints rests by other members' observations, however many are found sick.
 #[test]
-fn no_more_than_the_configured_part_rests() {
+fn no_more_than_the_configured_part_is_ejected() {
     let mut lan = Lan::new(18, 9);
     lan.run(10 * SECOND);
     for endpoint in 0..ENDPOINTS {
--- a/crates/gossip/tests/fragments.rs
+++ b/crates/gossip/tests/fragments.rs
@@ -12,7 +12,7 @@
 
 /// What one gives, each gets once, whatever is lost, repeated or late; the giver gets nothing.
 #[test]
-fn each_piece_comes_out_once_at_every_other_member() {
+fn each_fragment_comes_out_once_at_every_other_member() {
     let (mut missed, mut given) = (0, 0);
     for seed in 1..5 {
         let mut lan = Lan::new(18, seed);
--- a/crates/gossip/tests/membership.rs
+++ b/crates/gossip/tests/membership.rs
@@ -177,7 +177,7 @@
 
 /// With ejections off nothing is said and nothing rests.
 #[test]
-fn with_verdicts_off_membership_is_all() {
+fn with_ejection_off_only_membership_runs() {
     let mut lan = Lan::new(6, 12);
     for member in 0..6 {
         let mut section = section(member, 6);
--- a/crates/gossip/tests/membership_table.rs
+++ b/crates/gossip/tests/membership_table.rs
@@ -12,7 +12,7 @@
 
 /// How members left is known, and two processes of one name are found, by each that knows both.
 #[test]
-fn the_roster_knows_how_one_left_and_finds_two_of_a_name() {
+fn the_membership_table_knows_how_one_left_and_finds_two_of_a_name() {
     let mut lan = Lan::settled(18, 11);
     lan.with(4, |core, now| {
         core.set_version("1.2.3");
--- a/crates/leases/src/model/explore.rs
+++ b/crates/leases/src/model/explore.rs
@@ -33,18 +33,18 @@
 }
 
 #[test]
-fn no_order_of_words_breaks_a_rule_from_nothing() {
+fn no_order_of_messages_breaks_a_rule_from_nothing() {
     holds(Scope::ALL, DEPTH, 1_000);
 }
 
 #[test]
-fn no_order_of_words_breaks_a_rule_while_the_duty_is_held() {
+fn no_order_of_messages_breaks_a_rule_while_the_lease_is_held() {
     holds(Scope::HELD, DEPTH, 1_000);
 }
 
 #[test]
 #[ignore = "minutes and gigabytes: the depth that docs/leases.md states"]
-fn no_order_of_words_breaks_a_rule_deeper() {
+fn no_order_of_messages_breaks_a_rule_deeper() {
     let depth = std::env::var("MODEL_DEPTH")
         .ok()
         .and_then(|text| text.parse().ok())
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_lease_counted_from_its_answer_outlives_the_duty() {
+fn a_lease_counted_from_its_answer_outlives_the_grant() {
     breaks(
         PlantedFault {
             from_answer: true,
--- a/crates/maintenance/src/model/explore.rs
+++ b/crates/maintenance/src/model/explore.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn no_order_of_words_breaks_a_rule() {
+fn no_order_of_messages_breaks_a_rule() {
     let (broken, states) = explore(PlantedFault::default(), true, DEPTH);
     println!("{states} states");
     assert!(broken.is_empty(), "{broken:?}");
@@ -40,7 +40,7 @@
 
 #[test]
 #[ignore = "minutes and gigabytes: the depth that docs/maintenance.md states"]
-fn no_order_of_words_breaks_a_rule_deeper() {
+fn no_order_of_messages_breaks_a_rule_deeper() {
     let depth = std::env::var("MODEL_DEPTH")
         .ok()
         .and_then(|text| text.parse().ok())
--- a/crates/maintenance/tests/histories.rs
+++ b/crates/maintenance/tests/histories.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn no_history_breaches_the_agreement() {
+fn no_history_breaches_the_disruption_budget() {
     let sum = histories(0..400);
     // The histories must reach what they are about.
     assert!(
--- a/crates/maintenance/tests/rules.rs
+++ b/crates/maintenance/tests/rules.rs
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn nothing_is_granted_without_fresh_evidence() {
+fn nothing_is_granted_without_fresh_observations() {
     let mut stage = Stage::new(budget(2, &[], 2));
     stage.world.now += 5_000;
     let outcome = stage.ask("one", &["s0"], |_| ());
--- a/crates/maintenance/tests/size.rs
+++ b/crates/maintenance/tests/size.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn fifty_windows_at_once_take_turns_between_zones() {
+fn fifty_windows_at_once_alternate_between_zones() {
     let (world, mut machine) = fleet(200);
     ask_fifty(200, &world, &mut machine);
     let open: Vec<String> = machine
--- a/src/bin/sidecar/closing.rs
+++ b/src/bin/sidecar/closing.rs
@@ -19,7 +19,7 @@
 /// no flood.
 const LINGER_BYTES: usize = 1 << 20;
 /// Bytes read at a time.
-const PIECE: usize = 8 << 10;
+const CHUNK_BYTES: usize = 8 << 10;
 
 /// Closes the sending side and throws away what still comes, up to bounds of bytes and time and
 /// until `cut`, which says that the descriptor is wanted. The caller drops the socket.
@@ -39,7 +39,7 @@
 /// Reads until the client has closed its side or there is no more room.
 async fn read_on(stream: &TcpStream, room: &mut usize) {
     while *room > 0 && stream.readable().await.is_ok() {
-        let mut piece = [0; PIECE];
+        let mut piece = [0; CHUNK_BYTES];
         match stream.try_read(&mut piece) {
             Ok(0) => return,
             Ok(length) => *room = room.saturating_sub(length),
@@ -51,7 +51,7 @@
 
 /// Reads what the system holds just now.
 fn sweep(stream: &TcpStream, mut room: usize) {
-    let mut piece = [0; PIECE];
+    let mut piece = [0; CHUNK_BYTES];
     while room > 0 {
         match io::Read::read(&mut &*SockRef::from(stream), &mut piece) {
             Ok(length) if length > 0 => room = room.saturating_sub(length),
--- a/src/bin/sidecar/observer/tests.rs
+++ b/src/bin/sidecar/observer/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn every_outcome_has_a_word_of_its_own() {
+fn every_outcome_has_a_label_of_its_own() {
     use Outcome::*;
     let all = [
         Ok,
--- a/tests/affinity_entries.rs
+++ b/tests/affinity_entries.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_binding_is_a_preference_within_the_turns_and_overrides_nothing() {
+fn an_affinity_entry_is_a_preference_within_the_slack_and_overrides_nothing() {
     let mut rig = Rig::new(settings(), 4, 1);
     rig.balancer.share(SharedKnowledge {
         peer_health: true,
--- a/tests/failures/circuits.rs
+++ b/tests/failures/circuits.rs
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn sick_endpoints_do_not_lead_on_to_the_whole_fleet() {
+fn sick_endpoints_do_not_open_the_whole_fleet() {
     let mut rig = Rig::new(
         Settings {
             instances: 1000,
--- a/tests/failures/pace.rs
+++ b/tests/failures/latency.rs
@@ -6,7 +6,7 @@
 // A stalled answer is one error in the breaker's eyes. It says nothing of the pace of the answers
 // that come.
 #[test]
-fn one_answer_that_never_comes_costs_an_endpoint_no_turns() {
+fn one_answer_that_never_comes_costs_an_endpoint_no_requests() {
     let mut rig = Rig::new(settings(), 3, 1);
     let part = |rig: &mut Rig| used(rig, 60).iter().filter(|e| **e == 2).count();
     let before = part(&mut rig);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_slow_endpoint_without_errors_loses_its_turns() {
+fn a_slow_endpoint_without_errors_loses_its_requests() {
     let mut rig = Rig::new(settings(), 4, 1);
     used(&mut rig, 80);
     let (mut slow, mut all) = (0, 0);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn slower_endpoints_have_fewer_turns_even_with_no_crowd() {
+fn slower_endpoints_have_fewer_requests_even_without_overload() {
     let mut rig = Rig::new(settings(), 4, 1);
     let mut slow = 0;
     for _ in 0..200 {
@@ -164,7 +164,7 @@
 // A limited group is overdriven within a second by many sidecars, each of which sees an endpoint
 // once in seconds.
 #[test]
-fn a_group_that_slows_down_together_soon_gets_fewer_turns() {
+fn a_group_that_slows_down_together_soon_gets_fewer_requests() {
     let in_slow = |endpoint: EndpointId| endpoint / 8 == 1;
     let mut to_slow = 0;
     for seed in 0..20 {
@@ -197,7 +197,7 @@
 // Choked servers at a third of their pace need rest, and a third of their turns keeps them just as
 // busy.
 #[test]
-fn a_group_at_a_third_of_the_pace_gets_less_than_a_third_of_its_turns() {
+fn a_group_three_times_as_slow_gets_less_than_a_third_of_its_requests() {
     let in_slow = |endpoint: EndpointId| endpoint / 8 == 1;
     let mut to_slow = 0;
     for seed in 0..20 {
--- a/tests/failures/shedding.rs
+++ b/tests/failures/load_shedding.rs
@@ -107,7 +107,7 @@
 
 // Each takes what it is sent until its time is out, while all others answer as ever.
 #[test]
-fn attempts_stuck_at_silent_servers_are_no_crowd() {
+fn attempts_stuck_at_silent_servers_are_no_overload() {
     assert_eq!(refused_of(200, &[]), 0);
     let refusals = refused_of(200, &[1, 3, 5, 7, 9, 11]);
     assert!(
--- a/tests/failures/main.rs
+++ b/tests/failures/main.rs
@@ -4,14 +4,14 @@
 mod common;
 
 mod circuits;
-mod cold;
-mod cold_fleet;
-mod crowd;
 mod ends;
+mod latency;
 mod lines;
 mod lists;
-mod pace;
-mod shedding;
+mod load_shedding;
+mod overload;
+mod slow_start;
+mod slow_start_fleet;
 
 use common::*;
 use load_balancer::*;
--- a/tests/failures/crowd.rs
+++ b/tests/failures/overload.rs
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn tiny_requests_do_not_make_the_fleet_look_crowded() {
+fn tiny_requests_do_not_make_the_fleet_look_overloaded() {
     let mut rig = Rig::new(settings(), 2, 1);
     for n in 0..400 {
         (0..6).for_each(|i| {
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_lasting_new_pace_passes_for_the_usual_one_in_the_end() {
+fn a_lasting_new_latency_becomes_the_unloaded_one_in_the_end() {
     // A fleet that has become eight times slower for good, still well inside the latency objective,
     // is not refused for good.
     let mut rig = Rig::new(
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn a_fleet_slower_than_hints_say_from_the_first_answer_is_no_crowd() {
+fn a_fleet_slower_than_hints_say_from_the_first_answer_is_no_overload() {
     let mut rig = Rig::new(settings(), 4, 1);
     for _ in 0..150 {
         (0..3).for_each(|_| drop(rig.request_for(SAFE, 3000 * MS, None, Some(60 * MS))));
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_jam_does_not_pass_for_the_usual_pace() {
+fn an_overload_does_not_become_the_unloaded_latency() {
     let mut rig = Rig::new(settings(), 4, 1);
     used(&mut rig, 300);
     for _ in 0..60 {
--- a/tests/gossip/affinity.rs
+++ b/tests/gossip/affinity.rs
@@ -42,7 +42,7 @@
 /// An endpoint is never more than the stated turns ahead of its weight, and a key keeps to few
 /// endpoints.
 #[test]
-fn keys_keep_to_their_endpoints_within_the_stated_turns() {
+fn keys_keep_to_their_endpoints_within_the_stated_slack() {
     let ahead = 2.0;
     let mut rig = Rig::new(settings(), 5, 3);
     rig.balancer.share(sharing(false, ahead));
--- a/tests/gossip/ejection.rs
+++ b/tests/gossip/ejection.rs
@@ -6,7 +6,7 @@
 use load_balancer::*;
 
 #[test]
-fn an_endpoint_that_rests_gets_nothing_until_its_word_is_past_its_bound_or_taken_back() {
+fn an_ejected_endpoint_gets_nothing_until_the_ejection_expires_or_is_taken_back() {
     let mut rig = Rig::new(settings(), 4, 1);
     rig.balancer.share(sharing(true, 0.0));
     let until = rig.now + 60 * SECOND;
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn no_word_gives_work_to_what_drains_or_makes_an_unlisted_one_known() {
+fn no_ejection_gives_work_to_what_drains_or_makes_an_unlisted_one_known() {
     let mut rig = Rig::new(settings(), 3, 1);
     rig.balancer.share(sharing(true, 0.0));
     let draining = Listing {
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn what_waits_at_a_resting_endpoint_for_long_is_called_back_only_where_it_may_run_again() {
+fn what_waits_at_an_ejected_endpoint_for_long_is_cancelled_only_where_it_may_run_again() {
     for (class, called) in [(SAFE, true), (UNSAFE, false)] {
         let mut rig = Rig::new(settings(), 2, 1);
         rig.balancer.share(sharing(true, 0.0));
--- a/tests/gossip/staleness.rs
+++ b/tests/gossip/staleness.rs
@@ -42,7 +42,7 @@
 /// Past its bound a word counts as never said: decisions equal a lone instance's over random
 /// histories.
 #[test]
-fn words_past_their_bound_change_no_decision_at_all() {
+fn observations_past_their_bound_change_no_decision_at_all() {
     for seed in 0..60 {
         let lone = history(seed, SharedKnowledge::default(), |rig, _| {
             drop(rig.event(Event::Ejections(Vec::new())))
--- a/tests/ordinary/main.rs
+++ b/tests/ordinary/main.rs
@@ -5,5 +5,5 @@
 
 mod guards;
 mod retries;
+mod round_robin;
 mod settings;
-mod turns;
--- a/tests/ordinary/turns.rs
+++ b/tests/ordinary/round_robin.rs
@@ -4,7 +4,7 @@
 use load_balancer::*;
 
 #[test]
-fn turns_go_round_all_endpoints() {
+fn round_robin_reaches_all_endpoints() {
     let mut rig = Rig::new(settings(), 4, 1);
     let mut counts = [0; 4];
     for _ in 0..40 {
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn turns_follow_listed_sizes() {
+fn round_robin_follows_listed_sizes() {
     let mut rig = Rig::new(settings(), 2, 1);
     rig.event(Event::Endpoints(ListUpdate::Delta(vec![Listing {
         size: 3.0,
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn instances_start_their_turns_apart() {
+fn instances_start_their_rounds_apart() {
     let first = |seed| sent(&Rig::new(settings(), 8, seed).request(SAFE).1)[0];
     let firsts: std::collections::BTreeSet<_> = (0..20).map(first).collect();
     assert!(firsts.len() > 2, "{firsts:?}");
--- a/tests/product/logs.rs
+++ b/tests/product/logs.rs
@@ -5,7 +5,7 @@
 use std::io::Read;
 
 #[test]
-fn without_a_product_configuration_the_words_on_call_are_as_ever() {
+fn without_a_product_configuration_the_on_call_log_lines_are_as_ever() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| served());
     let file = File::new("");
--- a/tests/sidecar/list_forms.rs
+++ b/tests/sidecar/list_forms.rs
@@ -34,7 +34,7 @@
 
 // Each form of a whole answer that HTTP and JSON allow.
 #[test]
-fn a_list_in_pieces_indented_and_with_unknown_fields_is_read() {
+fn a_list_in_fragments_indented_and_with_unknown_fields_is_read() {
     let agent = Agent::start();
     let (old, new) = old_and_new();
     let sidecar = agent.sidecar("pushed", &[("s-old", &old)]);
--- a/tests/sidecar/watches.rs
+++ b/tests/sidecar/watches.rs
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn watches_that_end_or_are_reset_in_place_of_telling_miss_no_change() {
+fn watches_that_end_or_are_reset_in_place_of_an_answer_miss_no_change() {
     for reset in [false, true] {
         let agent = Agent::start();
         let (old, new) = old_and_new();
