--- a/crates/common/src/units.rs
+++ b/crates/common/src/units.rs
@@ -12,6 +12,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Size(pub u64);
 
+/// Why a text is not a time.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{text:?} is not a time such as \"250ms\" or \"2s\": {reason}")]
+pub struct InvalidTime {
+    text: String,
+    reason: String,
+}
+
+/// Why a text is not a size.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{text:?} is not a size such as \"64KiB\" or \"200B\": {reason}")]
+pub struct InvalidSize {
+    text: String,
+    reason: String,
+}
+
 impl Time {
     /// So many milliseconds.
     pub const fn ms(ms: u64) -> Self {
@@ -20,33 +36,37 @@
 }
 
 impl std::str::FromStr for Time {
-    type Err = String;
+    type Err = InvalidTime;
 
-    fn from_str(text: &str) -> Result<Self, String> {
-        let wrong =
-            |why: String| format!("{text:?} is not a time such as \"250ms\" or \"2s\": {why}");
+    fn from_str(text: &str) -> Result<Self, InvalidTime> {
+        let invalid = |reason: String| InvalidTime {
+            text: text.to_owned(),
+            reason,
+        };
         // The crate takes a bare 0; nothing here is without a unit.
         if text.trim().bytes().all(|b| b.is_ascii_digit()) {
-            return Err(wrong("no unit".to_owned()));
+            return Err(invalid("no unit".to_owned()));
         }
         humantime::parse_duration(text)
             .map(Self)
-            .map_err(|e| wrong(e.to_string()))
+            .map_err(|error| invalid(error.to_string()))
     }
 }
 
 impl std::str::FromStr for Size {
-    type Err = String;
+    type Err = InvalidSize;
 
-    fn from_str(text: &str) -> Result<Self, String> {
-        let wrong =
-            |why: &str| format!("{text:?} is not a size such as \"64KiB\" or \"200B\": {why}");
+    fn from_str(text: &str) -> Result<Self, InvalidSize> {
+        let invalid = |reason: String| InvalidSize {
+            text: text.to_owned(),
+            reason,
+        };
         if !text.trim_end().ends_with(['b', 'B']) {
-            return Err(wrong("no unit"));
+            return Err(invalid("no unit".to_owned()));
         }
         text.parse::<bytesize::ByteSize>()
             .map(|size| Self(size.as_u64()))
-            .map_err(|e| wrong(&e))
+            .map_err(invalid)
     }
 }
 
--- a/crates/coordinator/src/actions.rs
+++ b/crates/coordinator/src/actions.rs
@@ -115,7 +115,7 @@
                 None => "it refuses without saying which token it has seen".to_owned(),
             },
             Ok((status, _)) => format!("it answers {status}"),
-            Err(what) => what,
+            Err(error) => error.to_string(),
         };
         tracing::warn!(target: "coordinator", "{path} of {} failed at the platform: {what}", act.server);
         None
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -17,6 +17,7 @@
 mod poller;
 mod run;
 mod serve;
+mod server_list;
 
 use clap::{Parser, Subcommand};
 use load_balancer_common::cli::{self, Exit};
--- a/crates/coordinator/src/pages.rs
+++ b/crates/coordinator/src/pages.rs
@@ -213,7 +213,7 @@
                     content: None,
                 }
             }
-            Err(what) => Answer::wrong(StatusCode::BAD_REQUEST, None, what),
+            Err(error) => Answer::wrong(StatusCode::BAD_REQUEST, None, error.to_string()),
         }
     }
 
--- a/crates/coordinator/src/peers.rs
+++ b/crates/coordinator/src/peers.rs
@@ -1,10 +1,10 @@
 //! Sends messages between coordinators over HTTP/1.1: a bounded queue for each, best effort.
 
-use crate::fetch::Line;
+use crate::fetch::{FetchError, Line};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
-use load_balancer_coordinator::replicated_log::{Message, decode, encode};
+use load_balancer_coordinator::replicated_log::{DecodeError, Message, decode, encode};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -135,13 +135,36 @@
     (Bytes::from(content), count)
 }
 
+/// Why messages were not brought to another coordinator.
+#[derive(Debug, thiserror::Error)]
+enum SendError {
+    #[error(transparent)]
+    Fetch(#[from] FetchError),
+    #[error("it answers {0}")]
+    Status(u16),
+}
+
+/// Why the content of a request holds no messages.
+#[derive(Debug, thiserror::Error)]
+pub enum MessagesError {
+    /// It ends within a message's length.
+    #[error("a length is cut off")]
+    Length,
+    /// It ends within a message.
+    #[error("a message is cut off")]
+    Content,
+    /// A message has no form that the consensus engine knows.
+    #[error(transparent)]
+    Message(#[from] DecodeError),
+}
+
 async fn bring(
     line: &mut Option<Line>,
     at: SocketAddr,
     own: &str,
     content: &Bytes,
     within: Duration,
-) -> Result<(), String> {
+) -> Result<(), SendError> {
     let brought = async {
         let mut open = match line.take() {
             Some(open) => open,
@@ -153,33 +176,33 @@
             .header("host", at.to_string())
             .header(FROM, own)
             .body(Full::new(content.clone()))
-            .map_err(|e| e.to_string())?;
+            .map_err(FetchError::from)?;
         match open.ask(request).await? {
             (204, _) => {
                 *line = Some(open);
                 Ok(())
             }
-            (status, _) => Err(format!("it answers {status}")),
+            (status, _) => Err(SendError::Status(status)),
         }
     };
     timeout(within, brought)
         .await
-        .unwrap_or_else(|_| Err("no answer in time".to_owned()))
+        .unwrap_or(Err(SendError::Fetch(FetchError::Timeout)))
 }
 
 /// The messages of a request.
 ///
 /// # Errors
-/// They have no such form; in words.
-pub fn read(mut content: &[u8]) -> Result<Vec<Message>, String> {
+/// They have no such form.
+pub fn read(mut content: &[u8]) -> Result<Vec<Message>, MessagesError> {
     let mut messages = Vec::new();
     while !content.is_empty() {
         let (length, rest) = content
             .split_first_chunk::<4>()
-            .ok_or("a length is cut off")?;
+            .ok_or(MessagesError::Length)?;
         let length = usize::try_from(u32::from_be_bytes(*length)).unwrap_or(usize::MAX);
         if length > rest.len() {
-            return Err("a message is cut off".to_owned());
+            return Err(MessagesError::Content);
         }
         let (message, rest) = rest.split_at(length);
         messages.push(decode(message)?);
--- a/crates/coordinator/src/poller.rs
+++ b/crates/coordinator/src/poller.rs
@@ -6,10 +6,10 @@
 use crate::config::{ObservationSection, Sections};
 use crate::fetch::fetch;
 use crate::log_thread::Seen;
+use crate::server_list::{ListedServer, ServerList};
 use load_balancer_coordinator::core::Input;
 use load_balancer_coordinator::observations::{Page, Weights, ZoneObservations, weigh};
 use load_balancer_maintenance::Server;
-use serde::{Deserialize, Deserializer};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -25,26 +25,6 @@
 /// A list of this age is as good as a new one for whoever waits for a server to be idle.
 const FRESH: Duration = Duration::from_millis(200);
 
-/// A server as the platform lists it.
-#[derive(Clone, Debug, Deserialize)]
-pub struct Listed {
-    name: String,
-    zone: String,
-    #[serde(default)]
-    group: String,
-    weight: u32,
-    started_ms: u64,
-    state: String,
-    /// Requests that run there; null where the platform can't tell yet, left out where it never
-    /// can.
-    #[serde(default, deserialize_with = "present")]
-    in_flight: Option<Option<u64>>,
-}
-
-fn present<'de, D: Deserializer<'de>>(from: D) -> Result<Option<Option<u64>>, D::Error> {
-    Option::deserialize(from).map(Some)
-}
-
 /// Sidecars' addresses with their zones.
 pub type Drawn = Vec<(String, SocketAddr)>;
 
@@ -54,9 +34,7 @@
     clock: Clock,
     seen: watch::Receiver<Arc<Seen>>,
     calls: Calls,
-    list: RefCell<Option<(Instant, Vec<Listed>)>>,
-    /// The platform's last failure, so that it is written once.
-    failure: RefCell<String>,
+    list: ServerList,
     /// Since when a draining server was seen idle, for the drain with that token.
     idle: RefCell<BTreeMap<String, (u64, Instant)>>,
     /// Sidecars that are asked whether a server is clear, by the token of its drain.
@@ -77,8 +55,7 @@
             clock,
             seen,
             calls,
-            list: RefCell::default(),
-            failure: RefCell::default(),
+            list: ServerList::new(&sections.platform),
             idle: RefCell::default(),
             witnesses: RefCell::default(),
             answered: Cell::default(),
@@ -105,14 +82,14 @@
     }
 
     async fn round(&self) {
-        let servers = match self.listed(Duration::ZERO).await {
+        let servers = match self.list.read(Duration::ZERO).await {
             Ok(list) => {
-                let servers: Vec<Server> = list.into_iter().map(server).collect();
+                let servers: Vec<Server> = list.into_iter().map(Server::from).collect();
                 self.calls.tell(Input::Listed(servers.clone()));
                 servers
             }
             // Observations is of use without a new list, on those of the last one.
-            Err(_) => self.known(),
+            Err(_) => self.list.last(),
         };
         let heard = self.pages().await;
         let evidence = &self.sections.observations;
@@ -144,69 +121,19 @@
         self.calls.tell(Input::Observations(now.mono_ms, words));
     }
 
-    fn known(&self) -> Vec<Server> {
-        let list = self.list.borrow();
-        list.iter()
-            .flat_map(|(_, list)| list.iter().cloned().map(server))
-            .collect()
-    }
-
-    /// The platform's list, at most so old.
-    pub async fn listed(&self, age: Duration) -> Result<Vec<Listed>, String> {
-        if let Some((at, list)) = self.list.borrow().as_ref()
-            && at.elapsed() < age
-        {
-            return Ok(list.clone());
-        }
-        let asked = Instant::now();
-        let platform = &self.sections.platform;
-        let list = match fetch(
-            platform.address,
-            "GET",
-            "/servers",
-            None,
-            platform.timeout.0,
-        )
-        .await
-        {
-            Ok((200, list)) => {
-                serde_json::from_value::<Vec<Listed>>(list).map_err(|e| e.to_string())
-            }
-            Ok((status, _)) => Err(format!("it answers {status}")),
-            Err(what) => Err(what),
-        };
-        match &list {
-            Ok(list) => {
-                if !self.failure.take().is_empty() {
-                    tracing::info!(target: "coordinator", "the platform lists its servers again");
-                }
-                self.list.replace(Some((asked, list.clone())));
-            }
-            Err(what) => {
-                if *self.failure.borrow() != *what {
-                    tracing::warn!(target: "coordinator", "no list from the platform {}: {what}", platform.address);
-                }
-                self.failure.replace(what.clone());
-            }
-        }
-        list
-    }
-
     /// Whether nothing ran at a server that drains in all looks of `[clear] quiet`, by the
     /// platform's word of after the drain: a request may have been on its way to it in one of them.
     pub async fn idle(&self, name: &str, epoch: u64) -> bool {
-        let Ok(list) = self.listed(FRESH).await else {
+        let Ok(list) = self.list.read(FRESH).await else {
             return false;
         };
         let server = list.iter().find(|server| server.name == name);
-        let free =
-            |s: &Listed| s.state == "draining" && s.in_flight.is_none_or(|count| count == Some(0));
         let mut idle = self.idle.borrow_mut();
         // What is not listed any more is nobody's question.
         let listed = |name: &String| list.iter().any(|server| server.name == *name);
         idle.retain(|name, _| listed(name));
         self.witnesses.borrow_mut().retain(|name, _| listed(name));
-        if !server.is_some_and(free) {
+        if !server.is_some_and(ListedServer::is_drained) {
             idle.remove(name);
             return false;
         }
@@ -270,21 +197,3 @@
         pages
     }
 }
-
-fn server(listed: Listed) -> Server {
-    let Listed {
-        name,
-        zone,
-        group,
-        weight,
-        started_ms: started,
-        ..
-    } = listed;
-    Server {
-        name,
-        zone,
-        group,
-        weight,
-        started,
-    }
-}
--- a/crates/coordinator/src/replicated_log/drive.rs
+++ b/crates/coordinator/src/replicated_log/drive.rs
@@ -75,7 +75,7 @@
             .raw
             .store()
             .kept()
-            .map_err(HaltReason::Unknown)?
+            .map_err(|error| HaltReason::Unknown(error.to_string()))?
             .unwrap_or_default();
         self.machine
             .restore(&kept.machine)
@@ -88,39 +88,41 @@
     fn apply(&mut self, entries: Vec<Entry>, effects: &mut Effects) -> Result<(), HaltReason> {
         let mut changed = false;
         for entry in entries {
-            let unknown = |e: String| HaltReason::Unknown(format!("entry {}: {e}", entry.index));
+            let index = entry.index;
             match entry.entry_type {
                 // The mark of a new leader.
                 EntryType::EntryNormal if entry.data.is_empty() => {}
                 EntryType::EntryNormal => {
-                    let stamped: Stamped = entry::read(&entry.data).map_err(unknown)?;
+                    let stamped: Stamped =
+                        entry::read(&entry.data).map_err(|e| unknown(index, e))?;
                     self.kept.at_ms = self.kept.at_ms.max(stamped.at_ms);
                     let answer = self
                         .machine
                         .apply(self.kept.at_ms, &stamped.event)
-                        .map_err(unknown)?;
+                        .map_err(|e| unknown(index, e))?;
                     if stamped.run == self.options.run && self.waiting.remove(&stamped.ticket) {
                         effects.answers.push((stamped.ticket, answer));
                     }
                 }
                 EntryType::EntryConfChange => {
                     let change = ConfChange::parse_from_bytes(&entry.data);
-                    let change = change.map_err(|e| unknown(e.to_string()))?;
+                    let change = change.map_err(|e| unknown(index, e))?;
                     self.members_now = self
                         .raw
                         .apply_conf_change(&change)
-                        .map_err(|e| unknown(e.to_string()))?;
+                        .map_err(|e| unknown(index, e))?;
                     changed = true;
                 }
                 EntryType::EntryConfChangeV2 => {
                     let change = ConfChangeV2::parse_from_bytes(&entry.data);
-                    let change = change.map_err(|e| unknown(e.to_string()))?;
+                    let change = change.map_err(|e| unknown(index, e))?;
                     self.members_now = self
                         .raw
                         .apply_conf_change(&change)
-                        .map_err(|e| unknown(e.to_string()))?;
+                        .map_err(|e| unknown(index, e))?;
                     if !entry.context.is_empty() {
-                        let newcomer: Newcomer = entry::read(&entry.context).map_err(unknown)?;
+                        let newcomer: Newcomer =
+                            entry::read(&entry.context).map_err(|e| unknown(index, e))?;
                         self.kept.members.insert(newcomer.id, newcomer.name);
                     }
                     changed = true;
@@ -150,3 +152,8 @@
         Ok(())
     }
 }
+
+/// The reason to halt at an entry that this program does not know.
+fn unknown(index: u64, error: impl std::fmt::Display) -> HaltReason {
+    HaltReason::Unknown(format!("entry {index}: {error}"))
+}
--- a/crates/coordinator/src/replicated_log/entry.rs
+++ b/crates/coordinator/src/replicated_log/entry.rs
@@ -1,5 +1,6 @@
 //! The encodings of log entries and of what is stored of the log.
 
+use super::decode_error::DecodeError;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -51,20 +52,24 @@
 /// Reads one.
 ///
 /// # Errors
-/// The version is another one, or the bytes are not of this form; in words.
-pub(crate) fn read<'b, T: Deserialize<'b>>(bytes: &'b [u8]) -> Result<T, String> {
+/// The version is another one, or the bytes are not of this form.
+pub(crate) fn read<'b, T: Deserialize<'b>>(bytes: &'b [u8]) -> Result<T, DecodeError> {
+    let (value, left) = postcard::take_from_bytes(content(bytes, FORMAT)?)?;
+    if left.is_empty() {
+        Ok(value)
+    } else {
+        Err(DecodeError::TooLong)
+    }
+}
+
+/// What follows the version, where it is the known one.
+///
+/// # Errors
+/// There is no version, or another one.
+pub(crate) fn content(bytes: &[u8], known: u8) -> Result<&[u8], DecodeError> {
     match bytes.split_first() {
-        Some((&FORMAT, rest)) => {
-            let (value, left) = postcard::take_from_bytes(rest).map_err(|e| e.to_string())?;
-            if left.is_empty() {
-                Ok(value)
-            } else {
-                Err("it is longer than its form".to_owned())
-            }
-        }
-        Some((found, _)) => Err(format!(
-            "its format is {found}, this program reads {FORMAT}"
-        )),
-        None => Err("it is empty".to_owned()),
+        Some((found, content)) if *found == known => Ok(content),
+        Some((&found, _)) => Err(DecodeError::Format { found, known }),
+        None => Err(DecodeError::Empty),
     }
 }
--- a/crates/coordinator/src/replicated_log/log_store.rs
+++ b/crates/coordinator/src/replicated_log/log_store.rs
@@ -3,6 +3,7 @@
 //! All of it is in memory too: it is read, and checked, once. Every write is one commit, synced
 //! before it returns.
 
+use super::decode_error::DecodeError;
 use super::entry::{self, PersistedState};
 use load_balancer_record_store::{Change, Store, StoreError};
 use protobuf::Message as _;
@@ -138,7 +139,7 @@
     }
 
     /// What the snapshot holds beside the engine's data; none while there is none.
-    pub(crate) fn kept(&self) -> Result<Option<PersistedState>, String> {
+    pub(crate) fn kept(&self) -> Result<Option<PersistedState>, DecodeError> {
         if self.is_blank() {
             Ok(None)
         } else {
--- a/crates/coordinator/src/replicated_log/message_filter.rs
+++ b/crates/coordinator/src/replicated_log/message_filter.rs
@@ -1,6 +1,7 @@
 //! Validates messages of other replicas before the consensus engine sees them, as it panics at some
 //! that make no sense.
 
+use super::decode_error::DecodeError;
 use protobuf::Message as _;
 use raft::eraftpb::{Entry, Message, MessageType};
 use raft::{RaftLog, Storage};
@@ -14,9 +15,9 @@
 /// The message that bytes hold.
 ///
 /// # Errors
-/// They hold none; in words.
-pub fn decode(bytes: &[u8]) -> Result<Message, String> {
-    Message::parse_from_bytes(bytes).map_err(|e| e.to_string())
+/// They hold none.
+pub fn decode(bytes: &[u8]) -> Result<Message, DecodeError> {
+    Ok(Message::parse_from_bytes(bytes)?)
 }
 
 /// Whether the engine of `id`, led by `leader`, with this log may be given a message.
--- a/crates/coordinator/src/replicated_log/mod.rs
+++ b/crates/coordinator/src/replicated_log/mod.rs
@@ -5,6 +5,7 @@
 //! sieve for what others send.
 
 mod admission;
+mod decode_error;
 mod drive;
 mod entry;
 mod interface;
@@ -13,6 +14,8 @@
 mod node;
 
 pub use admission::Admission;
+pub use decode_error::DecodeError;
+pub(crate) use entry::content;
 pub use interface::{Effects, HaltReason, Options, Refused, ReplicaStatus, Replicated};
 pub use log_store::LogStore;
 pub use message_filter::{decode, encode};
--- a/crates/coordinator/src/replicated_log/node.rs
+++ b/crates/coordinator/src/replicated_log/node.rs
@@ -45,7 +45,9 @@
         if found && log_store.is_blank() {
             log_store.found(&options.name, machine.snapshot())?;
         }
-        let kept = log_store.kept().map_err(HaltReason::Unknown)?;
+        let kept = log_store
+            .kept()
+            .map_err(|error| HaltReason::Unknown(error.to_string()))?;
         if let Some(kept) = &kept {
             machine
                 .restore(&kept.machine)
--- a/crates/snapshot/src/encoding.rs
+++ b/crates/snapshot/src/encoding.rs
@@ -1,12 +1,13 @@
 //! The encoding of what is stored: the version of the form, then the content. With each change of
 //! the form [`SCHEMA`] grows, and the form before is still read.
 
+use crate::Micros;
 use crate::previous_encoding;
 use crate::snapshot::{Changes, Processes, Snapshot};
+use crate::validation::{Implausible, check_plausible};
 use load_balancer_record_store::{Change, Store, StoreError};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
-use std::fmt;
 
 /// The version of the form that is written.
 pub const SCHEMA: u16 = 2;
@@ -19,31 +20,22 @@
 const ROOMS: [&str; 4] = [LIST, PROCESSES, CONFIGURATION, LIFE];
 
 /// Why what is kept was not read.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReadError {
     /// It is in a form that this program does not know: likely a newer one's.
+    #[error("it is in form {0}, this program reads up to {SCHEMA}")]
     Schema(u16),
     /// It has not the form that it says.
+    #[error("its {0} has no such form")]
     Form(&'static str),
     /// The disk could not be read.
-    StoreError(StoreError),
+    #[error(transparent)]
+    Store(#[from] StoreError),
+    /// It cannot have been written in good order.
+    #[error(transparent)]
+    Implausible(#[from] Implausible),
 }
 
-impl fmt::Display for ReadError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Schema(found) => write!(
-                f,
-                "it is in form {found}, this program reads up to {SCHEMA}"
-            ),
-            Self::Form(what) => write!(f, "its {what} has no such form"),
-            Self::StoreError(trouble) => trouble.fmt(f),
-        }
-    }
-}
-
-impl std::error::Error for ReadError {}
-
 /// Reads all that is kept.
 ///
 /// # Errors
@@ -57,9 +49,19 @@
     })
 }
 
+/// Reads all that is kept, and checks that it can have been written in good order.
+///
+/// # Errors
+/// A part of it cannot be read, or is implausible at this time: then none is to be believed.
+pub(crate) fn read_plausible(store: &Store, now: Micros) -> Result<Snapshot, ReadError> {
+    let known = read(store)?;
+    check_plausible(&known, now)?;
+    Ok(known)
+}
+
 /// The form of a part, and its bytes.
 fn stored(store: &Store, room: &'static str) -> Result<Option<(u16, Vec<u8>)>, ReadError> {
-    let Some(mut bytes) = store.get(room, 0).map_err(ReadError::StoreError)? else {
+    let Some(mut bytes) = store.get(room, 0)? else {
         return Ok(None);
     };
     let schema = bytes.first_chunk().copied().ok_or(ReadError::Form(room))?;
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -21,7 +21,7 @@
 pub use section::SnapshotSection;
 pub use snapshot::{Changes, Entry, IncarnationRecord, List, Process, Processes, Snapshot};
 pub use snapshot_store::{Found, QuarantinedFile, SnapshotStore};
-pub use validation::{Bounds, SKEW, ValidSnapshot, check_plausible, validate};
+pub use validation::{Bounds, Implausible, SKEW, ValidSnapshot, check_plausible, validate};
 pub use write_queue::Counts;
 pub use writer::{Begun, Writer};
 
--- a/crates/snapshot/src/reader.rs
+++ b/crates/snapshot/src/reader.rs
@@ -2,13 +2,12 @@
 
 use crate::Micros;
 use crate::directory::FileKind;
-use crate::encoding;
+use crate::encoding::{ReadError, read_plausible};
 use crate::snapshot::Snapshot;
 use crate::snapshot_store::last_incarnation;
-use crate::validation::check_plausible;
 use load_balancer_record_store::disk::Disk;
-use load_balancer_record_store::{Corruption, OpenError, Store};
-use std::path::Path;
+use load_balancer_record_store::{Corruption, OpenError, Store, StoreError};
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 /// A file that is being written may be copied half old, half new: it is copied so often in all, so
@@ -29,19 +28,48 @@
     pub problems: Vec<String>,
 }
 
+/// Why a file of a state directory cannot be read.
+#[derive(Debug, thiserror::Error)]
+#[error("{path}: {error}", path = path.display())]
+struct Unread {
+    path: PathBuf,
+    error: CopyError,
+}
+
+/// Why a copy of a file cannot be read.
+#[derive(Debug, thiserror::Error)]
+enum CopyError {
+    #[error(transparent)]
+    Io(#[from] std::io::Error),
+    #[error("it is empty")]
+    Empty,
+    #[error(transparent)]
+    Open(#[from] OpenError),
+    #[error(transparent)]
+    Store(#[from] StoreError),
+    #[error(transparent)]
+    Read(#[from] ReadError),
+}
+
+impl CopyError {
+    /// Whether the bytes are at fault, and not the access to them.
+    fn is_of_content(&self) -> bool {
+        !matches!(self, Self::Io(_))
+    }
+}
+
 /// Reads a directory, of a sidecar that runs or a copied one.
 pub fn contents(directory: &Path, now: Micros) -> Contents {
     let mut contents = Contents::default();
     let known = copied(directory, FileKind::Snapshot, |store| {
-        let known = encoding::read(store).map_err(|e| e.to_string())?;
-        check_plausible(&known, now).map(|()| known)
+        read_plausible(store, now).map_err(CopyError::from)
     });
     let numbers = copied(directory, FileKind::Numbers, |store| {
-        last_incarnation(store).map_err(|e| e.to_string())
+        last_incarnation(store).map_err(CopyError::from)
     });
     match known {
         Ok((owner, known)) => (contents.owner, contents.known) = (Some(owner), known),
-        Err(why) => contents.problems.push(why),
+        Err(why) => contents.problems.push(why.to_string()),
     }
     match numbers {
         Ok((owner, last)) => {
@@ -54,7 +82,7 @@
             contents.owner.get_or_insert(owner);
             contents.incarnation = Some(last);
         }
-        Err(why) => contents.problems.push(why),
+        Err(why) => contents.problems.push(why.to_string()),
     }
     contents
 }
@@ -63,33 +91,35 @@
 fn copied<T>(
     directory: &Path,
     file: FileKind,
-    read: impl Fn(&Store) -> Result<T, String>,
-) -> Result<(String, T), String> {
+    read: impl Fn(&Store) -> Result<T, CopyError>,
+) -> Result<(String, T), Unread> {
     let path = directory.join(file.name());
-    let mut last = String::new();
-    for copy in 0..COPIES {
-        if copy > 0 {
-            std::thread::sleep(APART);
-        }
-        let bytes = std::fs::read(&path).map_err(|e| format!("{}: {e}", path.display()))?;
-        match opened(&bytes).and_then(|(owner, store)| read(&store).map(|it| (owner, it))) {
+    let mut copies = 0;
+    loop {
+        let found = std::fs::read(&path)
+            .map_err(CopyError::from)
+            .and_then(|bytes| opened(&bytes))
+            .and_then(|(owner, store)| read(&store).map(|it| (owner, it)));
+        copies += 1;
+        match found {
             Ok(found) => return Ok(found),
-            Err(why) => last = why,
+            // Copied while it was written, or unreadable: a further copy tells.
+            Err(error) if error.is_of_content() && copies < COPIES => std::thread::sleep(APART),
+            Err(error) => return Err(Unread { path, error }),
         }
     }
-    Err(format!("{}: {last}", path.display()))
 }
 
 /// The store in these bytes, and whose it is: the record that is refused to nobody says so.
-fn opened(bytes: &[u8]) -> Result<(String, Store), String> {
+fn opened(bytes: &[u8]) -> Result<(String, Store), CopyError> {
     if bytes.is_empty() {
-        return Err("it is empty".to_owned());
+        return Err(CopyError::Empty);
     }
     let owner = match Store::on(Disk::holding(bytes.to_vec()), "") {
         Err(OpenError::Corruption(Corruption::Owner(owner))) => owner,
-        Err(refusal) => return Err(refusal.to_string()),
+        Err(refusal) => return Err(refusal.into()),
         Ok(_) => String::new(),
     };
-    let store = Store::on(Disk::holding(bytes.to_vec()), &owner).map_err(|e| e.to_string())?;
+    let store = Store::on(Disk::holding(bytes.to_vec()), &owner)?;
     Ok((owner, store))
 }
--- a/crates/snapshot/src/snapshot_store.rs
+++ b/crates/snapshot/src/snapshot_store.rs
@@ -2,9 +2,8 @@
 
 use crate::Micros;
 use crate::directory::{FileKind, StateStorage};
-use crate::encoding::{self, ReadError};
+use crate::encoding::{self, ReadError, read_plausible};
 use crate::snapshot::{Changes, Snapshot};
-use crate::validation::check_plausible;
 use load_balancer_record_store::{Change, Store, StoreError};
 use std::path::PathBuf;
 
@@ -52,18 +51,14 @@
         let mut quarantined = Vec::new();
         let incarnation = incarnation(storage, owner, now, &mut quarantined)?;
         let store = opened(storage, FileKind::Snapshot, owner, &mut quarantined)?;
-        let read = match encoding::read(&store) {
-            Ok(known) => check_plausible(&known, now).map(|()| known),
-            Err(ReadError::StoreError(trouble)) => return Err(trouble),
-            Err(unread) => Err(unread.to_string()),
-        };
-        let (store, known) = match read {
+        let (store, known) = match read_plausible(&store, now) {
             Ok(known) => (store, known),
+            Err(ReadError::Store(error)) => return Err(error),
             Err(why) => {
                 drop(store);
                 quarantined.push(QuarantinedFile {
                     file: storage.quarantine(FileKind::Snapshot)?,
-                    why,
+                    why: why.to_string(),
                 });
                 (
                     opened(storage, FileKind::Snapshot, owner, &mut quarantined)?,
--- a/crates/snapshot/src/validation.rs
+++ b/crates/snapshot/src/validation.rs
@@ -32,39 +32,69 @@
     pub left_out: Vec<String>,
 }
 
+/// Why what is stored cannot have been written in good order.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum Implausible {
+    /// The list is too long, or names an endpoint twice.
+    #[error("its list of {endpoints} endpoints is none")]
+    List {
+        /// Endpoints in it.
+        endpoints: usize,
+    },
+    /// A weight of the list is not a number of 0 or more.
+    #[error("its list has a weight that is none")]
+    Weight,
+    /// There are data of more endpoints than were listed.
+    #[error("it knows of {known} endpoints where {listed} were listed")]
+    TooManyProcesses {
+        /// Endpoints that it knows of.
+        known: usize,
+        /// Endpoints that were listed.
+        listed: u32,
+    },
+    /// A latency ratio or a concurrency limit is not a number in its range.
+    #[error("a latency ratio or a concurrency limit in it is no number")]
+    Estimate,
+    /// A time in it is later than the clock of now.
+    #[error("it is from the future: the clock was put back")]
+    FromTheFuture,
+}
+
 /// Whether this can have been written in good order by a clock such as now's.
 ///
 /// # Errors
 /// What cannot.
-pub fn check_plausible(known: &Snapshot, now: Micros) -> Result<(), String> {
+pub fn check_plausible(known: &Snapshot, now: Micros) -> Result<(), Implausible> {
     let latest = now.saturating_add(SKEW);
     if let Some(list) = &known.list {
         let mut names: Vec<&str> = list.entries.iter().map(|e| e.name.as_str()).collect();
         names.sort_unstable();
         if names.len() > MAX_ENDPOINTS || names.windows(2).any(|two| two[0] == two[1]) {
-            return Err(format!("its list of {} endpoints is none", names.len()));
+            return Err(Implausible::List {
+                endpoints: names.len(),
+            });
         }
         if list
             .entries
             .iter()
             .any(|e| !(e.weight.is_finite() && e.weight >= 0.0))
         {
-            return Err("its list has a weight that is none".to_owned());
+            return Err(Implausible::Weight);
         }
     }
     if let Some(processes) = &known.processes {
         if processes.all.len() > processes.listed as usize
             || processes.listed as usize > MAX_ENDPOINTS
         {
-            let (known, listed) = (processes.all.len(), processes.listed);
-            return Err(format!(
-                "it knows of {known} endpoints where {listed} were listed"
-            ));
+            return Err(Implausible::TooManyProcesses {
+                known: processes.all.len(),
+                listed: processes.listed,
+            });
         }
         let sound =
             |p: &Process| p.slow.is_finite() && p.slow > 0.0 && p.cap.is_finite() && p.cap >= 0.0;
         if !processes.all.iter().all(sound) {
-            return Err("a pace or a cap in it is no number".to_owned());
+            return Err(Implausible::Estimate);
         }
     }
     let seen = known.list.as_ref().map(|list| list.seen);
@@ -73,7 +103,7 @@
         .iter()
         .flat_map(|p| p.all.iter().map(|p| p.seen).chain([p.seen]));
     if seen.into_iter().chain(of_all).any(|seen| seen > latest) {
-        return Err("it is from the future: the clock was put back".to_owned());
+        return Err(Implausible::FromTheFuture);
     }
     Ok(())
 }
