--- a/crates/gossip/src/core.rs
+++ b/crates/gossip/src/core.rs
@@ -12,6 +12,8 @@
 mod observations;
 mod peers;
 mod summaries;
+mod views;
+mod zone_probes;
 
 use crate::connectivity_tracker::ConnectivityTracker;
 pub use crate::effects::{CarriedFragment, Counts, Effects, EjectionUpdate, Listed};
