--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -17,7 +17,7 @@
     #[serde(alias = "steward")]
     pub coordinator: CoordinatorSection,
     /// Addresses of all coordinators by name, this one among them.
-    #[serde(alias = "coordinators")]
+    #[serde(alias = "stewards")]
     pub coordinators: BTreeMap<String, SocketAddr>,
     pub platform: PlatformSection,
     #[serde(default, alias = "evidence")]
