--- a/crates/coordinator/src/pages.rs
+++ b/crates/coordinator/src/pages.rs
@@ -1,5 +1,8 @@
 //! The coordinator's HTTP interface; docs/coordinator.md describes it.
 
+mod replies;
+mod status;
+
 use crate::calls::Calls;
 use crate::clock::Clock;
 use crate::config::Sections;
@@ -8,8 +11,7 @@
 use crate::serve::{Answer, Asked};
 use hyper::StatusCode;
 use load_balancer_coordinator::core::{Input, Reply};
-use load_balancer_coordinator::replicated_log::Admission;
-use load_balancer_maintenance::{Event, Outcome, Refusal, Request};
+use load_balancer_maintenance::{Event, Request};
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 use serde_json::{Value, json};
@@ -134,41 +136,6 @@
         found.map_or_else(missing, |window| Answer::of(StatusCode::OK, json!(window)))
     }
 
-    /// What on-call wants to see of this coordinator.
-    pub fn status(&self) -> Value {
-        let seen = Arc::clone(&self.seen.borrow());
-        let late_ms = self.clock.now().mono_ms.saturating_sub(seen.at_ms);
-        let own = &self.sections.coordinator;
-        let bound = own.heartbeat.0.as_millis() * own.patience as u128;
-        let mut status = json!({"name": own.name, "halted": seen.halted, "late_ms": late_ms});
-        if let Some(view) = &seen.view {
-            let replica_status = &view.replica_status;
-            status["disk"] = json!(replica_status.id.to_string());
-            status["term"] = json!(replica_status.term);
-            status["leader"] = json!(replica_status.leader);
-            // A thread that the disk holds up acts on nothing.
-            status["acts"] = json!(replica_status.acts && u128::from(late_ms) < bound);
-            status["looked"] = json!(view.looked);
-            status["voice"] = json!(replica_status.voice);
-            status["blank"] = json!(replica_status.blank);
-            status["voters"] = json!(replica_status.voters);
-            status["members"] = json!(replica_status.members);
-            status["applied"] = json!(replica_status.applied);
-            status["servers"] = json!(view.servers);
-            status["token"] = json!(view.token);
-            status["due"] = json!(view.due);
-            let open = view
-                .windows
-                .iter()
-                .filter(|w| w.state != load_balancer_maintenance::State::Closed);
-            status["open_windows"] = json!(open.count());
-            status["holds"] = json!(view.capacity.as_ref().map(|capacity| capacity.holds));
-        }
-        status["messages_dropped"] = json!(self.peers.dropped());
-        status["inputs_missed"] = json!(self.calls.missed());
-        status
-    }
-
     async fn bring(&self, event: Event) -> Answer {
         let reply = self.calls.bring(event).await;
         self.replied(reply)
@@ -216,76 +183,12 @@
             Err(error) => Answer::wrong(StatusCode::BAD_REQUEST, None, error.to_string()),
         }
     }
-
-    fn replied(&self, reply: Reply) -> Answer {
-        let later = |what: &str| Answer::wrong(StatusCode::SERVICE_UNAVAILABLE, None, what);
-        match reply {
-            Reply::Agreed(outcome) => came_to(outcome),
-            Reply::Admission(Admission::Member) => {
-                Answer::of(StatusCode::OK, json!({"admission": "member"}))
-            }
-            Reply::Admission(Admission::UnderWay) => {
-                Answer::of(StatusCode::OK, json!({"admission": "under_way"}))
-            }
-            Reply::Admission(Admission::NameTaken) => Answer::wrong(
-                StatusCode::CONFLICT,
-                Some("name"),
-                "a living coordinator has it",
-            ),
-            Reply::Admission(Admission::NotLeader) | Reply::NotLeader => self.elsewhere(),
-            Reply::Founding => later("too few coordinators have a vote yet"),
-            Reply::Looking => later("the leader has not looked at servers and fleet yet"),
-            Reply::Busy => later("too much waits"),
-            Reply::Lost => later("whether it is agreed on is not known; ask again"),
-        }
-    }
-
-    fn elsewhere(&self) -> Answer {
-        let seen = self.seen.borrow();
-        let leader = seen
-            .view
-            .as_ref()
-            .and_then(|view| view.replica_status.leader.clone());
-        let leader = leader.filter(|leader| *leader != self.sections.coordinator.name);
-        let at = leader
-            .as_ref()
-            .and_then(|name| self.sections.coordinators.get(name));
-        let content =
-            json!({"error": "this coordinator does not lead", "leader": leader, "address": at});
-        Answer::of(StatusCode::SERVICE_UNAVAILABLE, content)
-    }
 }
 
 fn missing() -> Answer {
     Answer::wrong(StatusCode::NOT_FOUND, None, "no such page")
 }
 
-fn came_to(outcome: Outcome) -> Answer {
-    match outcome {
-        Outcome::Booked { .. } => Answer::of(StatusCode::OK, json!(outcome)),
-        Outcome::Infeasible { .. } => Answer::of(StatusCode::CONFLICT, json!(outcome)),
-        Outcome::Taken | Outcome::Ignored => {
-            Answer::of(StatusCode::OK, json!({"outcome": outcome}))
-        }
-        Outcome::Refused(Refusal::Invalid(e)) => {
-            Answer::wrong(StatusCode::BAD_REQUEST, Some(&e.key), e.reason)
-        }
-        Outcome::Refused(Refusal::Unknown(what)) => Answer::wrong(
-            StatusCode::UNPROCESSABLE_ENTITY,
-            None,
-            format!("there is no {what}"),
-        ),
-        Outcome::Refused(Refusal::Full(what)) => {
-            Answer::wrong(StatusCode::TOO_MANY_REQUESTS, None, what)
-        }
-        Outcome::Refused(Refusal::NoAgreement) => Answer::wrong(
-            StatusCode::SERVICE_UNAVAILABLE,
-            None,
-            "there is no agreement yet",
-        ),
-    }
-}
-
 /// Content as what it should be, or what is wrong with it.
 fn parsed<T: DeserializeOwned>(content: &[u8]) -> Result<T, Answer> {
     let reader = &mut serde_json::Deserializer::from_slice(content);
