--- a/crates/coordinator/src/commands.rs
+++ b/crates/coordinator/src/commands.rs
@@ -1,5 +1,7 @@
 //! The subcommands for people, which query a running coordinator.
 
+mod tables;
+
 use crate::fetch::fetch;
 use clap::{Args, Subcommand};
 use load_balancer_common::cli::Exit;
@@ -96,22 +98,28 @@
         return Exit::Unavailable;
     };
     let (at, method, path, body, table): (At, _, String, _, Table) = match command {
-        Command::Status(at) => (at, "GET", "/status".into(), None, status),
-        Command::Members(at) => (at, "GET", "/status".into(), None, members),
-        Command::Windows(at) => (at, "GET", "/windows".into(), None, windows),
-        Command::Capacity(at) => (at, "GET", "/capacity".into(), None, capacity),
+        Command::Status(at) => (at, "GET", "/status".into(), None, tables::status),
+        Command::Members(at) => (at, "GET", "/status".into(), None, tables::members),
+        Command::Windows(at) => (at, "GET", "/windows".into(), None, tables::windows),
+        Command::Capacity(at) => (at, "GET", "/capacity".into(), None, tables::capacity),
         Command::Ask(wish) => {
             let body = wish.request();
-            (wish.at, "POST", "/windows".into(), Some(body), booked)
+            (
+                wish.at,
+                "POST",
+                "/windows".into(),
+                Some(body),
+                tables::booked,
+            )
         }
         Command::Cancel { window, at } => (
             at,
             "POST",
             format!("/windows/{window}/cancel"),
             None,
-            status,
+            tables::status,
         ),
-        Command::StepDown(at) => (at, "POST", "/step-down".into(), None, status),
+        Command::StepDown(at) => (at, "POST", "/step-down".into(), None, tables::status),
     };
     let asked = async {
         let first = fetch(at.at, method, &path, body.as_ref(), WITHIN).await;
@@ -133,8 +141,8 @@
     let good = (200..300).contains(&code);
     let text = match at.json {
         true => answer.to_string(),
-        false if good => aligned(&table(&answer)),
-        false => aligned(&status(&answer)),
+        false if good => tables::aligned(&table(&answer)),
+        false => tables::aligned(&tables::status(&answer)),
     };
     let _ = writeln!(std::io::stdout(), "{}", text.trim_end());
     match code {
@@ -166,101 +174,3 @@
             "overrun_ms": ms(self.overrun), "priority": self.priority, "split": self.split})
     }
 }
-
-fn plain(value: &Value) -> String {
-    match value {
-        Value::String(text) => text.clone(),
-        Value::Null => "-".to_owned(),
-        other => other.to_string(),
-    }
-}
-
-/// Rows with columns of one width.
-fn aligned(rows: &[Vec<String>]) -> String {
-    let columns = rows.iter().map(Vec::len).max().unwrap_or(0);
-    let width = |column: usize| {
-        rows.iter()
-            .filter_map(|r| r.get(column))
-            .map(String::len)
-            .max()
-            .unwrap_or(0)
-    };
-    let widths: Vec<usize> = (0..columns).map(width).collect();
-    let line = |row: &Vec<String>| {
-        let cells = row
-            .iter()
-            .zip(&widths)
-            .map(|(cell, width)| format!("{cell:width$}"));
-        cells.collect::<Vec<_>>().join("  ").trim_end().to_owned()
-    };
-    rows.iter().map(line).collect::<Vec<_>>().join("\n")
-}
-
-fn head(names: &[&str]) -> Vec<String> {
-    names.iter().map(|name| (*name).to_owned()).collect()
-}
-
-fn rows<'a>(list: &'a Value, keys: &'a [&str]) -> impl Iterator<Item = Vec<String>> + 'a {
-    let all = list.as_array().into_iter().flatten();
-    all.map(move |one| keys.iter().map(|key| plain(&one[*key])).collect())
-}
-
-fn status(answer: &Value) -> Vec<Vec<String>> {
-    let pairs = answer.as_object().into_iter().flatten();
-    pairs
-        .map(|(key, value)| vec![key.clone(), plain(value)])
-        .collect()
-}
-
-fn members(answer: &Value) -> Vec<Vec<String>> {
-    let voters = answer["voters"].as_array().into_iter().flatten();
-    let leadership = |name: &Value| {
-        if *name == answer["leader"] {
-            "leads"
-        } else {
-            ""
-        }
-    };
-    let all = voters.map(|name| vec![plain(name), leadership(name).to_owned()]);
-    std::iter::once(head(&["voice", ""])).chain(all).collect()
-}
-
-fn windows(answer: &Value) -> Vec<Vec<String>> {
-    let keys = [
-        "server",
-        "state",
-        "late",
-        "start_ms",
-        "end_ms",
-        "token",
-        "called_back",
-        "reason",
-    ];
-    let mut table = vec![[vec!["window".to_owned(), "name".to_owned()], head(&keys)].concat()];
-    for window in answer.as_array().into_iter().flatten() {
-        let of = [plain(&window["window"]), plain(&window["name"])];
-        table.extend(rows(&window["seats"], &keys).map(|row| [of.to_vec(), row].concat()));
-    }
-    table
-}
-
-fn capacity(answer: &Value) -> Vec<Vec<String>> {
-    let keys = ["name", "listed", "present", "keep"];
-    let mut table = vec![head(&keys)];
-    table.extend(rows(&answer["rooms"], &keys));
-    let debits = ["server", "weight", "why", "window"];
-    table.push(Vec::new());
-    table.push(head(&debits));
-    table.extend(rows(&answer["debits"], &debits));
-    table
-}
-
-fn booked(answer: &Value) -> Vec<Vec<String>> {
-    let (booked, keys) = (&answer["booked"], ["server", "wave", "start_ms", "end_ms"]);
-    let mut table = vec![
-        vec!["window".to_owned(), plain(&booked["window"])],
-        head(&keys),
-    ];
-    table.extend(rows(&booked["times"], &keys));
-    table
-}
--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -1,6 +1,7 @@
 //! The coordinator's configuration file.
 
-use load_balancer_common::config::{Configuration, Contradiction};
+mod check;
+
 use load_balancer_common::logging::LogSection;
 use load_balancer_common::metering::MetricsSection;
 use load_balancer_common::units::Time;
@@ -164,91 +165,3 @@
         }
     }
 }
-
-/// Most coordinators: five bear two failures, more only make each agreement slower.
-const MAX_COORDINATORS: usize = 7;
-/// Longest name of a coordinator, in bytes.
-const MAX_NAME_BYTES: usize = 64;
-
-impl Configuration for Sections {
-    fn check(&self) -> Result<(), Contradiction> {
-        self.log.check()?;
-        self.metrics.check()?;
-        let wrong = |key: &str, what: String| Err(Contradiction::new(key, what));
-        let name = &self.coordinator.name;
-        if name.is_empty()
-            || name.len() > MAX_NAME_BYTES
-            || !name.bytes().all(|b| b.is_ascii_graphic())
-        {
-            return wrong(
-                "coordinator.name",
-                format!("must have 1 to {MAX_NAME_BYTES} characters without spaces"),
-            );
-        }
-        if !self.coordinators.contains_key(name) {
-            return wrong(
-                "coordinator.name",
-                format!("{name:?} is not one of [coordinators]"),
-            );
-        }
-        if self.coordinators.len() > MAX_COORDINATORS {
-            return wrong("coordinators", format!("are more than {MAX_COORDINATORS}"));
-        }
-        if self.coordinator.heartbeat < Time::ms(10)
-            || self.coordinator.heartbeat > Time::ms(10_000)
-        {
-            return wrong(
-                "coordinator.heartbeat",
-                "must be from 10ms to 10s".to_owned(),
-            );
-        }
-        if !(3..=1_000).contains(&self.coordinator.patience) {
-            return wrong(
-                "coordinator.patience",
-                "must be from 3 to 1000 heartbeats".to_owned(),
-            );
-        }
-        if !(8..=4_096).contains(&self.coordinator.connections) {
-            return wrong(
-                "coordinator.connections",
-                "must be from 8 to 4096".to_owned(),
-            );
-        }
-        if !(1..=256).contains(&self.platform.at_once) {
-            return wrong("platform.at_once", "must be from 1 to 256".to_owned());
-        }
-        for (key, time) in [
-            ("coordinator.timeout", self.coordinator.timeout),
-            ("platform.timeout", self.platform.timeout),
-            ("observations.period", self.observations.period),
-            ("observations.timeout", self.observations.timeout),
-        ] {
-            if time < Time::ms(10) || time > Time::ms(60_000) {
-                return wrong(key, "must be from 10ms to 1m".to_owned());
-            }
-        }
-        if self.observations.agree == 0 || self.observations.agree > self.observations.ask {
-            return wrong(
-                "observations.agree",
-                format!(
-                    "must be from 1 to observations.ask, {}",
-                    self.observations.ask
-                ),
-            );
-        }
-        if self.affinity_drain.quiet > Time::ms(60_000) {
-            return wrong("clear.quiet", "must be at most 1m".to_owned());
-        }
-        let period = i64::try_from(self.observations.period.0.as_millis()).unwrap_or(i64::MAX);
-        if period >= self.budget.evidence_bound_ms {
-            let bound = self.budget.evidence_bound_ms;
-            return wrong(
-                "observations.period",
-                format!("evidence would be older than its bound, {bound} ms"),
-            );
-        }
-        self.budget
-            .check()
-            .map_err(|e| Contradiction::new(&format!("disruption_budget.{}", e.key), e.reason))
-    }
-}
--- /dev/null
+++ b/crates/coordinator/src/config/check.rs
@@ -0,0 +1,131 @@
+//! Checks a configuration: bounds of single values, and values that contradict each other.
+
+use super::{CoordinatorSection, ObservationSection, Sections};
+use load_balancer_common::config::{Configuration, Contradiction};
+use load_balancer_common::units::Time;
+use std::ops::RangeInclusive;
+
+/// Most coordinators: five bear two failures, more only make each agreement slower.
+const MAX_COORDINATORS: usize = 7;
+/// Longest name of a coordinator, in bytes.
+const MAX_NAME_BYTES: usize = 64;
+/// Connections that may be open at once.
+const CONNECTIONS: RangeInclusive<usize> = 8..=4_096;
+/// Heartbeats that a leader may miss.
+const PATIENCE: RangeInclusive<usize> = 3..=1_000;
+/// Acts that the platform may be asked for at once.
+const ACTS_AT_ONCE: RangeInclusive<usize> = 1..=256;
+const MIN_TIME: Time = Time::ms(10);
+const MAX_HEARTBEAT: Time = Time::ms(10_000);
+const MAX_TIME: Time = Time::ms(60_000);
+
+impl Configuration for Sections {
+    fn check(&self) -> Result<(), Contradiction> {
+        self.log.check()?;
+        self.metrics.check()?;
+        self.check_members()?;
+        self.coordinator.check()?;
+        if !ACTS_AT_ONCE.contains(&self.platform.at_once) {
+            return wrong("platform.at_once", "must be from 1 to 256".to_owned());
+        }
+        self.check_times()?;
+        self.observations.check_agree()?;
+        if self.affinity_drain.quiet > MAX_TIME {
+            return wrong("affinity_drain.quiet", "must be at most 1m".to_owned());
+        }
+        self.observations
+            .check_period(self.budget.evidence_bound_ms)?;
+        self.budget
+            .check()
+            .map_err(|e| Contradiction::new(&format!("disruption_budget.{}", e.key), e.reason))
+    }
+}
+
+impl Sections {
+    fn check_members(&self) -> Result<(), Contradiction> {
+        let name = &self.coordinator.name;
+        let fits = (1..=MAX_NAME_BYTES).contains(&name.len());
+        if !fits || !name.bytes().all(|b| b.is_ascii_graphic()) {
+            return wrong(
+                "coordinator.name",
+                format!("must have 1 to {MAX_NAME_BYTES} characters without spaces"),
+            );
+        }
+        if !self.coordinators.contains_key(name) {
+            return wrong(
+                "coordinator.name",
+                format!("{name:?} is not one of [coordinators]"),
+            );
+        }
+        if self.coordinators.len() > MAX_COORDINATORS {
+            return wrong("coordinators", format!("are more than {MAX_COORDINATORS}"));
+        }
+        Ok(())
+    }
+
+    fn check_times(&self) -> Result<(), Contradiction> {
+        for (key, time) in [
+            ("coordinator.timeout", self.coordinator.timeout),
+            ("platform.timeout", self.platform.timeout),
+            ("observations.period", self.observations.period),
+            ("observations.timeout", self.observations.timeout),
+        ] {
+            if !(MIN_TIME..=MAX_TIME).contains(&time) {
+                return wrong(key, "must be from 10ms to 1m".to_owned());
+            }
+        }
+        Ok(())
+    }
+}
+
+impl CoordinatorSection {
+    fn check(&self) -> Result<(), Contradiction> {
+        if !(MIN_TIME..=MAX_HEARTBEAT).contains(&self.heartbeat) {
+            return wrong(
+                "coordinator.heartbeat",
+                "must be from 10ms to 10s".to_owned(),
+            );
+        }
+        if !PATIENCE.contains(&self.patience) {
+            return wrong(
+                "coordinator.patience",
+                "must be from 3 to 1000 heartbeats".to_owned(),
+            );
+        }
+        if !CONNECTIONS.contains(&self.connections) {
+            return wrong(
+                "coordinator.connections",
+                "must be from 8 to 4096".to_owned(),
+            );
+        }
+        Ok(())
+    }
+}
+
+impl ObservationSection {
+    fn check_agree(&self) -> Result<(), Contradiction> {
+        if self.agree == 0 || self.agree > self.ask {
+            return wrong(
+                "observations.agree",
+                format!("must be from 1 to observations.ask, {}", self.ask),
+            );
+        }
+        Ok(())
+    }
+
+    /// Checks the period against the age from which observations have no effect, in milliseconds.
+    fn check_period(&self, max_staleness_ms: i64) -> Result<(), Contradiction> {
+        let period_ms = i64::try_from(self.period.0.as_millis()).unwrap_or(i64::MAX);
+        if period_ms >= max_staleness_ms {
+            return wrong(
+                "observations.period",
+                format!("evidence would be older than its bound, {max_staleness_ms} ms"),
+            );
+        }
+        Ok(())
+    }
+}
+
+fn wrong(key: &str, what: String) -> Result<(), Contradiction> {
+    Err(Contradiction::new(key, what))
+}
