--- a/src/bin/sidecar/observer.rs
+++ b/src/bin/sidecar/observer.rs
@@ -1,65 +1,18 @@
 //! Debug log lines and metrics of requests, attempts and lists.
 
 mod gossip;
+mod series;
 
 use crate::messages::{Answer, EngineSummary, Outgoing};
 use load_balancer::{AttemptNo, Micros, Outcome};
-use load_balancer_common::cli;
 use load_balancer_common::metering::Figures;
-use metrics::{Counter, Gauge, Histogram};
-use std::cell::Cell;
+use series::{ENDS, Series, outcome_label};
 use std::rc::Rc;
 use tokio::time::Instant;
 
 /// Sees what the engine does. Without metrics only lines at debug level come of it.
 #[derive(Clone)]
-pub struct Observer(Option<Rc<Seen>>);
-
-struct Seen {
-    figures: Rc<Figures>,
-    classes: Vec<OfClass>,
-    attempts: [(Counter, Histogram); OUTCOMES.len()],
-    retries: Counter,
-    given_up: [Counter; 3],
-    circuits_open: Gauge,
-    queued: Gauge,
-    open: Gauge,
-    attempts_open: Gauge,
-    endpoints: [Gauge; 2],
-    list_age: Gauge,
-    list_at: Cell<Instant>,
-    lines_dropped: Counter,
-}
-
-/// The figures of one class: by how requests ended, and how long the served ones took.
-struct OfClass {
-    ended: [Counter; 4],
-    seconds: Histogram,
-}
-
-/// How attempts end, in the words of the metrics.
-const OUTCOMES: [(Outcome, &str); 8] = [
-    (Outcome::Ok, "served"),
-    (Outcome::Error, "error"),
-    (Outcome::Rejected, "rejected"),
-    (Outcome::TimedOut, "timed_out"),
-    (Outcome::ConnectFailed, "connect_failed"),
-    (Outcome::Reset, "reset"),
-    (Outcome::Cancelled, "cancelled"),
-    (Outcome::NotSent, "not_sent"),
-];
-/// How requests end, in the same.
-const ENDS: [&str; 4] = ["served", "refused", "failed", "abandoned"];
-/// Why the module gives one up, in the same.
-const REASONS: [&str; 3] = ["shed", "waiting", "failing"];
-
-fn word(outcome: Outcome) -> (usize, &'static str) {
-    let found = OUTCOMES
-        .iter()
-        .enumerate()
-        .find(|(_, (o, _))| *o == outcome);
-    found.map_or((0, "served"), |(i, (_, word))| (i, *word))
-}
+pub struct Observer(Option<Rc<Series>>);
 
 fn end(answer: Option<&Answer>) -> usize {
     match answer {
@@ -82,100 +35,7 @@
 
     /// One that counts into `figures`, by these classes.
     pub fn counting(figures: Rc<Figures>, classes: &[String]) -> Self {
-        let f = &figures;
-        let version = [
-            ("version", cli::VERSION),
-            ("commit", cli::COMMIT.unwrap_or("unknown")),
-        ];
-        f.gauge(
-            "sidecar_build_info",
-            "1, with the build in its labels.",
-            &version,
-        )
-        .set(1.0);
-        let of_class = |class: &String| OfClass {
-            ended: ENDS.map(|outcome| {
-                let labels = [("class", class.as_str()), ("outcome", outcome)];
-                f.counter(
-                    "sidecar_requests_total",
-                    "Requests by class and how they ended.",
-                    &labels,
-                )
-            }),
-            seconds: f.seconds(
-                "sidecar_request_duration_seconds",
-                "Time from a request's arrival to its answer, where it was served.",
-                &[("class", class)],
-            ),
-        };
-        let of_outcome = |(_, outcome): (Outcome, &str)| {
-            let labels = [("outcome", outcome)];
-            (
-                f.counter(
-                    "sidecar_attempts_total",
-                    "Attempts at endpoints by how they ended.",
-                    &labels,
-                ),
-                f.seconds(
-                    "sidecar_attempt_duration_seconds",
-                    "Time that attempts took.",
-                    &labels,
-                ),
-            )
-        };
-        let given_up = |reason| {
-            f.counter(
-                "sidecar_given_up_total",
-                "Requests given up, by reason.",
-                &[("reason", reason)],
-            )
-        };
-        let endpoints = |state| {
-            f.gauge(
-                "sidecar_endpoints",
-                "Endpoints on the list, by state.",
-                &[("state", state)],
-            )
-        };
-        Self(Some(Rc::new(Seen {
-            classes: classes.iter().map(of_class).collect(),
-            attempts: OUTCOMES.map(of_outcome),
-            retries: f.counter(
-                "sidecar_retries_total",
-                "Attempts after a request's first.",
-                &[],
-            ),
-            given_up: REASONS.map(given_up),
-            circuits_open: f.gauge(
-                "sidecar_circuits_open",
-                "Endpoints whose circuit is open.",
-                &[],
-            ),
-            queued: f.gauge(
-                "sidecar_queued_requests",
-                "Requests that wait for an endpoint with room.",
-                &[],
-            ),
-            open: f.gauge(
-                "sidecar_open_requests",
-                "Requests without their final answer.",
-                &[],
-            ),
-            attempts_open: f.gauge("sidecar_open_attempts", "Attempts that are out.", &[]),
-            endpoints: ["ready", "other"].map(endpoints),
-            list_age: f.gauge(
-                "sidecar_list_age_seconds",
-                "Time since discovery last answered.",
-                &[],
-            ),
-            list_at: Cell::new(Instant::now()),
-            lines_dropped: f.counter(
-                "sidecar_log_lines_dropped_total",
-                "Lines that standard error did not take.",
-                &[],
-            ),
-            figures,
-        })))
+        Self(Some(Rc::new(Series::register(figures, classes))))
     }
 
     /// A request was taken.
@@ -193,14 +53,15 @@
 
     /// An attempt ended; its request may be over already.
     pub fn ended(&self, outgoing: Option<&Outgoing>, outcome: Outcome, took: Micros) {
-        let (number, word) = word(outcome);
+        let (number, label) = outcome_label(outcome);
         if let Some(outgoing) = outgoing {
             let id = outgoing.id();
-            tracing::debug!(target: "sidecar::request", id, outcome = word, took_us = took, "attempt ended");
+            tracing::debug!(target: "sidecar::request", id, outcome = label, took_us = took, "attempt ended");
         }
         if let Some(seen) = &self.0 {
-            seen.attempts[number].0.increment(1);
-            seen.attempts[number].1.record(seconds(took));
+            let attempts = &seen.attempts[number];
+            attempts.ended.increment(1);
+            attempts.seconds.record(seconds(took));
         }
     }
 
@@ -242,9 +103,9 @@
             (&seen.queued, summary.queued),
             (&seen.open, summarize.open),
             (&seen.attempts_open, summarize.attempts),
-            (&seen.endpoints[0], summary.ready),
+            (&seen.endpoints_ready, summary.ready),
             (
-                &seen.endpoints[1],
+                &seen.endpoints_other,
                 summary.listed - summary.ready.min(summary.listed),
             ),
         ] {
--- a/src/bin/sidecar/observer/tests.rs
+++ b/src/bin/sidecar/observer/tests.rs
@@ -16,6 +16,6 @@
         NotSent,
     ];
     for (i, outcome) in all.into_iter().enumerate() {
-        assert_eq!(word(outcome).0, i, "{outcome:?}");
+        assert_eq!(outcome_label(outcome).0, i, "{outcome:?}");
     }
 }
