--- a/crates/affinity/src/contact.rs
+++ b/crates/affinity/src/contact.rs
@@ -2,11 +2,11 @@
 //! with a quorum.
 //!
 //! Some members stand for all: the *beacons*, drawn by their names, the same at every member that
-//! knows the same ones. Each pulse tells how long ago its sender heard of each of them, by itself
-//! or by pulses of others; as every pulse says all that its sender knows of who left, whoever heard
-//! of a beacon knows what that beacon knew. A member is in contact as of the instant since which it
-//! has heard of a quorum: any two quorums have a beacon in common, also where the two members know
-//! beacons that differ by a few.
+//! knows the same ones. Each periodic message tells how long ago its sender heard of each of them,
+//! by itself or by periodic messages of others; as every periodic message says all that its sender
+//! knows of who left, whoever heard of a beacon knows what that beacon knew. A member is in contact
+//! as of the instant since which it has heard of a quorum: any two quorums have a beacon in common,
+//! also where the two members know beacons that differ by a few.
 
 use crate::{Micros, mix};
 use serde::{Deserialize, Serialize};
@@ -23,8 +23,8 @@
 /// Draws the beacons.
 const DRAW: u64 = 0x6265_6163;
 
-/// What a pulse tells of a beacon: the lower half of its number, twice its age in steps, plus 1
-/// where it knew who left.
+/// What a periodic message tells of a beacon: the lower half of its number, twice its age in steps,
+/// plus 1 where it knew who left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BeaconAge([u8; 4], u32);
 
@@ -78,7 +78,7 @@
             .collect();
     }
 
-    /// What a pulse tells of them at that instant.
+    /// What a periodic message tells of them at that instant.
     pub fn told(&self, now: Micros, sound: bool) -> Vec<BeaconAge> {
         let told = |(short, heard): (&[u8; 4], &BeaconContact)| {
             let (at, knew) = match self.heard_at(heard, now, sound) {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// A pulse of that time told this, and all that it says of who left was taken in.
+    /// A periodic message of that time told this, and all that it says of who left was taken in.
     pub fn heard(&mut self, stamp: Micros, told: &[BeaconAge]) {
         for BeaconAge(short, packed) in told.iter().take(MAX_BEACONS) {
             let at = stamp.saturating_sub(Micros::from(packed / 2).saturating_mul(STEP));
--- a/crates/affinity/src/drain_phase.rs
+++ b/crates/affinity/src/drain_phase.rs
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Processes of which phases are known at the most: all of them, and what else must be, fits into
-/// each pulse.
+/// each periodic message.
 pub const MAX_PHASES: usize = 12;
 /// Members whose reports are kept for each of them: all of the largest fleet.
 const MAX_REPORTS: usize = 10_240;
@@ -93,7 +93,7 @@
         self.known.get(&process).map_or(0, |s| s.phase.epoch)
     }
 
-    /// Whether a word of that epoch has ended.
+    /// Whether an entry of that epoch has ended.
     pub fn ended(&self, process: Process, epoch: u64) -> bool {
         self.known
             .get(&process)
@@ -169,7 +169,7 @@
         slot < phase.since.0.saturating_add(times.remembered()) || self.known.contains_key(&process)
     }
 
-    /// Forgets processes that have come back, or are not listed any more, once no word of before
+    /// Forgets processes that have come back, or are not listed any more, once no entry of before
     /// can be alive anywhere.
     pub fn forget(&mut self, slot: Slot, times: &Times, listed: impl Fn(Process) -> bool) {
         let long = times.remembered();
--- a/crates/affinity/src/entry.rs
+++ b/crates/affinity/src/entry.rs
@@ -12,12 +12,12 @@
     pub started: i64,
 }
 
-/// The last use of a key at a process that all members were told of. Of two words on the same key
+/// The last use of a key at a process that all members were told of. Of two entries on the same key
 /// and process the greater one holds: fields are compared in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AffinityEntry {
     /// The first slot in which that use is past its incarnation: then it counts as never made. The
-    /// word that lives longest holds, so that what it replaces cannot outlive it.
+    /// entry that lives longest holds, so that what it replaces cannot outlive it.
     pub ends: Slot,
     /// The epoch of the process in which it was used; see [`crate::phase`].
     pub epoch: u64,
@@ -44,21 +44,21 @@
 /// Processes at which one key is remembered: where two are bound at once, both until one ages out.
 pub const MAX_ENTRIES_PER_KEY: usize = 2;
 
-/// Words on one key. The merge takes the greater word of each process and keeps the greatest ones:
-/// idempotent, commutative and associative, as a process that is left out has no part in what is
-/// kept.
+/// Entries on one key. The merge takes the greater entry of each process and keeps the greatest
+/// ones: idempotent, commutative and associative, as a process that is left out has no part in what
+/// is kept.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KeyEntries(Vec<(AffinityEntry, Process)>);
 
 impl KeyEntries {
-    /// Takes a word in; whether that changed anything.
+    /// Takes an entry in; whether that changed anything.
     pub fn merge(&mut self, process: Process, entry: AffinityEntry) -> bool {
         match self.0.iter_mut().find(|(_, p)| *p == process) {
             Some((held, _)) if *held >= entry => return false,
             Some((held, _)) => *held = entry,
             None => self.0.push((entry, process)),
         }
-        // By the same order as the words of one process: else one that was left out would have a
+        // By the same order as the entries of one process: else one that was left out would have a
         // part in what is kept.
         self.0.sort_by_key(|place| std::cmp::Reverse(*place));
         let dropped = self.0.len() > MAX_ENTRIES_PER_KEY
@@ -72,7 +72,7 @@
         self.0.retain(|(entry, process)| keep(entry, process));
     }
 
-    /// The word on that process.
+    /// The entry on that process.
     pub fn at(&self, process: Process) -> Option<AffinityEntry> {
         self.0
             .iter()
--- a/crates/affinity/src/exchange.rs
+++ b/crates/affinity/src/exchange.rs
@@ -8,15 +8,15 @@
 
 /// How often [`AffinityMember::tick`] is to be called.
 pub const TICK: Micros = 100_000;
-/// Time from one pulse to the next.
+/// Time from one periodic message to the next.
 const PULSE: Micros = 500_000;
 /// Members that are answered at a time, and keys in one turn of an answer: they fit into one
 /// fragment or two.
 const MAX_ASKED: usize = 4;
 const ANSWER: usize = 32;
-/// Words that wait from which on there is a pulse between: as many as fit into one.
+/// Entries that wait from which on there is a periodic message between: as many as fit into one.
 const MANY: usize = 40;
-/// Least room of a pulse for members that are clear of a process.
+/// Least room of a periodic message for members that are clear of a process.
 const REPORT_ROOM: usize = 48;
 
 impl AffinityMember {
@@ -44,7 +44,7 @@
         }
         for (process, epoch, member) in message.reports() {
             self.phases.report(process, epoch, member);
-            // What an earlier life of this member said holds for this one too.
+            // What an earlier incarnation of this member said holds for this one too.
             if member == self.member
                 && self.phases.ended(process, epoch)
                 && self.table.holds(process)
@@ -122,7 +122,7 @@
         }
         let mut told = Outgoing::default();
         let due = now >= self.pulses_at.saturating_add(PULSE) || now < self.pulses_at;
-        // What does not fit into one pulse goes with one between.
+        // What does not fit into one periodic message goes with one between.
         if due || self.pending.count() > MANY && now >= self.pulses_at + PULSE / 2 {
             self.pulses_at = now;
             self.tell(now);
@@ -132,7 +132,7 @@
         told
     }
 
-    /// Own uses that the others need to know of become words.
+    /// Own uses that the others need to know of become entries.
     fn tell(&mut self, now: Micros) {
         let phases = &self.phases;
         let epoch =
--- a/crates/affinity/src/histories.rs
+++ b/crates/affinity/src/histories.rs
@@ -20,8 +20,8 @@
 const EPOCH: Micros = 1_900_000_000_000_000;
 const KEYS: u64 = 24;
 const PROCESSES: u64 = 3;
-/// Sends of a pulse, for those by members that pass its words on: a word goes with three of them,
-/// so that at 30 % loss one in 10^14 is not reached.
+/// Sends of a periodic message, for those by members that pass its entries on: an entry goes with
+/// three of them, so that at 30 % loss one in 10^14 is not reached.
 const SENDS: usize = 9;
 
 /// Lives as short as they can be beside the spread, so that much ages out in a history.
--- a/crates/affinity/src/histories/checks.rs
+++ b/crates/affinity/src/histories/checks.rs
@@ -15,7 +15,7 @@
     last: HashMap<Entry, Slot>,
     /// The last use by way of an affinity entry: when, and by whom.
     cached_at: HashMap<Entry, (Micros, usize)>,
-    /// Affinity entries that a member held and then no more, and the word that it knew.
+    /// Affinity entries that a member held and then no more, and the entry that it knew.
     held: HashMap<(usize, u64, Entry), (AffinityEntry, bool)>,
     /// Processes that left, or were about to.
     pub(super) left: Vec<Process>,
@@ -145,8 +145,8 @@
         }
         let slots = |n: Slot| n * self.times.slot;
         let (now, t) = (self.now(i), self.t);
-        // A word may reach one of two alone where a third is cut off from the other: nobody passes
-        // it on here.
+        // An entry may reach one of two alone where a third is cut off from the other: nobody
+        // passes it on here.
         let pairs = (0..self.nodes.len()).flat_map(|j| (0..j).map(move |k| (j, k)));
         let since = pairs
             .map(|(j, k)| self.steady_since(j, k))
--- a/crates/affinity/src/lib.rs
+++ b/crates/affinity/src/lib.rs
@@ -1,20 +1,20 @@
 //! Key affinity: which key is cached at which endpoint process, alike at every member, and how that
 //! expires.
 //!
-//! A *affinity entry* is the note that a key is warm at one process of an endpoint. Members tell
-//! each other of uses in words that form a join semilattice: whatever is lost, repeated or
-//! reordered, the same words make the same table. What is gone follows from a word and the hour
-//! alone, so that a late word revives nothing. docs/affinity.md states the rules.
+//! An *affinity entry* is the note that a key is warm at one process of an endpoint. Members tell
+//! each other of uses in entries that form a join semilattice: whatever is lost, repeated or
+//! reordered, the same entries make the same table. What is gone follows from an entry and the hour
+//! alone, so that a late entry revives nothing. docs/affinity.md states the rules.
 //!
 //! - [`section`]: the `[fleet.affinity]` section of a product configuration.
 //! - [`time`]: slots that all members count alike.
-//! - [`entry`]: processes, words on uses, and their merge for one key.
-//! - [`table`]: words on all keys, bounded.
+//! - [`entry`]: processes, entries on uses, and their merge for one key.
+//! - [`table`]: entries on all keys, bounded.
 //! - [`drain_phase`]: processes that leave or have come back, and who is clear of them.
 //! - [`contact`]: whom this member has heard, itself or through others.
 //! - [`contact_lease`]: whether this member may still hear the others.
 //! - [`publishing`]: what is told, and when.
-//! - [`pending_updates`]: words that are forwarded.
+//! - [`pending_updates`]: entries that are forwarded.
 //! - [`message`]: what goes from member to member.
 //! - [`exchange`]: what members send each other and make of it.
 //! - [`report`]: what a member gives out.
--- a/crates/affinity/src/member.rs
+++ b/crates/affinity/src/member.rs
@@ -14,7 +14,8 @@
 use std::cmp::Reverse;
 use std::collections::{HashMap, HashSet, VecDeque};
 
-/// Pulses in which a member that starts asks for all affinity entries, until it is answered.
+/// Periodic messages in which a member that starts asks for all affinity entries, until it is
+/// answered.
 const ASKS: u32 = 8;
 
 /// All that one member knows of affinity entries.
@@ -46,8 +47,8 @@
 }
 
 impl AffinityMember {
-    /// Those of a member by that number, the same in all its lives, that begins now. One that
-    /// `founds` the fleet asks nobody.
+    /// Those of a member by that number, the same in all its incarnations, that begins now. One
+    /// that `founds` the fleet asks nobody.
     pub fn new(
         now: Micros,
         times: Times,
@@ -131,7 +132,7 @@
         }
         let (slot, epoch) = (self.times.slot(now), self.phases.epoch(process));
         let at = self.table.at(key, process).is_some();
-        // Who finds so many places has one to go to: a further one would cost words at each use.
+        // Who finds so many places has one to go to: a further one would cost entries at each use.
         let key_entries = || {
             self.table
                 .entries(key)
@@ -261,7 +262,7 @@
             .map(|(process, phase)| (process, phase, self.phases.reported(process).count()))
     }
 
-    /// All affinity entries, for whoever audits them: key, process, word.
+    /// All affinity entries, for whoever audits them: key, process, entry.
     pub fn dump(&self) -> impl Iterator<Item = (u64, Process, AffinityEntry)> {
         let entries = |key| {
             self.table
--- a/crates/affinity/src/message.rs
+++ b/crates/affinity/src/message.rs
@@ -14,7 +14,7 @@
 /// observations.
 pub const MAX_MESSAGE_BYTES: usize = 1024;
 const VERSION: u8 = 1;
-/// Longest slots back from a fragment's own that a word may lie: a day of slots of a millisecond.
+/// Longest slots back from a fragment's own that an entry may lie: a day of slots of a millisecond.
 const FARTHEST: u64 = 86_400_000;
 
 /// Why a fragment was refused.
@@ -34,7 +34,7 @@
 type EncodedPhase = (EncodedProcess, u64, bool, Slot);
 /// Members that are clear of a process at an epoch.
 type EncodedReport = (EncodedProcess, u64, Vec<[u8; 8]>);
-/// Words on one process in one epoch: the key, then twice the slots back of its end from the
+/// Entries on one process in one epoch: the key, then twice the slots back of its end from the
 /// fragment's own, plus 1 where it is held.
 type EncodedEntries = (EncodedProcess, u64, Vec<([u8; 8], u64)>);
 
@@ -47,7 +47,7 @@
     pub asks: bool,
     /// The last one of an answer.
     pub ends: bool,
-    /// Its words are news, to be forwarded.
+    /// Its entries are news, to be forwarded.
     pub news: bool,
     /// Entries up to that rank were dropped somewhere: they are everywhere.
     pub floor: Option<(Slot, u64)>,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Adds words that end no later than that, as many as fit; gives those that did.
+    /// Adds entries that end no later than that, as many as fit; gives those that did.
     pub fn news(
         &mut self,
         base: Slot,
@@ -131,7 +131,7 @@
         taken
     }
 
-    /// Pieces with these words, as few as hold them.
+    /// Fragments with these entries, as few as hold them.
     pub fn entries(stamp: Micros, mut entries: Vec<(u64, Process, AffinityEntry)>) -> Vec<Self> {
         entries.sort_by_key(|(key, process, entry)| (*process, entry.epoch, *key));
         let base = entries
@@ -223,7 +223,7 @@
         self.reports.iter().flat_map(of)
     }
 
-    /// Words in it; those that lie too far back are passed over.
+    /// Entries in it; those that lie too far back are passed over.
     pub fn each_entry(&self) -> impl Iterator<Item = (u64, Process, AffinityEntry)> {
         self.groups.iter().flat_map(move |(n, epoch, listed)| {
             listed
--- a/crates/affinity/src/pending_updates.rs
+++ b/crates/affinity/src/pending_updates.rs
@@ -1,29 +1,29 @@
 //! Updates that are disseminated until enough members have them.
 //!
-//! What is told here, or was new here, goes along with pulses to members drawn anew each time
-//! (Demers et al., PODC 1987, p. 1, "rumor mongering" by counter): what went least often first,
-//! each time as the table has it by then.
+//! What is told here, or was new here, goes along with periodic messages to members drawn anew each
+//! time (Demers et al., PODC 1987, p. 1, "rumor mongering" by counter): what went least often
+//! first, each time as the table has it by then.
 
 use crate::entry::Process;
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
-/// Pulses with which a word goes: of four sends each, 12. With three in ten lost, one member in
-/// 4,000 is missed by all who pass a word on.
+/// Periodic messages with which an entry goes: of four sends each, 12. With three in ten lost, one
+/// member in 4,000 is missed by all who pass an entry on.
 pub const ROUNDS: u8 = 3;
-/// Words that wait; what went most often makes room.
+/// Entries that wait; what went most often makes room.
 const MAX_ENTRIES: usize = 1024;
 
-/// Words that are to be forwarded.
+/// Entries that are to be forwarded.
 #[derive(Clone, Debug, Default)]
 pub struct PendingUpdates {
     left: HashMap<(u64, Process), u8>,
-    /// Words that made room before they went as often as they should.
+    /// Entries that made room before they went as often as they should.
     pub dropped: u64,
 }
 
 impl PendingUpdates {
-    /// A word is new here.
+    /// An entry is new here.
     pub fn add(&mut self, key: u64, process: Process) {
         if self.left.len() >= MAX_ENTRIES && !self.left.contains_key(&(key, process)) {
             let least = self
--- a/crates/affinity/src/publishing.rs
+++ b/crates/affinity/src/publishing.rs
@@ -3,7 +3,7 @@
 //! A use of what is bound is told only where the others would else age it out, by one of those that
 //! know of such a use. As nobody knows who else does, each waits a drawn time, exponentially so
 //! that few come first whatever their number (as for feedback of multicast: Nonnenmacher and
-//! Biersack, IEEE/ACM Transactions on Networking 7, 1999, p. 375); who hears the word meanwhile
+//! Biersack, IEEE/ACM Transactions on Networking 7, 1999, p. 375); who hears the entry meanwhile
 //! says nothing.
 
 use crate::entry::{AffinityEntry, Process};
@@ -13,11 +13,11 @@
 use crate::{Micros, mix};
 use std::collections::{HashMap, VecDeque};
 
-/// Words told at once: they fit into a pulse, were each on another process.
+/// Entries told at once: they fit into a periodic message, were each on another process.
 const MAX_AT_ONCE: usize = 32;
 /// First uses that wait to be told; the one that waited longest makes room.
 const MAX_UNPUBLISHED: usize = 1024;
-/// Seconds of its part of the words that a member may save up, and the least that this comes to.
+/// Seconds of its part of the entries that a member may save up, and the least that this comes to.
 const SAVES: f64 = 4.0;
 const MIN_BURST: f64 = 16.0;
 
@@ -85,7 +85,7 @@
         }
     }
 
-    /// When this member tells of a use on which the others know that word.
+    /// When this member tells of a use on which the others know that entry.
     fn due(&self, key: u64, entry: AffinityEntry, times: &Times) -> Micros {
         // With everybody before anybody's clock says that it ended.
         let before = times.dissemination_time + times.slots(times.skew);
--- a/crates/affinity/src/report.rs
+++ b/crates/affinity/src/report.rs
@@ -6,7 +6,7 @@
 /// What is to be sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Outgoing {
-    /// To a few members drawn anew each time: a pulse.
+    /// To a few members drawn anew each time: a periodic message.
     pub nearby: Option<Vec<u8>>,
     /// To one member each.
     pub direct: Vec<(u64, Vec<u8>)>,
--- a/crates/affinity/src/safety_rules.rs
+++ b/crates/affinity/src/safety_rules.rs
@@ -4,9 +4,9 @@
 /// Which rules hold. Outside of tests all do.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SafetyRules {
-    /// A word counts from the use that it tells of, not from when it came (property a).
+    /// An entry counts from the use that it tells of, not from when it came (property a).
     pub ages_from_use: bool,
-    /// A word on a process of an epoch that ended is refused (properties a and d).
+    /// An entry on a process of an epoch that ended is refused (properties a and d).
     pub refuses_ended: bool,
     /// Uses are told before others age them out (property b).
     pub renews: bool,
--- a/crates/affinity/src/section.rs
+++ b/crates/affinity/src/section.rs
@@ -50,10 +50,11 @@
             slot: Time::ms(500),
             // Servers remember a key for 2.3 to 12 s from its last use there. The longest of these
             // for what was met once; what is met again lives three times as long, as each renewal
-            // costs words, and a cold pick no more than any other.
+            // costs entries, and a cold pick no more than any other.
             first_lifetime: Time::ms(12_000),
             renewed_lifetime: Time::ms(36_000),
-            // Twice the five pulses that reach 60 members; with three in ten lost, the rest too.
+            // Twice the five periodic messages that reach 60 members; with three in ten lost, the
+            // rest too.
             dissemination_time: Time::ms(3000),
             // As long as a fresh server takes to be warm (7.4 s): the others then get a twentieth
             // more a second.
--- a/crates/affinity/src/table.rs
+++ b/crates/affinity/src/table.rs
@@ -11,7 +11,7 @@
 /// has a part in it.
 pub type Rank = (Slot, u64, u64);
 
-/// Words on keys, at most so many of them.
+/// Entries on keys, at most so many of them.
 #[derive(Clone, Debug)]
 pub struct Table {
     most: usize,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Takes a word in; whether that changed anything.
+    /// Takes an entry in; whether that changed anything.
     pub fn merge(&mut self, key: u64, process: Process, entry: AffinityEntry) -> bool {
         if !self.stands(key, &entry) {
             return false;
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Whether a word lies above all that was dropped anywhere; one that does not counts as never
+    /// Whether an entry lies above all that was dropped anywhere; one that does not counts as never
     /// told.
     fn stands(&self, key: u64, entry: &AffinityEntry) -> bool {
         self.floor
@@ -137,7 +137,7 @@
             || !self.rules.drops_alike
     }
 
-    /// The word on a key at a process.
+    /// The entry on a key at a process.
     pub fn at(&self, key: u64, process: Process) -> Option<AffinityEntry> {
         self.key_entries
             .get(&key)?
@@ -158,7 +158,7 @@
             .unwrap_or_default()
     }
 
-    /// All words on a key, the one that ends last first.
+    /// All entries on a key, the one that ends last first.
     pub fn entries(&self, key: u64) -> impl Iterator<Item = (Process, AffinityEntry)> {
         let entries = self
             .key_entries
--- a/crates/affinity/src/time.rs
+++ b/crates/affinity/src/time.rs
@@ -14,7 +14,7 @@
     pub first_lifetime: Slot,
     /// Slots from the last use for which a key met again is bound.
     pub renewed_lifetime: Slot,
-    /// Slots that a word needs to be with everybody who hears.
+    /// Slots that an entry needs to be with everybody who hears.
     pub dissemination_time: Slot,
     /// Slots over which the keys of a process that leaves move.
     pub migration_time: Slot,
@@ -66,7 +66,7 @@
             + self.longest_use
     }
 
-    /// Slots for which it is remembered that a process left: until no word on it can be alive at
+    /// Slots for which it is remembered that a process left: until no entry on it can be alive at
     /// any member.
     pub fn remembered(&self) -> Slot {
         let longest = self.slots(self.clear_after())
--- a/crates/common/src/logging.rs
+++ b/crates/common/src/logging.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Format {
-    /// `program: words`, as on-call engineers know it.
+    /// `program: text`, as on-call engineers know it.
     Text,
     /// One JSON object a line.
     Json,
@@ -189,7 +189,7 @@
     }
 }
 
-/// `program: words key=value`, and the level before the words where it is not one of every day.
+/// `program: text key=value`, and the level before the text where it is not one of every day.
 struct Text {
     program: &'static str,
 }
--- a/crates/coordinator/src/calls.rs
+++ b/crates/coordinator/src/calls.rs
@@ -10,7 +10,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 
-/// The way to the agreement, and those who wait.
+/// The way to the log, and those who wait.
 #[derive(Clone)]
 pub struct Calls {
     told: mpsc::Sender<ThreadInput>,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Tells the agreement something, if it takes it now.
+    /// Tells the log something, if it takes it now.
     pub fn tell(&self, input: Input) -> bool {
         self.send(ThreadInput::Input(Box::new(input)))
     }
@@ -53,7 +53,7 @@
         self.call(|caller| Input::Bring(caller, event)).await
     }
 
-    /// Asks for a voice for a disk.
+    /// Asks for a vote for a disk.
     pub async fn admit(&self, id: u64, name: String) -> Reply {
         self.call(|caller| Input::Admit(caller, id, name)).await
     }
--- a/crates/coordinator/src/core/coordinator.rs
+++ b/crates/coordinator/src/core/coordinator.rs
@@ -182,7 +182,7 @@
         callers.collect()
     }
 
-    /// Where it stands in the agreement.
+    /// Its status in the replicated log.
     pub fn replica_status(&self) -> ReplicaStatus {
         self.node.replica_status()
     }
--- a/crates/coordinator/src/core/interface.rs
+++ b/crates/coordinator/src/core/interface.rs
@@ -27,8 +27,8 @@
     pub again_ms: u64,
     /// How long an act or a question may take until it counts as lost, in milliseconds.
     pub lost_ms: u64,
-    /// For how long after it was asked for a majority's word that this coordinator leads may be
-    /// acted on, in milliseconds: no longer than others wait before they stand for election.
+    /// For how long after it was asked for a majority's confirmation that this coordinator leads
+    /// may be acted on, in milliseconds: no longer than others wait before they stand for election.
     pub confirmation_ms: u64,
 }
 
@@ -41,11 +41,11 @@
     Message(String, Message),
     /// Somebody brings an event, and waits under this number for the answer.
     Bring(u64, Event),
-    /// A coordinator asks for a voice: the caller's number, the disk's number, its name.
+    /// A coordinator asks for a vote: the caller's number, the disk's number, its name.
     Admit(u64, u64, String),
     /// What the platform lists.
     Listed(Vec<Server>),
-    /// A round of looks at the fleet is over: what it came to, with ages at this moment of the
+    /// A round of polls of the fleet is over: what it came to, with ages at this moment of the
     /// monotonic clock. What waits, or is held up with the process, grows older meanwhile.
     Observations(u64, Vec<ServerObservation>),
     /// What an act came to; none if nothing was answered.
@@ -56,7 +56,7 @@
     StepDown,
 }
 
-/// Something to do, for as long as the majority's word that it rests on may be acted on.
+/// Something to do, for as long as the majority's confirmation that it depends on may be acted on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order<T> {
     /// What.
@@ -85,11 +85,11 @@
 pub enum Reply {
     /// The event was agreed on, and came to this.
     Agreed(Outcome),
-    /// Where the asking for a voice stands.
+    /// Where the request for a vote stands.
     Admission(Admission),
     /// This coordinator does not lead.
     NotLeader,
-    /// Too few coordinators have a voice yet.
+    /// Too few coordinators have a vote yet.
     Founding,
     /// The leader has not looked at servers and fleet yet.
     Looking,
@@ -102,7 +102,7 @@
 /// Where a coordinator stands and what it knows, for people.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct View {
-    /// Where it stands in the agreement.
+    /// Its status in the replicated log.
     #[serde(flatten)]
     pub replica_status: ReplicaStatus,
     /// Whether it leads and has looked at servers and fleet.
--- a/crates/coordinator/src/core/leadership.rs
+++ b/crates/coordinator/src/core/leadership.rs
@@ -52,7 +52,7 @@
         {
             self.own(now, LeaderProposal::Time, &Event::Tick);
         }
-        // A word that did not come in time never comes.
+        // A confirmation that did not come in time never comes.
         let confirmation_ms = self.settings.confirmation_ms;
         self.leadership.asked = self
             .leadership
--- a/crates/coordinator/src/joining.rs
+++ b/crates/coordinator/src/joining.rs
@@ -10,14 +10,14 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Where a voice is asked for.
+/// Where a vote is asked for.
 pub const PATH: &str = "/agreement/join";
 /// Pause between two askings.
 const AGAIN: Duration = Duration::from_millis(300);
 /// How long another coordinator may take to answer.
 const WITHIN: Duration = Duration::from_secs(1);
 
-/// Asks for a voice whenever there is none, until the process ends.
+/// Asks for a vote whenever there is none, until the process ends.
 pub async fn join(sections: Sections, calls: Calls, mut seen: watch::Receiver<Arc<Seen>>) {
     let own = &sections.coordinator.name;
     loop {
@@ -33,8 +33,7 @@
         let Some(replica_status) = replica_status else {
             continue;
         };
-        // Only one may found, and only where nobody has any part of an agreement: all others must
-        // say so.
+        // Only one may found, and only where nobody has any part of a log: all others must say so.
         let first = sections.coordinators.keys().next() == Some(own);
         if replica_status.blank && first && nobody_has_any(&sections).await {
             calls.send(ThreadInput::Found);
--- a/crates/coordinator/src/log_thread.rs
+++ b/crates/coordinator/src/log_thread.rs
@@ -17,7 +17,7 @@
 pub enum ThreadInput {
     /// For the coordinator.
     Input(Box<Input>),
-    /// No other coordinator has any part of an agreement: found one.
+    /// No other coordinator has any part of a log: found one.
     Found,
     /// The process ends.
     End,
@@ -28,7 +28,7 @@
 pub struct Seen {
     /// The coordinator; none before the disk was read, and while it fails.
     pub view: Option<View>,
-    /// Why it stands back.
+    /// Why it halted.
     pub halted: Option<String>,
     /// When it was seen last, by the monotonic clock.
     pub at_ms: u64,
--- a/crates/coordinator/src/log_thread/thread.rs
+++ b/crates/coordinator/src/log_thread/thread.rs
@@ -16,8 +16,8 @@
 const REOPEN: Duration = Duration::from_secs(2);
 /// Votes below which nothing is proposed, where there are as many coordinators.
 const MIN_VOTERS: usize = 3;
-/// What is seen from outside is renewed as often, though nothing was agreed on: observations
-/// grow old. In milliseconds.
+/// What is seen from outside is renewed as often, though nothing was agreed on: observations grow
+/// old. In milliseconds.
 const SHOW_MS: u64 = 1_000;
 
 /// What the thread owns.
@@ -235,7 +235,7 @@
 enum End {
     /// The process ends.
     Over,
-    /// It is to be opened anew as the founder of an agreement.
+    /// It is to be opened anew as the founder of a log.
     Found,
     /// The disk or the log failed.
     Halted(HaltReason),
--- a/crates/coordinator/src/metrics.rs
+++ b/crates/coordinator/src/metrics.rs
@@ -79,7 +79,7 @@
             if let Some(capacity) = &view.capacity {
                 gauge(
                     "coordinator_holds",
-                    "1 while the agreement holds.",
+                    "1 while the disruption budget holds.",
                     yes(capacity.holds),
                 );
                 gauge(
--- a/crates/coordinator/src/observations.rs
+++ b/crates/coordinator/src/observations.rs
@@ -77,10 +77,10 @@
     warm: bool,
 }
 
-/// The words on all listed servers of which enough was said. Nobody counts twice, nor anybody whose
-/// connectivity state does not let it answer. Enough members of a zone, and more than half of those
-/// that can tell, say the same of a process, or the zone says nothing; zones that contradict each
-/// other can't tell.
+/// The observations of all listed servers of which enough was said. Nobody counts twice, nor
+/// anybody whose connectivity state does not let it answer. Enough members of a zone, and more than
+/// half of those that can tell, say the same of a process, or the zone says nothing; zones that
+/// contradict each other can't tell.
 pub fn weigh(
     weights: &Weights,
     unix_ms: i64,
--- a/crates/coordinator/src/poller.rs
+++ b/crates/coordinator/src/poller.rs
@@ -28,7 +28,7 @@
 /// Sidecars' addresses with their zones.
 pub type Drawn = Vec<(String, SocketAddr)>;
 
-/// The looks.
+/// Polls the platform and the sidecars.
 pub struct Poller {
     sections: Sections,
     clock: Clock,
@@ -121,8 +121,8 @@
         self.calls.tell(Input::Observations(now.mono_ms, words));
     }
 
-    /// Whether nothing ran at a server that drains in all looks of `[clear] quiet`, by the
-    /// platform's word of after the drain: a request may have been on its way to it in one of them.
+    /// Whether nothing ran at a server that drains in all polls of `[affinity_drain] quiet`, by the
+    /// platform's list of after the drain: a request may have been on its way to it in one of them.
     pub async fn idle(&self, name: &str, epoch: u64) -> bool {
         let Ok(list) = self.list.read(FRESH).await else {
             return false;
--- a/crates/coordinator/src/replicated_log/admission.rs
+++ b/crates/coordinator/src/replicated_log/admission.rs
@@ -1,15 +1,15 @@
 //! Membership of the replicated log: how a replica with a new or an emptied disk joins.
 //!
-//! A voice belongs to a disk, not to a name: an emptied disk gets a new number, so what its old
+//! A vote belongs to a disk, not to a name: an emptied disk gets a new number, so what its old
 //! number promised is never taken for kept. It listens first; once it has what the leader has, one
-//! agreed step gives it the voice of the old number of its name and takes that one's away.
+//! agreed step gives it the vote of the old number of its name and takes that one's away.
 
 use super::entry::{self, Newcomer};
 use super::interface::Replicated;
 use super::node::Node;
 use raft::eraftpb::{ConfChangeSingle, ConfChangeType, ConfChangeV2};
 
-/// What an asking for a voice came to.
+/// What a request for a vote came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
     /// It has one.
@@ -51,7 +51,7 @@
         let mut changes = Vec::new();
         match raft.prs().get(id) {
             None => {
-                // Earlier disks of that name which never got a voice make room.
+                // Earlier disks of that name which never got a vote make room.
                 let deaf = of_name.iter().filter(|n| !voters.contains(**n));
                 changes.extend(deaf.map(|n| change(ConfChangeType::RemoveNode, *n)));
                 changes.push(change(ConfChangeType::AddLearnerNode, id));
--- a/crates/coordinator/src/replicated_log/interface.rs
+++ b/crates/coordinator/src/replicated_log/interface.rs
@@ -32,7 +32,7 @@
     /// Heartbeats that a leader may miss before others stand for election: from here to twice as
     /// many, by a draw over disk and term.
     pub patience: usize,
-    /// Voices below which nothing is proposed: what a founder alone agrees to would hang on one
+    /// Votes below which nothing is proposed: what a founder alone agrees to would hang on one
     /// disk.
     pub least: usize,
 }
@@ -42,7 +42,7 @@
 pub enum HaltReason {
     /// The disk failed: what is kept is not known.
     Disk(StoreError),
-    /// The agreement holds what this program does not know.
+    /// The log holds what this program does not know.
     Unknown(String),
 }
 
@@ -52,7 +52,7 @@
             Self::Disk(trouble) => trouble.fmt(f),
             Self::Unknown(what) => write!(
                 f,
-                "the agreement holds what this program does not know: {what}"
+                "the log holds what this program does not know: {what}"
             ),
         }
     }
@@ -71,7 +71,7 @@
 pub enum Refused {
     /// This node does not lead, or has not applied an entry of its own time.
     NotLeader,
-    /// Fewer coordinators than [`Options::least`] have a voice yet.
+    /// Fewer coordinators than [`Options::least`] have a vote yet.
     Founding,
     /// Too much waits for agreement.
     Busy,
@@ -103,13 +103,13 @@
     pub acts: bool,
     /// Last applied entry.
     pub applied: u64,
-    /// Names of those with a voice.
+    /// Names of those with a vote.
     pub voters: Vec<String>,
     /// Names of all whose disks count or listen, one a disk: more than coordinators, while one's
     /// new disk takes the place of its old one.
     pub members: Vec<String>,
-    /// Whether this disk has a voice.
+    /// Whether this disk has a vote.
     pub voice: bool,
-    /// Whether it holds no part of any agreement.
+    /// Whether it holds no part of any log.
     pub blank: bool,
 }
--- a/crates/coordinator/src/replicated_log/log_store.rs
+++ b/crates/coordinator/src/replicated_log/log_store.rs
@@ -20,7 +20,7 @@
 /// that everyone else is given the snapshot, and with it the members.
 const FOUNDED: u64 = 1;
 
-/// What a coordinator keeps of the agreement.
+/// What a coordinator keeps of the log.
 #[derive(Debug)]
 pub struct LogStore {
     store: Store,
@@ -34,7 +34,7 @@
 
 impl LogStore {
     /// Reads what the store keeps. An empty one becomes that of a coordinator that has no part in
-    /// the agreement yet; `id` is the number of its disk from then on, and must be like no other.
+    /// the log yet; `id` is the number of its disk from then on, and must be like no other.
     ///
     /// # Errors
     /// The store cannot be read or written, or what it keeps does not belong together.
@@ -101,7 +101,7 @@
         self.store.commit(changes)
     }
 
-    /// Whether it holds no part of any agreement.
+    /// Whether it holds no part of any log.
     #[must_use]
     pub fn is_blank(&self) -> bool {
         self.snapshot
@@ -117,8 +117,7 @@
         self.id
     }
 
-    /// Begins an agreement of which this coordinator is the only member, over a machine in this
-    /// state.
+    /// Begins a log of which this coordinator is the only member, over a machine in this state.
     pub(crate) fn found(&mut self, name: &str, machine: Vec<u8>) -> Result<(), StoreError> {
         let kept = PersistedState {
             members: [(self.id, name.to_owned())].into(),
--- a/crates/coordinator/src/replicated_log/node.rs
+++ b/crates/coordinator/src/replicated_log/node.rs
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Hands the lead over to the coordinator that has most of the log, if another one with a voice
+    /// Hands the lead over to the coordinator that has most of the log, if another one with a vote
     /// was heard lately. Whether it was asked to.
     pub fn hand_over(&mut self) -> bool {
         let raft = &self.raw.raft;
--- a/crates/gossip/src/core/dissemination.rs
+++ b/crates/gossip/src/core/dissemination.rs
@@ -44,7 +44,7 @@
         self.wake(now);
     }
 
-    /// There is something to do: the next beat comes soon.
+    /// There is something to do: the next tick comes soon.
     pub(super) fn wake(&mut self, now: Micros) {
         self.next_tick = self.next_tick.min(now + TICK);
     }
--- a/crates/gossip/src/core/observations.rs
+++ b/crates/gossip/src/core/observations.rs
@@ -99,7 +99,7 @@
         };
         let worth_saying = match health {
             ObservedHealth::Unhealthy => ejected || alike(ObservedHealth::Unhealthy) <= ENOUGH,
-            // Nobody doubts it where nobody found it sick, and two who were served since are
+            // Nobody doubts it where nobody found it unhealthy, and two who were served since are
             // enough.
             ObservedHealth::Healthy => {
                 let here = || {
--- a/crates/gossip/src/effects.rs
+++ b/crates/gossip/src/effects.rs
@@ -36,7 +36,7 @@
 pub struct CarriedFragment {
     /// Hash of the name of who said it.
     pub origin: u64,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: u64,
     /// What it is, in the range [`crate::fragments::CARRIED`].
     pub kind: u8,
--- a/crates/gossip/src/fragments.rs
+++ b/crates/gossip/src/fragments.rs
@@ -19,17 +19,17 @@
 /// From this age on a fragment is neither taken nor forwarded: by then whoever is reached has it
 /// (nine sends at ten a second), and from then on nobody need remember that it came.
 pub const BOUND: Micros = 5 * SECOND;
-/// Pieces that a member gives to be spread, a second, and to single members; and at once.
+/// Fragments that a member gives to be spread, a second, and to single members; and at once.
 const RATE: f64 = 20.0;
 const RATE_DIRECT: f64 = 40.0;
 const BURST: f64 = 40.0;
-/// Pieces that wait to be forwarded. The one that was forwarded most often makes room, of those the
-/// one longest here.
+/// Fragments that wait to be forwarded. The one that was forwarded most often makes room, of those
+/// the one longest here.
 const MAX_WAITING: usize = 256;
 /// Numbers below an origin's highest that are told apart (an anti-replay window as in RFC 4303,
 /// section 3.4.3): more than a member gives in the bound, 140.
 const WINDOW: u64 = 256;
-/// Lives of members of which numbers are remembered: all of the largest fleet.
+/// Incarnations of members of which numbers are remembered: all of the largest fleet.
 const MAX_ORIGINS: usize = 10_240;
 
 /// A fragment as it is written, behind its kind.
@@ -37,7 +37,7 @@
 pub struct FragmentEnvelope<'a> {
     /// Hash of the name of who said it.
     pub origin: u64,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: u64,
     /// Grows with each fragment of that incarnation, of whatever kind.
     pub sequence: u64,
--- a/crates/gossip/src/health_status.rs
+++ b/crates/gossip/src/health_status.rs
@@ -1,9 +1,9 @@
 //! Derives the health status of endpoints for one member: which of them are ejected.
 //!
 //! Others' observations count by zone, as a cut shows as the death of everything behind it: an
-//! endpoint rests for those in whose own zone enough members have found it sick. Where several
-//! zones have, it is the endpoint and not the way, and they share the trials. Who finds most of all
-//! endpoints sick is likely cut off, slow or lying, and is not listened to.
+//! endpoint is ejected for those in whose own zone enough members have found it unhealthy. Where
+//! several zones have, it is the endpoint and not the way, and they share the trials. Who finds
+//! most of all endpoints sick is likely cut off, slow or lying, and is not listened to.
 
 use crate::Micros;
 use crate::observation_table::{Observation, ObservedHealth};
@@ -51,8 +51,8 @@
         }
     }
 
-    /// More than twice as many found it sick as were served since: one that errs, or lies, does not
-    /// keep the others out, and two trials that went well end it.
+    /// More than twice as many found it unhealthy as were served since: one that errs, or lies,
+    /// does not keep the others out, and two trials that went well end it.
     fn unhealthy(&self) -> bool {
         self.unhealthy > 2 * self.healthy
     }
@@ -65,7 +65,7 @@
     pub unhealthy: bool,
     /// Until then, where nothing more is heard.
     pub until: Micros,
-    /// Zones that found it sick, this member's own among them.
+    /// Zones that found it unhealthy, this member's own among them.
     pub zones: Vec<u64>,
     /// The newest sign, and when it was seen.
     pub newest: Option<(ObservedHealth, Micros)>,
@@ -73,9 +73,9 @@
     pub served: bool,
 }
 
-/// Weighs what is known of a process for a member in `zone`, for which it `rests` since the zones
-/// given found it sick, or not yet. `counts` says whether a datum's origin is one to listen to;
-/// `members` how many that zone has, this member included.
+/// Weighs what is known of a process for a member in `zone`, for which it is ejected since the
+/// zones given found it unhealthy, or not yet. `counts` says whether a datum's origin is one to
+/// listen to; `members` how many that zone has, this member included.
 ///
 /// To rest it needs as many reporters as the weights say, over all zones that find it sick, and one
 /// of the own zone: what others see of a cut is nothing to a zone that is served. It goes on to
@@ -93,7 +93,7 @@
     let (mut all, mut zones, mut offered) = (Vec::new(), Vec::new(), 0);
     for (of, data) in data {
         let data: Vec<Observation> = data.iter().filter(fresh).copied().collect();
-        // Once it rests, those who tried it may tell the good news alone.
+        // Once it is ejected, those who tried it may tell the good news alone.
         if ObservationCount::of(&data).unhealthy() || rests.is_some_and(|zones| zones.contains(&of))
         {
             zones.push(of);
--- a/crates/gossip/src/lib.rs
+++ b/crates/gossip/src/lib.rs
@@ -1,14 +1,17 @@
-//! What the sidecars of a fleet know together, each datum with a bound on its age.
+//! Gossip between the sidecars of a fleet: membership, health observations of endpoints and the
+//! ejections that follow from them. Every datum has a maximum staleness.
 //!
 //! - [`section`]: the `[fleet]` section of a product configuration.
-//! - [`member`]: who a member is.
+//! - [`member`]: who a member is. [`membership_table`]: who is known, and how those left who did.
 //! - [`frame`]: datagrams, and why one is dropped.
-//! - [`observation_table`]: what members saw of endpoints, merged in any order to the same table.
-//! - [`verdict`]: what follows from it for one member: who rests. [`trial`]: who of those may be tried, when, by whom.
-//! - [`fragments`]: small fragments of other crates' data, spread the same way.
-//! - [`effects`]: what goes in and comes out of it. [`summary`]: what people read. [`tokens`]: a rate.
-//! - [`connectivity`]: what a member concludes of its own place, and what each part may do there; beside it what it is
-//!   concluded from. [`membership`]: who is known, and how those left who did.
+//! - [`observation_table`]: what members observed of endpoints, merged in any order to the same
+//!   table.
+//! - [`health_status`]: which endpoints one member ejects by that table. [`trial`]: which of the
+//!   ejected may be tried, when and by whom.
+//! - [`fragments`]: message parts of other crates that are disseminated with gossip.
+//! - [`connectivity`]: the connectivity state of a member, and what each part may do in it.
+//! - [`effects`]: inputs and outputs. [`summary`]: what status pages show. [`token_bucket`]: a rate
+//!   limit.
 //! - [`core`]: all of it as one state machine without I/O and clock.
 //! - [`udp`]: its sockets and timers.
 #![forbid(unsafe_code)]
--- a/crates/gossip/src/member.rs
+++ b/crates/gossip/src/member.rs
@@ -9,7 +9,7 @@
 pub struct Member {
     /// Where its datagrams arrive, and leave.
     pub address: SocketAddr,
-    /// Its name, the same over all its lives.
+    /// Its name, the same over all its incarnations.
     pub name: String,
     /// Its zone; empty where there is none.
     pub zone: String,
--- a/crates/gossip/src/observation.rs
+++ b/crates/gossip/src/observation.rs
@@ -29,7 +29,7 @@
 pub struct Observation {
     /// Hash of the name of who saw it.
     pub origin: u64,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: u64,
     /// Grows with each datum of that incarnation.
     pub sequence: u64,
--- a/crates/gossip/src/summary.rs
+++ b/crates/gossip/src/summary.rs
@@ -49,14 +49,14 @@
     pub zone: String,
     /// Its address.
     pub address: SocketAddr,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: u64,
     /// For how long it is known to run.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub known_for_s: Option<f64>,
 }
 
-/// An endpoint that rests.
+/// An endpoint that is ejected.
 #[derive(Clone, Debug, Serialize)]
 pub struct EjectionSummary {
     /// Its name.
@@ -119,7 +119,7 @@
 pub struct Servers {
     /// Its name.
     pub member: String,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: u64,
     /// Its zone.
     pub zone: String,
@@ -135,10 +135,11 @@
 /// How a server is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum State {
-    /// It has served somebody, within the bound, since anybody with enough reporters found it sick.
+    /// It has served somebody, within the bound, since anybody with enough reporters found it
+    /// unhealthy.
     #[serde(rename = "well")]
     Healthy,
-    /// Enough reporters found it sick.
+    /// Enough reporters found it unhealthy.
     #[serde(rename = "sick")]
     Unhealthy,
     /// Neither.
--- a/crates/gossip/src/trial.rs
+++ b/crates/gossip/src/trial.rs
@@ -13,7 +13,7 @@
     pub length: Micros,
 }
 
-/// The slot around `now` for a process that rests since then: longer the longer it rests, short
+/// The slot around `now` for a process that is ejected since then: longer the longer it is, short
 /// once somebody was served. None where somebody has just looked.
 pub fn slot(
     now: Micros,
--- a/crates/leases/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -119,8 +119,8 @@
         })
     }
 
-    /// Takes the answer to the word of that number. One that comes late counts from when its word
-    /// was sent; one to a word of before a stop counts for nothing.
+    /// Takes the answer to the message of that number. One that comes late counts from when its
+    /// message was sent; one to a message of before a stop counts for nothing.
     pub fn receive(&mut self, now_ms: u64, number: u64, outcome: &Outcome) {
         self.notice_pause(now_ms);
         let Some(place) = self.open.iter().position(|(open, _)| *open == number) else {
@@ -208,7 +208,7 @@
         self.beat_ms = Some(self.beat_ms.map_or(now_ms, |tick| tick.max(now_ms)));
     }
 
-    /// As if the word of that number were sent only now: a fault that the model plants.
+    /// As if the message of that number were sent only now: a fault that the model plants.
     #[cfg(test)]
     pub(crate) fn sent_now(&mut self, now_ms: u64, number: u64) {
         self.open
--- a/crates/leases/src/holder_monitor.rs
+++ b/crates/leases/src/holder_monitor.rs
@@ -11,7 +11,7 @@
 pub struct HolderMonitor {
     /// Holders by task: token, renewals, since when those stand.
     held: BTreeMap<String, (u64, u64, u64)>,
-    /// Those who wait, by task and name: life, asks, since when those stand.
+    /// Those who wait, by task and name: incarnation, asks, since when those stand.
     waiting: BTreeMap<(String, String), (u64, u64, u64)>,
 }
 
--- a/crates/leases/src/model.rs
+++ b/crates/leases/src/model.rs
@@ -34,7 +34,7 @@
     stopped: [bool; 2],
     holders: [Holder; 2],
     lives: [u64; 2],
-    /// Who said it in which life, its number.
+    /// Who said it in which incarnation, its number.
     messages: BTreeSet<(usize, u64, u64, Event)>,
     answers: BTreeSet<(usize, u64, Outcome)>,
     /// Acts on their way: token and who.
@@ -225,7 +225,7 @@
             Move::Answer(who, number, outcome) => {
                 let now = before.clock(who);
                 if self.0.from_answer && matches!(outcome, Outcome::Granted { .. }) {
-                    // As if its word had been sent only now.
+                    // As if its message had been sent only now.
                     moment.holders[who].sent_now(now, number);
                 }
                 moment.holders[who].receive(now, number, &outcome);
--- a/crates/leases/src/model/scope.rs
+++ b/crates/leases/src/model/scope.rs
@@ -9,7 +9,7 @@
     pub(super) forgets: bool,
     /// A new leader takes the last one's word for how long somebody was silent.
     pub(super) no_wait: bool,
-    /// A holder counts its lease from the answer, not from its word.
+    /// A holder counts its lease from the answer, not from its message.
     pub(super) from_answer: bool,
 }
 
@@ -20,7 +20,7 @@
     pub(super) held: bool,
     /// The first has heard that it holds the task.
     pub(super) receive: bool,
-    /// A word, answer or act arrives at most once.
+    /// A message, answer or act arrives at most once.
     pub(super) once: bool,
     /// Processes crash, are stopped, have slow clocks.
     pub(super) faults: bool,
--- a/crates/maintenance/src/action.rs
+++ b/crates/maintenance/src/action.rs
@@ -9,9 +9,9 @@
 ///
 /// The thing acted on keeps the highest token it has seen of each server and refuses a lower one
 /// with [`Answer::Refused`](crate::Answer::Refused). The way out (drain, take) has one token, the
-/// way back (return, cancellation) a higher one, so a late word of the way out undoes no way back.
-/// A step that is done already is answered with `Done`; a cancellation of a server that was taken
-/// with `Taken`, its token kept all the same.
+/// way back (return, cancellation) a higher one, so a late answer of the way out undoes no way
+/// back. A step that is done already is answered with `Done`; a cancellation of a server that was
+/// taken with `Taken`, its token kept all the same.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Action {
     /// The window's number.
--- a/crates/maintenance/src/action_results.rs
+++ b/crates/maintenance/src/action_results.rs
@@ -9,7 +9,7 @@
 const MAX_SKIPPED: u64 = 1 << 32;
 
 impl Machine {
-    /// The window's and the seat's place.
+    /// The window's and the slot's place.
     fn slot(&self, window: u64, server: &str) -> Result<usize, Outcome> {
         let found = self
             .windows
@@ -66,7 +66,7 @@
         Outcome::Taken
     }
 
-    /// Takes the answer to an act. One that belongs to another token or step than the seat's own
+    /// Takes the answer to an act. One that belongs to another token or step than the slot's own
     /// changes nothing.
     pub(crate) fn record_result(
         &mut self,
@@ -120,7 +120,7 @@
         Outcome::Taken
     }
 
-    /// Somebody with a higher token has acted on the server. The seat goes on under one above that;
+    /// Somebody with a higher token has acted on the server. The slot goes on under one above that;
     /// but a clear of before says nothing of what the other did, so a server that was to be taken
     /// is given back first.
     fn overtaken(&mut self, window: u64, index: usize, step: Step, seen: u64) -> Outcome {
--- a/crates/maintenance/src/admission.rs
+++ b/crates/maintenance/src/admission.rs
@@ -14,7 +14,7 @@
     }
 }
 
-/// The end of that part for a seat that was granted, in milliseconds of Unix time.
+/// The end of that part for a slot that was granted, in milliseconds of Unix time.
 pub(crate) fn hard_end(budget: &DisruptionBudget, window: &Window, slot: &ServerSlot) -> i64 {
     slot.start_ms
         .unwrap_or(0)
@@ -38,7 +38,7 @@
             || spans.get(after).is_some_and(|span| span.from_ms < until_ms)
     }
 
-    /// Whether a known blackout begins before a seat's time is over that no blackout may touch, or
+    /// Whether a known blackout begins before a slot's time is over that no blackout may touch, or
     /// is on.
     pub(crate) fn meets_blackout(
         &self,
@@ -154,7 +154,7 @@
         self.changed = true;
     }
 
-    /// Whether observations say that a seat's server is back: seen serving and warm after its way
+    /// Whether observations say that a slot's server is back: seen serving and warm after its way
     /// back was confirmed, under a start of that return.
     pub(crate) fn is_back(&self, budget: &DisruptionBudget, slot: &ServerSlot) -> bool {
         let (Some(known), Some(returned_ms)) = (self.servers.get(&slot.server), slot.returned_ms)
@@ -169,8 +169,8 @@
                 .is_some_and(|s| s.seen_ms >= returned_ms && s.started >= slot.least_start)
     }
 
-    /// Puts a seat on its way back, under a token of its own, so that a late word of the way out is
-    /// refused.
+    /// Puts a slot on its way back, under a token of its own, so that a late answer of the way out
+    /// is refused.
     pub(crate) fn send_back(&mut self, id: u64, index: usize, state: State, reason: &str) {
         self.token += 1;
         let token = self.token;
--- a/crates/maintenance/src/advance.rs
+++ b/crates/maintenance/src/advance.rs
@@ -28,7 +28,7 @@
         self.forget();
     }
 
-    /// Closes seats whose server is back, and books again those that were cancelled.
+    /// Closes slots whose server is back, and books again those that were cancelled.
     fn settle(&mut self, budget: &DisruptionBudget) {
         let mut back: Vec<(u64, usize)> = Vec::new();
         for window in self.windows.values() {
--- a/crates/maintenance/src/booking.rs
+++ b/crates/maintenance/src/booking.rs
@@ -11,7 +11,7 @@
 use crate::timeline::Placement;
 use crate::window::{ServerSlot, State, Window};
 
-/// Most seats of open windows together: every server in one window, by the longest list.
+/// Most slots of open windows together: every server in one window, by the longest list.
 pub(crate) const MAX_SLOTS: usize = 4_096;
 
 impl Machine {
--- a/crates/maintenance/src/cancellation.rs
+++ b/crates/maintenance/src/cancellation.rs
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Seats that drain or are clear, of the windows that match.
+    /// Slots that drain or are clear, of the windows that match.
     pub(crate) fn not_taken(
         &self,
         matches: impl Fn(&crate::window::Window) -> bool,
--- a/crates/maintenance/src/capacity.rs
+++ b/crates/maintenance/src/capacity.rs
@@ -5,7 +5,7 @@
 /// Capacity at a moment.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CapacityView {
-    /// For all, then by each zone and group that the agreement names.
+    /// For all, then by each zone and group that the disruption budget names.
     pub rooms: Vec<Room>,
     /// Servers away, by grant, dead or unheard of.
     pub away: u32,
--- a/crates/maintenance/src/disruption_budget.rs
+++ b/crates/maintenance/src/disruption_budget.rs
@@ -7,8 +7,8 @@
 use crate::calendar::Blackout;
 use crate::invalid::Invalid;
 
-/// Most blackouts, zones and groups that one agreement may name, so that a calendar and a plan stay
-/// small.
+/// Most blackouts, zones and groups that one disruption budget may name, so that a calendar and a
+/// plan stay small.
 pub const MAX_RULES: usize = 64;
 
 /// What the operators have agreed on. Capacity is counted in the servers' weights.
--- a/crates/maintenance/src/due.rs
+++ b/crates/maintenance/src/due.rs
@@ -9,8 +9,8 @@
 impl Machine {
     /// What the leader is to do now, ways back first, then by window and server. `now_ms` is its
     /// own clock: a drain or take is named only while observations of that moment holds the
-    /// agreement and no blackout is on, so a leader that was deposed unknowing, or stopped, does
-    /// neither for longer than observations lives.
+    /// disruption budget and no blackout is on, so a leader that was deposed unknowing, or stopped,
+    /// does neither for longer than observations live.
     pub fn due(&self, now_ms: i64) -> Vec<Action> {
         let Some(budget) = &self.budget else {
             return Vec::new();
--- a/crates/maintenance/src/event.rs
+++ b/crates/maintenance/src/event.rs
@@ -21,7 +21,7 @@
     },
     /// What the list or platform names now: all servers, in place of the last list.
     Servers(Vec<Server>),
-    /// What the fleet knows of servers; of those not named the last word stays, and ages.
+    /// What the fleet knows of servers; of those not named the last observation stays, and ages.
     #[serde(rename = "evidence")]
     Observations(Vec<ServerObservation>),
     /// No replica picks by an affinity entry to this server any more, and none will before it has
@@ -57,17 +57,17 @@
     },
     /// Time passed.
     Tick,
-    /// A new agreement takes the place of the last. Blackouts count once a [`Event::Calendar`]
-    /// gives their times; until then everything is blacked out.
+    /// A new disruption budget takes the place of the last. Blackouts count once a
+    /// [`Event::Calendar`] gives their times; until then everything is blacked out.
     #[serde(rename = "agreement")]
     DisruptionBudget(DisruptionBudget),
-    /// The agreement's blackouts as times, worked out by the leader (see
+    /// The disruption budget's blackouts as times, worked out by the leader (see
     /// [`Machine::calendar_due`]): replicas with another time zone database decide the same.
     ///
     /// [`Machine::calendar_due`]: crate::Machine::calendar_due
     Calendar {
-        /// The agreement that they belong to, counted from the first one: for another one they say
-        /// nothing.
+        /// The disruption budget that they belong to, counted from the first one: for another one
+        /// they say nothing.
         #[serde(rename = "agreement")]
         budget: u64,
         /// The time to which the spans are known, in milliseconds of Unix time. What lies beyond is
@@ -108,7 +108,8 @@
     pub started: u64,
     /// How long ago it was seen, in milliseconds before the event.
     pub age_ms: u64,
-    /// Whether enough members in whole standing say so. If not, the word counts as none.
+    /// Whether enough members with full connectivity say so. If not, the observation counts as
+    /// none.
     pub enough: bool,
 }
 
@@ -212,6 +213,6 @@
     Unknown(String),
     /// A bound is reached.
     Full(String),
-    /// No agreement was made yet.
+    /// No disruption budget was made yet.
     NoAgreement,
 }
--- a/crates/maintenance/src/invalid.rs
+++ b/crates/maintenance/src/invalid.rs
@@ -7,7 +7,7 @@
 pub struct Invalid {
     /// The key, as in the configuration or request, with its index where it is one of several.
     pub key: String,
-    /// Why it can't be taken, in words for the operator.
+    /// Why it can't be taken, as text for the operator.
     pub reason: String,
 }
 
--- a/crates/maintenance/src/known_server.rs
+++ b/crates/maintenance/src/known_server.rs
@@ -5,7 +5,7 @@
 use crate::capacity::DebitReason;
 use crate::event::Health;
 
-/// A listed server, and the last word on it.
+/// A listed server, and the last observation of it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct Known {
     pub(crate) zone: String,
@@ -17,7 +17,7 @@
     pub(crate) warm: Option<u64>,
 }
 
-/// A word by enough members, by the time that it was seen.
+/// An observation by enough members, by the time that it was seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct Seen {
     pub(crate) state: Health,
@@ -26,7 +26,7 @@
 }
 
 impl Known {
-    /// The word, if it is young enough and not of a process before the listed one.
+    /// The observation, if it is young enough and not of a process before the listed one.
     pub(crate) fn fresh(&self, now_ms: i64, bound_ms: i64) -> Option<Seen> {
         self.seen.filter(|seen| {
             now_ms.saturating_sub(seen.seen_ms) < bound_ms && seen.started >= self.started
--- a/crates/maintenance/src/ledger.rs
+++ b/crates/maintenance/src/ledger.rs
@@ -130,7 +130,7 @@
 }
 
 impl Machine {
-    /// Seats with an open grant, by server, with their window's number.
+    /// Slots with an open grant, by server, with their window's number.
     pub(crate) fn admissions(&self) -> BTreeMap<&str, (u64, &ServerSlot)> {
         let slots = self
             .windows
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -1,7 +1,7 @@
 //! Maintenance windows that never breach the capacity floor.
 //!
 //! A [`Machine`] takes [`Event`]s in an order that others agreed on, each with the time that its
-//! proposer read; it knows nothing of how agreement is reached, does no I/O and reads no clock.
+//! proposer read; it knows nothing of how consensus is reached, does no I/O and reads no clock.
 //! What the leader has to do follows from the state alone ([`Machine::due`]), so a successor goes
 //! on at the very step.
 
--- a/crates/maintenance/src/machine.rs
+++ b/crates/maintenance/src/machine.rs
@@ -24,7 +24,7 @@
     pub(crate) last_window: u64,
     #[serde(rename = "agreement")]
     pub(crate) budget: Option<DisruptionBudget>,
-    /// How many agreements there have been.
+    /// How many disruption budgets there have been.
     #[serde(rename = "agreements")]
     pub(crate) budgets: u64,
     pub(crate) calendar: Calendar,
@@ -55,7 +55,7 @@
 
     /// Takes the next agreed event. `at_ms` is its proposer's clock, in milliseconds of Unix time;
     /// one that lies before the last event's counts as that. If it lies before it by more than
-    /// observations lives, one of the two clocks was wrong, and no observations are believed before
+    /// observations live, one of the two clocks was wrong, and no observations are believed before
     /// time goes on.
     pub fn apply(&mut self, at_ms: i64, event: Event) -> Outcome {
         let bound_ms = self
@@ -126,7 +126,7 @@
     }
 
     fn dates(&mut self, budget: u64, until_ms: i64, spans: Vec<Span>) -> Outcome {
-        // Proposed before another agreement was agreed on.
+        // Proposed before another disruption budget was agreed on.
         if budget != self.budgets {
             return Outcome::Ignored;
         }
@@ -176,6 +176,6 @@
 const RENEW_MS: i64 = 30 * 86_400_000;
 /// The last moment that an event may have, in milliseconds of Unix time: the end of the year 9999.
 const LAST_MS: i64 = 253_402_300_799_999;
-/// Most times in a calendar: each blackout of an agreement once a month, in the time that a
+/// Most times in a calendar: each blackout of a disruption budget once a month, in the time that a
 /// calendar reaches.
 const MAX_SPANS: usize = 16 * MAX_RULES;
--- a/crates/maintenance/src/model.rs
+++ b/crates/maintenance/src/model.rs
@@ -15,7 +15,7 @@
 };
 
 const NAMES: [&str; 2] = ["s0", "s1"];
-/// Time that one passing takes, in milliseconds; observations lives two of them, a window four.
+/// Time that one passing takes, in milliseconds; observations live two of them, a window four.
 const STEP_MS: i64 = 1_000;
 
 struct Maintenance {
@@ -49,7 +49,7 @@
 enum Move {
     /// The leader, whichever, sends what is due.
     Send,
-    /// A word of the soup arrives; its answer is agreed on, or lost.
+    /// A message on its way arrives; its answer is agreed on, or lost.
     Deliver(usize, Step, u64, u64, bool),
     /// Time passes, with observations or without.
     Pass(bool),
--- a/crates/maintenance/src/plan.rs
+++ b/crates/maintenance/src/plan.rs
@@ -241,7 +241,7 @@
     signed(listed) - signed(keep)
 }
 
-/// Real or planned end of a seat with overrun, in milliseconds of Unix time.
+/// Real or planned end of a slot with overrun, in milliseconds of Unix time.
 pub(crate) fn end_of(window: &Window, slot: &ServerSlot) -> Option<i64> {
     Some(slot.start_ms?.saturating_add(window.request.span_ms()))
 }
--- a/crates/maintenance/src/request.rs
+++ b/crates/maintenance/src/request.rs
@@ -61,7 +61,7 @@
         self.length_ms + self.overrun_ms
     }
 
-    /// Checks every key against its bounds and the agreement.
+    /// Checks every key against its bounds and the disruption budget.
     ///
     /// # Errors
     ///
--- a/crates/maintenance/src/servers.rs
+++ b/crates/maintenance/src/servers.rs
@@ -71,8 +71,8 @@
         Outcome::Taken
     }
 
-    /// Takes words of the fleet. A word that was seen before the one that is kept, or by too few,
-    /// changes nothing.
+    /// Takes observations of the fleet. One that was seen before the one that is kept, or by too
+    /// few, changes nothing.
     pub(crate) fn observe(&mut self, observations: Vec<ServerObservation>) -> Outcome {
         for observation in observations {
             let Some(known) = self.servers.get_mut(&observation.server) else {
--- a/crates/maintenance/src/timeline.rs
+++ b/crates/maintenance/src/timeline.rs
@@ -53,11 +53,11 @@
     Unlisted,
 }
 
-/// A wish for a place: seats that go together.
+/// A wish for a place: slots that go together.
 #[derive(Clone, Debug)]
 pub(crate) struct Placement {
     pub(crate) window: u64,
-    /// Indexes of the seats within the window.
+    /// Indexes of the slots within the window.
     pub(crate) slots: Vec<usize>,
     pub(crate) servers: Vec<String>,
     /// What it takes away while those that are down now are counted as such.
--- a/crates/maintenance/src/view.rs
+++ b/crates/maintenance/src/view.rs
@@ -14,18 +14,18 @@
     pub window: u64,
     /// The asker's name for it.
     pub name: String,
-    /// The state of its seat that has the farthest to go.
+    /// The state of its slot that has the farthest to go.
     pub state: State,
-    /// Whether a seat of it is late.
+    /// Whether a slot of it is late.
     pub late: bool,
     /// Whether the asker took it back.
     pub cancelled: bool,
-    /// Its seats.
+    /// Its slots.
     #[serde(rename = "seats")]
     pub slots: Vec<ServerSlotView>,
 }
 
-/// A seat as people see it.
+/// A slot as people see it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerSlotView {
     /// The server's name.
@@ -52,7 +52,8 @@
         self.windows.values().map(WindowView::new).collect()
     }
 
-    /// What is there at a moment, and what is debited and why; none before there is an agreement.
+    /// What is there at a moment, and what is debited and why; none before there is a disruption
+    /// budget.
     pub fn capacity(&self, now_ms: i64) -> Option<CapacityView> {
         let budget = self.budget.as_ref()?;
         Some(self.ledger(budget, now_ms.max(self.at_ms)).view())
@@ -70,7 +71,7 @@
         self.servers.iter().map(server).collect()
     }
 
-    /// The agreement that is in force.
+    /// The disruption budget that is in force.
     pub fn budget(&self) -> Option<&crate::DisruptionBudget> {
         self.budget.as_ref()
     }
--- a/crates/maintenance/src/window.rs
+++ b/crates/maintenance/src/window.rs
@@ -13,7 +13,7 @@
     pub request: Request,
     /// When it was asked, in milliseconds of Unix time.
     pub asked_ms: i64,
-    /// One seat a server.
+    /// One slot a server.
     #[serde(rename = "seats")]
     pub slots: Vec<ServerSlot>,
     /// Whether the asker took it back.
@@ -49,7 +49,7 @@
     pub reason: String,
 }
 
-/// Where a seat, or the window as a whole, is.
+/// Where a slot, or the window as a whole, is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
@@ -87,7 +87,7 @@
 }
 
 impl ServerSlot {
-    /// A seat that waits.
+    /// A slot that waits.
     pub(crate) fn new(server: String) -> Self {
         ServerSlot {
             server,
@@ -106,7 +106,7 @@
 }
 
 impl Window {
-    /// Whether every seat is closed.
+    /// Whether every slot is closed.
     pub fn closed(&self) -> bool {
         self.slots.iter().all(|slot| slot.state == State::Closed)
     }
--- a/crates/snapshot/src/section.rs
+++ b/crates/snapshot/src/section.rs
@@ -20,7 +20,7 @@
     /// The age from which the list is not believed.
     #[serde(alias = "list_bound")]
     pub list_max_staleness: Time,
-    /// The age from which ejections and pace are not believed.
+    /// The age from which ejections and latency ratios are not believed.
     #[serde(alias = "verdicts_bound")]
     pub health_max_staleness: Time,
     /// How long a start waits for the disk.
@@ -46,7 +46,7 @@
     }
 }
 
-/// Shortest time between two looks: more often than a disk may take to sync.
+/// Shortest time between two writes: more often than a disk may take to sync.
 const MIN_INTERVAL: Time = Time::ms(50);
 
 impl SnapshotSection {
--- a/crates/snapshot/src/snapshot.rs
+++ b/crates/snapshot/src/snapshot.rs
@@ -66,14 +66,14 @@
     pub all: Vec<Process>,
 }
 
-/// A life of the sidecar.
+/// An incarnation of the sidecar.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IncarnationRecord {
     /// Its incarnation.
     pub incarnation: u64,
     /// When it began.
     pub began: Micros,
-    /// When it was told to stop: the mark of a clean end. A life that crashed has none.
+    /// When it was told to stop: the mark of a clean end. One that crashed has none.
     pub ended: Option<Micros>,
 }
 
@@ -82,7 +82,7 @@
 pub struct Snapshot {
     /// The list as last told.
     pub list: Option<List>,
-    /// Ejections and pace.
+    /// Ejections and latency ratios.
     pub processes: Option<Processes>,
     /// The product configuration that the last incarnation ran with, as it would be written.
     pub configuration: Option<String>,
--- a/crates/snapshot/src/snapshot_store.rs
+++ b/crates/snapshot/src/snapshot_store.rs
@@ -24,7 +24,7 @@
 pub struct Found {
     /// What was kept and is plausible.
     pub known: Snapshot,
-    /// This life's incarnation: the clock's time in microseconds, or one more than any that was
+    /// This incarnation's number: the clock's time in microseconds, or one more than any that was
     /// given before where that is higher. It is on the disk.
     pub incarnation: u64,
     /// What was quarantined.
--- a/crates/snapshot/src/validation.rs
+++ b/crates/snapshot/src/validation.rs
@@ -17,7 +17,7 @@
 pub struct Bounds {
     /// The list's.
     pub list: Micros,
-    /// That of ejections and pace.
+    /// That of ejections and latency ratios.
     pub processes: Micros,
 }
 
@@ -26,7 +26,7 @@
 pub struct ValidSnapshot {
     /// The list.
     pub list: Option<List>,
-    /// Ejections and pace.
+    /// Ejections and latency ratios.
     pub processes: Vec<Process>,
     /// What there was and was not believed, with the reason.
     pub left_out: Vec<String>,
--- a/src/api/list.rs
+++ b/src/api/list.rs
@@ -22,7 +22,7 @@
     pub zone: Option<ZoneId>,
     /// Its cell: the endpoints that share which keys they have seen.
     pub cell: u64,
-    /// Its kind of machine: what is learnt of the pace of one holds for the others until more is
+    /// Its kind of machine: what is learnt of the latency of one holds for the others until more is
     /// known.
     pub kind: Option<KindId>,
     /// Its state.
--- a/src/balancer/bulkhead.rs
+++ b/src/balancer/bulkhead.rs
@@ -1,5 +1,5 @@
 //! The bulkhead of one endpoint: a concurrency limit that is learnt from latency, as capacities are
-//! never told and crowded servers fall over.
+//! never told and overloaded servers fall over.
 
 /// Limit of a new endpoint, and unit of its rise, for a single instance.
 const INITIAL_LIMIT: f64 = 2.0;
@@ -50,7 +50,7 @@
     }
 
     /// Takes in an answer: up evenly while answers take less than `target` per unit of work, down
-    /// in proportion beyond, so that sidecars that crowd each other even out.
+    /// in proportion beyond, so that sidecars that overload an endpoint together even out.
     pub fn adapt(&mut self, latency: f64, target: f64, limits_press: bool, initial: InitialLimit) {
         let step = (1.0 - latency / target).clamp(-MAX_STEPS_DOWN, 1.0) * LIMIT_STEP;
         if step < 0.0 || limits_press {
--- a/src/balancer/round_robin.rs
+++ b/src/balancer/round_robin.rs
@@ -6,8 +6,8 @@
 /// How much of its weight an endpoint loses and gains at most by its latency.
 const MIN_LATENCY_FACTOR: f64 = 0.05;
 const MAX_LATENCY_FACTOR: f64 = 2.0;
-/// Power of the latency ratio in the weight: choked endpoints at a third of their pace need rest,
-/// and a third of their picks would keep them just as busy.
+/// Power of the latency ratio in the weight: overloaded endpoints at a third of their speed need to
+/// recover, and a third of their picks would keep them just as busy.
 const LATENCY_EXPONENT: i32 = 2;
 
 /// The endpoints in an order of this instance's own.
--- a/src/bin/sidecar/affinity.rs
+++ b/src/bin/sidecar/affinity.rs
@@ -21,7 +21,7 @@
 
 /// The kind of message fragments that carry affinity messages.
 const FRAGMENT_KIND: u8 = 128;
-/// Members that a pulse goes to.
+/// Members that a periodic message goes to.
 const FANOUT: usize = 4;
 /// Ticks from one look at who is there to the next.
 const TICKS_PER_REFRESH: u64 = 10;
--- a/src/bin/sidecar/affinity_list.rs
+++ b/src/bin/sidecar/affinity_list.rs
@@ -5,7 +5,8 @@
 use load_balancer_gossip::core::Listed;
 use std::collections::{HashMap, HashSet, VecDeque};
 
-/// Processes that are remembered to have been listed: more than words on them may be under way.
+/// Processes that are remembered to have been listed: more than entries on them may be on their
+/// way.
 const MAX_GONE: usize = 1024;
 
 /// The listed processes.
--- a/src/bin/sidecar/snapshot.rs
+++ b/src/bin/sidecar/snapshot.rs
@@ -23,8 +23,8 @@
 
 /// Longest name of a sidecar here, in bytes: with its cluster's it is the owner of what is kept.
 const MAX_NAME_BYTES: usize = 200;
-/// How often pace is kept anew while no circuit opens or closes: a twelfth of the time for which it
-/// is believed.
+/// How often latency ratios are kept anew while no circuit opens or closes: a twelfth of the time
+/// for which it is believed.
 const LATENCY_STORE_INTERVAL: Micros = 5_000_000;
 /// How soon a disk that failed is tried again.
 const AGAIN: Duration = Duration::from_secs(10);
@@ -46,9 +46,9 @@
 }
 
 impl SnapshotHost {
-    /// Begins a life of `name` in the directory of the section, where it names one; a list that is
-    /// newer than the platform's takes its place. Waits for the disk no longer than the section
-    /// says.
+    /// Begins an incarnation of `name` in the directory of the section, where it names one; a list
+    /// that is newer than the platform's takes its place. Waits for the disk no longer than the
+    /// section says.
     pub fn begin(
         section: &SnapshotSection,
         cluster: &str,
@@ -102,7 +102,7 @@
         Ok(Some(state))
     }
 
-    /// This life's incarnation, where one could be reserved.
+    /// This incarnation's number, where one could be reserved.
     pub fn incarnation(&self) -> Option<u64> {
         self.0
             .incarnation_record
