--- a/crates/affinity/src/entry.rs
+++ b/crates/affinity/src/entry.rs
@@ -19,7 +19,7 @@
     /// The first slot in which that use is past its incarnation: then it counts as never made. The
     /// entry that lives longest holds, so that what it replaces cannot outlive it.
     pub ends: Slot,
-    /// The epoch of the process in which it was used; see [`crate::phase`].
+    /// The epoch of the process in which it was used; see [`crate::drain_phase`].
     pub epoch: u64,
     /// The key was met there before.
     pub held: bool,
--- a/crates/coordinator/src/replicated_log/interface.rs
+++ b/crates/coordinator/src/replicated_log/interface.rs
@@ -50,10 +50,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Disk(trouble) => trouble.fmt(f),
-            Self::Unknown(what) => write!(
-                f,
-                "the log holds what this program does not know: {what}"
-            ),
+            Self::Unknown(what) => {
+                write!(f, "the log holds what this program does not know: {what}")
+            }
         }
     }
 }
--- a/crates/leases/src/event.rs
+++ b/crates/leases/src/event.rs
@@ -98,7 +98,7 @@
     },
 }
 
-/// What [`LeaseTable::apply`](crate::Duties::apply) answers.
+/// What [`LeaseTable::apply`](crate::LeaseTable::apply) answers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
--- a/crates/maintenance/src/event.rs
+++ b/crates/maintenance/src/event.rs
@@ -42,7 +42,7 @@
         /// The server's name.
         server: String,
     },
-    /// What the thing acted on answered to an [`Action`](crate::Act).
+    /// What the thing acted on answered to an [`Action`](crate::Action).
     Acted {
         /// The window's number.
         window: u64,
