--- a/crates/affinity/src/exchange.rs
+++ b/crates/affinity/src/exchange.rs
@@ -1,7 +1,7 @@
-//! The exchange of affinity messages between members.
+//! What a member sends to others, and when.
 
 use crate::member::AffinityMember;
-use crate::message::{AffinityMessage, MAX_MESSAGE_BYTES, MessageRefused};
+use crate::message::{AffinityMessage, MAX_MESSAGE_BYTES};
 use crate::report::Outgoing;
 use crate::time::Slot;
 use crate::{Micros, mix};
@@ -9,10 +9,8 @@
 /// How often [`AffinityMember::tick`] is to be called.
 pub const TICK: Micros = 100_000;
 /// Time from one periodic message to the next.
-const PULSE: Micros = 500_000;
-/// Members that are answered at a time, and keys in one turn of an answer: they fit into one
-/// fragment or two.
-const MAX_ASKED: usize = 4;
+const MESSAGE_INTERVAL: Micros = 500_000;
+/// Keys in one turn of an answer: they fit into one fragment or two.
 const ANSWER: usize = 32;
 /// Entries that wait from which on there is a periodic message between: as many as fit into one.
 const MANY: usize = 40;
@@ -20,78 +18,6 @@
 const REPORT_ROOM: usize = 48;
 
 impl AffinityMember {
-    /// A fragment came from a member.
-    ///
-    /// # Errors
-    /// Why it was refused; nothing of it was taken in.
-    pub fn receive(&mut self, now: Micros, from: u64, bytes: &[u8]) -> Result<(), MessageRefused> {
-        let read = AffinityMessage::read(bytes).and_then(|message| {
-            match message.stamp <= now + self.times.skew {
-                true => Ok(message),
-                false => Err(MessageRefused::Clock),
-            }
-        });
-        let message = read.inspect_err(|_| self.summary.refused += 1)?;
-        let (newest, oldest) = (self.times.slot(now + self.times.skew), self.times.slot(now));
-        for (process, phase) in message
-            .phases()
-            .filter(|(_, phase)| phase.since.0 <= newest)
-        {
-            // One that finds no room stops all affinity entries here until it does.
-            if self.phases.takes(process, phase, oldest, &self.times) {
-                let _ = self.phases.merge(process, phase);
-            }
-        }
-        for (process, epoch, member) in message.reports() {
-            self.phases.report(process, epoch, member);
-            // What an earlier incarnation of this member said holds for this one too.
-            if member == self.member
-                && self.phases.ended(process, epoch)
-                && self.table.holds(process)
-            {
-                let phases = &self.phases;
-                self.table
-                    .retain(|_, of, entry| of != process || !phases.ended(of, entry.epoch));
-            }
-        }
-        for (key, process, mut entry) in message.each_entry() {
-            if !self.rules.ages_from_use {
-                entry.ends = oldest + self.times.lifetime(entry.held);
-            }
-            let ended = self.phases.ended(process, entry.epoch) && self.rules.refuses_ended;
-            let ended = ended || self.closed.contains(&process);
-            let counts = entry.last(&self.times) <= newest && oldest < entry.ends && !ended;
-            if !counts || !self.table.merge(key, process, entry) {
-                self.summary.passed_over += 1;
-                continue;
-            }
-            self.summary.received += 1;
-            if message.news {
-                self.pending.add(key, process);
-            }
-        }
-        // Who has no room for who left does not know what the sender did.
-        if self.phases.whole() {
-            self.contact.heard(message.stamp, &message.heard);
-        }
-        if message.asks
-            && self.asked.len() < MAX_ASKED
-            && self.asked.iter().all(|(who, _)| *who != from)
-        {
-            self.asked.push_back((from, None));
-        }
-        if message.ends {
-            self.asks = 0;
-        }
-        if let Some(floor) = message
-            .floor
-            .filter(|(slot, _)| *slot <= newest + self.times.renewed_lifetime)
-        {
-            self.table.raise(floor);
-        }
-        Ok(())
-    }
-
     /// Says at an instant of both clocks since when it is in contact. One that starts is so only by
     /// what was said after it began; where a quorum was heard and most of it has just started too,
     /// nobody there knows more.
@@ -121,25 +47,26 @@
             self.turn_of_slot(slot);
         }
         let mut told = Outgoing::default();
-        let due = now >= self.pulses_at.saturating_add(PULSE) || now < self.pulses_at;
+        let due =
+            now >= self.last_message.saturating_add(MESSAGE_INTERVAL) || now < self.last_message;
         // What does not fit into one periodic message goes with one between.
-        if due || self.pending.count() > MANY && now >= self.pulses_at + PULSE / 2 {
-            self.pulses_at = now;
-            self.tell(now);
-            told.nearby = Some(self.pulse(now));
+        if due || self.pending.count() > MANY && now >= self.last_message + MESSAGE_INTERVAL / 2 {
+            self.last_message = now;
+            self.publish_uses(now);
+            told.nearby = Some(self.periodic_message(now));
         }
         told.direct.extend(self.answer(now));
         told
     }
 
     /// Own uses that the others need to know of become entries.
-    fn tell(&mut self, now: Micros) {
+    fn publish_uses(&mut self, now: Micros) {
         let phases = &self.phases;
         let epoch =
             |process| Some(phases.epoch(process)).filter(|epoch| !phases.ended(process, *epoch));
         for (key, process, entry) in
             self.publishing
-                .due_now(now, PULSE, &self.table, &self.times, epoch)
+                .due_now(now, MESSAGE_INTERVAL, &self.table, &self.times, epoch)
         {
             self.summary.published += 1;
             self.table.merge(key, process, entry);
@@ -167,24 +94,29 @@
         }
     }
 
-    /// What is told to a few again and again: who left, who is clear, what was dropped.
-    pub(crate) fn pulse(&mut self, now: Micros) -> Vec<u8> {
+    /// What a few members are sent again and again: who left, who is clear, what was dropped, and
+    /// the entries that wait.
+    pub(crate) fn periodic_message(&mut self, now: Micros) -> Vec<u8> {
         let mut message = AffinityMessage::at(now);
-        let sound = self.contact_lease.sound() && self.phases.whole();
         if self.phases.whole() {
-            message.heard = self.contact.told(now, sound);
+            message.heard = self.contact.told(now, self.contact_lease.sound());
         }
         message.asks = self.asks > 0;
         message.floor = self.table.floor();
         self.asks = self.asks.saturating_sub(1);
-        self.phases
-            .iter()
-            .for_each(|(process, phase)| message.phase(process, phase));
-        let left: Vec<_> = self
-            .phases
-            .iter()
-            .filter(|(_, phase)| phase.leaves)
-            .collect();
+        for (process, phase) in self.phases.iter() {
+            message.phase(process, phase);
+        }
+        self.add_reports(&mut message);
+        self.add_pending(now, &mut message);
+        message.bytes()
+    }
+
+    /// Adds which members are clear of processes that left, from another process and member on each
+    /// time, as many as fit.
+    fn add_reports(&mut self, message: &mut AffinityMessage) {
+        let phases = self.phases.iter();
+        let left: Vec<_> = phases.filter(|(_, phase)| phase.leaves).collect();
         self.turn = mix(self.turn, 1);
         for i in 0..left.len() {
             let (process, phase) = left[(i + self.turn as usize % left.len()) % left.len()];
@@ -196,27 +128,27 @@
             }
             message.report(process, phase.epoch, around);
         }
+    }
+
+    /// Adds entries that wait, as many as fit, and drops those that are over.
+    fn add_pending(&mut self, now: Micros, message: &mut AffinityMessage) {
         let slot = self.times.slot(now);
         let (mut over, mut entries) = (Vec::new(), Vec::new());
         for (key, process) in self.pending.waiting() {
-            match self
-                .table
-                .at(key, process)
-                .filter(|entry| slot < entry.ends)
-            {
+            let entry = self.table.at(key, process);
+            match entry.filter(|entry| slot < entry.ends) {
                 Some(entry) => entries.push((key, process, entry)),
                 None => over.push((key, process)),
             }
         }
-        over.into_iter().for_each(|of| self.pending.went(of, true));
-        let base = entries
-            .iter()
-            .map(|(.., entry)| entry.ends)
-            .max()
-            .unwrap_or(slot);
-        let went = message.news(base, entries.into_iter());
-        went.into_iter().for_each(|of| self.pending.went(of, false));
-        message.bytes()
+        for of in over {
+            self.pending.went(of, true);
+        }
+        let ends = entries.iter().map(|(.., entry)| entry.ends);
+        let base = ends.max().unwrap_or(slot);
+        for of in message.news(base, entries.into_iter()) {
+            self.pending.went(of, false);
+        }
     }
 
     /// The next turn of the answer to a member that asked.
--- a/crates/affinity/src/histories/events.rs
+++ b/crates/affinity/src/histories/events.rs
@@ -109,7 +109,7 @@
 
     fn pulse(&mut self, i: usize) {
         let now = self.now(i);
-        let pulse = self.nodes[i].affinity.pulse(now);
+        let pulse = self.nodes[i].affinity.periodic_message(now);
         (0..self.nodes.len())
             .filter(|to| *to != i)
             .for_each(|to| self.send(i, to, &pulse, 1));
--- a/crates/affinity/src/lib.rs
+++ b/crates/affinity/src/lib.rs
@@ -16,7 +16,7 @@
 //! - [`publishing`]: what is told, and when.
 //! - [`pending_updates`]: entries that are forwarded.
 //! - [`message`]: what goes from member to member.
-//! - [`exchange`]: what members send each other and make of it.
+//! - [`exchange`]: what members send each other; `receive`: what they make of it.
 //! - [`report`]: what a member gives out.
 //! - [`member`]: all of it as one state machine without I/O and clock.
 #![forbid(unsafe_code)]
@@ -33,6 +33,7 @@
 pub mod message;
 pub mod pending_updates;
 pub mod publishing;
+mod receive;
 pub mod report;
 mod safety_rules;
 pub mod section;
--- a/crates/affinity/src/member.rs
+++ b/crates/affinity/src/member.rs
@@ -39,7 +39,7 @@
     /// From then on what others sent is sure to be said after this member began.
     pub(crate) begun: Micros,
     pub(crate) asks: u32,
-    pub(crate) pulses_at: Micros,
+    pub(crate) last_message: Micros,
     pub(crate) slot: Slot,
     pub(crate) turn: u64,
     pub(crate) summary: AffinitySummary,
@@ -69,7 +69,7 @@
             asked: VecDeque::new(),
             begun: now + times.skew,
             asks: if founds { 0 } else { ASKS },
-            pulses_at: Micros::MIN,
+            last_message: Micros::MIN,
             slot: Slot::MIN,
             turn: member,
             summary: AffinitySummary::default(),
