--- a/benches/overhead.rs
+++ b/benches/overhead.rs
@@ -6,8 +6,8 @@
 
 use load_balancer::settings::decode;
 use load_balancer::{
-    Action, AttemptEnd, Balancer, Event, ListUpdate, Listing, Load, Micros, NewRequest, Outcome,
-    Status,
+    Action, AttemptEnd, Balancer, EndpointStatus, Event, ListUpdate, ListedEndpoint, LoadReport,
+    Micros, NewRequest, Outcome,
 };
 use load_balancer_common::metering::Figures;
 use std::time::{Duration, Instant};
@@ -30,12 +30,12 @@
 fn pass(mut each: impl FnMut()) -> Duration {
     let decoded = decode(SETTINGS).expect("the settings are good");
     let mut balancer = Balancer::new(decoded.settings, 7).expect("the settings can be used");
-    let listing = |endpoint| Listing {
+    let listing = |endpoint| ListedEndpoint {
         endpoint,
         zone: None,
         cell: endpoint as u64 / 6,
         kind: Some(endpoint % 3),
-        status: Status::Ready,
+        status: EndpointStatus::Ready,
         size: 1.0,
         started: None,
         alias: 0,
@@ -70,9 +70,9 @@
             attempt: 0,
             endpoint,
             outcome: Outcome::Ok,
-            took: TAKES,
-            settled: true,
-            load: Load::default(),
+            elapsed: TAKES,
+            request_answered: true,
+            load: LoadReport::default(),
         };
         balancer.handle(now + TAKES, Event::AttemptEnded(end), &mut out);
     }
--- a/crates/coordinator/src/actions.rs
+++ b/crates/coordinator/src/actions.rs
@@ -1,6 +1,6 @@
-//! Carries out actions on servers through the platform's interface: drain, take, return, cancel.
+//! Performs actions on servers through the platform's interface: drain, take, return, cancel.
 
-use crate::calls::Calls;
+use crate::calls::PendingCalls;
 use crate::clock::Clock;
 use crate::config::Sections;
 use crate::fetch::fetch;
@@ -15,87 +15,92 @@
 use tokio::sync::Semaphore;
 use tokio::task::spawn_local;
 
-/// What the platform answers to an act.
+/// The platform's answer to an action.
 #[derive(Deserialize)]
-struct Done {
+struct PlatformAnswer {
     state: String,
     #[serde(default)]
     started_ms: Option<u64>,
 }
 
-/// Who carries out what the leader orders.
+/// Performs the actions that the leader orders.
 #[derive(Clone)]
 pub struct ActionRunner {
     sections: Rc<Sections>,
     clock: Clock,
-    calls: Calls,
+    calls: PendingCalls,
     poller: Rc<Poller>,
-    free: Rc<Semaphore>,
-    /// Processes that sidecars were told to leave, by server, until they are told otherwise.
-    left: Rc<RefCell<BTreeMap<String, Unclear>>>,
+    permits: Rc<Semaphore>,
+    /// Processes whose departure sidecars were notified of, by server, until that is revoked.
+    leaving: Rc<RefCell<BTreeMap<String, Unclear>>>,
 }
 
 impl ActionRunner {
-    pub fn new(sections: &Sections, clock: Clock, calls: Calls, poller: Rc<Poller>) -> Self {
-        let free = Rc::new(Semaphore::new(sections.platform.at_once));
+    pub fn new(sections: &Sections, clock: Clock, calls: PendingCalls, poller: Rc<Poller>) -> Self {
+        let permits = Rc::new(Semaphore::new(sections.platform.at_once));
         Self {
             sections: Rc::new(sections.clone()),
             clock,
             calls,
             poller,
-            free,
-            left: Rc::default(),
+            permits,
+            leaving: Rc::default(),
         }
     }
 
-    /// Begins an act; what it comes to is told.
-    pub fn act(&self, order: Order<Action>) {
-        let action_runner = self.clone();
+    /// Starts an action and reports its result to the log thread.
+    pub fn run(&self, order: Order<Action>) {
+        let runner = self.clone();
         spawn_local(async move {
-            let _permit = action_runner.free.acquire().await;
-            let answer = match action_runner.clock.now().mono_ms < order.until_ms {
-                true => action_runner.done(&order.what).await,
+            let _permit = runner.permits.acquire().await;
+            let answer = match runner.clock.now().mono_ms < order.deadline_ms {
+                true => runner.perform(&order.item).await,
                 false => None,
             };
-            let back = matches!(order.what.step, Step::Return | Step::CallBack);
-            let left = matches!(answer, Some(Answer::Done { .. })).then_some(&order.what.server);
-            let left = left
-                .filter(|_| back)
-                .and_then(|server| action_runner.left.borrow_mut().remove(server));
-            action_runner.calls.tell(Input::Acted(order.what, answer));
-            if let Some(left) = left {
-                action_runner.poller.stays(&left).await;
+            let ends_leave = matches!(order.item.step, Step::Return | Step::CallBack);
+            let acted_server =
+                matches!(answer, Some(Answer::Done { .. })).then_some(&order.item.server);
+            let left_process = acted_server
+                .filter(|_| ends_leave)
+                .and_then(|server| runner.leaving.borrow_mut().remove(server));
+            runner
+                .calls
+                .send_input(Input::ActionResult(order.item, answer));
+            if let Some(process) = left_process {
+                runner.poller.announce_stay(&process).await;
             }
         });
     }
 
-    /// Asks whether a server is clear; what it comes to is told.
-    pub fn question(&self, order: Order<Unclear>) {
-        let action_runner = self.clone();
+    /// Starts a check whether a server is drained and reports the result to the log thread.
+    pub fn check_drained(&self, order: Order<Unclear>) {
+        let runner = self.clone();
         spawn_local(async move {
-            let mut clear = action_runner
+            let mut is_clear = runner
                 .poller
-                .idle(&order.what.server, order.what.epoch)
+                .is_idle(&order.item.server, order.item.epoch)
                 .await;
-            if clear && action_runner.sections.affinity_drain.ask {
-                action_runner
-                    .left
+            if is_clear && runner.sections.affinity_drain.ask {
+                runner
+                    .leaving
                     .borrow_mut()
-                    .insert(order.what.server.clone(), order.what.clone());
-                clear = action_runner.poller.unbound(&order.what).await;
+                    .insert(order.item.server.clone(), order.item.clone());
+                is_clear = runner.poller.is_drained_of_affinity(&order.item).await;
             }
-            action_runner.calls.tell(Input::Cleared(order.what, clear));
+            runner
+                .calls
+                .send_input(Input::DrainResult(order.item, is_clear));
         });
     }
 
-    async fn done(&self, act: &Action) -> Option<Answer> {
-        let path = match act.step {
+    async fn perform(&self, action: &Action) -> Option<Answer> {
+        let path = match action.step {
             Step::Drain => "/drain",
             Step::Take => "/take",
             Step::Return => "/return",
             Step::CallBack => "/call-back",
         };
-        let body = json!({"server": act.server, "window": act.window, "token": act.token});
+        let body = json!({"server": action.server, "window": action.window, "token": action.token});
         let platform = &self.sections.platform;
         let answer = fetch(
             platform.address,
@@ -105,33 +110,33 @@
             platform.timeout.0,
         )
         .await;
-        let what = match answer {
-            Ok((200, content)) => match serde_json::from_value::<Done>(content) {
-                Ok(done) => return Some(meaning(act.step, &done)),
+        let failure = match answer {
+            Ok((200, content)) => match serde_json::from_value::<PlatformAnswer>(content) {
+                Ok(done) => return Some(interpret(action.step, &done)),
                 Err(e) => e.to_string(),
             },
             Ok((409, content)) => match content.get("seen").and_then(Value::as_u64) {
                 Some(seen) => return Some(Answer::Refused { seen }),
-                None => "it refuses without saying which token it has seen".to_owned(),
+                None => "it rejected the token without the highest token it has seen".to_owned(),
             },
-            Ok((status, _)) => format!("it answers {status}"),
+            Ok((status, _)) => format!("unexpected status {status}"),
             Err(error) => error.to_string(),
         };
-        tracing::warn!(target: "coordinator", "{path} of {} failed at the platform: {what}", act.server);
+        tracing::warn!(target: "coordinator", "platform call {path} for server {} failed: {failure}", action.server);
         None
     }
 }
 
-/// What an answer means: that it is so, where the server is where the step puts it.
-fn meaning(step: Step, done: &Done) -> Answer {
-    let so = Answer::Done { started: None };
-    match (step, done.state.as_str()) {
-        (Step::Drain, "draining") | (Step::Take, "away") | (Step::Return, "returning") => so,
-        // Only a process that runs has a start of its own.
+/// Interprets the platform's answer: the action is done if the server is in the resulting state.
+fn interpret(step: Step, answer: &PlatformAnswer) -> Answer {
+    let done = Answer::Done { started: None };
+    match (step, answer.state.as_str()) {
+        (Step::Drain, "draining") | (Step::Take, "away") | (Step::Return, "returning") => done,
+        // Only a running process has a start time of its own.
         (Step::Return, "serving") => Answer::Done {
-            started: done.started_ms,
+            started: answer.started_ms,
         },
-        (Step::CallBack, "serving" | "returning") => so,
+        (Step::CallBack, "serving" | "returning") => done,
         (Step::CallBack, "away") => Answer::Taken,
         _ => Answer::Failed,
     }
--- a/crates/coordinator/src/affinity_drain.rs
+++ b/crates/coordinator/src/affinity_drain.rs
@@ -1,4 +1,4 @@
-//! Asks sidecars whether they are drained of affinity to a server.
+//! Asks sidecars whether a server is drained of affinity.
 
 use crate::fetch::fetch;
 use crate::poller::Poller;
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use tokio::task::JoinSet;
 
-/// What a sidecar answers.
+/// The answer of a sidecar.
 #[derive(Deserialize)]
 struct SidecarAnswer {
     clear: bool,
@@ -16,60 +16,69 @@
 }
 
 impl Poller {
-    /// Tells sidecars of all zones that a process leaves. Whether it is clear: enough members of
-    /// each zone say that it is at this epoch, and none that it is not. A zone in which too few
-    /// answer cannot tell, so it is not.
-    pub async fn unbound(&self, leaving: &Unclear) -> bool {
-        let body = json!({"server": leaving.server, "started_ms": leaving.started, "epoch": leaving.epoch});
-        // The same sidecars again: each counts by its own clock since when the process leaves.
-        let kept = self.witnesses.borrow_mut().remove(&leaving.server);
-        let drawn = match kept {
-            Some((epoch, kept)) if epoch == leaving.epoch => kept,
-            _ => self.draw(),
+    /// Notifies sidecars of all zones that a process is leaving. Returns whether it is drained of
+    /// affinity: in each zone enough members confirm it for this epoch, and no member denies it. A
+    /// zone with too few answers counts as not drained.
+    pub async fn is_drained_of_affinity(&self, process: &Unclear) -> bool {
+        let body = json!({"server": process.server, "started_ms": process.started, "epoch": process.epoch});
+        // Ask the same sidecars again, because each measures the time since the departure by its
+        // own clock.
+        let previous = self.drain_sidecars.borrow_mut().remove(&process.server);
+        let sidecars = match previous {
+            Some((epoch, kept)) if epoch == process.epoch => kept,
+            _ => self.sample_sidecars(),
         };
-        let mut asking = JoinSet::new();
-        for (zone, at) in drawn {
-            let (body, within) = (body.clone(), self.observations().timeout.0);
-            asking.spawn_local(async move {
-                let (status, said) = fetch(at, "POST", "/fleet/leaving", Some(&body), within)
-                    .await
-                    .ok()?;
-                let said = serde_json::from_value::<SidecarAnswer>(said)
+        let mut requests = JoinSet::new();
+        for (zone, address) in sidecars {
+            let (body, time_limit) = (body.clone(), self.observations().timeout.0);
+            requests.spawn_local(async move {
+                let (status, content) =
+                    fetch(address, "POST", "/fleet/leaving", Some(&body), time_limit)
+                        .await
+                        .ok()?;
+                let answer = serde_json::from_value::<SidecarAnswer>(content)
                     .ok()
                     .filter(|_| status == 200)?;
-                Some((zone, at, said))
+                Some((zone, address, answer))
             });
         }
         let mut clear: BTreeMap<String, usize> = BTreeMap::new();
-        let (mut answered, mut against) = (Vec::new(), false);
-        while let Some(said) = asking.join_next().await {
-            let Some((zone, at, said)) = said.ok().flatten() else {
+        let (mut answering_sidecars, mut any_not_clear) = (Vec::new(), false);
+        while let Some(result) = requests.join_next().await {
+            let Some((zone, address, answer)) = result.ok().flatten() else {
                 continue;
             };
-            against |= !said.clear;
-            if said.clear && said.epoch >= leaving.epoch {
+            any_not_clear |= !answer.clear;
+            if answer.clear && answer.epoch >= process.epoch {
                 *clear.entry(zone.clone()).or_default() += 1;
             }
-            answered.push((zone, at));
+            answering_sidecars.push((zone, address));
         }
-        // In the place of those that did not answer others are asked next time.
+        // Sidecars that did not answer are replaced by others in the next call.
         let observations = self.observations();
-        for (zone, at) in self.draw() {
-            let of_zone = answered.iter().filter(|(z, _)| *z == zone).count();
-            if of_zone < observations.ask && !answered.iter().any(|(_, one)| *one == at) {
-                answered.push((zone, at));
+        for (zone, address) in self.sample_sidecars() {
+            let answered_in_zone = answering_sidecars
+                .iter()
+                .filter(|(z, _)| *z == zone)
+                .count();
+            if answered_in_zone < observations.ask
+                && !answering_sidecars
+                    .iter()
+                    .any(|(_, answered)| *answered == address)
+            {
+                answering_sidecars.push((zone, address));
             }
         }
-        self.witnesses
+        self.drain_sidecars
             .borrow_mut()
-            .insert(leaving.server.clone(), (leaving.epoch, answered));
-        if against {
+            .insert(process.server.clone(), (process.epoch, answering_sidecars));
+        if any_not_clear {
             return false;
         }
         observations
             .sidecars
             .iter()
-            .filter(|(_, all)| !all.is_empty())
+            .filter(|(_, sidecars)| !sidecars.is_empty())
             .all(|(zone, all)| {
                 clear
                     .get(zone)
@@ -77,21 +86,21 @@
             })
     }
 
-    /// Tells sidecars of all zones that a process stays: it was cancelled, or another one takes its
-    /// place.
-    pub async fn stays(&self, leaving: &Unclear) {
-        let body: Value = json!({"server": leaving.server, "started_ms": leaving.started, "epoch": leaving.epoch});
-        let mut telling = JoinSet::new();
-        for (_, at) in self.draw() {
-            let (body, within) = (body.clone(), self.observations().timeout.0);
-            // Who does not hear it hears it from the others, or goes on without affinity entries to
-            // that process.
-            telling.spawn_local(async move {
-                fetch(at, "POST", "/fleet/stays", Some(&body), within)
+    /// Notifies sidecars of all zones that a process stays, because its window was cancelled or
+    /// another process took its place.
+    pub async fn announce_stay(&self, process: &Unclear) {
+        let body: Value = json!({"server": process.server, "started_ms": process.started, "epoch": process.epoch});
+        let mut requests = JoinSet::new();
+        for (_, address) in self.sample_sidecars() {
+            let (body, time_limit) = (body.clone(), self.observations().timeout.0);
+            // A sidecar that misses this learns it from other members, or does without affinity
+            // entries for that process.
+            requests.spawn_local(async move {
+                fetch(address, "POST", "/fleet/stays", Some(&body), time_limit)
                     .await
                     .is_ok()
             });
         }
-        while telling.join_next().await.is_some() {}
+        while requests.join_next().await.is_some() {}
     }
 }
--- a/crates/coordinator/src/calls.rs
+++ b/crates/coordinator/src/calls.rs
@@ -1,4 +1,4 @@
-//! Callers that wait for their proposal to be agreed.
+//! Callers that wait for the outcome of their proposal.
 
 use crate::log_thread::ThreadInput;
 use load_balancer_coordinator::core::{Input, Reply};
@@ -10,70 +10,75 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 
-/// The way to the log, and those who wait.
+/// The queue to the log thread, and the waiting callers.
 #[derive(Clone)]
-pub struct Calls {
-    told: mpsc::Sender<ThreadInput>,
+pub struct PendingCalls {
+    inputs: mpsc::Sender<ThreadInput>,
     waiting: Rc<RefCell<BTreeMap<u64, oneshot::Sender<Reply>>>>,
-    last: Rc<Cell<u64>>,
-    within: Duration,
-    missed: Rc<Cell<u64>>,
+    last_caller: Rc<Cell<u64>>,
+    time_limit: Duration,
+    dropped_inputs: Rc<Cell<u64>>,
 }
 
-impl Calls {
-    pub fn new(told: mpsc::Sender<ThreadInput>, within: Duration) -> Self {
+impl PendingCalls {
+    pub fn new(inputs: mpsc::Sender<ThreadInput>, time_limit: Duration) -> Self {
         Self {
-            told,
+            inputs,
             waiting: Rc::default(),
-            last: Rc::default(),
-            within,
-            missed: Rc::default(),
+            last_caller: Rc::default(),
+            time_limit,
+            dropped_inputs: Rc::default(),
         }
     }
 
-    /// Tells the log something, if it takes it now.
-    pub fn tell(&self, input: Input) -> bool {
+    /// Sends an input to the coordinator core. Returns false if the queue is full.
+    pub fn send_input(&self, input: Input) -> bool {
         self.send(ThreadInput::Input(Box::new(input)))
     }
 
-    /// The same for what is not for the coordinator itself.
-    pub fn send(&self, told: ThreadInput) -> bool {
-        let taken = self.told.try_send(told).is_ok();
-        self.missed.set(self.missed.get() + u64::from(!taken));
-        taken
+    /// Sends any input to the log thread. Returns false if the queue is full.
+    pub fn send(&self, input: ThreadInput) -> bool {
+        let accepted = self.inputs.try_send(input).is_ok();
+        self.dropped_inputs
+            .set(self.dropped_inputs.get() + u64::from(!accepted));
+        accepted
     }
 
-    /// What was not taken so far.
-    pub fn missed(&self) -> u64 {
-        self.missed.get()
+    /// Returns the number of inputs dropped because the queue was full.
+    pub fn dropped_inputs(&self) -> u64 {
+        self.dropped_inputs.get()
     }
 
-    /// Brings an event and waits for the answer.
-    pub async fn bring(&self, event: Event) -> Reply {
-        self.call(|caller| Input::Bring(caller, event)).await
+    /// Proposes an event and waits for its outcome.
+    pub async fn propose(&self, event: Event) -> Reply {
+        self.call(|caller| Input::Propose(caller, event)).await
     }
 
-    /// Asks for a vote for a disk.
+    /// Requests a vote for a disk and waits for the answer.
     pub async fn admit(&self, id: u64, name: String) -> Reply {
-        self.call(|caller| Input::Admit(caller, id, name)).await
+        self.call(|caller| Input::RequestVote(caller, id, name))
+            .await
     }
 
     async fn call(&self, input: impl FnOnce(u64) -> Input) -> Reply {
-        let caller = self.last.get() + 1;
-        self.last.set(caller);
+        let caller = self.last_caller.get() + 1;
+        self.last_caller.set(caller);
         let (sender, answer) = oneshot::channel();
         self.waiting.borrow_mut().insert(caller, sender);
-        if !self.tell(input(caller)) {
+        if !self.send_input(input(caller)) {
             self.waiting.borrow_mut().remove(&caller);
             return Reply::Busy;
         }
-        let reply = timeout(self.within, answer).await;
+        let reply = timeout(self.time_limit, answer).await;
         self.waiting.borrow_mut().remove(&caller);
-        reply.ok().and_then(Result::ok).unwrap_or(Reply::Lost)
+        reply
+            .ok()
+            .and_then(Result::ok)
+            .unwrap_or(Reply::OutcomeUnknown)
     }
 
-    /// An answer came.
-    pub fn answered(&self, caller: u64, reply: Reply) {
+    /// Completes a call with its reply.
+    pub fn complete(&self, caller: u64, reply: Reply) {
         if let Some(sender) = self.waiting.borrow_mut().remove(&caller) {
             let _ = sender.send(reply);
         }
--- a/crates/coordinator/src/clock.rs
+++ b/crates/coordinator/src/clock.rs
@@ -3,18 +3,18 @@
 use load_balancer_coordinator::core::Now;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Both clocks, read together.
+/// Both clocks of the process.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    began: Instant,
-    /// By how much Unix time is taken to be off, in milliseconds.
+    started: Instant,
+    /// Offset added to Unix time, in milliseconds.
     offset_ms: i64,
 }
 
 impl Clock {
     pub fn new(offset_ms: i64) -> Self {
         Self {
-            began: Instant::now(),
+            started: Instant::now(),
             offset_ms,
         }
     }
@@ -23,7 +23,7 @@
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        let mono = self.began.elapsed();
+        let mono = self.started.elapsed();
         Now {
             unix_ms: i64::try_from(unix.as_millis())
                 .unwrap_or(i64::MAX)
--- a/crates/coordinator/src/commands.rs
+++ b/crates/coordinator/src/commands.rs
@@ -1,4 +1,4 @@
-//! The subcommands for people, which query a running coordinator.
+//! The subcommands that query a running coordinator.
 
 mod tables;
 
@@ -12,84 +12,84 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::task::LocalSet;
 
-/// How long an answer may take: a coordinator's own time and as much again.
-const WITHIN: Duration = Duration::from_secs(10);
+/// Time limit of an answer: twice the coordinator's own.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 
 #[derive(Args)]
-pub struct At {
-    /// Where a coordinator listens.
+pub struct CoordinatorAddress {
+    /// Address of a coordinator.
     #[arg(long, value_name = "ADDRESS", default_value = "127.0.0.1:9480")]
     at: SocketAddr,
-    /// Print the answer as it came, JSON.
+    /// Print the answer as JSON.
     #[arg(long)]
     json: bool,
 }
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Shows where a coordinator stands.
-    Status(At),
-    /// Shows all windows, server by server.
-    Windows(At),
-    /// Shows what capacity is there, and what is not and why.
-    Capacity(At),
-    /// Shows the coordinators that a coordinator knows.
-    Members(At),
-    /// Asks for a window.
+    /// Show the status of a coordinator.
+    Status(CoordinatorAddress),
+    /// Show all windows by server.
+    Windows(CoordinatorAddress),
+    /// Show the available capacity, and what is unavailable and why.
+    Capacity(CoordinatorAddress),
+    /// Show the coordinators that a coordinator knows.
+    Members(CoordinatorAddress),
+    /// Request a window.
     Ask(WindowRequest),
-    /// Takes a window back.
+    /// Cancel a window.
     Cancel {
-        /// Its number.
+        /// Number of the window.
         window: u64,
         #[command(flatten)]
-        at: At,
+        at: CoordinatorAddress,
     },
-    /// Tells the leader to hand its lead over.
-    StepDown(At),
+    /// Make the leader transfer its leadership.
+    StepDown(CoordinatorAddress),
 }
 
 #[derive(Args)]
 pub struct WindowRequest {
-    /// Name of the request; asked again under it, the answer is that of the first.
+    /// Name of the request; a repeated request with the same name gets the first answer.
     name: String,
-    /// A server that is to be away; again for each.
+    /// A server to take out of service; may be repeated.
     #[arg(long, required_unless_present_any = ["group", "zone"])]
     server: Vec<String>,
-    /// All servers of a group.
+    /// Take out all servers of a group.
     #[arg(long, conflicts_with_all = ["server", "zone"])]
     group: Option<String>,
-    /// A part of a zone.
+    /// Take out a part of a zone.
     #[arg(long, conflicts_with = "server")]
     zone: Option<String>,
-    /// The part, in thousandths.
+    /// Part of the zone, in thousandths.
     #[arg(long, default_value_t = 1000, requires = "zone")]
     permille: u32,
-    /// How long each is away, from its drain until it serves warm.
+    /// How long each server is out of service, from its drain until it is warm again.
     #[arg(long)]
     length: Time,
     /// How much longer it may take.
     #[arg(long, default_value = "0s")]
     overrun: Time,
-    /// All must be over in this time.
+    /// Time within which the whole window must be over.
     #[arg(long)]
     within: Time,
-    /// None goes before this time has passed.
+    /// Time before which no server may be drained.
     #[arg(long, default_value = "0s")]
     after: Time,
-    /// Higher goes first.
+    /// Priority; higher goes first.
     #[arg(long, default_value_t = 0)]
     priority: u8,
-    /// Servers may go in waves.
+    /// Allow the servers to go in several waves.
     #[arg(long)]
     split: bool,
     #[command(flatten)]
-    at: At,
+    at: CoordinatorAddress,
 }
 
-/// How an answer is shown: rows of cells.
+/// Renders an answer as rows of cells.
 type Table = fn(&Value) -> Vec<Vec<String>>;
 
-/// Runs a command.
+/// Runs a subcommand.
 pub fn run(command: Command) -> Exit {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -97,15 +97,15 @@
     let Ok(runtime) = runtime else {
         return Exit::Unavailable;
     };
-    let (at, method, path, body, table): (At, _, String, _, Table) = match command {
+    let (at, method, path, body, table): (CoordinatorAddress, _, String, _, Table) = match command {
         Command::Status(at) => (at, "GET", "/status".into(), None, tables::status),
         Command::Members(at) => (at, "GET", "/status".into(), None, tables::members),
         Command::Windows(at) => (at, "GET", "/windows".into(), None, tables::windows),
         Command::Capacity(at) => (at, "GET", "/capacity".into(), None, tables::capacity),
-        Command::Ask(wish) => {
-            let body = wish.request();
+        Command::Ask(request) => {
+            let body = request.request();
             (
-                wish.at,
+                request.at,
                 "POST",
                 "/windows".into(),
                 Some(body),
@@ -121,27 +121,27 @@
         ),
         Command::StepDown(at) => (at, "POST", "/step-down".into(), None, tables::status),
     };
-    let asked = async {
-        let first = fetch(at.at, method, &path, body.as_ref(), WITHIN).await;
-        // Who does not lead names who does.
+    let exchange = async {
+        let first = fetch(at.at, method, &path, body.as_ref(), ANSWER_TIMEOUT).await;
+        // A follower answers with the address of the leader.
         let leader = first.as_ref().ok().filter(|(code, _)| *code == 503);
         let leader = leader.and_then(|(_, answer)| answer["address"].as_str()?.parse().ok());
         match leader {
-            Some(leader) => fetch(leader, method, &path, body.as_ref(), WITHIN).await,
+            Some(leader) => fetch(leader, method, &path, body.as_ref(), ANSWER_TIMEOUT).await,
             None => first,
         }
     };
-    let (code, answer) = match LocalSet::new().block_on(&runtime, asked) {
+    let (code, answer) = match LocalSet::new().block_on(&runtime, exchange) {
         Ok(answer) => answer,
-        Err(what) => {
-            let _ = writeln!(std::io::stderr(), "{}: {}: {what}", crate::NAME, at.at);
+        Err(error) => {
+            let _ = writeln!(std::io::stderr(), "{}: {}: {error}", crate::NAME, at.at);
             return Exit::Unavailable;
         }
     };
-    let good = (200..300).contains(&code);
+    let is_success = (200..300).contains(&code);
     let text = match at.json {
         true => answer.to_string(),
-        false if good => tables::aligned(&table(&answer)),
+        false if is_success => tables::aligned(&table(&answer)),
         false => tables::aligned(&tables::status(&answer)),
     };
     let _ = writeln!(std::io::stdout(), "{}", text.trim_end());
--- a/crates/coordinator/src/commands/tables.rs
+++ b/crates/coordinator/src/commands/tables.rs
@@ -1,8 +1,8 @@
-//! Tables of what a coordinator answers, for people.
+//! Tables for the answers of a coordinator.
 
 use serde_json::Value;
 
-fn plain(value: &Value) -> String {
+fn cell(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         Value::Null => "-".to_owned(),
@@ -10,7 +10,7 @@
     }
 }
 
-/// Rows with columns of one width.
+/// Renders rows with aligned columns.
 pub(super) fn aligned(rows: &[Vec<String>]) -> String {
     let columns = rows.iter().map(Vec::len).max().unwrap_or(0);
     let width = |column: usize| {
@@ -31,24 +31,24 @@
     rows.iter().map(line).collect::<Vec<_>>().join("\n")
 }
 
-fn head(names: &[&str]) -> Vec<String> {
+fn header(names: &[&str]) -> Vec<String> {
     names.iter().map(|name| (*name).to_owned()).collect()
 }
 
 fn rows<'a>(list: &'a Value, keys: &'a [&str]) -> impl Iterator<Item = Vec<String>> + 'a {
-    let all = list.as_array().into_iter().flatten();
-    all.map(move |one| keys.iter().map(|key| plain(&one[*key])).collect())
+    let elements = list.as_array().into_iter().flatten();
+    elements.map(move |element| keys.iter().map(|key| cell(&element[*key])).collect())
 }
 
-/// One row a field.
+/// Returns one row per field.
 pub(super) fn status(answer: &Value) -> Vec<Vec<String>> {
     let pairs = answer.as_object().into_iter().flatten();
     pairs
-        .map(|(key, value)| vec![key.clone(), plain(value)])
+        .map(|(key, value)| vec![key.clone(), cell(value)])
         .collect()
 }
 
-/// The members with a vote, and which one leads.
+/// Returns the voters, and which of them leads.
 pub(super) fn members(answer: &Value) -> Vec<Vec<String>> {
     let voters = answer["voters"].as_array().into_iter().flatten();
     let leadership = |name: &Value| {
@@ -58,11 +58,13 @@
             ""
         }
     };
-    let all = voters.map(|name| vec![plain(name), leadership(name).to_owned()]);
-    std::iter::once(head(&["voice", ""])).chain(all).collect()
+    let members = voters.map(|name| vec![cell(name), leadership(name).to_owned()]);
+    std::iter::once(header(&["voice", ""]))
+        .chain(members)
+        .collect()
 }
 
-/// One row a server of a window.
+/// Returns one row per server of each window.
 pub(super) fn windows(answer: &Value) -> Vec<Vec<String>> {
     let keys = [
         "server",
@@ -74,32 +76,33 @@
         "called_back",
         "reason",
     ];
-    let mut table = vec![[vec!["window".to_owned(), "name".to_owned()], head(&keys)].concat()];
+    let mut table = vec![[vec!["window".to_owned(), "name".to_owned()], header(&keys)].concat()];
     for window in answer.as_array().into_iter().flatten() {
-        let of = [plain(&window["window"]), plain(&window["name"])];
-        table.extend(rows(&window["seats"], &keys).map(|row| [of.to_vec(), row].concat()));
+        let window_cells = [cell(&window["window"]), cell(&window["name"])];
+        table
+            .extend(rows(&window["seats"], &keys).map(|row| [window_cells.to_vec(), row].concat()));
     }
     table
 }
 
-/// What is there of each zone and group, and what counts as missing.
+/// Returns the available capacity of each zone and group, and what counts as unavailable.
 pub(super) fn capacity(answer: &Value) -> Vec<Vec<String>> {
     let keys = ["name", "listed", "present", "keep"];
-    let mut table = vec![head(&keys)];
+    let mut table = vec![header(&keys)];
     table.extend(rows(&answer["rooms"], &keys));
     let debits = ["server", "weight", "why", "window"];
     table.push(Vec::new());
-    table.push(head(&debits));
+    table.push(header(&debits));
     table.extend(rows(&answer["debits"], &debits));
     table
 }
 
-/// When each server of a booked window goes.
+/// Returns the schedule of a booked window.
 pub(super) fn booked(answer: &Value) -> Vec<Vec<String>> {
     let (booked, keys) = (&answer["booked"], ["server", "wave", "start_ms", "end_ms"]);
     let mut table = vec![
-        vec!["window".to_owned(), plain(&booked["window"])],
-        head(&keys),
+        vec!["window".to_owned(), cell(&booked["window"])],
+        header(&keys),
     ];
     table.extend(rows(&booked["times"], &keys));
     table
--- a/crates/coordinator/src/config.rs
+++ b/crates/coordinator/src/config.rs
@@ -11,13 +11,13 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 
-/// All sections.
+/// All sections of the file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sections {
     #[serde(alias = "steward")]
     pub coordinator: CoordinatorSection,
-    /// Addresses of all coordinators by name, this one among them.
+    /// Addresses of all coordinators by name, including this one.
     #[serde(alias = "stewards")]
     pub coordinators: BTreeMap<String, SocketAddr>,
     pub platform: PlatformSection,
@@ -33,33 +33,33 @@
     pub metrics: MetricsSection,
 }
 
-/// This coordinator.
+/// Settings of this coordinator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CoordinatorSection {
     /// Its name, one of those under `[coordinators]`.
     pub name: String,
-    /// Where it listens.
+    /// Address to listen on.
     #[serde(default = "listen")]
     pub listen: SocketAddr,
-    /// The file in which it keeps what is agreed.
+    /// File that stores the replicated log.
     pub data: PathBuf,
-    /// Time between two heartbeats of a leader.
+    /// Interval between heartbeats of the leader.
     #[serde(default = "heartbeat")]
     pub heartbeat: Time,
-    /// Heartbeats that a leader may miss before others stand for election.
+    /// Heartbeats that may be missed before other coordinators start an election.
     #[serde(default = "patience")]
     pub patience: usize,
-    /// Connections at once.
+    /// Maximum number of open connections.
     #[serde(default = "connections")]
     pub connections: usize,
-    /// How long one reader, caller or coordinator may take.
+    /// Time limit of a reader, a caller or a request to another coordinator.
     #[serde(default = "timeout")]
     pub timeout: Time,
-    /// For experiments: by how much its clock is taken to be off, in milliseconds.
+    /// Offset added to the clock in milliseconds; for experiments.
     #[serde(default)]
     pub clock_offset_ms: i64,
-    /// For experiments: how much longer each commit to its disk takes.
+    /// Delay added to each commit; for experiments.
     #[serde(default = "no_delay")]
     pub disk_delay: Time,
 }
@@ -72,12 +72,12 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, 9480))
 }
 
-/// Ten a second: an act waits for one, and a synced commit takes some milliseconds.
+/// Ten per second: an action waits for one, and a synced commit takes some milliseconds.
 fn heartbeat() -> Time {
     Time::ms(100)
 }
 
-/// A second: longer than a busy machine or disk holds a process up as a rule.
+/// One second: longer than a busy machine or disk usually delays a process.
 fn patience() -> usize {
     10
 }
@@ -95,15 +95,15 @@
 #[serde(deny_unknown_fields)]
 pub struct PlatformSection {
     pub address: SocketAddr,
-    /// How long an act may take.
+    /// Time limit of an action.
     #[serde(default = "act_timeout")]
     pub timeout: Time,
-    /// Acts at once.
+    /// Maximum number of concurrent actions.
     #[serde(default = "at_once")]
     pub at_once: usize,
 }
 
-/// Two acts fit into the time in which a death is answered.
+/// Two actions fit into the time within which a failure must be answered.
 fn act_timeout() -> Time {
     Time::ms(1000)
 }
@@ -112,24 +112,25 @@
     16
 }
 
-/// The fleet's observations.
+/// Health observations of the fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ObservationSection {
-    /// Addresses of sidecars' pages, by zone.
+    /// Addresses of the sidecars' status pages, by zone.
     pub sidecars: BTreeMap<String, Vec<SocketAddr>>,
-    /// Time between two rounds.
+    /// Polling interval.
     pub period: Time,
-    /// Sidecars of a zone that are asked in a round, drawn anew each time. At two requests a second
-    /// over 30 servers one of them sees a server each 15 s: the more are asked, the younger is what
-    /// some of them know.
+    /// Sidecars polled per zone and round, chosen at random each time. At two requests per second
+    /// over 30 servers a sidecar uses each server every 15 s, so polling more sidecars yields more
+    /// recent observations.
     pub ask: usize,
-    /// How many of them must say the same at least, and more than half of those that can tell.
+    /// Minimum number of them that must agree; they must also be more than half of those with an
+    /// observation.
     pub agree: usize,
-    /// How long one may take to answer.
+    /// Time limit of one request.
     pub timeout: Time,
-    /// Age from which a process counts as warm, unless sidecars say that it is not; the skew of
-    /// clocks included.
+    /// Age, including clock skew, from which a process counts as warm unless sidecars report
+    /// otherwise.
     pub warm_after: Time,
 }
 
@@ -146,19 +147,20 @@
     }
 }
 
-/// Whether sidecars' affinity entries must be clear before a server is taken.
+/// Whether sidecars must have drained their affinity entries before a server is taken.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct AffinityDrainSection {
-    /// Whether sidecars are asked: they keep affinity entries.
+    /// Whether to ask sidecars; required if they use affinity entries.
     pub ask: bool,
-    /// For how long nothing must have run at a drained server.
+    /// How long a drained server must have been idle.
     pub quiet: Time,
 }
 
 impl Default for AffinityDrainSection {
     fn default() -> Self {
-        // As long as a request may be on its way on a slow network, its connection included.
+        // The longest that a request, including its connection, may be in transit on a slow
+        // network.
         Self {
             ask: false,
             quiet: Time::ms(500),
--- a/crates/coordinator/src/config/check.rs
+++ b/crates/coordinator/src/config/check.rs
@@ -1,20 +1,20 @@
-//! Checks a configuration: bounds of single values, and values that contradict each other.
+//! Validates a configuration: bounds of single values, and contradictions between values.
 
 use super::{CoordinatorSection, ObservationSection, Sections};
 use load_balancer_common::config::{Configuration, Contradiction};
 use load_balancer_common::units::Time;
 use std::ops::RangeInclusive;
 
-/// Most coordinators: five bear two failures, more only make each agreement slower.
+/// Maximum number of coordinators: five tolerate two failures, and more only slow down each commit.
 const MAX_COORDINATORS: usize = 7;
-/// Longest name of a coordinator, in bytes.
+/// Maximum length of a coordinator's name in bytes.
 const MAX_NAME_BYTES: usize = 64;
-/// Connections that may be open at once.
+/// Bounds on the number of open connections.
 const CONNECTIONS: RangeInclusive<usize> = 8..=4_096;
-/// Heartbeats that a leader may miss.
-const PATIENCE: RangeInclusive<usize> = 3..=1_000;
-/// Acts that the platform may be asked for at once.
-const ACTS_AT_ONCE: RangeInclusive<usize> = 1..=256;
+/// Bounds on the number of heartbeats that may be missed.
+const PATIENCE_HEARTBEATS: RangeInclusive<usize> = 3..=1_000;
+/// Bounds on the number of concurrent actions.
+const CONCURRENT_ACTIONS: RangeInclusive<usize> = 1..=256;
 const MIN_TIME: Time = Time::ms(10);
 const MAX_HEARTBEAT: Time = Time::ms(10_000);
 const MAX_TIME: Time = Time::ms(60_000);
@@ -25,13 +25,13 @@
         self.metrics.check()?;
         self.check_members()?;
         self.coordinator.check()?;
-        if !ACTS_AT_ONCE.contains(&self.platform.at_once) {
-            return wrong("platform.at_once", "must be from 1 to 256".to_owned());
+        if !CONCURRENT_ACTIONS.contains(&self.platform.at_once) {
+            return contradiction("platform.at_once", "must be from 1 to 256".to_owned());
         }
         self.check_times()?;
         self.observations.check_agree()?;
         if self.affinity_drain.quiet > MAX_TIME {
-            return wrong("affinity_drain.quiet", "must be at most 1m".to_owned());
+            return contradiction("affinity_drain.quiet", "must be at most 1m".to_owned());
         }
         self.observations
             .check_period(self.budget.evidence_bound_ms)?;
@@ -46,19 +46,19 @@
         let name = &self.coordinator.name;
         let fits = (1..=MAX_NAME_BYTES).contains(&name.len());
         if !fits || !name.bytes().all(|b| b.is_ascii_graphic()) {
-            return wrong(
+            return contradiction(
                 "coordinator.name",
                 format!("must have 1 to {MAX_NAME_BYTES} characters without spaces"),
             );
         }
         if !self.coordinators.contains_key(name) {
-            return wrong(
+            return contradiction(
                 "coordinator.name",
                 format!("{name:?} is not one of [coordinators]"),
             );
         }
         if self.coordinators.len() > MAX_COORDINATORS {
-            return wrong("coordinators", format!("are more than {MAX_COORDINATORS}"));
+            return contradiction("coordinators", format!("are more than {MAX_COORDINATORS}"));
         }
         Ok(())
     }
@@ -71,7 +71,7 @@
             ("observations.timeout", self.observations.timeout),
         ] {
             if !(MIN_TIME..=MAX_TIME).contains(&time) {
-                return wrong(key, "must be from 10ms to 1m".to_owned());
+                return contradiction(key, "must be from 10ms to 1m".to_owned());
             }
         }
         Ok(())
@@ -81,19 +81,19 @@
 impl CoordinatorSection {
     fn check(&self) -> Result<(), Contradiction> {
         if !(MIN_TIME..=MAX_HEARTBEAT).contains(&self.heartbeat) {
-            return wrong(
+            return contradiction(
                 "coordinator.heartbeat",
                 "must be from 10ms to 10s".to_owned(),
             );
         }
-        if !PATIENCE.contains(&self.patience) {
-            return wrong(
+        if !PATIENCE_HEARTBEATS.contains(&self.patience) {
+            return contradiction(
                 "coordinator.patience",
                 "must be from 3 to 1000 heartbeats".to_owned(),
             );
         }
         if !CONNECTIONS.contains(&self.connections) {
-            return wrong(
+            return contradiction(
                 "coordinator.connections",
                 "must be from 8 to 4096".to_owned(),
             );
@@ -105,7 +105,7 @@
 impl ObservationSection {
     fn check_agree(&self) -> Result<(), Contradiction> {
         if self.agree == 0 || self.agree > self.ask {
-            return wrong(
+            return contradiction(
                 "observations.agree",
                 format!("must be from 1 to observations.ask, {}", self.ask),
             );
@@ -113,11 +113,11 @@
         Ok(())
     }
 
-    /// Checks the period against the age from which observations have no effect, in milliseconds.
+    /// Checks the polling interval against the maximum staleness of observations, in milliseconds.
     fn check_period(&self, max_staleness_ms: i64) -> Result<(), Contradiction> {
         let period_ms = i64::try_from(self.period.0.as_millis()).unwrap_or(i64::MAX);
         if period_ms >= max_staleness_ms {
-            return wrong(
+            return contradiction(
                 "observations.period",
                 format!("evidence would be older than its bound, {max_staleness_ms} ms"),
             );
@@ -126,6 +126,6 @@
     }
 }
 
-fn wrong(key: &str, what: String) -> Result<(), Contradiction> {
-    Err(Contradiction::new(key, what))
+fn contradiction(key: &str, reason: String) -> Result<(), Contradiction> {
+    Err(Contradiction::new(key, reason))
 }
--- a/crates/coordinator/src/core/coordinator.rs
+++ b/crates/coordinator/src/core/coordinator.rs
@@ -1,180 +1,193 @@
-//! The coordinator's core: takes inputs, returns outputs.
+//! The core of a coordinator: takes inputs and returns outputs.
 
 use super::interface::{Input, Now, Output, Reply, Settings, View};
 use super::leadership_state::{LeaderProposal, Leadership, Proposer};
 use super::replica::{self, Replica};
-use crate::replicated_log::{HaltReason, LogStore, Message, Node, Options, Refused, ReplicaStatus};
+use crate::replicated_log::{
+    HaltReason, LogStore, Message, Node, Options, ProposeError, ReplicaStatus,
+};
 use load_balancer_maintenance::Event;
 use std::collections::BTreeMap;
 
-/// One coordinator.
+/// The core of one coordinator.
 pub struct CoordinatorCore {
     pub(super) node: Node<Replica>,
     pub(super) settings: Settings,
     pub(super) leadership: Leadership,
     pub(super) output: Output,
-    /// Names by disks' numbers, from those who have sent something.
-    places: BTreeMap<u64, String>,
+    /// Names of the coordinators by the ids of their disks, as observed in messages.
+    names_by_disk: BTreeMap<u64, String>,
     tickets: BTreeMap<u64, Proposer>,
     last_ticket: u64,
 }
 
 impl CoordinatorCore {
-    /// A coordinator on what its shelf holds; `found` makes a blank one the first of a new
-    /// agreement, and must be given to one coordinator, once, where no other has any part of one.
+    /// Creates a coordinator on a log store. `is_founder` makes an empty one the first member of a
+    /// new log; that must be set for only one coordinator, once, while no other has any part of a
+    /// log.
     ///
     /// # Errors
-    /// The disk fails, or holds what this program does not know.
+    /// Returns an error if the disk fails, or holds a format that this program does not know.
     pub fn new(
         log_store: LogStore,
         options: Options,
         settings: Settings,
-        found: bool,
+        is_founder: bool,
     ) -> Result<Self, HaltReason> {
         Ok(Self {
-            node: Node::new(log_store, Replica::default(), options, found)?,
+            node: Node::new(log_store, Replica::default(), options, is_founder)?,
             settings,
             leadership: Leadership::default(),
             output: Output::default(),
-            places: BTreeMap::new(),
+            names_by_disk: BTreeMap::new(),
             tickets: BTreeMap::new(),
             last_ticket: 0,
         })
     }
 
-    /// Takes something in. What it comes to is given by [`CoordinatorCore::drive`], which must
-    /// follow; several may be taken in before.
-    pub fn take(&mut self, now: Now, input: Input) {
+    /// Handles an input. [`CoordinatorCore::process`] must follow to obtain the outputs; several
+    /// inputs may be handled before it.
+    pub fn handle_input(&mut self, now: Now, input: Input) {
         match input {
             Input::Tick => {
                 self.node.tick();
-                self.propose_due(now);
+                self.propose_due_events(now);
             }
-            Input::Message(from, message) => self.receive(from, message),
-            Input::Bring(caller, event) => {
-                let refused = match &event {
-                    Event::Ask(_) if self.node.acts() && !self.leadership.looked => {
-                        Err(Reply::Looking)
-                    }
-                    _ => {
-                        self.propose(now, Proposer::Caller(caller), &event)
-                            .map_err(|why| match why {
-                                Refused::NotLeader => Reply::NotLeader,
-                                Refused::Founding => Reply::Founding,
-                                Refused::Busy => Reply::Busy,
-                            })
+            Input::Message(from, message) => self.handle_message(from, message),
+            Input::Propose(caller, event) => {
+                let rejection = match &event {
+                    Event::Ask(_)
+                        if self.node.is_active_leader() && !self.leadership.has_polled =>
+                    {
+                        Err(Reply::NotPolled)
                     }
+                    _ => self
+                        .propose(now, Proposer::Caller(caller), &event)
+                        .map_err(|error| match error {
+                            ProposeError::NotLeader => Reply::NotLeader,
+                            ProposeError::TooFewVoters => Reply::TooFewVoters,
+                            ProposeError::Busy => Reply::Busy,
+                        }),
                 };
                 self.output
                     .replies
-                    .extend(refused.err().map(|reply| (caller, reply)));
+                    .extend(rejection.err().map(|reply| (caller, reply)));
             }
-            Input::Admit(caller, id, name) => {
-                let known = self.settings.names.contains(&name) && id != 0;
-                let reply = if known {
+            Input::RequestVote(caller, id, name) => {
+                let is_known = self.settings.names.contains(&name) && id != 0;
+                let reply = if is_known {
                     Reply::Admission(self.node.admit(id, &name))
                 } else {
                     Reply::Busy
                 };
                 self.output.replies.push((caller, reply));
             }
-            Input::Listed(list) => self.listed(now, list),
-            Input::Observations(at_ms, mut words) => {
+            Input::ServerList(list) => self.handle_server_list(now, list),
+            Input::Observations(at_ms, mut observations) => {
                 let waited_ms = now.mono_ms.saturating_sub(at_ms);
-                words
-                    .iter_mut()
-                    .for_each(|word| word.age_ms = word.age_ms.saturating_add(waited_ms));
-                self.own(
+                observations.iter_mut().for_each(|observation| {
+                    observation.age_ms = observation.age_ms.saturating_add(waited_ms)
+                });
+                self.propose_as_leader(
                     now,
                     LeaderProposal::Observations,
-                    &Event::Observations(words),
+                    &Event::Observations(observations),
                 );
             }
-            Input::Acted(act, answer) => self.acted(now, act, answer),
-            Input::Cleared(question, clear) => self.cleared(now, question, clear),
+            Input::ActionResult(act, answer) => self.handle_action_result(now, act, answer),
+            Input::DrainResult(question, clear) => self.handle_drain_result(now, question, clear),
             Input::StepDown => {
-                if self.node.hand_over() {
-                    self.output.notes.push("hands the lead over".to_owned());
+                if self.node.transfer_leadership() {
+                    self.output.notes.push("transferring leadership".to_owned());
                 }
             }
         }
     }
 
-    fn receive(&mut self, from: String, message: Message) {
+    fn handle_message(&mut self, from: String, message: Message) {
         if !self.settings.names.contains(&from) {
             return;
         }
-        if self.places.get(&message.from) != Some(&from) {
-            // One disk a name: the last that spoke.
-            self.places.retain(|_, name| *name != from);
-            self.places.insert(message.from, from);
+        if self.names_by_disk.get(&message.from) != Some(&from) {
+            // Each name has one disk: the one that sent a message last.
+            self.names_by_disk.retain(|_, name| *name != from);
+            self.names_by_disk.insert(message.from, from);
         }
         self.node.step(message);
     }
 
-    /// Proposes an event; whose the answer is.
+    /// Proposes an event on behalf of a proposer.
     pub(super) fn propose(
         &mut self,
         now: Now,
         proposer: Proposer,
         event: &Event,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), ProposeError> {
         self.last_ticket += 1;
         self.node
-            .propose(now.unix_ms, self.last_ticket, replica::event(event))?;
+            .propose(now.unix_ms, self.last_ticket, replica::encode_event(event))?;
         self.tickets.insert(self.last_ticket, proposer);
         Ok(())
     }
 
-    /// Asks a majority whether this coordinator leads.
-    pub(super) fn ask_majority(&mut self) -> u64 {
+    /// Asks a majority to confirm that this coordinator leads. Returns the ticket of the request.
+    pub(super) fn request_confirmation(&mut self) -> u64 {
         self.last_ticket += 1;
-        self.node.confirm(self.last_ticket);
+        self.node.request_confirmation(self.last_ticket);
         self.last_ticket
     }
 
-    /// Keeps and applies what the steps so far came to; what is to be done about it.
+    /// Persists and applies what the inputs so far led to, and returns the outputs.
     ///
     /// # Errors
-    /// The coordinator must stop, and nothing of it may be sent. Its callers are not answered:
-    /// [`CoordinatorCore::callers`].
-    pub fn drive(&mut self, now: Now) -> Result<Output, HaltReason> {
-        let effects = self.node.drive()?;
+    /// Returns the reason why the coordinator must stop. Nothing may be sent then, and the callers
+    /// listed by [`CoordinatorCore::pending_callers`] have no answer.
+    pub fn process(&mut self, now: Now) -> Result<Output, HaltReason> {
+        let effects = self.node.process_ready()?;
         for message in effects.messages {
             let name = self
                 .node
                 .members()
                 .get(&message.to)
-                .or_else(|| self.places.get(&message.to));
+                .or_else(|| self.names_by_disk.get(&message.to));
             if let Some(name) = name {
                 self.output.messages.push((name.clone(), message));
             }
         }
         for (ticket, answer) in effects.answers {
-            match (self.tickets.remove(&ticket), replica::outcome(&answer)) {
+            match (
+                self.tickets.remove(&ticket),
+                replica::decode_outcome(&answer),
+            ) {
                 (Some(Proposer::Caller(caller)), outcome) => {
-                    let reply = outcome.map_or(Reply::Lost, Reply::Agreed);
+                    let reply = outcome.map_or(Reply::OutcomeUnknown, Reply::Committed);
                     self.output.replies.push((caller, reply));
                 }
-                (Some(Proposer::Leader(own)), outcome) => self.answered(&own, outcome),
+                (Some(Proposer::Leader(proposal)), outcome) => {
+                    self.handle_own_outcome(&proposal, outcome)
+                }
                 (None, _) => {}
             }
         }
-        for ticket in effects.lost {
+        for ticket in effects.unknown_outcomes {
             match self.tickets.remove(&ticket) {
-                Some(Proposer::Caller(caller)) => self.output.replies.push((caller, Reply::Lost)),
-                Some(Proposer::Leader(own)) => self.leadership.waits.retain(|waits| *waits != own),
+                Some(Proposer::Caller(caller)) => {
+                    self.output.replies.push((caller, Reply::OutcomeUnknown))
+                }
+                Some(Proposer::Leader(proposal)) => {
+                    self.leadership.pending.retain(|waits| *waits != proposal)
+                }
                 None => {}
             }
         }
         for ticket in effects.confirmed {
-            self.confirmed(now, ticket);
+            self.handle_confirmation(now, ticket);
         }
         Ok(std::mem::take(&mut self.output))
     }
 
-    /// Callers who wait for an answer.
-    pub fn callers(&self) -> Vec<u64> {
+    /// Returns the callers that wait for an answer.
+    pub fn pending_callers(&self) -> Vec<u64> {
         let callers = self.tickets.values().filter_map(|proposer| match proposer {
             Proposer::Caller(caller) => Some(*caller),
             Proposer::Leader(_) => None,
@@ -182,17 +195,17 @@
         callers.collect()
     }
 
-    /// Its status in the replicated log.
+    /// Returns the status of this replica of the log.
     pub fn replica_status(&self) -> ReplicaStatus {
         self.node.replica_status()
     }
 
-    /// Where it stands and what it knows.
+    /// Returns what status pages show.
     pub fn view(&self, now: Now) -> View {
         let machine = &self.node.machine().0;
         let replica_status = self.node.replica_status();
         View {
-            looked: replica_status.acts && self.leadership.looked,
+            looked: replica_status.acts && self.leadership.has_polled,
             windows: machine.windows(),
             capacity: machine.capacity(now.unix_ms),
             servers: machine.servers().len(),
@@ -202,7 +215,7 @@
         }
     }
 
-    /// The machine of windows.
+    /// Returns the maintenance state machine.
     pub fn machine(&self) -> &load_balancer_maintenance::Machine {
         &self.node.machine().0
     }
--- a/crates/coordinator/src/core/interface.rs
+++ b/crates/coordinator/src/core/interface.rs
@@ -7,114 +7,114 @@
 use load_balancer_maintenance::{ServerObservation, WindowView};
 use serde::Serialize;
 
-/// Both clocks of the host.
+/// Both clocks of the host, read together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Now {
     /// Milliseconds of Unix time; may jump.
     pub unix_ms: i64,
-    /// Milliseconds since any moment; never goes back.
+    /// Milliseconds of a monotonic clock.
     pub mono_ms: u64,
 }
 
-/// What a coordinator is made with.
+/// Settings of a coordinator's core.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Names of all coordinators.
     pub names: Vec<String>,
-    /// What the operators have agreed on, by this coordinator's file. The leader's file holds.
+    /// The disruption budget in this coordinator's configuration. That of the leader applies.
     pub budget: DisruptionBudget,
-    /// Pause before something that failed is tried again, in milliseconds.
-    pub again_ms: u64,
-    /// How long an act or a question may take until it counts as lost, in milliseconds.
-    pub lost_ms: u64,
-    /// For how long after it was asked for a majority's confirmation that this coordinator leads
-    /// may be acted on, in milliseconds: no longer than others wait before they stand for election.
-    pub confirmation_ms: u64,
+    /// Delay before a failed action is retried, in milliseconds.
+    pub retry_delay_ms: u64,
+    /// Time after which an action or drain check without a result counts as lost, in milliseconds.
+    pub action_timeout_ms: u64,
+    /// How long after its request a majority's confirmation of the leadership is valid, in
+    /// milliseconds: no longer than other coordinators wait before an election.
+    pub confirmation_validity_ms: u64,
 }
 
-/// What a host tells.
+/// An input of a coordinator's core.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A heartbeat's time passed.
+    /// One heartbeat interval has passed.
     Tick,
-    /// Another coordinator's message, and its name.
+    /// A message of another coordinator, with the name of the sender.
     Message(String, Message),
-    /// Somebody brings an event, and waits under this number for the answer.
-    Bring(u64, Event),
-    /// A coordinator asks for a vote: the caller's number, the disk's number, its name.
-    Admit(u64, u64, String),
-    /// What the platform lists.
-    Listed(Vec<Server>),
-    /// A round of polls of the fleet is over: what it came to, with ages at this moment of the
-    /// monotonic clock. What waits, or is held up with the process, grows older meanwhile.
+    /// A caller, identified by the number, proposes an event and waits for the outcome.
+    Propose(u64, Event),
+    /// A coordinator requests a vote: number of the caller, id of the disk, and its name.
+    RequestVote(u64, u64, String),
+    /// The server list of the platform.
+    ServerList(Vec<Server>),
+    /// Observations of a polling round, with ages as of this instant of the monotonic clock. They
+    /// keep aging while they wait, or while the process is suspended.
     Observations(u64, Vec<ServerObservation>),
-    /// What an act came to; none if nothing was answered.
-    Acted(Action, Option<Answer>),
-    /// Whether a server is clear.
-    Cleared(Unclear, bool),
-    /// The lead is to be handed over.
+    /// The result of an action; `None` without an answer.
+    ActionResult(Action, Option<Answer>),
+    /// Whether a server is drained.
+    DrainResult(Unclear, bool),
+    /// Leadership is to be transferred.
     StepDown,
 }
 
-/// Something to do, for as long as the majority's confirmation that it depends on may be acted on.
+/// Work for the host, valid while the majority's confirmation of the leadership is.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order<T> {
-    /// What.
-    pub what: T,
-    /// Not to be begun after this moment, by the monotonic clock.
-    pub until_ms: u64,
+    /// The work.
+    pub item: T,
+    /// Not to be started after this instant of the monotonic clock.
+    pub deadline_ms: u64,
 }
 
-/// What is to be done after a step.
+/// Outputs of a coordinator's core.
 #[derive(Debug, Default)]
 pub struct Output {
-    /// Messages for other coordinators, by their name, best effort.
+    /// Messages for other coordinators, by name; may be lost.
     pub messages: Vec<(String, Message)>,
-    /// Answers by the caller's number.
+    /// Replies, by the number of the caller.
     pub replies: Vec<(u64, Reply)>,
-    /// Acts on servers. Each ends with [`Input::Acted`].
-    pub acts: Vec<Order<Action>>,
-    /// Servers of which to ask whether they are clear. Each ends with [`Input::Cleared`].
-    pub questions: Vec<Order<Unclear>>,
-    /// What on-call should read.
+    /// Actions on servers. Each ends with [`Input::ActionResult`].
+    pub actions: Vec<Order<Action>>,
+    /// Processes to check for being drained. Each check ends with [`Input::DrainResult`].
+    pub drain_checks: Vec<Order<Unclear>>,
+    /// Log lines for on-call engineers.
     pub notes: Vec<String>,
 }
 
-/// An answer to a caller.
+/// A reply to a caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// The event was agreed on, and came to this.
-    Agreed(Outcome),
-    /// Where the request for a vote stands.
+    /// The event was committed, with this outcome.
+    Committed(Outcome),
+    /// State of the request for a vote.
     Admission(Admission),
     /// This coordinator does not lead.
     NotLeader,
     /// Too few coordinators have a vote yet.
-    Founding,
-    /// The leader has not looked at servers and fleet yet.
-    Looking,
-    /// Too much waits.
+    TooFewVoters,
+    /// The leader has not polled the platform and the fleet yet.
+    NotPolled,
+    /// Too many proposals are pending.
     Busy,
-    /// Whether the event is agreed on is not known: ask again.
-    Lost,
+    /// It is not known whether the event was committed; the caller may repeat it.
+    OutcomeUnknown,
 }
 
-/// Where a coordinator stands and what it knows, for people.
+/// What status pages show of a coordinator.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct View {
     /// Its status in the replicated log.
     #[serde(flatten)]
     pub replica_status: ReplicaStatus,
-    /// Whether it leads and has looked at servers and fleet.
+    /// Whether it leads and has polled the platform and the fleet.
     pub looked: bool,
     /// All windows.
     pub windows: Vec<WindowView>,
-    /// What is there and what is not.
+    /// Available and unavailable capacity.
     pub capacity: Option<CapacityView>,
-    /// How many servers are listed.
+    /// Number of listed servers.
     pub servers: usize,
-    /// The last token.
+    /// The last fencing token.
     pub token: u64,
-    /// Drains, takes, returns and call-backs that are due.
+    /// Number of actions that are due.
     pub due: usize,
 }
--- a/crates/coordinator/src/core/leadership.rs
+++ b/crates/coordinator/src/core/leadership.rs
@@ -1,8 +1,8 @@
 //! The work of the leader: it proposes policy, calendar and time, and orders actions on servers.
 //!
-//! All of it follows from what is agreed, so a successor goes on at the very step. Nothing is done
-//! before an entry of the leader's own term is applied, and no act is begun but on a majority's
-//! word, asked for just before, that it leads.
+//! All of it follows from committed state, so a new leader continues at the same step. Nothing is
+//! done before an entry of the leader's own term is applied, and no action starts without a
+//! majority's confirmation, requested just before, that this coordinator leads.
 
 use super::coordinator::CoordinatorCore;
 use super::interface::{Input, Now, Order};
@@ -10,8 +10,8 @@
 use load_balancer_maintenance::{Action, Answer, Event, Outcome, Server, Unclear};
 
 impl CoordinatorCore {
-    /// Whether it may bring events; what it remembers is that of its own term then.
-    fn leads(&mut self) -> bool {
+    /// Returns whether it may propose events. Resets the state of the leadership in a new term.
+    fn is_leading(&mut self) -> bool {
         let replica_status = self.node.replica_status();
         if self.leadership.term != replica_status.term || !replica_status.acts {
             self.leadership = Leadership {
@@ -22,110 +22,130 @@
         replica_status.acts
     }
 
-    /// Brings an event of its own, unless one of its kind waits.
-    pub(super) fn own(&mut self, now: Now, own: LeaderProposal, event: &Event) {
-        if self.leads()
-            && !self.leadership.waits.contains(&own)
+    /// Proposes an event of its own, unless one of the same kind is pending.
+    pub(super) fn propose_as_leader(&mut self, now: Now, proposal: LeaderProposal, event: &Event) {
+        if self.is_leading()
+            && !self.leadership.pending.contains(&proposal)
             && self
-                .propose(now, Proposer::Leader(own.clone()), event)
+                .propose(now, Proposer::Leader(proposal.clone()), event)
                 .is_ok()
         {
-            self.leadership.waits.push(own);
+            self.leadership.pending.push(proposal);
         }
     }
 
-    /// Time passed.
-    pub(super) fn propose_due(&mut self, now: Now) {
-        if !self.leads() {
+    /// Proposes what is due by the clock.
+    pub(super) fn propose_due_events(&mut self, now: Now) {
+        if !self.is_leading() {
             return;
         }
         let machine = &self.node.machine().0;
         let budget = &self.settings.budget;
         if machine.budget() != Some(budget) {
             let event = Event::DisruptionBudget(budget.clone());
-            self.own(now, LeaderProposal::DisruptionBudget, &event);
+            self.propose_as_leader(now, LeaderProposal::DisruptionBudget, &event);
         } else if let Some(calendar) = machine.calendar_due(now.unix_ms) {
-            self.own(now, LeaderProposal::Calendar, &calendar);
+            self.propose_as_leader(now, LeaderProposal::Calendar, &calendar);
         } else if machine
             .next_wake(now.unix_ms)
             .is_some_and(|wake| wake <= now.unix_ms)
         {
-            self.own(now, LeaderProposal::Time, &Event::Tick);
+            self.propose_as_leader(now, LeaderProposal::Time, &Event::Tick);
         }
-        // A confirmation that did not come in time never comes.
-        let confirmation_ms = self.settings.confirmation_ms;
-        self.leadership.asked = self
+        // A confirmation that is not received in time never arrives.
+        let confirmation_ms = self.settings.confirmation_validity_ms;
+        self.leadership.confirmation = self
             .leadership
-            .asked
+            .confirmation
             .filter(|(_, at)| now.mono_ms.saturating_sub(*at) < confirmation_ms);
-        if self.leadership.asked.is_none() && !self.to_begin(now).is_empty() {
-            self.leadership.asked = Some((self.ask_majority(), now.mono_ms));
+        if self.leadership.confirmation.is_none() && !self.pending_work(now).is_empty() {
+            self.leadership.confirmation = Some((self.request_confirmation(), now.mono_ms));
         }
     }
 
-    /// What is due and not under way.
-    fn to_begin(&self, now: Now) -> Vec<(ActionKey, Input)> {
+    /// Returns the due actions and drain checks that are not in progress.
+    fn pending_work(&self, now: Now) -> Vec<(ActionKey, Input)> {
         let machine = &self.node.machine().0;
-        let acts = machine
+        let actions = machine
             .due(now.unix_ms)
             .into_iter()
-            .map(|act| (ActionKey::of(&act), Input::Acted(act, None)));
-        let questions = machine.unclear().into_iter();
-        let questions = questions.map(|q| (ActionKey::of_question(&q), Input::Cleared(q, false)));
-        let free = |(key, _): &(ActionKey, Input)| {
+            .map(|action| (ActionKey::of(&action), Input::ActionResult(action, None)));
+        let drain_checks = machine.unclear().into_iter();
+        let questions = drain_checks.map(|check| {
+            (
+                ActionKey::of_drain_check(&check),
+                Input::DrainResult(check, false),
+            )
+        });
+        let is_free = |(key, _): &(ActionKey, Input)| {
             self.leadership
                 .in_progress
                 .get(key)
-                .is_none_or(|until| *until <= now.mono_ms)
+                .is_none_or(|expires_ms| *expires_ms <= now.mono_ms)
                 && !self
                     .leadership
-                    .waits
+                    .pending
                     .contains(&LeaderProposal::Result(key.clone()))
         };
-        acts.chain(questions).filter(free).collect()
+        actions.chain(questions).filter(is_free).collect()
     }
 
-    /// A majority says that this coordinator leads.
-    pub(super) fn confirmed(&mut self, now: Now, ticket: u64) {
-        let Some((_, at)) = self.leadership.asked.filter(|(asked, _)| *asked == ticket) else {
+    /// Handles a majority's confirmation that this coordinator leads.
+    pub(super) fn handle_confirmation(&mut self, now: Now, ticket: u64) {
+        let Some((_, requested_ms)) = self
+            .leadership
+            .confirmation
+            .filter(|(asked, _)| *asked == ticket)
+        else {
             return;
         };
-        self.leadership.asked = None;
-        let until_ms = at + self.settings.confirmation_ms;
-        if !self.leads() || until_ms <= now.mono_ms {
+        self.leadership.confirmation = None;
+        let until_ms = requested_ms + self.settings.confirmation_validity_ms;
+        if !self.is_leading() || until_ms <= now.mono_ms {
             return;
         }
         self.leadership
             .in_progress
-            .retain(|_, until| *until > now.mono_ms);
-        for (key, what) in self.to_begin(now) {
+            .retain(|_, expires_ms| *expires_ms > now.mono_ms);
+        for (key, work) in self.pending_work(now) {
             self.leadership
                 .in_progress
-                .insert(key, now.mono_ms + self.settings.lost_ms);
-            match what {
-                Input::Acted(what, _) => self.output.acts.push(Order { what, until_ms }),
-                Input::Cleared(what, _) => self.output.questions.push(Order { what, until_ms }),
+                .insert(key, now.mono_ms + self.settings.action_timeout_ms);
+            match work {
+                Input::ActionResult(action, _) => self.output.actions.push(Order {
+                    item: action,
+                    deadline_ms: until_ms,
+                }),
+                Input::DrainResult(check, _) => self.output.drain_checks.push(Order {
+                    item: check,
+                    deadline_ms: until_ms,
+                }),
                 _ => {}
             }
         }
     }
 
-    /// An act came to something.
-    pub(super) fn acted(&mut self, now: Now, act: Action, answer: Option<Answer>) {
-        if !self.leads() {
+    /// Handles the result of an action.
+    pub(super) fn handle_action_result(
+        &mut self,
+        now: Now,
+        action: Action,
+        answer: Option<Answer>,
+    ) {
+        if !self.is_leading() {
             return;
         }
-        let key = ActionKey::of(&act);
+        let key = ActionKey::of(&action);
         self.leadership
             .in_progress
-            .insert(key.clone(), now.mono_ms + self.settings.again_ms);
+            .insert(key.clone(), now.mono_ms + self.settings.retry_delay_ms);
         if let Some(result) = answer.filter(|answer| *answer != Answer::Failed) {
             let Action {
                 window,
                 server,
                 step,
                 token,
-            } = act;
+            } = action;
             let event = Event::Acted {
                 window,
                 server,
@@ -133,27 +153,27 @@
                 token,
                 result,
             };
-            self.own(now, LeaderProposal::Result(key), &event);
+            self.propose_as_leader(now, LeaderProposal::Result(key), &event);
         }
     }
 
-    /// A question came to something.
-    pub(super) fn cleared(&mut self, now: Now, question: Unclear, clear: bool) {
-        if !self.leads() {
+    /// Handles the result of a drain check.
+    pub(super) fn handle_drain_result(&mut self, now: Now, check: Unclear, is_clear: bool) {
+        if !self.is_leading() {
             return;
         }
-        let key = ActionKey::of_question(&question);
+        let key = ActionKey::of_drain_check(&check);
         self.leadership
             .in_progress
-            .insert(key.clone(), now.mono_ms + self.settings.again_ms);
-        if clear {
+            .insert(key.clone(), now.mono_ms + self.settings.retry_delay_ms);
+        if is_clear {
             let Unclear {
                 window,
                 server,
                 epoch,
                 ..
-            } = question;
-            self.own(
+            } = check;
+            self.propose_as_leader(
                 now,
                 LeaderProposal::Result(key),
                 &Event::Clear {
@@ -165,37 +185,43 @@
         }
     }
 
-    /// The platform's list came.
-    pub(super) fn listed(&mut self, now: Now, list: Vec<Server>) {
-        if self.leads()
-            && self.leadership.list.as_ref() != Some(&list)
-            && !self.leadership.waits.contains(&LeaderProposal::List)
+    /// Handles the server list of the platform.
+    pub(super) fn handle_server_list(&mut self, now: Now, list: Vec<Server>) {
+        if self.is_leading()
+            && self.leadership.committed_list.as_ref() != Some(&list)
+            && !self.leadership.pending.contains(&LeaderProposal::List)
         {
-            self.leadership.offered = Some(list.clone());
-            self.own(now, LeaderProposal::List, &Event::Servers(list));
+            self.leadership.proposed_list = Some(list.clone());
+            self.propose_as_leader(now, LeaderProposal::List, &Event::Servers(list));
         }
     }
 
-    /// An event of its own was agreed on.
-    pub(super) fn answered(&mut self, own: &LeaderProposal, outcome: Option<Outcome>) {
-        self.leadership.waits.retain(|waits| waits != own);
-        match (own, outcome) {
+    /// Handles the outcome of an event of its own.
+    pub(super) fn handle_own_outcome(
+        &mut self,
+        proposal: &LeaderProposal,
+        outcome: Option<Outcome>,
+    ) {
+        self.leadership
+            .pending
+            .retain(|pending| pending != proposal);
+        match (proposal, outcome) {
             (_, Some(Outcome::Refused(refusal))) => {
-                let what = match own {
-                    LeaderProposal::List => "the platform's list",
-                    LeaderProposal::DisruptionBudget => "the agreement",
-                    LeaderProposal::Calendar => "the calendar",
+                let subject = match proposal {
+                    LeaderProposal::List => "server list of the platform",
+                    LeaderProposal::DisruptionBudget => "disruption budget",
+                    LeaderProposal::Calendar => "calendar",
                     _ => return,
                 };
                 self.output
                     .notes
-                    .push(format!("{what} cannot be taken: {refusal:?}"));
+                    .push(format!("{subject} was rejected: {refusal:?}"));
             }
             (LeaderProposal::List, Some(_)) => {
-                self.leadership.list = self.leadership.offered.take()
+                self.leadership.committed_list = self.leadership.proposed_list.take()
             }
-            (LeaderProposal::Observations, Some(_)) if self.leadership.list.is_some() => {
-                self.leadership.looked = true
+            (LeaderProposal::Observations, Some(_)) if self.leadership.committed_list.is_some() => {
+                self.leadership.has_polled = true
             }
             _ => {}
         }
--- a/crates/coordinator/src/core/leadership_state.rs
+++ b/crates/coordinator/src/core/leadership_state.rs
@@ -1,18 +1,18 @@
-//! What a leader remembers of its term: what it has proposed, and which actions are in progress.
+//! State of a leader within its term: its proposals, and the actions in progress.
 
 use load_balancer_maintenance::{Action, Server, Step, Unclear};
 use std::collections::BTreeMap;
 
-/// Who made a proposal.
+/// The origin of a proposal.
 #[derive(Clone, Debug)]
 pub(super) enum Proposer {
-    /// A caller, who waits for its outcome.
+    /// A caller that waits for the outcome.
     Caller(u64),
     /// The leader itself.
     Leader(LeaderProposal),
 }
 
-/// What the leader proposes by itself. Of each kind one at a time is on its way.
+/// A proposal of the leader. At most one of each kind is pending.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum LeaderProposal {
     DisruptionBudget,
@@ -23,12 +23,12 @@
     Result(ActionKey),
 }
 
-/// An action on a server, or the question whether it is drained of affinity.
+/// Identifies an action on a server, or the check whether it is drained.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ActionKey {
     window: u64,
     server: String,
-    /// None for the question.
+    /// `None` for a drain check.
     step: Option<Step>,
     token: u64,
 }
@@ -43,29 +43,29 @@
         }
     }
 
-    pub(super) fn of_question(question: &Unclear) -> Self {
+    pub(super) fn of_drain_check(check: &Unclear) -> Self {
         Self {
-            window: question.window,
-            server: question.server.clone(),
+            window: check.window,
+            server: check.server.clone(),
             step: None,
-            token: question.epoch,
+            token: check.epoch,
         }
     }
 }
 
-/// The state of a leader in its term; nothing of it outlives the term.
+/// State of a leader; reset with each term.
 #[derive(Debug, Default)]
 pub(super) struct Leadership {
     pub(super) term: u64,
-    /// Own proposals whose outcome is not known yet.
-    pub(super) waits: Vec<LeaderProposal>,
-    /// The platform's list as it was last seen, and as it was last proposed.
-    pub(super) list: Option<Vec<Server>>,
-    pub(super) offered: Option<Vec<Server>>,
-    /// The platform and the fleet have been looked at in this term.
-    pub(super) looked: bool,
-    /// Actions in progress, and until when, on the monotonic clock.
+    /// Own proposals without an outcome yet.
+    pub(super) pending: Vec<LeaderProposal>,
+    /// The server list as last committed, and as last proposed.
+    pub(super) committed_list: Option<Vec<Server>>,
+    pub(super) proposed_list: Option<Vec<Server>>,
+    /// Whether the platform and the fleet have been polled in this term.
+    pub(super) has_polled: bool,
+    /// Actions in progress, and until when, by the monotonic clock.
     pub(super) in_progress: BTreeMap<ActionKey, u64>,
-    /// The majority was asked whether this one leads: by which ticket, and when.
-    pub(super) asked: Option<(u64, u64)>,
+    /// The pending request for a majority's confirmation: its ticket, and when it was made.
+    pub(super) confirmation: Option<(u64, u64)>,
 }
--- a/crates/coordinator/src/core/mod.rs
+++ b/crates/coordinator/src/core/mod.rs
@@ -1,5 +1,5 @@
-//! The core of a coordinator without I/O and clock: the replicated log, the maintenance windows,
-//! and the work of its leader.
+//! The core of a coordinator, without I/O and clock: the replicated log, the maintenance state
+//! machine, and the work of the leader.
 
 mod coordinator;
 mod interface;
--- a/crates/coordinator/src/core/replica.rs
+++ b/crates/coordinator/src/core/replica.rs
@@ -1,7 +1,7 @@
-//! The maintenance state machine as the replicated log applies it, with its event and snapshot
-//! encoding.
+//! The maintenance state machine as applied by the replicated log, with the encoding of events and
+//! snapshots.
 //!
-//! Both are JSON behind a byte with the version: whatever a coordinator does not know, it stops at.
+//! Both are JSON after a version byte. A coordinator stops at a version that it does not know.
 
 use crate::replicated_log::{DecodeError, Replicated, content};
 use load_balancer_maintenance::{Event, Machine, Outcome};
@@ -11,30 +11,30 @@
 /// The version that is written.
 const FORMAT: u8 = 1;
 
-/// The machine of windows.
+/// The replicated maintenance state machine.
 #[derive(Debug, Default)]
 pub struct Replica(pub Machine);
 
-/// Writes a form.
+/// Encodes a value.
 pub(crate) fn write<T: Serialize>(value: &T) -> Vec<u8> {
     let mut bytes = vec![FORMAT];
-    // Plain data whose keys are names and numbers always has a form.
+    // Serialization cannot fail: all map keys are strings or numbers.
     bytes.extend(serde_json::to_vec(value).unwrap_or_default());
     bytes
 }
 
-/// Reads one.
+/// Decodes a value.
 pub(crate) fn read<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, DecodeError> {
     Ok(serde_json::from_slice(content(bytes, FORMAT)?)?)
 }
 
-/// An event as it is agreed on.
-pub(crate) fn event(event: &Event) -> Vec<u8> {
+/// Encodes an event for the log.
+pub(crate) fn encode_event(event: &Event) -> Vec<u8> {
     write(event)
 }
 
-/// The answer to an event, as a node gives it.
-pub(crate) fn outcome(bytes: &[u8]) -> Option<Outcome> {
+/// Decodes the outcome of an event.
+pub(crate) fn decode_outcome(bytes: &[u8]) -> Option<Outcome> {
     read(bytes).ok()
 }
 
--- a/crates/coordinator/src/fetch.rs
+++ b/crates/coordinator/src/fetch.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 request to another process with a total time-out.
+//! HTTP/1.1 requests with a total time limit.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -12,45 +12,48 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// Longest answer that is read, in bytes: the longest list, with as much again.
+/// Maximum size of an answer in bytes: twice the longest server list.
 const MAX_ANSWER_BYTES: usize = 4 << 20;
 
-/// Why a request got no whole answer.
+/// Error of a request.
 #[derive(Debug, thiserror::Error)]
 pub enum FetchError {
-    /// The connection was not made.
+    /// The connection could not be established.
     #[error(transparent)]
     Connect(#[from] std::io::Error),
-    /// The connection broke, or carried what is not HTTP.
+    /// The connection failed, or the answer was not valid HTTP.
     #[error(transparent)]
     Connection(#[from] hyper::Error),
-    /// The request could not be written as HTTP.
+    /// The request could not be encoded.
     #[error(transparent)]
     Request(#[from] hyper::http::Error),
-    /// The answer was cut off, or longer than is read.
+    /// The answer was incomplete or too long.
     #[error("{0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    /// The time-out passed.
+    /// The time limit passed.
     #[error("no answer in time")]
     Timeout,
 }
 
-/// A connection on which one question at a time is asked.
-pub struct Line(SendRequest<Full<Bytes>>);
+/// A connection that carries one request at a time.
+pub struct Connection(SendRequest<Full<Bytes>>);
 
-impl Line {
-    /// Connects.
-    pub async fn to(at: SocketAddr) -> Result<Self, FetchError> {
-        let stream = TcpStream::connect(at).await?;
+impl Connection {
+    /// Establishes a connection.
+    pub async fn connect(address: SocketAddr) -> Result<Self, FetchError> {
+        let stream = TcpStream::connect(address).await?;
         let _ = stream.set_nodelay(true);
         let (sender, connection) = handshake(TokioIo::new(stream)).await?;
-        // Its end is seen by whoever asks next.
+        // If the connection fails, the next request reports it.
         spawn_local(connection);
         Ok(Self(sender))
     }
 
-    /// Asks, and reads the whole answer.
-    pub async fn ask(&mut self, request: Request<Full<Bytes>>) -> Result<(u16, Bytes), FetchError> {
+    /// Sends a request and reads the whole answer.
+    pub async fn request(
+        &mut self,
+        request: Request<Full<Bytes>>,
+    ) -> Result<(u16, Bytes), FetchError> {
         self.0.ready().await?;
         let response = self.0.send_request(request).await?;
         let status = response.status().as_u16();
@@ -62,34 +65,34 @@
     }
 }
 
-/// Asks once: status and content, which is JSON.
+/// Sends a single request. Returns the status and the content, which is JSON.
 ///
 /// # Errors
-/// Nothing whole came in time.
+/// Returns an error if no complete answer was received in time.
 pub async fn fetch(
-    at: SocketAddr,
+    address: SocketAddr,
     method: &str,
     path: &str,
     body: Option<&Value>,
-    within: Duration,
+    time_limit: Duration,
 ) -> Result<(u16, Value), FetchError> {
-    let asked = async {
-        let mut line = Line::to(at).await?;
+    let exchange = async {
+        let mut connection = Connection::connect(address).await?;
         let content = body.map(Value::to_string).unwrap_or_default();
         let request = Request::builder()
             .method(method)
             .uri(path)
-            .header("host", at.to_string())
+            .header("host", address.to_string())
             .header("content-type", "application/json")
             .header("connection", "close")
             .body(Full::new(Bytes::from(content)))?;
-        let (status, content) = line.ask(request).await?;
+        let (status, content) = connection.request(request).await?;
         Ok((
             status,
             serde_json::from_slice(&content).unwrap_or(Value::Null),
         ))
     };
-    timeout(within, asked)
+    timeout(time_limit, exchange)
         .await
         .unwrap_or(Err(FetchError::Timeout))
 }
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -1,4 +1,4 @@
-//! A coordinator: one replica of the log on which maintenance windows are decided.
+//! A coordinator: one replica of the log that decides on maintenance windows.
 #![forbid(unsafe_code)]
 #![warn(missing_docs, clippy::too_many_lines, clippy::cognitive_complexity)]
 
--- a/crates/coordinator/src/log_thread.rs
+++ b/crates/coordinator/src/log_thread.rs
@@ -1,4 +1,4 @@
-//! The thread that owns the replicated log and is the only one to touch the disk.
+//! The thread that owns the replicated log and performs all disk access.
 
 mod thread;
 
@@ -9,51 +9,51 @@
 use thread::Thread;
 use tokio::sync::{mpsc, watch};
 
-/// What waits to be taken in. A disk that holds the thread up for longer fills it: then messages
-/// are dropped, as a network would, and callers are told to come again.
-const WAITING: usize = 1_024;
+/// Length of the queues. If the disk blocks the thread for longer, messages are dropped, as on a
+/// network, and callers are asked to retry.
+const QUEUE_LENGTH: usize = 1_024;
 
-/// What the thread is told.
+/// An input of the thread.
 pub enum ThreadInput {
-    /// For the coordinator.
+    /// An input of the coordinator core.
     Input(Box<Input>),
     /// No other coordinator has any part of a log: found one.
-    Found,
-    /// The process ends.
-    End,
+    FoundLog,
+    /// The process is shutting down.
+    Shutdown,
 }
 
-/// What can be seen from outside.
+/// The status that the thread publishes.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
-    /// The coordinator; none before the disk was read, and while it fails.
+pub struct PublishedStatus {
+    /// Status of the coordinator; `None` until the disk has been read, and while it fails.
     pub view: Option<View>,
     /// Why it halted.
     pub halted: Option<String>,
-    /// When it was seen last, by the monotonic clock.
+    /// When it was last updated, by the monotonic clock.
     pub at_ms: u64,
 }
 
-/// What the thread gives.
+/// An output of the thread.
 pub enum ThreadOutput {
-    /// To be done.
+    /// An output of the coordinator core.
     Output(Output),
-    /// To be written to the log: whether it is a warning, and what.
-    Line(bool, String),
+    /// A log line, and whether it is a warning.
+    LogLine(bool, String),
 }
 
-/// Ends of the thread.
+/// Channels of the thread.
 pub struct LogThread {
-    pub told: mpsc::Sender<ThreadInput>,
-    pub thread_outputs: mpsc::Receiver<ThreadOutput>,
-    pub seen: watch::Receiver<Arc<Seen>>,
+    pub inputs: mpsc::Sender<ThreadInput>,
+    pub outputs: mpsc::Receiver<ThreadOutput>,
+    pub status: watch::Receiver<Arc<PublishedStatus>>,
 }
 
-/// Starts the thread. It ends when nobody tells it anything any more.
+/// Starts the thread. It ends once all senders of inputs are dropped.
 pub fn start(sections: &Sections, clock: Clock) -> std::io::Result<LogThread> {
-    let (told, inbox) = mpsc::channel(WAITING);
-    let (outbox, thread_outputs) = mpsc::channel(WAITING);
-    let (published, seen) = watch::channel(Arc::new(Seen::default()));
+    let (inputs, inbox) = mpsc::channel(QUEUE_LENGTH);
+    let (outbox, outputs) = mpsc::channel(QUEUE_LENGTH);
+    let (published, status) = watch::channel(Arc::new(PublishedStatus::default()));
     let thread = Thread {
         sections: sections.clone(),
         clock,
@@ -65,8 +65,8 @@
         .name("agreement".to_owned())
         .spawn(move || thread.run())?;
     Ok(LogThread {
-        told,
-        thread_outputs,
-        seen,
+        inputs,
+        outputs,
+        status,
     })
 }
--- a/crates/coordinator/src/log_thread/thread.rs
+++ b/crates/coordinator/src/log_thread/thread.rs
@@ -1,7 +1,6 @@
-//! The loop of the log thread: opens the disk, takes in what waits, commits, and gives out what
-//! comes of it.
+//! The loop of the log thread: opens the disk, handles inputs, commits, and passes on the outputs.
 
-use super::{Seen, ThreadInput, ThreadOutput};
+use super::{PublishedStatus, ThreadInput, ThreadOutput};
 use crate::clock::Clock;
 use crate::config::Sections;
 use load_balancer_coordinator::core::{CoordinatorCore, Input, Now, Output, Reply, Settings};
@@ -10,208 +9,227 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, watch};
 
-/// What is taken in before the next commit, at most.
-const AT_ONCE: usize = 128;
-/// Pause before a disk that failed is tried again.
-const REOPEN: Duration = Duration::from_secs(2);
-/// Votes below which nothing is proposed, where there are as many coordinators.
+/// Maximum number of inputs handled before a commit.
+const MAX_INPUTS_PER_COMMIT: usize = 128;
+/// Delay before a failed disk is opened again.
+const REOPEN_DELAY: Duration = Duration::from_secs(2);
+/// Minimum number of voters for proposals, if there are that many coordinators.
 const MIN_VOTERS: usize = 3;
-/// What is seen from outside is renewed as often, though nothing was agreed on: observations grow
-/// old. In milliseconds.
-const SHOW_MS: u64 = 1_000;
+/// Interval in milliseconds at which the status is published even without a commit, because
+/// observations age.
+const PUBLISH_INTERVAL_MS: u64 = 1_000;
 
-/// What the thread owns.
+/// The state of the thread.
 pub(super) struct Thread {
     pub(super) sections: Sections,
     pub(super) clock: Clock,
     pub(super) inbox: mpsc::Receiver<ThreadInput>,
     pub(super) outbox: mpsc::Sender<ThreadOutput>,
-    pub(super) published: watch::Sender<Arc<Seen>>,
+    pub(super) published: watch::Sender<Arc<PublishedStatus>>,
 }
 
 impl Thread {
-    /// Runs until the process ends: opens the disk, serves, and tries again where either halts.
+    /// Runs until the process ends: opens the disk and serves, and retries after either halts.
     pub(super) fn run(mut self) {
-        let mut found = false;
+        let mut is_founder = false;
         let mut last_halt: Option<String> = None;
         loop {
-            let halt = match self.open(found) {
+            let halt = match self.open(is_founder) {
                 Ok(coordinator) => {
                     if last_halt.take().is_some() {
-                        self.line(false, "the disk can be used again".to_owned());
+                        self.log_line(false, "the disk is usable again".to_owned());
                     }
                     match self.serve(coordinator) {
-                        End::Over => return,
-                        End::Found => {
-                            found = true;
+                        ServeEnd::Shutdown => return,
+                        ServeEnd::FoundLog => {
+                            is_founder = true;
                             continue;
                         }
-                        End::Halted(halt) => halt,
+                        ServeEnd::Halted(halt) => halt,
                     }
                 }
                 Err(halt) => halt,
             };
-            found = false;
-            self.halted(&halt.to_string(), &mut last_halt);
-            if !self.wait() {
+            is_founder = false;
+            self.report_halt(&halt.to_string(), &mut last_halt);
+            if !self.wait_to_reopen() {
                 return;
             }
         }
     }
 
-    /// Publishes that the coordinator halted, and logs why, once.
-    fn halted(&self, why: &str, last_halt: &mut Option<String>) {
-        if last_halt.as_deref() != Some(why) {
-            self.line(true, format!("stands back: {why}"));
+    /// Publishes that the coordinator halted, and logs each reason once.
+    fn report_halt(&self, reason: &str, last_halt: &mut Option<String>) {
+        if last_halt.as_deref() != Some(reason) {
+            self.log_line(
+                true,
+                format!("halted: {reason}; the data file will be opened again"),
+            );
         }
-        self.publish(Seen {
-            halted: Some(why.to_owned()),
-            ..Seen::default()
+        self.publish(PublishedStatus {
+            halted: Some(reason.to_owned()),
+            ..PublishedStatus::default()
         });
-        *last_halt = Some(why.to_owned());
+        *last_halt = Some(reason.to_owned());
     }
 
-    fn line(&self, warning: bool, what: String) {
-        let _ = self.outbox.blocking_send(ThreadOutput::Line(warning, what));
+    fn log_line(&self, warning: bool, text: String) {
+        let _ = self
+            .outbox
+            .blocking_send(ThreadOutput::LogLine(warning, text));
     }
 
-    fn publish(&self, mut seen: Seen) {
-        seen.at_ms = self.clock.now().mono_ms;
-        self.published.send_replace(Arc::new(seen));
+    fn publish(&self, mut status: PublishedStatus) {
+        status.at_ms = self.clock.now().mono_ms;
+        self.published.send_replace(Arc::new(status));
     }
 
-    fn open(&self, found: bool) -> Result<CoordinatorCore, HaltReason> {
-        let own = &self.sections.coordinator;
-        let opened = load_balancer_record_store::open(&own.data, &own.name)?;
+    fn open(&self, is_founder: bool) -> Result<CoordinatorCore, HaltReason> {
+        let section = &self.sections.coordinator;
+        let opened = load_balancer_record_store::open(&section.data, &section.name)?;
         if let Some(quarantined) = &opened.quarantined {
-            self.line(
+            self.log_line(
                 true,
                 format!(
-                    "what {} kept is not believed ({}), it lies in {} now; comes in anew",
-                    own.data.display(),
+                    "data file {} is invalid ({}); renamed it to {}, rejoining with an empty log",
+                    section.data.display(),
                     quarantined.why,
                     quarantined.file.display()
                 ),
             );
         }
         let disk = fastrand::u64(1..u64::MAX);
-        let log_store = LogStore::open(opened.store, disk)?.slowed(own.disk_delay.0);
-        CoordinatorCore::new(log_store, self.options(), self.settings(), found)
+        let log_store = LogStore::open(opened.store, disk)?.with_commit_delay(section.disk_delay.0);
+        CoordinatorCore::new(log_store, self.options(), self.settings(), is_founder)
     }
 
     fn options(&self) -> Options {
-        let own = &self.sections.coordinator;
+        let section = &self.sections.coordinator;
         Options {
-            name: own.name.clone(),
-            run: fastrand::u64(..),
-            patience: own.patience,
-            least: self.sections.coordinators.len().min(MIN_VOTERS),
+            name: section.name.clone(),
+            run_id: fastrand::u64(..),
+            election_ticks: section.patience,
+            min_voters: self.sections.coordinators.len().min(MIN_VOTERS),
         }
     }
 
     fn settings(&self) -> Settings {
-        let own = &self.sections.coordinator;
-        let heartbeat_ms = millis(own.heartbeat.0);
+        let section = &self.sections.coordinator;
+        let heartbeat_ms = millis(section.heartbeat.0);
         let timeout_ms = millis(self.sections.platform.timeout.0);
         Settings {
             names: self.sections.coordinators.keys().cloned().collect(),
             budget: self.sections.budget.clone(),
-            again_ms: timeout_ms / 2,
-            // Its own time-out, one of a page of sidecars, and the way there and back.
-            lost_ms: timeout_ms.saturating_mul(4),
-            confirmation_ms: heartbeat_ms.saturating_mul(own.patience as u64),
+            retry_delay_ms: timeout_ms / 2,
+            // The platform's own time limit, that of a sidecar's status page, and the transit in
+            // both directions.
+            action_timeout_ms: timeout_ms.saturating_mul(4),
+            confirmation_validity_ms: heartbeat_ms.saturating_mul(section.patience as u64),
         }
     }
 
-    /// Waits until the disk may be tried again, and refuses callers meanwhile; false where nobody
-    /// is there any more.
-    fn wait(&mut self) -> bool {
-        let until = Instant::now() + REOPEN;
+    /// Waits until the disk may be opened again, and rejects callers meanwhile. Returns false if
+    /// the process is shutting down.
+    fn wait_to_reopen(&mut self) -> bool {
+        let until = Instant::now() + REOPEN_DELAY;
         while Instant::now() < until {
             match self.inbox.blocking_recv() {
                 Some(ThreadInput::Input(input)) => {
-                    if let Input::Bring(caller, _) | Input::Admit(caller, ..) = *input {
+                    if let Input::Propose(caller, _) | Input::RequestVote(caller, ..) = *input {
                         self.reply(vec![(caller, Reply::NotLeader)]);
                     }
                 }
-                Some(ThreadInput::Found) => {}
-                Some(ThreadInput::End) | None => return false,
+                Some(ThreadInput::FoundLog) => {}
+                Some(ThreadInput::Shutdown) | None => return false,
             }
         }
         true
     }
 
-    /// Serves until something ends it.
-    fn serve(&mut self, mut coordinator: CoordinatorCore) -> End {
-        let mut shown = Shown::default();
+    /// Serves until an input or an error ends it.
+    fn serve(&mut self, mut coordinator: CoordinatorCore) -> ServeEnd {
+        let mut last_published = LastPublished::default();
         while let Some(first) = self.inbox.blocking_recv() {
-            let done = self
-                .take_in(first, &mut coordinator)
-                .and_then(|()| self.drive(&mut coordinator))
-                .map(|now| self.show(&mut coordinator, now, &mut shown));
-            if let Err(end) = done {
-                return end;
+            let served = self
+                .handle_inputs(first, &mut coordinator)
+                .and_then(|()| self.process(&mut coordinator))
+                .map(|now| self.publish_if_changed(&mut coordinator, now, &mut last_published));
+            if let Err(reason) = served {
+                return reason;
             }
         }
-        End::Over
+        ServeEnd::Shutdown
     }
 
-    /// Takes in what waits, up to [`AT_ONCE`].
-    fn take_in(
+    /// Handles the pending inputs, up to [`MAX_INPUTS_PER_COMMIT`].
+    fn handle_inputs(
         &mut self,
         first: ThreadInput,
         coordinator: &mut CoordinatorCore,
-    ) -> Result<(), End> {
+    ) -> Result<(), ServeEnd> {
         let mut next = Some(first);
         let mut count = 0;
-        while let Some(told) = next.take() {
-            match told {
-                ThreadInput::Input(input) => coordinator.take(self.clock.now(), *input),
-                ThreadInput::Found if coordinator.view(self.clock.now()).replica_status.blank => {
-                    return Err(End::Found);
+        while let Some(input) = next.take() {
+            match input {
+                ThreadInput::Input(input) => coordinator.handle_input(self.clock.now(), *input),
+                ThreadInput::FoundLog
+                    if coordinator.view(self.clock.now()).replica_status.blank =>
+                {
+                    return Err(ServeEnd::FoundLog);
                 }
-                ThreadInput::Found => {}
-                ThreadInput::End => return Err(End::Over),
+                ThreadInput::FoundLog => {}
+                ThreadInput::Shutdown => return Err(ServeEnd::Shutdown),
             }
             count += 1;
-            if count < AT_ONCE {
+            if count < MAX_INPUTS_PER_COMMIT {
                 next = self.inbox.try_recv().ok();
             }
         }
         Ok(())
     }
 
-    /// Commits what was taken in, and gives out what comes of it; the time of it.
-    fn drive(&self, coordinator: &mut CoordinatorCore) -> Result<Now, End> {
+    /// Commits what was handled and passes on the outputs. Returns the time of the commit.
+    fn process(&self, coordinator: &mut CoordinatorCore) -> Result<Now, ServeEnd> {
         let now = self.clock.now();
-        match coordinator.drive(now) {
+        match coordinator.process(now) {
             Ok(output) => {
-                let given = self.outbox.blocking_send(ThreadOutput::Output(output));
-                given.map(|()| now).map_err(|_| End::Over)
+                let sent = self.outbox.blocking_send(ThreadOutput::Output(output));
+                sent.map(|()| now).map_err(|_| ServeEnd::Shutdown)
             }
             Err(halt) => {
-                let callers = coordinator.callers().into_iter();
-                self.reply(callers.map(|caller| (caller, Reply::Lost)).collect());
-                Err(End::Halted(halt))
+                let callers = coordinator.pending_callers().into_iter();
+                self.reply(
+                    callers
+                        .map(|caller| (caller, Reply::OutcomeUnknown))
+                        .collect(),
+                );
+                Err(ServeEnd::Halted(halt))
             }
         }
     }
 
-    /// Publishes the coordinator's view where it has changed, or is old.
-    fn show(&self, coordinator: &mut CoordinatorCore, now: Now, shown: &mut Shown) {
+    /// Publishes the status if it has changed or is too old.
+    fn publish_if_changed(
+        &self,
+        coordinator: &mut CoordinatorCore,
+        now: Now,
+        last_published: &mut LastPublished,
+    ) {
         let replica_status = Some(coordinator.replica_status());
-        if shown.replica_status == replica_status && now.mono_ms < shown.at_ms + SHOW_MS {
+        if last_published.replica_status == replica_status
+            && now.mono_ms < last_published.published_ms + PUBLISH_INTERVAL_MS
+        {
             self.published
-                .send_modify(|seen| Arc::make_mut(seen).at_ms = now.mono_ms);
+                .send_modify(|status| Arc::make_mut(status).at_ms = now.mono_ms);
             return;
         }
-        self.publish(Seen {
+        self.publish(PublishedStatus {
             view: Some(coordinator.view(now)),
-            ..Seen::default()
+            ..PublishedStatus::default()
         });
-        *shown = Shown {
+        *last_published = LastPublished {
             replica_status,
-            at_ms: now.mono_ms,
+            published_ms: now.mono_ms,
         };
     }
 
@@ -226,17 +244,17 @@
 
 /// What was published last.
 #[derive(Default)]
-struct Shown {
+struct LastPublished {
     replica_status: Option<ReplicaStatus>,
-    at_ms: u64,
+    published_ms: u64,
 }
 
-/// Why the coordinator is served no more.
-enum End {
-    /// The process ends.
-    Over,
-    /// It is to be opened anew as the founder of a log.
-    Found,
+/// Why serving ended.
+enum ServeEnd {
+    /// The process is shutting down.
+    Shutdown,
+    /// The coordinator is to be opened again as the founder of a log.
+    FoundLog,
     /// The disk or the log failed.
     Halted(HaltReason),
 }
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `coordinator`: its command line.
+//! Command line of the program `coordinator`.
 #![forbid(unsafe_code)]
 #![warn(clippy::too_many_lines, clippy::cognitive_complexity)]
 
@@ -27,17 +27,17 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The program's name, in its lines.
+/// Name of the program in its output.
 const NAME: &str = "coordinator";
-/// The target of its log lines before it was called coordinator, as older configurations have it.
+/// Earlier target of its log lines, accepted in older configurations.
 const EARLIER_TARGET: &str = "steward";
 
-/// A coordinator: one of three or five processes that agree on maintenance windows and carry them
+/// A coordinator: one of three or five processes that decide on maintenance windows and carry them
 /// out.
 #[derive(Parser)]
 #[command(name = "coordinator", subcommand_negates_reqs = true)]
 struct Call {
-    /// Runs a coordinator with this configuration: a TOML file, see docs/coordinator.md.
+    /// Run a coordinator with this configuration file (TOML), see docs/coordinator.md.
     #[arg(long, value_name = "FILE", required = true)]
     config: Option<PathBuf>,
     #[command(subcommand)]
@@ -46,17 +46,17 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs a coordinator.
+    /// Run a coordinator.
     Run {
-        /// Its configuration: a TOML file, see docs/coordinator.md.
+        /// Configuration file (TOML), see docs/coordinator.md.
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
-        /// Read it, print what would hold, defaults included, and exit.
+        /// Validate the file, print the effective configuration including defaults, and exit.
         #[arg(long)]
         check: bool,
     },
     #[command(flatten)]
-    People(commands::Command),
+    Query(commands::Command),
 }
 
 fn main() -> ExitCode {
@@ -66,20 +66,20 @@
     };
     match (call.command, call.config) {
         (Some(Command::Run { config, check }), _) => coordinator(&config, check),
-        (Some(Command::People(command)), _) => commands::run(command).into(),
+        (Some(Command::Query(command)), _) => commands::run(command).into(),
         (None, Some(config)) => coordinator(&config, false),
         (None, None) => Exit::Usage.into(),
     }
 }
 
 fn coordinator(file: &std::path::Path, check: bool) -> ExitCode {
-    let plain = |what: &dyn std::fmt::Display, exit: Exit| {
-        let _ = writeln!(std::io::stderr(), "{NAME}: {what}");
+    let fail = |message: &dyn std::fmt::Display, exit: Exit| {
+        let _ = writeln!(std::io::stderr(), "{NAME}: {message}");
         ExitCode::from(exit)
     };
     let mut sections: config::Sections = match files::load(file) {
         Ok(sections) => sections,
-        Err(problem) => return plain(&problem, Exit::Config),
+        Err(problem) => return fail(&problem, Exit::Config),
     };
     sections.log.rename_targets(EARLIER_TARGET, NAME);
     if check {
@@ -87,10 +87,10 @@
         return Exit::Done.into();
     }
     let log = logging::start(&sections.log, NAME);
-    let ended = run::run(sections);
-    if let Err((what, _)) = &ended {
-        tracing::error!(target: "coordinator", "{what}");
+    let result = run::run(sections);
+    if let Err((message, _)) = &result {
+        tracing::error!(target: "coordinator", "{message}");
     }
     log.flush();
-    ended.map_or_else(|(_, exit)| exit.into(), |()| ExitCode::SUCCESS)
+    result.map_or_else(|(_, exit)| exit.into(), |()| ExitCode::SUCCESS)
 }
--- a/crates/coordinator/src/metrics.rs
+++ b/crates/coordinator/src/metrics.rs
@@ -1,7 +1,7 @@
-//! The coordinator's metrics.
+//! Metrics of the coordinator.
 
-use crate::calls::Calls;
-use crate::log_thread::Seen;
+use crate::calls::PendingCalls;
+use crate::log_thread::PublishedStatus;
 use crate::peers::Peers;
 use crate::poller::Poller;
 use load_balancer_common::metering::Figures;
@@ -11,54 +11,58 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// What figures are read from.
+/// The sources of the metrics.
 #[derive(Clone)]
 pub struct Sources {
     pub figures: Rc<Figures>,
-    pub seen: watch::Receiver<Arc<Seen>>,
-    pub calls: Calls,
+    pub status: watch::Receiver<Arc<PublishedStatus>>,
+    pub calls: PendingCalls,
     pub peers: Peers,
     pub poller: Rc<Poller>,
 }
 
 impl Sources {
-    /// The page of the metrics.
+    /// Renders the metrics page.
     pub fn page(&self) -> Page {
         let figures = &self.figures;
-        let gauge = |name, what, value: f64| figures.gauge(name, what, &[]).set(value);
-        let seen = Arc::clone(&self.seen.borrow());
+        let gauge = |name, help, value: f64| figures.gauge(name, help, &[]).set(value);
+        let status = Arc::clone(&self.status.borrow());
         gauge(
             "coordinator_stands_back",
-            "1 while the disk fails or holds what this program does not know.",
-            f64::from(u8::from(seen.halted.is_some())),
+            "1 while the disk fails or holds an unknown format.",
+            f64::from(u8::from(status.halted.is_some())),
         );
-        if let Some(view) = &seen.view {
+        if let Some(view) = &status.view {
             let replica_status = &view.replica_status;
-            let yes = |it: bool| f64::from(u8::from(it));
+            let as_gauge = |condition: bool| f64::from(u8::from(condition));
             gauge(
                 "coordinator_acts",
                 "1 while it leads.",
-                yes(replica_status.acts),
+                as_gauge(replica_status.acts),
             );
             gauge(
                 "coordinator_voice",
-                "1 while its disk has a voice.",
-                yes(replica_status.voice),
+                "1 while its disk has a vote.",
+                as_gauge(replica_status.voice),
             );
             gauge(
                 "coordinator_term",
-                "Term of the agreement.",
+                "Term of the replicated log.",
                 replica_status.term as f64,
             );
             gauge(
                 "coordinator_applied",
-                "Last agreed entry that it took in.",
+                "Index of the last applied entry.",
                 replica_status.applied as f64,
             );
-            gauge("coordinator_token", "Last token.", view.token as f64);
+            gauge(
+                "coordinator_token",
+                "Last fencing token.",
+                view.token as f64,
+            );
             gauge(
                 "coordinator_servers",
-                "Servers of the list.",
+                "Servers on the platform's list.",
                 view.servers as f64,
             );
             for state in [
@@ -70,44 +74,52 @@
             ] {
                 let slots = view.windows.iter().flat_map(|window| &window.slots);
                 let count = slots.filter(|slot| slot.state == state).count();
-                let word = format!("{state:?}").to_lowercase();
+                let label = format!("{state:?}").to_lowercase();
                 let name = "coordinator_seats";
                 figures
-                    .gauge(name, "Servers in windows, by state.", &[("state", &word)])
+                    .gauge(name, "Servers in windows, by state.", &[("state", &label)])
                     .set(count as f64);
             }
             if let Some(capacity) = &view.capacity {
                 gauge(
                     "coordinator_holds",
                     "1 while the disruption budget holds.",
-                    yes(capacity.holds),
+                    as_gauge(capacity.holds),
                 );
                 gauge(
                     "coordinator_away",
-                    "Servers away, by grant, dead or unheard of.",
+                    "Servers unavailable: admitted, failed or unreachable.",
                     f64::from(capacity.away),
                 );
             }
         }
-        let (answered, asked) = self.poller.answered.get();
+        let (answered, polled) = self.poller.answered.get();
         gauge(
             "coordinator_sidecars_asked",
-            "Sidecars asked in the last round.",
-            asked as f64,
+            "Sidecars polled in the last round.",
+            polled as f64,
         );
         gauge(
             "coordinator_sidecars_answered",
-            "Those that answered.",
+            "Sidecars that answered in the last round.",
             answered as f64,
         );
         let name = "coordinator_messages_dropped_total";
         figures
-            .counter(name, "Messages not brought to other coordinators.", &[])
+            .counter(
+                name,
+                "Messages to other coordinators that were dropped.",
+                &[],
+            )
             .absolute(self.peers.dropped());
         let name = "coordinator_inputs_missed_total";
         figures
-            .counter(name, "What the agreement's thread had no room for.", &[])
-            .absolute(self.calls.missed());
+            .counter(
+                name,
+                "Inputs dropped because the queue of the log thread was full.",
+                &[],
+            )
+            .absolute(self.calls.dropped_inputs());
         Page::metrics(figures.text())
     }
 }
--- a/crates/coordinator/src/observations.rs
+++ b/crates/coordinator/src/observations.rs
@@ -1,190 +1,202 @@
-//! Weighs the health observations of sidecars into one status of each server.
+//! Combines the health observations of sidecars into one status per server.
 
 use load_balancer_maintenance::{Health, Server, ServerObservation};
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What one sidecar says: `GET /fleet/servers`, docs/gossip.md.
+/// Report of one sidecar: `GET /fleet/servers`, docs/gossip.md.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Page {
-    /// Its name.
+pub struct SidecarReport {
+    /// Name of the sidecar.
     pub member: String,
-    /// Whether its connectivity state lets it answer.
+    /// Whether its connectivity state permits an answer.
     pub answers: bool,
-    /// Servers of its list.
+    /// The servers on its list.
     pub servers: Vec<SidecarAnswer>,
 }
 
-/// What it says of one server.
+/// Report of one sidecar on one server.
 #[derive(Clone, Debug, Deserialize)]
 pub struct SidecarAnswer {
-    /// The server's name.
+    /// Name of the server.
     pub name: String,
-    /// When its process started, in milliseconds of Unix time; 0 for long ago.
+    /// Start time of its process in milliseconds of Unix time; 0 if long ago.
     pub started_ms: i64,
-    /// How it is.
+    /// Its health.
     pub state: State,
-    /// How long ago that was seen, in milliseconds.
+    /// Age of the observation in milliseconds.
     pub age_ms: i64,
-    /// Whether it is warm, where that is said.
+    /// Whether the server is warm, if reported.
     #[serde(default)]
     pub warm: Option<bool>,
 }
 
-/// How a server is.
+/// Health of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 pub enum State {
     /// It serves.
     #[serde(rename = "well")]
     Healthy,
-    /// It does not.
+    /// It fails.
     #[serde(rename = "sick")]
     Unhealthy,
-    /// The member cannot tell.
+    /// The sidecar does not know.
     #[serde(rename = "unknown")]
     Unknown,
 }
 
-/// A page that came.
+/// A received report.
 #[derive(Clone, Debug)]
 pub struct ZoneObservations {
-    /// The zone under which the sidecar is configured.
+    /// Zone under which the sidecar is configured.
     pub zone: String,
-    /// How long ago it was asked for, in milliseconds: what it says is older by that.
-    pub asked_ago_ms: u64,
-    /// What it says.
-    pub page: Page,
+    /// Time since the request in milliseconds; the reported ages are increased by it.
+    pub request_age_ms: u64,
+    /// The report.
+    pub report: SidecarReport,
 }
 
-/// How pages are weighed.
+/// Rules for combining reports.
 #[derive(Clone, Debug)]
-pub struct Weights {
-    /// Members of each zone that must say the same.
-    pub agree: BTreeMap<String, usize>,
-    /// No process counts as warm before this age, in milliseconds; from it on one does unless
-    /// members say that it is not.
+pub struct AgreementRules {
+    /// Minimum number of agreeing members of each zone.
+    pub min_agreeing: BTreeMap<String, usize>,
+    /// Age in milliseconds from which a process counts as warm unless members report otherwise;
+    /// below it, never.
     pub warm_after_ms: i64,
 }
 
-/// What was said, and how long ago that was asked for in milliseconds.
+/// A report on a server, and the time since its request in milliseconds.
 type Aged<'a> = (&'a SidecarAnswer, u64);
 
-/// What one zone's members say of a server.
-struct Opinion {
+/// What the members of one zone agree on about a server.
+struct ZoneOpinion {
     state: State,
     started: u64,
     age_ms: u64,
     warm: bool,
 }
 
-/// The observations of all listed servers of which enough was said. Nobody counts twice, nor
-/// anybody whose connectivity state does not let it answer. Enough members of a zone, and more than
-/// half of those that can tell, say the same of a process, or the zone says nothing; zones that
-/// contradict each other can't tell.
-pub fn weigh(
-    weights: &Weights,
+/// Returns the observations of the listed servers with enough reports. Each member counts once, and
+/// only if its connectivity state permits an answer. A zone counts only if enough of its members,
+/// and more than half of those with an observation, agree on the same process. Zones that
+/// contradict each other yield an unknown health.
+pub fn combine(
+    rules: &AgreementRules,
     unix_ms: i64,
     listed: &[Server],
-    heard: &[ZoneObservations],
+    reports: &[ZoneObservations],
 ) -> Vec<ServerObservation> {
     let mut zones: BTreeMap<&str, Vec<&ZoneObservations>> = BTreeMap::new();
-    let mut counted: BTreeSet<&str> = BTreeSet::new();
-    for one in heard {
-        if one.page.answers && counted.insert(&one.page.member) {
-            zones.entry(&one.zone).or_default().push(one);
+    let mut counted_members: BTreeSet<&str> = BTreeSet::new();
+    for report in reports {
+        if report.report.answers && counted_members.insert(&report.report.member) {
+            zones.entry(&report.zone).or_default().push(report);
         }
     }
-    // Of each zone, what is said of each server.
-    let mut said: BTreeMap<&str, BTreeMap<&str, Vec<Aged>>> = BTreeMap::new();
-    for (zone, members) in &zones {
-        for one in members {
+    // Reports on each server by zone.
+    let mut reports_by_server: BTreeMap<&str, BTreeMap<&str, Vec<Aged>>> = BTreeMap::new();
+    for (zone, zone_reports) in &zones {
+        for report in zone_reports {
             let mut names = BTreeSet::new();
-            for server in one
-                .page
+            for server in report
+                .report
                 .servers
                 .iter()
-                .filter(|said| names.insert(said.name.as_str()))
+                .filter(|server| names.insert(server.name.as_str()))
             {
-                let of = said
+                let server_reports = reports_by_server
                     .entry(&server.name)
                     .or_default()
                     .entry(zone)
                     .or_default();
-                of.push((server, one.asked_ago_ms));
+                server_reports.push((server, report.request_age_ms));
             }
         }
     }
-    let mut words = Vec::new();
+    let mut observations = Vec::new();
     for server in listed {
-        let Some(by_zone) = said.get(server.name.as_str()) else {
+        let Some(reports_by_zone) = reports_by_server.get(server.name.as_str()) else {
             continue;
         };
-        let opinions: Vec<Opinion> = by_zone
+        let opinions: Vec<ZoneOpinion> = reports_by_zone
             .iter()
-            .filter_map(|(zone, all)| opinion(weights, zone, unix_ms, all))
+            .filter_map(|(zone, zone_reports)| zone_opinion(rules, zone, unix_ms, zone_reports))
             .collect();
         let Some(newest) = opinions.iter().map(|o| o.started).max() else {
             continue;
         };
-        let of_newest = || opinions.iter().filter(|o| o.started == newest);
-        let well = of_newest()
+        let opinions_on_newest = || opinions.iter().filter(|o| o.started == newest);
+        let healthy = opinions_on_newest()
             .filter(|o| o.state == State::Healthy)
             .min_by_key(|o| o.age_ms);
-        let sick = of_newest()
+        let unhealthy = opinions_on_newest()
             .filter(|o| o.state == State::Unhealthy)
             .min_by_key(|o| o.age_ms);
-        let (state, of) = match (well, sick) {
-            (Some(well), None) => (Health::Healthy, well),
-            (None, Some(sick)) => (Health::Unhealthy, sick),
-            (Some(well), Some(_)) => (Health::Unknown, well),
+        let (state, chosen) = match (healthy, unhealthy) {
+            (Some(healthy), None) => (Health::Healthy, healthy),
+            (None, Some(unhealthy)) => (Health::Unhealthy, unhealthy),
+            (Some(healthy), Some(_)) => (Health::Unknown, healthy),
             (None, None) => continue,
         };
-        words.push(ServerObservation {
+        observations.push(ServerObservation {
             server: server.name.clone(),
             state,
-            warm: state == Health::Healthy && of.warm,
-            started: of.started,
-            age_ms: of.age_ms,
+            warm: state == Health::Healthy && chosen.warm,
+            started: chosen.started,
+            age_ms: chosen.age_ms,
             enough: true,
         });
     }
-    words
+    observations
 }
 
-fn opinion(weights: &Weights, zone: &str, unix_ms: i64, said: &[Aged]) -> Option<Opinion> {
-    let mut camps: BTreeMap<(i64, State), Vec<Aged>> = BTreeMap::new();
-    for (one, ago_ms) in said.iter().filter(|(one, _)| one.state != State::Unknown) {
-        camps
-            .entry((one.started_ms, one.state))
+fn zone_opinion(
+    rules: &AgreementRules,
+    zone: &str,
+    unix_ms: i64,
+    reports: &[Aged],
+) -> Option<ZoneOpinion> {
+    let mut groups: BTreeMap<(i64, State), Vec<Aged>> = BTreeMap::new();
+    for (report, request_age_ms) in reports
+        .iter()
+        .filter(|(one, _)| one.state != State::Unknown)
+    {
+        groups
+            .entry((report.started_ms, report.state))
             .or_default()
-            .push((one, *ago_ms));
+            .push((report, *request_age_ms));
     }
-    let least = weights
-        .agree
+    let min_agreeing = rules
+        .min_agreeing
         .get(zone)
         .copied()
         .unwrap_or(usize::MAX)
         .max(1);
-    // More than half: of two camps neither says anything, however large both are.
-    let all: usize = camps.values().map(Vec::len).sum();
-    let ((started_ms, state), camp) = camps
+    // A strict majority: of two equally large groups neither counts.
+    let total: usize = groups.values().map(Vec::len).sum();
+    let ((started_ms, state), group) = groups
         .into_iter()
-        .find(|(_, camp)| camp.len() >= least && camp.len() > all / 2)?;
-    let age = |(one, ago_ms): &Aged| {
-        u64::try_from(one.age_ms)
+        .find(|(_, group)| group.len() >= min_agreeing && group.len() > total / 2)?;
+    let age = |(report, request_age_ms): &Aged| {
+        u64::try_from(report.age_ms)
             .unwrap_or(0)
-            .saturating_add(*ago_ms)
+            .saturating_add(*request_age_ms)
     };
-    let mut ages: Vec<u64> = camp.iter().map(age).collect();
+    let mut ages: Vec<u64> = group.iter().map(age).collect();
     ages.sort_unstable();
-    let told: Vec<bool> = camp.iter().filter_map(|(one, _)| one.warm).collect();
-    let old = started_ms <= 0 || unix_ms.saturating_sub(started_ms) >= weights.warm_after_ms;
-    let warm = old && (told.is_empty() || told.iter().filter(|warm| **warm).count() >= least);
-    Some(Opinion {
+    let warm_reports: Vec<bool> = group.iter().filter_map(|(report, _)| report.warm).collect();
+    let is_old_enough =
+        started_ms <= 0 || unix_ms.saturating_sub(started_ms) >= rules.warm_after_ms;
+    let warm = is_old_enough
+        && (warm_reports.is_empty()
+            || warm_reports.iter().filter(|warm| **warm).count() >= min_agreeing);
+    Some(ZoneOpinion {
         state,
         started: u64::try_from(started_ms).unwrap_or(0),
-        // So many have seen it as young as that: fewer who say younger do not count.
-        age_ms: ages.get(least - 1).copied().unwrap_or(u64::MAX),
+        // The age that enough members confirm; fewer members with younger observations do not
+        // count.
+        age_ms: ages.get(min_agreeing - 1).copied().unwrap_or(u64::MAX),
         warm,
     })
 }
--- a/crates/coordinator/src/pages/replies.rs
+++ b/crates/coordinator/src/pages/replies.rs
@@ -1,4 +1,4 @@
-//! HTTP answers for what the coordinator replies.
+//! HTTP answers for the replies of the coordinator.
 
 use super::Pages;
 use crate::serve::Answer;
@@ -9,69 +9,73 @@
 use serde_json::json;
 
 impl Pages {
-    /// The answer to a call.
-    pub(super) fn replied(&self, reply: Reply) -> Answer {
-        let later = |what: &str| Answer::wrong(StatusCode::SERVICE_UNAVAILABLE, None, what);
+    /// Returns the answer to a call.
+    pub(super) fn reply_answer(&self, reply: Reply) -> Answer {
+        let unavailable =
+            |reason: &str| Answer::error(StatusCode::SERVICE_UNAVAILABLE, None, reason);
         match reply {
-            Reply::Agreed(outcome) => outcome_answer(outcome),
+            Reply::Committed(outcome) => outcome_answer(outcome),
             Reply::Admission(Admission::Member) => {
-                Answer::of(StatusCode::OK, json!({"admission": "member"}))
+                Answer::json(StatusCode::OK, json!({"admission": "member"}))
             }
-            Reply::Admission(Admission::UnderWay) => {
-                Answer::of(StatusCode::OK, json!({"admission": "under_way"}))
+            Reply::Admission(Admission::InProgress) => {
+                Answer::json(StatusCode::OK, json!({"admission": "under_way"}))
             }
-            Reply::Admission(Admission::NameTaken) => Answer::wrong(
+            Reply::Admission(Admission::NameTaken) => Answer::error(
                 StatusCode::CONFLICT,
                 Some("name"),
-                "a living coordinator has it",
+                "it is used by a running coordinator",
             ),
             Reply::Admission(Admission::NotLeader) | Reply::NotLeader => self.not_leader(),
-            Reply::Founding => later("too few coordinators have a vote yet"),
-            Reply::Looking => later("the leader has not looked at servers and fleet yet"),
-            Reply::Busy => later("too much waits"),
-            Reply::Lost => later("whether it is agreed on is not known; ask again"),
+            Reply::TooFewVoters => unavailable("too few coordinators have a vote yet"),
+            Reply::NotPolled => {
+                unavailable("the leader has not polled the platform and the fleet yet")
+            }
+            Reply::Busy => unavailable("too many proposals are pending"),
+            Reply::OutcomeUnknown => {
+                unavailable("it is not known whether the proposal was committed; retry")
+            }
         }
     }
 
-    /// Names the leader, where it is known, to whoever asked this coordinator in its place.
+    /// Returns the address of the leader, if known, for requests that only the leader answers.
     fn not_leader(&self) -> Answer {
-        let seen = self.seen.borrow();
-        let leader = seen
+        let status = self.status.borrow();
+        let leader = status
             .view
             .as_ref()
             .and_then(|view| view.replica_status.leader.clone());
         let leader = leader.filter(|leader| *leader != self.sections.coordinator.name);
-        let at = leader
+        let address = leader
             .as_ref()
             .and_then(|name| self.sections.coordinators.get(name));
-        let content =
-            json!({"error": "this coordinator does not lead", "leader": leader, "address": at});
-        Answer::of(StatusCode::SERVICE_UNAVAILABLE, content)
+        let content = json!({"error": "this coordinator does not lead", "leader": leader, "address": address});
+        Answer::json(StatusCode::SERVICE_UNAVAILABLE, content)
     }
 }
 
 fn outcome_answer(outcome: Outcome) -> Answer {
     match outcome {
-        Outcome::Booked { .. } => Answer::of(StatusCode::OK, json!(outcome)),
-        Outcome::Infeasible { .. } => Answer::of(StatusCode::CONFLICT, json!(outcome)),
+        Outcome::Booked { .. } => Answer::json(StatusCode::OK, json!(outcome)),
+        Outcome::Infeasible { .. } => Answer::json(StatusCode::CONFLICT, json!(outcome)),
         Outcome::Taken | Outcome::Ignored => {
-            Answer::of(StatusCode::OK, json!({"outcome": outcome}))
+            Answer::json(StatusCode::OK, json!({"outcome": outcome}))
         }
         Outcome::Refused(Refusal::Invalid(e)) => {
-            Answer::wrong(StatusCode::BAD_REQUEST, Some(&e.key), e.reason)
+            Answer::error(StatusCode::BAD_REQUEST, Some(&e.key), e.reason)
         }
-        Outcome::Refused(Refusal::Unknown(what)) => Answer::wrong(
+        Outcome::Refused(Refusal::Unknown(item)) => Answer::error(
             StatusCode::UNPROCESSABLE_ENTITY,
             None,
-            format!("there is no {what}"),
+            format!("unknown {item}"),
         ),
-        Outcome::Refused(Refusal::Full(what)) => {
-            Answer::wrong(StatusCode::TOO_MANY_REQUESTS, None, what)
+        Outcome::Refused(Refusal::Full(reason)) => {
+            Answer::error(StatusCode::TOO_MANY_REQUESTS, None, reason)
         }
-        Outcome::Refused(Refusal::NoAgreement) => Answer::wrong(
+        Outcome::Refused(Refusal::NoAgreement) => Answer::error(
             StatusCode::SERVICE_UNAVAILABLE,
             None,
-            "there is no agreement yet",
+            "there is no disruption budget yet",
         ),
     }
 }
--- a/crates/coordinator/src/pages/status.rs
+++ b/crates/coordinator/src/pages/status.rs
@@ -7,21 +7,23 @@
 use std::sync::Arc;
 
 impl Pages {
-    /// What on-call wants to see of this coordinator.
+    /// Returns the status for on-call engineers.
     pub fn status(&self) -> Value {
-        let seen = Arc::clone(&self.seen.borrow());
-        let late_ms = self.clock.now().mono_ms.saturating_sub(seen.at_ms);
-        let own = &self.sections.coordinator;
-        let mut status = json!({"name": own.name, "halted": seen.halted, "late_ms": late_ms});
-        if let Some(view) = &seen.view {
+        let published = Arc::clone(&self.status.borrow());
+        let late_ms = self.clock.now().mono_ms.saturating_sub(published.at_ms);
+        let section = &self.sections.coordinator;
+        let mut status =
+            json!({"name": section.name, "halted": published.halted, "late_ms": late_ms});
+        if let Some(view) = &published.view {
             add_view(&mut status, view);
-            // A thread that the disk holds up acts on nothing.
-            let bound = own.heartbeat.0.as_millis() * own.patience as u128;
-            let acts = view.replica_status.acts && u128::from(late_ms) < bound;
-            status["acts"] = json!(acts);
+            // A log thread that is blocked by the disk does not act.
+            let max_lateness_ms = section.heartbeat.0.as_millis() * section.patience as u128;
+            let is_active_leader =
+                view.replica_status.acts && u128::from(late_ms) < max_lateness_ms;
+            status["acts"] = json!(is_active_leader);
         }
         status["messages_dropped"] = json!(self.peers.dropped());
-        status["inputs_missed"] = json!(self.calls.missed());
+        status["inputs_missed"] = json!(self.calls.dropped_inputs());
         status
     }
 }
--- a/crates/coordinator/src/peers.rs
+++ b/crates/coordinator/src/peers.rs
@@ -1,6 +1,7 @@
-//! Sends messages between coordinators over HTTP/1.1: a bounded queue for each, best effort.
+//! Sends messages to other coordinators over HTTP/1.1, with a bounded queue for each; messages may
+//! be lost.
 
-use crate::fetch::{FetchError, Line};
+use crate::fetch::{Connection, FetchError};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::Request;
@@ -14,29 +15,29 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Where messages are brought.
-pub const PATH: &str = "/agreement/messages";
-/// The header that says whose they are.
-pub const FROM: &str = "x-steward";
-/// Messages that wait for one coordinator; the oldest go first, as the engine says again what is
-/// still true.
-const WAITING: usize = 256;
-/// Bytes of messages in one request, unless a single one is longer.
-const TOGETHER: usize = 1 << 20;
-/// Longest content of a request, in bytes: a snapshot of the longest list, and more.
+/// Path of requests with messages.
+pub const MESSAGES_PATH: &str = "/agreement/messages";
+/// Header with the name of the sender.
+pub const SENDER_HEADER: &str = "x-steward";
+/// Maximum number of messages queued for one coordinator. The oldest are dropped first, because the
+/// consensus engine repeats what is still relevant.
+const MAX_QUEUED: usize = 256;
+/// Maximum size of a request in bytes, unless a single message is longer.
+const MAX_BATCH_BYTES: usize = 1 << 20;
+/// Maximum size of a received request in bytes: a snapshot of the longest server list, and more.
 pub const MAX_CONTENT_BYTES: usize = 16 << 20;
-/// Pause after a failure: doubled up to the longest, each drawn from its upper half.
-const PAUSE: Duration = Duration::from_millis(50);
-const MAX_PAUSE: Duration = Duration::from_secs(1);
+/// Delay after a failure: doubled up to the maximum, and jittered down to half.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// What waits for one coordinator.
+/// The messages queued for one coordinator.
 #[derive(Default)]
 struct Queue {
     waiting: RefCell<VecDeque<Vec<u8>>>,
-    come: Notify,
+    arrived: Notify,
 }
 
-/// Ways to the others.
+/// The queues to the other coordinators.
 #[derive(Clone)]
 pub struct Peers {
     queues: Rc<BTreeMap<String, Rc<Queue>>>,
@@ -44,9 +45,13 @@
 }
 
 impl Peers {
-    /// Starts a task for each of the others.
-    pub fn start(own: &str, all: &BTreeMap<String, SocketAddr>, within: Duration) -> Self {
-        let others = all.iter().filter(|(name, _)| *name != own);
+    /// Starts a sender task for each of the other coordinators.
+    pub fn start(
+        own_name: &str,
+        addresses: &BTreeMap<String, SocketAddr>,
+        time_limit: Duration,
+    ) -> Self {
+        let others = addresses.iter().filter(|(name, _)| *name != own_name);
         let queues: BTreeMap<String, Rc<Queue>> = others
             .clone()
             .map(|(name, _)| (name.clone(), Rc::default()))
@@ -55,76 +60,84 @@
             queues: Rc::new(queues),
             dropped: Rc::default(),
         };
-        for (name, at) in others {
+        for (name, address) in others {
             if let Some(queue) = peers.queues.get(name) {
                 let (queue, dropped) = (Rc::clone(queue), Rc::clone(&peers.dropped));
-                spawn_local(carry(own.to_owned(), *at, queue, dropped, within));
+                spawn_local(run_sender(
+                    own_name.to_owned(),
+                    *address,
+                    queue,
+                    dropped,
+                    time_limit,
+                ));
             }
         }
         peers
     }
 
-    /// Puts a message in its queue.
-    pub fn send(&self, to: &str, message: &Message) {
-        let (Some(queue), Some(bytes)) = (self.queues.get(to), encode(message)) else {
+    /// Queues a message.
+    pub fn send(&self, recipient: &str, message: &Message) {
+        let (Some(queue), Some(bytes)) = (self.queues.get(recipient), encode(message)) else {
             return;
         };
         let mut waiting = queue.waiting.borrow_mut();
-        if waiting.len() >= WAITING {
+        if waiting.len() >= MAX_QUEUED {
             waiting.pop_front();
             self.dropped.set(self.dropped.get() + 1);
         }
         waiting.push_back(bytes);
-        queue.come.notify_one();
+        queue.arrived.notify_one();
     }
 
-    /// Messages that were not brought to anybody.
+    /// Returns the number of dropped messages.
     pub fn dropped(&self) -> u64 {
         self.dropped.get()
     }
 }
 
-async fn carry(
-    own: String,
-    at: SocketAddr,
+async fn run_sender(
+    own_name: String,
+    address: SocketAddr,
     queue: Rc<Queue>,
     dropped: Rc<Cell<u64>>,
-    within: Duration,
+    time_limit: Duration,
 ) {
-    let (mut line, mut pause) = (None, PAUSE);
+    let (mut connection, mut retry_delay) = (None, MIN_RETRY_DELAY);
     loop {
-        let (content, count) = batch(&queue);
+        let (content, count) = take_batch(&queue);
         if count == 0 {
-            queue.come.notified().await;
+            queue.arrived.notified().await;
             continue;
         }
-        let reused = line.is_some();
-        let mut done = bring(&mut line, at, &own, &content, within).await;
-        // A line that the other end had closed meanwhile says nothing of the other end.
-        if done.is_err() && reused {
-            done = bring(&mut line, at, &own, &content, within).await;
+        let was_reused = connection.is_some();
+        let mut result =
+            send_batch(&mut connection, address, &own_name, &content, time_limit).await;
+        // A reused connection may have been closed by the other side in the meantime, so retry
+        // once.
+        if result.is_err() && was_reused {
+            result = send_batch(&mut connection, address, &own_name, &content, time_limit).await;
         }
-        if done.is_ok() {
-            pause = PAUSE;
+        if result.is_ok() {
+            retry_delay = MIN_RETRY_DELAY;
         } else {
             dropped.set(dropped.get() + count);
-            sleep(pause.mul_f64(0.5 + fastrand::f64() / 2.0)).await;
-            pause = (pause * 2).min(MAX_PAUSE);
+            sleep(retry_delay.mul_f64(0.5 + fastrand::f64() / 2.0)).await;
+            retry_delay = (retry_delay * 2).min(MAX_RETRY_DELAY);
         }
     }
 }
 
-/// Takes what fits into one request: each message behind its length.
-fn batch(queue: &Queue) -> (Bytes, u64) {
+/// Takes the messages of one request from the queue: each is preceded by its length.
+fn take_batch(queue: &Queue) -> (Bytes, u64) {
     let (mut waiting, mut content, mut count) = (queue.waiting.borrow_mut(), Vec::new(), 0);
     while let Some(next) = waiting.front() {
-        if count > 0 && content.len() + next.len() > TOGETHER {
+        if count > 0 && content.len() + next.len() > MAX_BATCH_BYTES {
             break;
         }
         let Some(next) = waiting.pop_front() else {
             break;
         };
-        // One that is longer than any request may be is not brought: it counts as lost.
+        // A message that is too long for its length field is dropped.
         let Ok(length) = u32::try_from(next.len()) else {
             continue;
         };
@@ -135,65 +148,65 @@
     (Bytes::from(content), count)
 }
 
-/// Why messages were not brought to another coordinator.
+/// Error of sending messages to another coordinator.
 #[derive(Debug, thiserror::Error)]
 enum SendError {
     #[error(transparent)]
     Fetch(#[from] FetchError),
-    #[error("it answers {0}")]
+    #[error("unexpected status {0}")]
     Status(u16),
 }
 
-/// Why the content of a request holds no messages.
+/// Error of decoding received messages.
 #[derive(Debug, thiserror::Error)]
 pub enum MessagesError {
-    /// It ends within a message's length.
-    #[error("a length is cut off")]
+    /// The content ends within a length.
+    #[error("truncated message length")]
     Length,
-    /// It ends within a message.
-    #[error("a message is cut off")]
+    /// The content ends within a message.
+    #[error("truncated message")]
     Content,
-    /// A message has no form that the consensus engine knows.
+    /// A message is not one of the consensus engine.
     #[error(transparent)]
     Message(#[from] DecodeError),
 }
 
-async fn bring(
-    line: &mut Option<Line>,
-    at: SocketAddr,
-    own: &str,
+async fn send_batch(
+    connection: &mut Option<Connection>,
+    address: SocketAddr,
+    own_name: &str,
     content: &Bytes,
-    within: Duration,
+    time_limit: Duration,
 ) -> Result<(), SendError> {
-    let brought = async {
-        let mut open = match line.take() {
+    let exchange = async {
+        let mut current = match connection.take() {
             Some(open) => open,
-            None => Line::to(at).await?,
+            None => Connection::connect(address).await?,
         };
         let request = Request::builder()
             .method("POST")
-            .uri(PATH)
-            .header("host", at.to_string())
-            .header(FROM, own)
+            .uri(MESSAGES_PATH)
+            .header("host", address.to_string())
+            .header(SENDER_HEADER, own_name)
             .body(Full::new(content.clone()))
             .map_err(FetchError::from)?;
-        match open.ask(request).await? {
+        match current.request(request).await? {
             (204, _) => {
-                *line = Some(open);
+                *connection = Some(current);
                 Ok(())
             }
             (status, _) => Err(SendError::Status(status)),
         }
     };
-    timeout(within, brought)
+    timeout(time_limit, exchange)
         .await
         .unwrap_or(Err(SendError::Fetch(FetchError::Timeout)))
 }
 
-/// The messages of a request.
+/// Decodes the messages of a request.
 ///
 /// # Errors
-/// They have no such form.
+/// Returns an error if the content is malformed.
 pub fn read(mut content: &[u8]) -> Result<Vec<Message>, MessagesError> {
     let mut messages = Vec::new();
     while !content.is_empty() {
--- a/crates/coordinator/src/replicated_log/decode_error.rs
+++ b/crates/coordinator/src/replicated_log/decode_error.rs
@@ -1,31 +1,31 @@
-//! The error for bytes that are not of the form that this program reads.
+//! The error of decoding stored or received bytes.
 
 use thiserror::Error;
 
-/// Why bytes of the log, of a snapshot or of a message cannot be decoded.
+/// Error of decoding a log entry, a snapshot or a message.
 #[derive(Debug, Error)]
 pub enum DecodeError {
-    /// There are none.
-    #[error("it is empty")]
+    /// There are no bytes.
+    #[error("empty value")]
     Empty,
-    /// They are in a form that this program does not know: likely a newer one's.
-    #[error("its format is {found}, this program reads {known}")]
+    /// The format is unknown, probably that of a newer version.
+    #[error("format version {found} is not supported, only {known}")]
     Format {
-        /// The form's number.
+        /// The version of the format.
         found: u8,
-        /// The number of the form that is read.
+        /// The version that this program reads.
         known: u8,
     },
-    /// More follows after the value.
-    #[error("it is longer than its form")]
+    /// Bytes remain after the value.
+    #[error("unexpected bytes after the value")]
     TooLong,
-    /// They are not of the binary form.
+    /// The bytes are not valid postcard.
     #[error(transparent)]
     Binary(#[from] postcard::Error),
-    /// They are no message of the consensus engine.
+    /// The bytes are not a message of the consensus engine.
     #[error(transparent)]
     Message(#[from] protobuf::ProtobufError),
-    /// They are not of the JSON form.
+    /// The bytes are not valid JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
 }
--- a/crates/coordinator/src/replicated_log/entry.rs
+++ b/crates/coordinator/src/replicated_log/entry.rs
@@ -1,71 +1,71 @@
-//! The encodings of log entries and of what is stored of the log.
+//! The encoding of log entries and of the state stored with snapshots.
 
 use super::decode_error::DecodeError;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The version of the forms that is written. A coordinator that meets a newer one stops: going on
-/// without it would make its machine another one than that of the others.
+/// The format version that is written. A coordinator stops at a newer one, because skipping it
+/// would make its state machine diverge from the others.
 pub(crate) const FORMAT: u8 = 1;
 
-/// What the leader puts around an event: its time, and whom to answer.
+/// An event with the data that the leader adds: its time, and the proposal to answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Stamped {
+pub(crate) struct ProposedEvent {
     /// The leader's clock, in milliseconds of Unix time.
-    pub at_ms: i64,
     /// The run of the coordinator that waits for the answer.
+    pub at_ms: i64,
     pub run: u64,
-    /// What that run calls the question.
+    /// The ticket of the proposal within that run.
     pub ticket: u64,
-    /// The event, in the machine's own form.
+    /// The event, in the encoding of the state machine.
     pub event: Vec<u8>,
 }
 
-/// What a snapshot holds beside the engine's own data.
+/// The content of a snapshot in addition to the engine's own data.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct PersistedState {
-    /// Names by the numbers of disks.
-    pub members: BTreeMap<u64, String>,
+    /// Names of the members by the ids of their disks.
     /// Time of the last event, in milliseconds of Unix time.
+    pub members: BTreeMap<u64, String>,
     pub at_ms: i64,
-    /// The machine, in its own form.
+    /// The state machine, in its own encoding.
     pub machine: Vec<u8>,
 }
 
-/// Who comes in with a change of members.
+/// A member that joins with a membership change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Newcomer {
-    /// The number of its disk.
+pub(crate) struct NewMember {
+    /// Id of its disk.
     pub id: u64,
     /// Its name.
     pub name: String,
 }
 
-/// Writes a form, with its version before it.
+/// Encodes a value after the format version.
 pub(crate) fn write<T: Serialize>(value: &T) -> Vec<u8> {
     let mut bytes = vec![FORMAT];
-    // Plain data always has a form.
+    // Serialization of plain data cannot fail.
     bytes.extend(postcard::to_stdvec(value).unwrap_or_default());
     bytes
 }
 
-/// Reads one.
+/// Decodes a value.
 ///
 /// # Errors
-/// The version is another one, or the bytes are not of this form.
+/// Returns an error if the version is unknown or the bytes are malformed.
 pub(crate) fn read<'b, T: Deserialize<'b>>(bytes: &'b [u8]) -> Result<T, DecodeError> {
-    let (value, left) = postcard::take_from_bytes(content(bytes, FORMAT)?)?;
-    if left.is_empty() {
+    let (value, remaining) = postcard::take_from_bytes(content(bytes, FORMAT)?)?;
+    if remaining.is_empty() {
         Ok(value)
     } else {
         Err(DecodeError::TooLong)
     }
 }
 
-/// What follows the version, where it is the known one.
+/// Returns the bytes after the version.
 ///
 /// # Errors
-/// There is no version, or another one.
+/// Returns an error if the version is missing or unknown.
 pub(crate) fn content(bytes: &[u8], known: u8) -> Result<&[u8], DecodeError> {
     match bytes.split_first() {
         Some((found, content)) if *found == known => Ok(content),
--- a/crates/coordinator/src/replicated_log/interface.rs
+++ b/crates/coordinator/src/replicated_log/interface.rs
@@ -5,53 +5,53 @@
 use serde::Serialize;
 use std::fmt;
 
-/// What is replicated: the same events in the same order make the same machine everywhere.
+/// A replicated state machine: the same events in the same order lead to the same state everywhere.
 pub trait Replicated {
-    /// Takes the next agreed event, with its proposer's time in milliseconds of Unix time, which
-    /// never goes back; what to answer the proposer.
+    /// Applies the next committed event, with its proposer's time in milliseconds of Unix time,
+    /// which never decreases. Returns the answer for the proposer.
     ///
     /// # Errors
-    /// The event is of a kind that this program does not know: it must stop.
+    /// Returns an error if the event is unknown to this program, which must then stop.
     fn apply(&mut self, at_ms: i64, event: &[u8]) -> Result<Vec<u8>, String>;
-    /// All of it, in its own form.
+    /// Returns the whole state, encoded.
     fn snapshot(&self) -> Vec<u8>;
-    /// Takes the state of a snapshot.
+    /// Replaces the state by that of a snapshot.
     ///
     /// # Errors
-    /// The snapshot is of a form that this program does not know: it must stop.
+    /// Returns an error if the format is unknown to this program, which must then stop.
     fn restore(&mut self, snapshot: &[u8]) -> Result<(), String>;
 }
 
-/// What a node is made with.
+/// Options of a node.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Its name.
+    /// Name of the coordinator.
     pub name: String,
-    /// A number for this run, like no other.
-    pub run: u64,
-    /// Heartbeats that a leader may miss before others stand for election: from here to twice as
-    /// many, by a draw over disk and term.
-    pub patience: usize,
-    /// Votes below which nothing is proposed: what a founder alone agrees to would hang on one
-    /// disk.
-    pub least: usize,
+    /// Unique number of this run.
+    pub run_id: u64,
+    /// Heartbeats that may be missed before an election starts: from this number to twice as many,
+    /// derived from disk id and term.
+    pub election_ticks: usize,
+    /// Minimum number of voters for proposals: otherwise what a founder commits alone would depend
+    /// on a single disk.
+    pub min_voters: usize,
 }
 
 /// Why a node must stop. It may be started again.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HaltReason {
-    /// The disk failed: what is kept is not known.
+    /// The disk failed; what it has stored is not known.
     Disk(StoreError),
-    /// The log holds what this program does not know.
+    /// The log contains data that this program does not know.
     Unknown(String),
 }
 
 impl fmt::Display for HaltReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Disk(trouble) => trouble.fmt(f),
-            Self::Unknown(what) => {
-                write!(f, "the log holds what this program does not know: {what}")
+            Self::Disk(error) => error.fmt(f),
+            Self::Unknown(message) => {
+                write!(f, "the log contains unknown data: {message}")
             }
         }
     }
@@ -60,55 +60,55 @@
 impl std::error::Error for HaltReason {}
 
 impl From<StoreError> for HaltReason {
-    fn from(trouble: StoreError) -> Self {
-        Self::Disk(trouble)
+    fn from(error: StoreError) -> Self {
+        Self::Disk(error)
     }
 }
 
 /// Why an event was not proposed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
-    /// This node does not lead, or has not applied an entry of its own time.
+pub enum ProposeError {
+    /// This node does not lead, or has not applied an entry of its own term.
     NotLeader,
-    /// Fewer coordinators than [`Options::least`] have a vote yet.
-    Founding,
-    /// Too much waits for agreement.
+    /// Fewer coordinators than [`Options::min_voters`] have a vote.
+    TooFewVoters,
+    /// Too many entries are uncommitted.
     Busy,
 }
 
-/// What is to be done after a step.
+/// Outputs of a node.
 #[derive(Debug, Default)]
 pub struct Effects {
-    /// To be sent, best effort, after all of this node's steps so far were kept.
+    /// Messages to send, after everything has been persisted; they may be lost.
     pub messages: Vec<Message>,
     /// Answers by ticket.
     pub answers: Vec<(u64, Vec<u8>)>,
-    /// Askings for confirmation which a majority confirmed since they were made.
+    /// Tickets of leadership confirmations given by a majority since their request.
     pub confirmed: Vec<u64>,
-    /// Tickets whose answer is not known: the events may or may not be agreed on.
-    pub lost: Vec<u64>,
+    /// Tickets whose event may or may not be committed.
+    pub unknown_outcomes: Vec<u64>,
 }
 
-/// Where a node stands.
+/// Status of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct ReplicaStatus {
-    /// The number of its disk.
+    /// Id of its disk.
     pub id: u64,
-    /// The term it knows.
+    /// Its current term.
     pub term: u64,
-    /// The leader's name, where it knows one.
+    /// Name of the leader, if known.
     pub leader: Option<String>,
-    /// Whether it may act.
+    /// Whether it leads and has applied an entry of its own term.
     pub acts: bool,
-    /// Last applied entry.
+    /// Index of the last applied entry.
     pub applied: u64,
-    /// Names of those with a vote.
+    /// Names of the voters.
     pub voters: Vec<String>,
-    /// Names of all whose disks count or listen, one a disk: more than coordinators, while one's
-    /// new disk takes the place of its old one.
+    /// Names of voters and learners, one per disk: there are more than coordinators while a new
+    /// disk replaces an old one.
     pub members: Vec<String>,
     /// Whether this disk has a vote.
     pub voice: bool,
-    /// Whether it holds no part of any log.
+    /// Whether it has no part of any log.
     pub blank: bool,
 }
--- a/crates/coordinator/src/replicated_log/message_filter.rs
+++ b/crates/coordinator/src/replicated_log/message_filter.rs
@@ -1,27 +1,28 @@
-//! Validates messages of other replicas before the consensus engine sees them, as it panics at some
-//! that make no sense.
+//! Validates messages of other replicas before the consensus engine handles them, because it panics
+//! at some invalid ones.
 
 use super::decode_error::DecodeError;
 use protobuf::Message as _;
 use raft::eraftpb::{Entry, Message, MessageType};
 use raft::{RaftLog, Storage};
 
-/// A message as bytes; none for one that has no form, which the engine does not make.
+/// Encodes a message. Returns `None` for a message that cannot be encoded, which the engine does
+/// not create.
 #[must_use]
 pub fn encode(message: &Message) -> Option<Vec<u8>> {
     message.write_to_bytes().ok()
 }
 
-/// The message that bytes hold.
+/// Decodes a message.
 ///
 /// # Errors
-/// They hold none.
+/// Returns an error if the bytes are malformed.
 pub fn decode(bytes: &[u8]) -> Result<Message, DecodeError> {
     Ok(Message::parse_from_bytes(bytes)?)
 }
 
-/// Whether the engine of `id`, led by `leader`, with this log may be given a message.
-pub(crate) fn passes<S: Storage>(
+/// Returns whether the engine of disk `id`, led by `leader`, with this log can handle a message.
+pub(crate) fn is_acceptable<S: Storage>(
     message: &Message,
     id: u64,
     leader: u64,
@@ -31,20 +32,18 @@
     if message.to != id || message.from == id || message.from == 0 {
         return false;
     }
-    // A term of 0 would make it one of the engine's own; those near the end of the numbers are
-    // nobody's.
+    // Term 0 marks messages within an engine; terms near the maximum do not occur.
     if message.term == 0 || message.term > u64::MAX / 2 {
         return false;
     }
     match message.msg_type {
-        MsgAppend => appends(message, log),
-        // A leader never says more than what this disk once confirmed: the disk it means was
-        // another one.
+        MsgAppend => is_acceptable_append(message, log),
+        // A leader never announces more than this disk has confirmed, unless it means another disk.
         MsgHeartbeat => message.commit <= log.last_index(),
         MsgSnapshot => {
             let metadata = message.get_snapshot().get_metadata();
             let members = metadata.get_conf_state();
-            let all = members
+            let ids = members
                 .voters
                 .iter()
                 .chain(&members.learners)
@@ -53,36 +52,42 @@
                 && metadata.term > 0
                 && metadata.term <= message.term
                 && !members.voters.is_empty()
-                && all.clone().all(|member| *member != 0)
+                && ids.clone().all(|member| *member != 0)
                 && members.learners.iter().all(|l| !members.voters.contains(l))
         }
         MsgAppendResponse | MsgHeartbeatResponse => message.index <= log.last_index(),
         MsgRequestVote | MsgRequestVoteResponse | MsgRequestPreVote | MsgRequestPreVoteResponse => {
             true
         }
-        // The leader hands its lead over.
+        // The leader transfers its leadership.
         MsgTimeoutNow => message.from == leader,
-        // Nobody proposes, reads or hands over for another one.
+        // Proposals, reads and transfers are never forwarded between coordinators.
         _ => false,
     }
 }
 
-/// Whether the entries follow each other, and contradict nothing that is agreed.
-fn appends<S: Storage>(message: &Message, log: &RaftLog<S>) -> bool {
-    // What lies past a log has the term 0 there, as has nothing that anybody appends to.
+/// Returns whether the entries are consecutive and do not contradict committed ones.
+fn is_acceptable_append<S: Storage>(message: &Message, log: &RaftLog<S>) -> bool {
+    // The position before the first entry has index 0 and term 0; no other position has.
     if (message.index == 0) != (message.log_term == 0) || message.log_term > message.term {
         return false;
     }
-    let mut before = (message.index, message.log_term);
+    let mut previous = (message.index, message.log_term);
     for entry in message.entries.iter() {
         let Entry { index, term, .. } = entry;
-        let follows =
-            before.0.checked_add(1) == Some(*index) && *term >= before.1 && *term <= message.term;
-        let known = *index <= log.committed && *index >= log.first_index();
-        if !follows || (known && log.term(*index).is_ok_and(|agreed| agreed != *term)) {
+        let follows_previous = previous.0.checked_add(1) == Some(*index)
+            && *term >= previous.1
+            && *term <= message.term;
+        let is_committed = *index <= log.committed && *index >= log.first_index();
+        if !follows_previous
+            || (is_committed
+                && log
+                    .term(*index)
+                    .is_ok_and(|committed_term| committed_term != *term))
+        {
             return false;
         }
-        before = (*index, *term);
+        previous = (*index, *term);
     }
     true
 }
--- a/crates/coordinator/src/replicated_log/node.rs
+++ b/crates/coordinator/src/replicated_log/node.rs
@@ -1,62 +1,62 @@
 //! One replica of the log.
 
-use super::entry::{self, PersistedState, Stamped};
-use super::interface::{HaltReason, Options, Refused, ReplicaStatus, Replicated};
+use super::entry::{self, PersistedState, ProposedEvent};
+use super::interface::{HaltReason, Options, ProposeError, ReplicaStatus, Replicated};
 use super::{log_store::LogStore, message_filter};
 use raft::eraftpb::{ConfChangeV2, ConfState, Message};
 use raft::{Config, ProgressState, RawNode, SnapshotStatus, StateRole};
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Most bytes of entries in one message, and of entries that wait for agreement.
+/// Maximum size in bytes of the entries in one message, and of uncommitted entries.
 const MAX_BYTES: u64 = 1 << 20;
-/// Messages on their way to one coordinator.
+/// Maximum number of messages in flight to one coordinator.
 const MAX_INFLIGHT: usize = 64;
 
-/// A node.
+/// One replica of the log with its state machine.
 pub struct Node<M> {
     pub(crate) raw: RawNode<LogStore>,
     pub(crate) machine: M,
     pub(crate) options: Options,
-    pub(crate) kept: PersistedState,
+    pub(crate) persisted: PersistedState,
     pub(crate) applied: u64,
     pub(crate) applied_term: u64,
-    pub(crate) members_now: ConfState,
-    pub(crate) waiting: BTreeSet<u64>,
-    /// Confirmed by a majority, to be given out when this index is applied.
-    pub(crate) readable: Vec<(u64, u64)>,
-    pub(crate) asked: BTreeSet<u64>,
-    /// Heartbeats for which a coordinator has had a snapshot on its way to it.
-    sending: BTreeMap<u64, usize>,
+    pub(crate) conf_state: ConfState,
+    pub(crate) pending_tickets: BTreeSet<u64>,
+    /// Indexes and tickets of confirmed reads, to be reported once the index is applied.
+    pub(crate) pending_reads: Vec<(u64, u64)>,
+    pub(crate) requested_confirmations: BTreeSet<u64>,
+    /// Heartbeats since each coordinator started to receive a snapshot.
+    snapshot_ticks: BTreeMap<u64, usize>,
 }
 
 impl<M: Replicated> Node<M> {
-    /// A node on what its shelf holds. `found` makes a blank one the first member of a new
-    /// agreement; it must be given once, to one coordinator, where no other has any part of it.
+    /// Creates a node on a log store. `is_founder` makes an empty one the first member of a new
+    /// log; that must be set for only one coordinator, once, while no other has any part of a log.
     ///
     /// # Errors
-    /// The disk fails, or holds what this program does not know.
+    /// Returns an error if the disk fails, or holds a format that this program does not know.
     pub fn new(
         mut log_store: LogStore,
         mut machine: M,
         options: Options,
-        found: bool,
+        is_founder: bool,
     ) -> Result<Self, HaltReason> {
-        if found && log_store.is_blank() {
-            log_store.found(&options.name, machine.snapshot())?;
+        if is_founder && log_store.is_blank() {
+            log_store.initialize_as_founder(&options.name, machine.snapshot())?;
         }
-        let kept = log_store
-            .kept()
+        let persisted = log_store
+            .persisted_state()
             .map_err(|error| HaltReason::Unknown(error.to_string()))?;
-        if let Some(kept) = &kept {
+        if let Some(persisted) = &persisted {
             machine
-                .restore(&kept.machine)
+                .restore(&persisted.machine)
                 .map_err(HaltReason::Unknown)?;
         }
-        let applied = log_store.start();
+        let applied = log_store.snapshot_index();
         let config = Config {
             id: log_store.id(),
-            election_tick: options.patience,
+            election_tick: options.election_ticks,
             heartbeat_tick: 1,
             applied,
             max_size_per_msg: MAX_BYTES,
@@ -68,181 +68,183 @@
         };
         let state = raft::Storage::initial_state(&log_store)
             .map_err(|e| HaltReason::Unknown(e.to_string()))?;
-        let silent = slog::Logger::root(slog::Discard, slog::o!());
-        let raw = RawNode::new(&config, log_store, &silent)
+        let logger = slog::Logger::root(slog::Discard, slog::o!());
+        let raw = RawNode::new(&config, log_store, &logger)
             .map_err(|e| HaltReason::Unknown(e.to_string()))?;
         let mut node = Self {
             raw,
             machine,
             options,
-            kept: kept.unwrap_or_default(),
+            persisted: persisted.unwrap_or_default(),
             applied,
             applied_term: 0,
-            members_now: state.conf_state,
-            waiting: BTreeSet::new(),
-            readable: Vec::new(),
-            asked: BTreeSet::new(),
-            sending: BTreeMap::new(),
+            conf_state: state.conf_state,
+            pending_tickets: BTreeSet::new(),
+            pending_reads: Vec::new(),
+            requested_confirmations: BTreeSet::new(),
+            snapshot_ticks: BTreeMap::new(),
         };
-        node.draw();
+        node.reset_election_timeout();
         Ok(node)
     }
 
-    /// The engine draws its patience from the machine's own chance; here disk and term draw it, so
-    /// a seed replays it.
-    pub(crate) fn draw(&mut self) {
+    /// Derives the randomized election timeout from disk id and term. The engine would use its own
+    /// random numbers, which a seed does not replay.
+    pub(crate) fn reset_election_timeout(&mut self) {
         let raft = &mut self.raw.raft;
         let mut seed = [0; 16];
         seed[..8].copy_from_slice(&raft.id.to_le_bytes());
         seed[8..].copy_from_slice(&raft.term.to_le_bytes());
-        let most = self.options.patience as u64;
-        let more = usize::try_from(xxh3_64(&seed) % most.max(1)).unwrap_or(0);
-        raft.set_randomized_election_timeout(self.options.patience + more);
+        let range = self.options.election_ticks as u64;
+        let extra_ticks = usize::try_from(xxh3_64(&seed) % range.max(1)).unwrap_or(0);
+        raft.set_randomized_election_timeout(self.options.election_ticks + extra_ticks);
     }
 
-    /// One heartbeat's time passed.
+    /// Records that one heartbeat interval has passed.
     pub fn tick(&mut self) {
         self.raw.tick();
-        self.draw();
-        self.give_up_snapshots();
+        self.reset_election_timeout();
+        self.expire_snapshots();
     }
 
-    /// The engine waits for word of a snapshot for ever; one that is not answered in the time of an
-    /// election is lost.
-    fn give_up_snapshots(&mut self) {
-        let under_way = self
+    /// Reports snapshots that were not acknowledged within an election timeout as failed; otherwise
+    /// the engine would wait for them forever.
+    fn expire_snapshots(&mut self) {
+        let receiving = self
             .raw
             .raft
             .prs()
             .iter()
             .filter(|(_, p)| p.state == ProgressState::Snapshot);
-        let under_way: BTreeSet<u64> = under_way.map(|(id, _)| *id).collect();
-        self.sending.retain(|id, _| under_way.contains(id));
-        for id in under_way {
-            let ticks = self.sending.entry(id).or_default();
+        let receiving_ids: BTreeSet<u64> = receiving.map(|(id, _)| *id).collect();
+        self.snapshot_ticks
+            .retain(|id, _| receiving_ids.contains(id));
+        for id in receiving_ids {
+            let ticks = self.snapshot_ticks.entry(id).or_default();
             *ticks += 1;
-            if *ticks >= self.options.patience {
+            if *ticks >= self.options.election_ticks {
                 *ticks = 0;
                 self.raw.report_snapshot(id, SnapshotStatus::Failure);
             }
         }
     }
 
-    /// A message came; whether it was let in.
+    /// Handles a message. Returns whether it was accepted.
     pub fn step(&mut self, message: Message) -> bool {
         let raft = &self.raw.raft;
-        let passes = message_filter::passes(&message, raft.id, raft.leader_id, &raft.raft_log);
-        let passes = passes && self.raw.step(message).is_ok();
-        self.draw();
-        passes
+        let accepted =
+            message_filter::is_acceptable(&message, raft.id, raft.leader_id, &raft.raft_log);
+        let accepted = accepted && self.raw.step(message).is_ok();
+        self.reset_election_timeout();
+        accepted
     }
 
-    /// Proposes an event at the host's time, in milliseconds of Unix time. The answer comes with
-    /// the effects under `ticket`, which the host gives once a run.
+    /// Proposes an event at the host's time, in milliseconds of Unix time. The answer is returned
+    /// with the effects under `ticket`, which must be unique within a run.
     ///
     /// # Errors
-    /// Nothing was proposed.
-    pub fn propose(&mut self, at_ms: i64, ticket: u64, event: Vec<u8>) -> Result<(), Refused> {
-        if !self.acts() {
-            return Err(Refused::NotLeader);
+    /// Returns the reason why nothing was proposed.
+    pub fn propose(&mut self, at_ms: i64, ticket: u64, event: Vec<u8>) -> Result<(), ProposeError> {
+        if !self.is_active_leader() {
+            return Err(ProposeError::NotLeader);
         }
-        if self.members_now.voters.len() < self.options.least {
-            return Err(Refused::Founding);
+        if self.conf_state.voters.len() < self.options.min_voters {
+            return Err(ProposeError::TooFewVoters);
         }
-        let stamped = entry::write(&Stamped {
+        let entry = entry::write(&ProposedEvent {
             at_ms,
-            run: self.options.run,
+            run: self.options.run_id,
             ticket,
             event,
         });
         self.raw
-            .propose(Vec::new(), stamped)
-            .map_err(|_| Refused::Busy)?;
-        self.waiting.insert(ticket);
+            .propose(Vec::new(), entry)
+            .map_err(|_| ProposeError::Busy)?;
+        self.pending_tickets.insert(ticket);
         Ok(())
     }
 
-    /// Asks a majority whether this node still leads; `ticket` comes back as confirmed if it does,
-    /// and what was agreed before the asking is applied then. Otherwise it never comes back.
-    pub fn confirm(&mut self, ticket: u64) {
-        if self.acts() {
-            self.asked.insert(ticket);
+    /// Asks a majority to confirm that this node still leads. If it does, `ticket` is reported as
+    /// confirmed once everything committed before the request is applied; otherwise never.
+    pub fn request_confirmation(&mut self, ticket: u64) {
+        if self.is_active_leader() {
+            self.requested_confirmations.insert(ticket);
             self.raw
-                .read_index(entry::write(&(self.options.run, ticket)));
+                .read_index(entry::write(&(self.options.run_id, ticket)));
         }
     }
 
-    /// Hands the lead over to the coordinator that has most of the log, if another one with a vote
-    /// was heard lately. Whether it was asked to.
-    pub fn hand_over(&mut self) -> bool {
+    /// Transfers the leadership to the recently active voter with the longest log. Returns whether
+    /// the transfer was started.
+    pub fn transfer_leadership(&mut self) -> bool {
         let raft = &self.raw.raft;
         let prs = raft.prs();
         let voters = prs.conf().voters().ids();
         let others = prs
             .iter()
             .filter(|(id, p)| **id != raft.id && voters.contains(**id) && p.recent_active);
-        let Some(heir) = others
+        let Some(successor) = others
             .max_by_key(|(id, p)| (p.matched, **id))
             .map(|(id, _)| *id)
         else {
             return false;
         };
-        let leads = self.acts();
-        if leads {
-            self.raw.transfer_leader(heir);
+        let is_leading = self.is_active_leader();
+        if is_leading {
+            self.raw.transfer_leader(successor);
         }
-        leads
+        is_leading
     }
 
-    /// Proposes a change of members.
+    /// Proposes a membership change.
     pub(crate) fn change_members(&mut self, context: Vec<u8>, change: ConfChangeV2) {
-        // Dropped where another one is under way: the newcomer asks again.
+        // Dropped while another change is in progress; the new member repeats its request.
         let _ = self.raw.propose_conf_change(context, change);
     }
 
-    /// Whether this node may act: it leads, and what was agreed before its time is applied.
-    pub fn acts(&self) -> bool {
+    /// Returns whether this node leads and has applied everything committed before its term.
+    pub fn is_active_leader(&self) -> bool {
         self.raw.raft.state == StateRole::Leader && self.applied_term == self.raw.raft.term
     }
 
-    /// The machine.
+    /// Returns the state machine.
     pub fn machine(&self) -> &M {
         &self.machine
     }
 
-    /// The engine.
-    pub(crate) fn raw(&self) -> &RawNode<LogStore> {
+    /// Returns the engine.
+    pub(crate) fn raw_node(&self) -> &RawNode<LogStore> {
         &self.raw
     }
 
-    /// Names of members by the numbers of their disks.
+    /// Returns the names of the members by the ids of their disks.
     pub fn members(&self) -> &BTreeMap<u64, String> {
-        &self.kept.members
+        &self.persisted.members
     }
 
-    /// The number of its disk.
+    /// Returns the id of its disk.
     pub fn id(&self) -> u64 {
         self.raw.raft.id
     }
 
-    /// Where it stands.
+    /// Returns its status.
     pub fn replica_status(&self) -> ReplicaStatus {
         let raft = &self.raw.raft;
-        let name = |id: &u64| self.kept.members.get(id).cloned();
-        let mut voters: Vec<String> = self.members_now.voters.iter().filter_map(name).collect();
+        let name = |id: &u64| self.persisted.members.get(id).cloned();
+        let mut voters: Vec<String> = self.conf_state.voters.iter().filter_map(name).collect();
         voters.sort();
-        let mut members: Vec<String> = self.kept.members.values().cloned().collect();
+        let mut members: Vec<String> = self.persisted.members.values().cloned().collect();
         members.sort();
         ReplicaStatus {
             id: raft.id,
             term: raft.term,
             leader: name(&raft.leader_id),
-            acts: self.acts(),
+            acts: self.is_active_leader(),
             applied: self.applied,
             voters,
             members,
-            voice: self.members_now.voters.contains(&raft.id),
-            blank: self.members_now.voters.is_empty(),
+            voice: self.conf_state.voters.contains(&raft.id),
+            blank: self.conf_state.voters.is_empty(),
         }
     }
 }
--- a/crates/coordinator/src/serve.rs
+++ b/crates/coordinator/src/serve.rs
@@ -1,4 +1,4 @@
-//! Accepts the coordinator's connections within its limits.
+//! Serves the coordinator's HTTP connections within its limits.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -18,18 +18,18 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// Pause after a failed accept: with no descriptor to be had, the next one would fail as well.
+/// Delay after a failed accept: without free descriptors the next one would fail as well.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
-/// A request that was read whole.
-pub struct Asked {
+/// A complete request.
+pub struct PageRequest {
     /// Its method.
     pub method: String,
     /// Its path.
     pub path: String,
-    /// Whose messages it brings, if it says so.
-    pub from: Option<String>,
-    /// Its content.
+    /// Name of the sending coordinator, if given.
+    pub sender: Option<String>,
+    /// Its body.
     pub content: Bytes,
 }
 
@@ -37,23 +37,23 @@
 pub struct Answer {
     /// Its status.
     pub status: StatusCode,
-    /// Its content; none for 204.
+    /// Its body; none for 204.
     pub content: Option<Value>,
 }
 
 impl Answer {
-    /// With content.
-    pub fn of(status: StatusCode, content: Value) -> Self {
+    /// Creates an answer with content.
+    pub fn json(status: StatusCode, content: Value) -> Self {
         Self {
             status,
             content: Some(content),
         }
     }
 
-    /// What is wrong, with the key where one is.
-    pub fn wrong(status: StatusCode, key: Option<&str>, reason: impl Into<String>) -> Self {
+    /// Creates an answer that describes an error, and the offending key if there is one.
+    pub fn error(status: StatusCode, key: Option<&str>, reason: impl Into<String>) -> Self {
         let reason: String = reason.into();
-        Self::of(
+        Self::json(
             status,
             match key {
                 Some(key) => json!({"error": reason, "key": key}),
@@ -63,106 +63,117 @@
     }
 }
 
-/// A connection: how to end it, and whether a coordinator's messages came on it.
-struct Open {
+/// An open connection, and whether it carried messages of a coordinator.
+struct OpenConnection {
     handle: AbortHandle,
-    coordinator: Rc<Cell<bool>>,
+    from_coordinator: Rc<Cell<bool>>,
 }
 
-/// Serves until the process ends. Beyond `most` connections the oldest makes room, but none of a
-/// coordinator's: readers who say nothing keep nobody out.
+/// Serves until the process ends. Above `max_connections` the oldest connection is closed, except
+/// for those of coordinators, so that idle readers cannot block others.
 pub async fn serve<F, P>(
     listener: TcpListener,
-    most: usize,
-    within: Duration,
-    longest: usize,
+    max_connections: usize,
+    time_limit: Duration,
+    max_body_bytes: usize,
     pages: P,
 ) where
-    P: Fn(Asked, Rc<Cell<bool>>) -> F + Clone + 'static,
+    P: Fn(PageRequest, Rc<Cell<bool>>) -> F + Clone + 'static,
     F: Future<Output = Answer> + 'static,
 {
-    let open: Rc<RefCell<VecDeque<Open>>> = Rc::default();
+    let open_connections: Rc<RefCell<VecDeque<OpenConnection>>> = Rc::default();
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             sleep(ACCEPT_PAUSE).await;
             continue;
         };
         let _ = stream.set_nodelay(true);
-        let mut all = open.borrow_mut();
-        all.retain(|one| !one.handle.is_finished());
-        if all.len() >= most {
-            let Some(oldest) = all.iter().position(|one| !one.coordinator.get()) else {
+        let mut connections = open_connections.borrow_mut();
+        connections.retain(|connection| !connection.handle.is_finished());
+        if connections.len() >= max_connections {
+            let Some(oldest) = connections
+                .iter()
+                .position(|one| !one.from_coordinator.get())
+            else {
                 continue;
             };
-            if let Some(oldest) = all.remove(oldest) {
+            if let Some(oldest) = connections.remove(oldest) {
                 oldest.handle.abort();
             }
         }
-        let coordinator = Rc::new(Cell::new(false));
-        let (pages, mark) = (pages.clone(), Rc::clone(&coordinator));
+        let from_coordinator = Rc::new(Cell::new(false));
+        let (pages, mark) = (pages.clone(), Rc::clone(&from_coordinator));
         let service = service_fn(move |request| {
-            answer(request, within, longest, pages.clone(), Rc::clone(&mark))
+            answer(
+                request,
+                time_limit,
+                max_body_bytes,
+                pages.clone(),
+                Rc::clone(&mark),
+            )
         });
         let task = spawn_local(async move {
             let mut builder = http1::Builder::new();
-            builder.timer(TokioTimer::new()).header_read_timeout(within);
-            // What is wrong with a connection concerns its other end alone.
+            builder
+                .timer(TokioTimer::new())
+                .header_read_timeout(time_limit);
+            // Errors concern only the other end of the connection.
             let _ = builder
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
         });
-        all.push_back(Open {
+        connections.push_back(OpenConnection {
             handle: task.abort_handle(),
-            coordinator,
+            from_coordinator,
         });
     }
 }
 
 async fn answer<F, P>(
     request: Request<Incoming>,
-    within: Duration,
-    longest: usize,
+    time_limit: Duration,
+    max_body_bytes: usize,
     pages: P,
-    coordinator: Rc<Cell<bool>>,
+    from_coordinator: Rc<Cell<bool>>,
 ) -> Result<Response<Full<Bytes>>, Infallible>
 where
-    P: Fn(Asked, Rc<Cell<bool>>) -> F,
+    P: Fn(PageRequest, Rc<Cell<bool>>) -> F,
     F: Future<Output = Answer>,
 {
     let (head, body) = request.into_parts();
-    let content = match timeout(within, Limited::new(body, longest).collect()).await {
+    let content = match timeout(time_limit, Limited::new(body, max_body_bytes).collect()).await {
         Ok(Ok(content)) => content.to_bytes(),
         Ok(Err(e)) => {
-            let what = format!("the content cannot be read: {e}");
-            return Ok(written(Answer::wrong(
+            let message = format!("cannot read the request body: {e}");
+            return Ok(response(Answer::error(
                 StatusCode::PAYLOAD_TOO_LARGE,
                 None,
-                what,
+                message,
             )));
         }
         Err(_) => {
-            let what = "the content did not come in time";
-            return Ok(written(Answer::wrong(
+            let message = "the request body was not received in time";
+            return Ok(response(Answer::error(
                 StatusCode::REQUEST_TIMEOUT,
                 None,
-                what,
+                message,
             )));
         }
     };
     let from = head
         .headers
-        .get(crate::peers::FROM)
+        .get(crate::peers::SENDER_HEADER)
         .and_then(|name| name.to_str().ok());
-    let asked = Asked {
+    let page_request = PageRequest {
         method: head.method.to_string(),
         path: head.uri.path().to_owned(),
-        from: from.map(str::to_owned),
+        sender: from.map(str::to_owned),
         content,
     };
-    Ok(written(pages(asked, coordinator).await))
+    Ok(response(pages(page_request, from_coordinator).await))
 }
 
-fn written(answer: Answer) -> Response<Full<Bytes>> {
+fn response(answer: Answer) -> Response<Full<Bytes>> {
     let text = answer
         .content
         .map(|content| content.to_string() + "\n")
--- a/crates/coordinator/tests/core/platform.rs
+++ b/crates/coordinator/tests/core/platform.rs
@@ -1,21 +1,20 @@
-//! A platform with its servers, and the invariants of every action that it accepts.
+//! A simulated platform that checks the invariants of every action it accepts.
 
 use load_balancer_maintenance::{
     Action, Answer, DisruptionBudget, Health, Server, ServerObservation, Step, Unclear,
 };
 use std::collections::BTreeMap;
 
-/// Time is counted in heartbeats.
+/// Duration of a tick, which is one heartbeat.
 pub const TICK_MS: u64 = 100;
-/// A drained server is idle after this, one that returns runs after as much, and is warm after as
-/// much again.
-const IDLE: u64 = 8;
-/// How long a death may be unknown: the bound on observations, a round of looks, and what an order
-/// may be on its way.
-const UNKNOWN: u64 = 90;
+/// Ticks until a drained server is idle, a returning one runs, and a started one is warm.
+const STATE_CHANGE_TICKS: u64 = 8;
+/// Ticks for which a failure may remain undetected: maximum staleness of observations, a polling
+/// interval, and the transit of an order.
+const MAX_DETECTION_TICKS: u64 = 90;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum ServerState {
     Serving,
     Draining,
     Away,
@@ -23,23 +22,23 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct SimulatedServer {
     pub name: String,
     pub zone: String,
-    pub place: Place,
+    pub state: ServerState,
     pub started: u64,
-    highest: u64,
-    since: u64,
-    /// Dead since then.
-    pub dead: Option<u64>,
-    /// Tokens that have drained it.
+    highest_token: u64,
+    since_tick: u64,
+    /// The tick at which it failed.
+    pub dead_since: Option<u64>,
+    /// Fencing tokens of its drains.
     drained_by: Vec<u64>,
-    /// The token of the drain for which it was said to be clear last.
-    clear: u64,
+    /// Fencing token of the drain for which it was last confirmed as drained.
+    clear_token: u64,
 }
 
 pub struct Platform {
-    pub all: Vec<Held>,
+    pub servers: Vec<SimulatedServer>,
     pub now: u64,
     budget: DisruptionBudget,
     pub accepted: u64,
@@ -49,20 +48,20 @@
 
 impl Platform {
     pub fn new(servers: usize, budget: DisruptionBudget) -> Self {
-        let held = |n: usize| Held {
+        let server = |n: usize| SimulatedServer {
             name: format!("a{n}"),
             zone: format!("z{}", n % 3),
-            place: Place::Serving,
+            state: ServerState::Serving,
             started: 0,
-            highest: 0,
-            since: 0,
-            dead: None,
+            highest_token: 0,
+            since_tick: 0,
+            dead_since: None,
             drained_by: Vec::new(),
-            clear: 0,
+            clear_token: 0,
         };
-        let all = (0..servers).map(held).collect();
+        let servers = (0..servers).map(server).collect();
         Self {
-            all,
+            servers,
             now: 0,
             budget,
             accepted: 0,
@@ -72,128 +71,142 @@
     }
 
     pub fn list(&self) -> Vec<Server> {
-        let server = |h: &Held| Server {
+        let server = |h: &SimulatedServer| Server {
             name: h.name.clone(),
             zone: h.zone.clone(),
             group: String::new(),
             weight: 10,
             started: h.started,
         };
-        self.all.iter().map(server).collect()
+        self.servers.iter().map(server).collect()
     }
 
-    fn warm(&self, h: &Held) -> bool {
-        h.started == 0 || self.now >= h.started / TICK_MS + IDLE
+    fn is_warm(&self, h: &SimulatedServer) -> bool {
+        h.started == 0 || self.now >= h.started / TICK_MS + STATE_CHANGE_TICKS
     }
 
-    /// What enough members of the fleet see.
-    pub fn words(&self) -> Vec<ServerObservation> {
-        let word = |h: &Held| ServerObservation {
+    /// Returns what enough members of the fleet observe.
+    pub fn observations(&self) -> Vec<ServerObservation> {
+        let observation = |h: &SimulatedServer| ServerObservation {
             server: h.name.clone(),
-            state: match h.dead.is_none() && matches!(h.place, Place::Serving | Place::Draining) {
+            state: match h.dead_since.is_none()
+                && matches!(h.state, ServerState::Serving | ServerState::Draining)
+            {
                 true => Health::Healthy,
                 false => Health::Unhealthy,
             },
-            warm: self.warm(h),
+            warm: self.is_warm(h),
             started: h.started,
             age_ms: 300,
             enough: true,
         };
-        self.all.iter().map(word).collect()
+        self.servers.iter().map(observation).collect()
     }
 
-    pub fn pass(&mut self) {
+    pub fn advance(&mut self) {
         self.now += 1;
-        for h in &mut self.all {
-            if h.place == Place::Returning && self.now >= h.since + IDLE {
-                (h.place, h.started, h.dead) = (Place::Serving, self.now * TICK_MS, None);
+        for h in &mut self.servers {
+            if h.state == ServerState::Returning && self.now >= h.since_tick + STATE_CHANGE_TICKS {
+                (h.state, h.started, h.dead_since) =
+                    (ServerState::Serving, self.now * TICK_MS, None);
             }
         }
     }
 
-    /// Whether nothing runs at a drained server.
-    pub fn clear(&mut self, asked: &Unclear) -> bool {
+    /// Returns whether a draining server is idle.
+    pub fn check_clear(&mut self, process: &Unclear) -> bool {
         let now = self.now;
-        let Some(h) = self.all.iter_mut().find(|h| h.name == asked.server) else {
+        let Some(h) = self.servers.iter_mut().find(|h| h.name == process.server) else {
             return false;
         };
-        let clear = h.place == Place::Draining && now >= h.since + IDLE;
-        if clear {
-            h.clear = asked.epoch;
+        let is_clear = h.state == ServerState::Draining && now >= h.since_tick + STATE_CHANGE_TICKS;
+        if is_clear {
+            h.clear_token = process.epoch;
         }
-        clear
+        is_clear
     }
 
-    pub fn act(&mut self, act: &Action) -> Answer {
+    pub fn perform(&mut self, action: &Action) -> Answer {
         let now = self.now;
-        let Some(h) = self.all.iter_mut().find(|h| h.name == act.server) else {
+        let Some(h) = self.servers.iter_mut().find(|h| h.name == action.server) else {
             return Answer::Failed;
         };
-        if act.token < h.highest {
+        if action.token < h.highest_token {
             self.refused += 1;
-            return Answer::Refused { seen: h.highest };
+            return Answer::Refused {
+                seen: h.highest_token,
+            };
         }
-        h.highest = act.token;
+        h.highest_token = action.token;
         self.accepted += 1;
-        let before = h.place;
-        h.place = match (act.step, before) {
-            (Step::Drain, Place::Serving) => Place::Draining,
-            (Step::Take, Place::Serving | Place::Draining) => Place::Away,
-            (Step::Return | Step::CallBack, Place::Draining) => Place::Serving,
-            (Step::Return, Place::Away) => Place::Returning,
+        let previous = h.state;
+        h.state = match (action.step, previous) {
+            (Step::Drain, ServerState::Serving) => ServerState::Draining,
+            (Step::Take, ServerState::Serving | ServerState::Draining) => ServerState::Away,
+            (Step::Return | Step::CallBack, ServerState::Draining) => ServerState::Serving,
+            (Step::Return, ServerState::Away) => ServerState::Returning,
             (_, before) => before,
         };
-        if h.place == before {
-            return match (act.step, before) {
-                (Step::CallBack, Place::Away) => Answer::Taken,
+        if h.state == previous {
+            return match (action.step, previous) {
+                (Step::CallBack, ServerState::Away) => Answer::Taken,
                 _ => Answer::Done { started: None },
             };
         }
-        h.since = now;
-        match act.step {
+        h.since_tick = now;
+        match action.step {
             Step::Drain => {
                 assert!(
-                    !h.drained_by.contains(&act.token),
-                    "drained twice by one token: {act:?}"
+                    !h.drained_by.contains(&action.token),
+                    "drained twice with one token: {action:?}"
                 );
-                h.drained_by.push(act.token);
+                h.drained_by.push(action.token);
             }
             Step::Take => {
-                assert_eq!(before, Place::Draining, "taken without a drain: {act:?}");
-                assert_eq!(h.clear, act.token, "taken and not clear: {act:?}");
-                *self.taken.entry(act.server.clone()).or_default() += 1;
+                assert_eq!(
+                    previous,
+                    ServerState::Draining,
+                    "taken without a drain: {action:?}"
+                );
+                assert_eq!(
+                    h.clear_token, action.token,
+                    "taken before it was drained: {action:?}"
+                );
+                *self.taken.entry(action.server.clone()).or_default() += 1;
             }
             Step::Return | Step::CallBack => {}
         }
-        if act.step == Step::Drain {
-            self.capacity(act);
+        if action.step == Step::Drain {
+            self.check_capacity(action);
         }
         Answer::Done { started: None }
     }
 
-    /// What is there bears what was just drained; a death that cannot be known yet is nobody's
-    /// fault.
-    fn capacity(&self, act: &Action) {
-        let there = |h: &&Held| {
-            let dead = h.dead.is_some_and(|since| self.now > since + UNKNOWN);
-            h.place == Place::Serving && !dead && self.warm(h)
+    /// Checks that the remaining capacity suffices after a drain; failures that cannot be known yet
+    /// do not count.
+    fn check_capacity(&self, action: &Action) {
+        let serves = |h: &&SimulatedServer| {
+            let dead = h
+                .dead_since
+                .is_some_and(|since| self.now > since + MAX_DETECTION_TICKS);
+            h.state == ServerState::Serving && !dead && self.is_warm(h)
         };
-        let there: Vec<&Held> = self.all.iter().filter(there).collect();
-        let away = self.all.len() - there.len();
+        let serving: Vec<&SimulatedServer> = self.servers.iter().filter(serves).collect();
+        let away = self.servers.len() - serving.len();
         assert!(
-            there.len() as u64 * 10 >= self.budget.keep,
-            "capacity breached by {act:?}: {:#?}",
-            self.all
+            serving.len() as u64 * 10 >= self.budget.keep,
+            "capacity breached by {action:?}: {:#?}",
+            self.servers
         );
         assert!(
             away <= self.budget.most_away as usize,
-            "{away} away by {act:?}"
+            "{away} away by {action:?}"
         );
         for (zone, keep) in &self.budget.keep_zone {
-            let of_zone = there.iter().filter(|h| h.zone == *zone).count();
+            let serving_in_zone = serving.iter().filter(|h| h.zone == *zone).count();
             assert!(
-                of_zone as u64 * 10 >= *keep,
-                "capacity of {zone} breached by {act:?}"
+                serving_in_zone as u64 * 10 >= *keep,
+                "capacity of {zone} breached by {action:?}"
             );
         }
     }
