--- a/crates/coordinator/tests/core/transit.rs
+++ b/crates/coordinator/tests/core/transit.rs
@@ -4,82 +4,82 @@
 use load_balancer_coordinator::core::{Input, Output, Reply};
 use load_balancer_maintenance::{Action, Answer, Outcome, Unclear};
 
-/// What is on its way.
-pub enum Parcel {
-    /// For a seat.
+/// A message in transit.
+pub enum InTransit {
+    /// To a coordinator.
     Input(usize, Input),
-    /// For the platform, by a seat.
+    /// To the platform, from a coordinator.
     Action(usize, Action),
-    Question(usize, Unclear),
+    DrainCheck(usize, Unclear),
 }
 
 impl World {
-    fn put(&mut self, parcel: Parcel) {
+    fn send(&mut self, item: InTransit) {
         self.sent += 1;
-        let at = self.now + self.random.u64(1..=self.net.delay);
-        self.wire.insert((at, self.sent), parcel);
+        let at = self.now + self.random.u64(1..=self.network.delay);
+        self.in_transit.insert((at, self.sent), item);
     }
 
-    pub fn lost(&mut self) -> bool {
-        self.random.u64(0..1_000) < self.net.loss
+    pub fn is_lost(&mut self) -> bool {
+        self.random.u64(0..1_000) < self.network.loss
     }
 
-    /// Gives a coordinator something, and does what it says.
-    pub fn give(&mut self, place: usize, input: Input) {
+    /// Passes an input to a coordinator and performs its outputs.
+    pub fn deliver_input(&mut self, place: usize, input: Input) {
         let now = self.clock(place);
-        if self.now < self.slots[place].stopped_until {
-            // It is given once the process goes on.
-            let parcel = Parcel::Input(place, input);
+        if self.now < self.hosts[place].stopped_until {
+            // A suspended process receives it when it resumes.
+            let item = InTransit::Input(place, input);
             self.sent += 1;
-            let at = self.slots[place].stopped_until;
-            return drop(self.wire.insert((at, self.sent), parcel));
+            let at = self.hosts[place].stopped_until;
+            return drop(self.in_transit.insert((at, self.sent), item));
         }
-        let Some(coordinator) = &mut self.slots[place].coordinator else {
+        let Some(coordinator) = &mut self.hosts[place].coordinator else {
             return;
         };
-        coordinator.take(now, input);
-        match coordinator.drive(now) {
-            Ok(output) => self.perform(place, output),
+        coordinator.handle_input(now, input);
+        match coordinator.process(now) {
+            Ok(output) => self.perform_output(place, output),
             Err(_) => self.crash(place),
         }
     }
 
-    fn perform(&mut self, place: usize, output: Output) {
-        for (to, message) in output.messages {
-            let Some(to) = self.slots.iter().position(|slot| slot.name == to) else {
+    fn perform_output(&mut self, place: usize, output: Output) {
+        for (recipient, message) in output.messages {
+            let Some(to) = self.hosts.iter().position(|slot| slot.name == recipient) else {
                 continue;
             };
-            if self.slots[to].side == self.slots[place].side && !self.lost() {
-                let from = self.slots[place].name.clone();
-                self.put(Parcel::Input(to, Input::Message(from, message)));
+            if self.hosts[to].partition == self.hosts[place].partition && !self.is_lost() {
+                let from = self.hosts[place].name.clone();
+                self.send(InTransit::Input(to, Input::Message(from, message)));
             }
         }
-        if !output.acts.is_empty() || !output.questions.is_empty() {
-            self.may_order(place);
+        if !output.actions.is_empty() || !output.drain_checks.is_empty() {
+            self.check_may_order(place);
         }
-        for order in output.acts {
-            self.moment();
-            // Now and then one is on its way for much longer than anybody waits for it.
-            if self.random.u64(0..1_000) < self.net.loss / 2 {
+        for order in output.actions {
+            self.record_step();
+            // Occasionally an order is in transit for much longer than any timeout.
+            if self.random.u64(0..1_000) < self.network.loss / 2 {
                 self.sent += 1;
                 let at = self.now + self.random.u64(20..200);
-                self.wire
-                    .insert((at, self.sent), Parcel::Action(place, order.what));
+                self.in_transit
+                    .insert((at, self.sent), InTransit::Action(place, order.item));
             } else {
-                self.put(Parcel::Action(place, order.what));
+                self.send(InTransit::Action(place, order.item));
             }
         }
-        for order in output.questions {
-            self.moment();
-            self.put(Parcel::Question(place, order.what));
+        for order in output.drain_checks {
+            self.record_step();
+            self.send(InTransit::DrainCheck(place, order.item));
         }
         for (caller, reply) in output.replies {
-            if let (Some(request), Reply::Agreed(Outcome::Booked { window, .. })) =
-                (self.asked.remove(&caller), reply)
+            if let (Some(request), Reply::Committed(Outcome::Booked { window, .. })) =
+                (self.requests.remove(&caller), reply)
             {
-                let before = self.booked.insert(request.name.clone(), window);
+                let previous = self.booked.insert(request.name.clone(), window);
                 assert!(
-                    before.is_none_or(|before| before == window),
+                    previous.is_none_or(|before| before == window),
                     "two windows for {}",
                     request.name
                 );
@@ -87,52 +87,59 @@
         }
     }
 
-    /// Whoever orders leads, or has been deposed for no longer than a majority's word lasts.
-    fn may_order(&mut self, place: usize) {
-        let Some(coordinator) = &self.slots[place].coordinator else {
+    /// Checks that a coordinator that orders actions leads, or was deposed no longer ago than a
+    /// majority's confirmation is valid.
+    fn check_may_order(&mut self, place: usize) {
+        let Some(coordinator) = &self.hosts[place].coordinator else {
             return;
         };
         let own = coordinator.replica_status().term;
-        let later = self.terms.iter().find(|(term, _)| **term > own);
-        let late = later.is_some_and(|(_, since)| self.now > since + PATIENCE as u64);
-        assert!(!late, "s{place} orders in term {own}, and {later:?} leads");
+        let later = self
+            .leader_since_by_term
+            .iter()
+            .find(|(term, _)| **term > own);
+        let too_late = later.is_some_and(|(_, since)| self.now > since + PATIENCE as u64);
+        assert!(
+            !too_late,
+            "s{place} orders in term {own}, but {later:?} leads"
+        );
     }
 
-    /// Something happened to a server's window.
-    fn moment(&mut self) {
-        self.moments += 1;
-        if self.kill_at == Some(self.moments)
+    /// Records a step of a window.
+    fn record_step(&mut self) {
+        self.steps += 1;
+        if self.kill_leader_at_step == Some(self.steps)
             && let Some(leader) = self.leader()
         {
             self.crash(leader);
         }
     }
 
-    pub fn deliver(&mut self) {
-        let later = self.wire.split_off(&(self.now + 1, 0));
-        for (_, parcel) in std::mem::replace(&mut self.wire, later) {
-            match parcel {
-                Parcel::Input(place, input) => {
-                    if matches!(input, Input::Acted(..) | Input::Cleared(..)) {
-                        self.moment();
+    pub fn deliver_due(&mut self) {
+        let later = self.in_transit.split_off(&(self.now + 1, 0));
+        for (_, item) in std::mem::replace(&mut self.in_transit, later) {
+            match item {
+                InTransit::Input(place, input) => {
+                    if matches!(input, Input::ActionResult(..) | Input::DrainResult(..)) {
+                        self.record_step();
                     }
-                    self.give(place, input);
+                    self.deliver_input(place, input);
                 }
-                Parcel::Action(place, act) => {
-                    // It gets there or not, and is heard of or not, whether who sent it lives or
-                    // not.
-                    let answer = if self.lost() {
+                InTransit::Action(place, action) => {
+                    // The action and its answer may be lost independently, whether or not the
+                    // sender still runs.
+                    let answer = if self.is_lost() {
                         None
                     } else {
-                        Some(self.platform.act(&act))
+                        Some(self.platform.perform(&action))
                     };
-                    self.moment();
-                    let answer: Option<Answer> = answer.filter(|_| !self.lost());
-                    self.put(Parcel::Input(place, Input::Acted(act, answer)));
+                    self.record_step();
+                    let answer: Option<Answer> = answer.filter(|_| !self.is_lost());
+                    self.send(InTransit::Input(place, Input::ActionResult(action, answer)));
                 }
-                Parcel::Question(place, question) => {
-                    let clear = !self.lost() && self.platform.clear(&question);
-                    self.put(Parcel::Input(place, Input::Cleared(question, clear)));
+                InTransit::DrainCheck(place, check) => {
+                    let clear = !self.is_lost() && self.platform.check_clear(&check);
+                    self.send(InTransit::Input(place, Input::DrainResult(check, clear)));
                 }
             }
         }
--- a/crates/coordinator/tests/core/world.rs
+++ b/crates/coordinator/tests/core/world.rs
@@ -1,7 +1,7 @@
 //! Coordinators in simulated time with their network, disks, clocks and platform.
 
-use crate::platform::{Place, Platform, TICK_MS};
-use crate::transit::Parcel;
+use crate::platform::{Platform, ServerState, TICK_MS};
+use crate::transit::InTransit;
 use load_balancer_coordinator::core::{CoordinatorCore, Input, Now, Settings};
 use load_balancer_coordinator::replicated_log::{LogStore, Options};
 use load_balancer_maintenance::{DisruptionBudget, Event, Request, Target};
@@ -11,22 +11,22 @@
 
 const START_MS: i64 = 1_800_000_000_000;
 pub const PATIENCE: usize = 10;
-/// Ticks between two rounds of looks.
-const ROUND: u64 = 10;
+/// Ticks between two polling rounds.
+const POLL_INTERVAL: u64 = 10;
 
-pub struct Seat {
+pub struct Host {
     pub name: String,
     disk: Disk,
     pub coordinator: Option<CoordinatorCore>,
-    /// Does nothing until then (SIGSTOP).
+    /// Suspended until this tick (SIGSTOP).
     pub stopped_until: u64,
     skew_ms: i64,
-    pub side: u8,
+    pub partition: u8,
 }
 
-/// Chances in a thousand, and ticks.
+/// Message loss per thousand, and maximum delay in ticks.
 #[derive(Clone, Copy, Debug)]
-pub struct Net {
+pub struct NetworkFaults {
     pub loss: u64,
     pub delay: u64,
 }
@@ -34,22 +34,22 @@
 pub struct World {
     pub random: fastrand::Rng,
     pub now: u64,
-    pub slots: Vec<Seat>,
+    pub hosts: Vec<Host>,
     pub platform: Platform,
-    pub net: Net,
+    pub network: NetworkFaults,
     budget: DisruptionBudget,
-    pub wire: BTreeMap<(u64, u64), Parcel>,
+    pub in_transit: BTreeMap<(u64, u64), InTransit>,
     pub sent: u64,
-    /// Callers' requests by number, until they are answered.
-    pub asked: BTreeMap<u64, Request>,
+    /// Pending requests by caller.
+    pub requests: BTreeMap<u64, Request>,
     pub booked: BTreeMap<String, u64>,
-    callers: u64,
-    /// When each term's leader could act first.
-    pub terms: BTreeMap<u64, u64>,
-    /// What was done for servers so far: orders, arrivals, answers.
-    pub moments: u64,
-    /// The leader is killed at this moment.
-    pub kill_at: Option<u64>,
+    last_caller: u64,
+    /// First tick at which the leader of each term was active.
+    pub leader_since_by_term: BTreeMap<u64, u64>,
+    /// Number of steps so far: orders, arrivals and answers.
+    pub steps: u64,
+    /// The leader is killed at this step.
+    pub kill_leader_at_step: Option<u64>,
     pub kills: u64,
 }
 
@@ -60,45 +60,45 @@
 }
 
 impl World {
-    pub fn new(seed: u64, size: usize, net: Net) -> Self {
+    pub fn new(seed: u64, size: usize, net: NetworkFaults) -> Self {
         let mut random = fastrand::Rng::with_seed(seed);
-        let slot = |n: usize, random: &mut fastrand::Rng| Seat {
+        let slot = |n: usize, random: &mut fastrand::Rng| Host {
             name: format!("s{n}"),
             disk: Disk::new(),
             coordinator: None,
             stopped_until: 0,
             skew_ms: random.i64(-1_000..1_000),
-            side: 0,
+            partition: 0,
         };
         let slots = (0..size).map(|n| slot(n, &mut random)).collect();
         let mut world = Self {
             random,
             now: 0,
-            slots,
+            hosts: slots,
             platform: Platform::new(9, budget()),
-            net,
+            network: net,
             budget: budget(),
-            wire: BTreeMap::new(),
+            in_transit: BTreeMap::new(),
             sent: 0,
-            asked: BTreeMap::new(),
+            requests: BTreeMap::new(),
             booked: BTreeMap::new(),
-            callers: 0,
-            terms: BTreeMap::new(),
-            moments: 0,
-            kill_at: None,
+            last_caller: 0,
+            leader_since_by_term: BTreeMap::new(),
+            steps: 0,
+            kill_leader_at_step: None,
             kills: 0,
         };
         (0..size).for_each(|place| world.start(place, place == 0));
         world
     }
 
-    pub fn start(&mut self, place: usize, found: bool) {
-        if self.slots[place].coordinator.is_some() {
+    pub fn start(&mut self, place: usize, is_founder: bool) {
+        if self.hosts[place].coordinator.is_some() {
             return;
         }
         let (id, run) = (self.random.u64(1..), self.random.u64(..));
-        let names: Vec<String> = self.slots.iter().map(|slot| slot.name.clone()).collect();
-        let slot = &mut self.slots[place];
+        let names: Vec<String> = self.hosts.iter().map(|slot| slot.name.clone()).collect();
+        let slot = &mut self.hosts[place];
         let store = match Store::on(slot.disk.clone(), &slot.name) {
             Ok(store) => store,
             Err(OpenError::Corruption(_)) => {
@@ -110,84 +110,86 @@
         let log_store = LogStore::open(store, id).expect("what is kept belongs together");
         let options = Options {
             name: slot.name.clone(),
-            run,
-            patience: PATIENCE,
-            least: names.len().min(3),
+            run_id: run,
+            election_ticks: PATIENCE,
+            min_voters: names.len().min(3),
         };
         let confirmation_ms = TICK_MS * PATIENCE as u64;
         let settings = Settings {
             names,
             budget: self.budget.clone(),
-            again_ms: 500,
-            lost_ms: 4_000,
-            confirmation_ms,
+            retry_delay_ms: 500,
+            action_timeout_ms: 4_000,
+            confirmation_validity_ms: confirmation_ms,
         };
         slot.coordinator =
-            Some(CoordinatorCore::new(log_store, options, settings, found).expect("starts"));
+            Some(CoordinatorCore::new(log_store, options, settings, is_founder).expect("starts"));
     }
 
     pub fn crash(&mut self, place: usize) {
         let random = &mut self.random;
-        let slot = &mut self.slots[place];
+        let slot = &mut self.hosts[place];
         slot.coordinator = None;
         slot.disk = slot.disk.crash(|| random.bool());
         self.kills += 1;
     }
 
-    /// Takes the disk away with all that is on it.
-    pub fn empty(&mut self, place: usize) {
+    /// Replaces the disk by an empty one.
+    pub fn replace_disk(&mut self, place: usize) {
         self.crash(place);
-        self.slots[place].disk = Disk::new();
+        self.hosts[place].disk = Disk::new();
     }
 
-    pub fn voices(&self) -> usize {
+    pub fn voters(&self) -> usize {
         let replica_status = self
-            .slots
+            .hosts
             .iter()
             .filter_map(|s| s.coordinator.as_ref())
             .map(CoordinatorCore::replica_status);
         replica_status.filter(|s| s.voice).count()
     }
 
-    /// Whether all run, have a voice and know the same: one disk may be lost then, by the promise.
-    pub fn agreed(&self) -> bool {
-        let size = self.slots.len();
+    /// Returns whether all coordinators run, have a vote and have applied the same entries: only
+    /// then may a disk be lost.
+    pub fn is_settled(&self) -> bool {
+        let size = self.hosts.len();
         let replica_status = self
-            .slots
+            .hosts
             .iter()
             .filter_map(|s| s.coordinator.as_ref())
             .map(CoordinatorCore::replica_status);
-        // While an old disk still counts beside its new one, the loss of another is one too many.
-        let whole = replica_status.filter(|s| s.voice && s.members.len() == size);
-        let applied: Vec<u64> = whole.map(|s| s.applied).collect();
+        // While an old disk still counts along with its replacement, another lost disk would be one
+        // too many.
+        let settled = replica_status.filter(|s| s.voice && s.members.len() == size);
+        let applied: Vec<u64> = settled.map(|s| s.applied).collect();
         applied.len() == size && applied.iter().all(|one| *one == applied[0])
     }
 
     pub fn leader(&self) -> Option<usize> {
-        let acts = |s: &Seat| {
+        let active_term = |s: &Host| {
             s.coordinator
                 .as_ref()
                 .filter(|s| s.replica_status().acts)
                 .map(|s| s.replica_status().term)
         };
         let leaders = self
-            .slots
+            .hosts
             .iter()
             .enumerate()
-            .filter_map(|(n, s)| Some((acts(s)?, n)));
+            .filter_map(|(n, s)| Some((active_term(s)?, n)));
         leaders.max().map(|(_, place)| place)
     }
 
     pub fn clock(&self, place: usize) -> Now {
         let mono_ms = self.now * TICK_MS;
         Now {
-            unix_ms: START_MS + mono_ms as i64 + self.slots[place].skew_ms,
+            unix_ms: START_MS + mono_ms as i64 + self.hosts[place].skew_ms,
             mono_ms,
         }
     }
 
-    /// Somebody asks for servers to be away, whoever answers.
-    pub fn ask(&mut self, name: &str, servers: &[usize], place: usize) {
+    /// Requests a window for servers at one coordinator.
+    pub fn request_window(&mut self, name: &str, servers: &[usize], place: usize) {
         let unix = self.clock(place).unix_ms;
         let servers = servers.iter().map(|n| format!("a{n}")).collect();
         let request = Request {
@@ -200,27 +202,27 @@
             priority: 0,
             split: true,
         };
-        self.callers += 1;
-        self.asked.insert(self.callers, request.clone());
-        self.give(place, Input::Bring(self.callers, Event::Ask(request)));
+        self.last_caller += 1;
+        self.requests.insert(self.last_caller, request.clone());
+        self.deliver_input(place, Input::Propose(self.last_caller, Event::Ask(request)));
     }
 
-    /// Somebody takes a window back, or says that the work is finished.
-    pub fn bring(&mut self, place: usize, event: Event) {
-        self.callers += 1;
-        self.give(place, Input::Bring(self.callers, event));
+    /// Proposes an event at one coordinator.
+    pub fn propose(&mut self, place: usize, event: Event) {
+        self.last_caller += 1;
+        self.deliver_input(place, Input::Propose(self.last_caller, event));
     }
 
-    pub fn pass(&mut self) {
+    pub fn advance(&mut self) {
         self.now += 1;
-        self.platform.pass();
-        self.deliver();
-        for place in 0..self.slots.len() {
-            if self.now < self.slots[place].stopped_until {
+        self.platform.advance();
+        self.deliver_due();
+        for place in 0..self.hosts.len() {
+            if self.now < self.hosts[place].stopped_until {
                 continue;
             }
-            self.give(place, Input::Tick);
-            let Some(replica_status) = self.slots[place]
+            self.deliver_input(place, Input::Tick);
+            let Some(replica_status) = self.hosts[place]
                 .coordinator
                 .as_ref()
                 .map(CoordinatorCore::replica_status)
@@ -228,45 +230,55 @@
                 continue;
             };
             if replica_status.acts {
-                self.terms.entry(replica_status.term).or_insert(self.now);
-                if self.now.is_multiple_of(ROUND) && !self.lost() {
-                    let (list, words) = (self.platform.list(), self.platform.words());
-                    self.give(place, Input::Listed(list));
-                    self.give(place, Input::Observations(self.now * TICK_MS, words));
+                self.leader_since_by_term
+                    .entry(replica_status.term)
+                    .or_insert(self.now);
+                if self.now.is_multiple_of(POLL_INTERVAL) && !self.is_lost() {
+                    let (list, words) = (self.platform.list(), self.platform.observations());
+                    self.deliver_input(place, Input::ServerList(list));
+                    self.deliver_input(place, Input::Observations(self.now * TICK_MS, words));
                 }
             }
             if !replica_status.voice && self.now.is_multiple_of(3) {
                 let (name, host) = (
-                    self.slots[place].name.clone(),
-                    self.random.usize(0..self.slots.len()),
+                    self.hosts[place].name.clone(),
+                    self.random.usize(0..self.hosts.len()),
                 );
-                if self.slots[host].side == self.slots[place].side {
-                    self.callers += 1;
-                    self.give(host, Input::Admit(self.callers, replica_status.id, name));
+                if self.hosts[host].partition == self.hosts[place].partition {
+                    self.last_caller += 1;
+                    self.deliver_input(
+                        host,
+                        Input::RequestVote(self.last_caller, replica_status.id, name),
+                    );
                 }
             }
         }
     }
 
-    /// Whether all windows are over, and every server serves.
-    pub fn over(&self) -> bool {
+    /// Returns whether all windows are closed and all servers serve.
+    pub fn is_over(&self) -> bool {
         let leader = self
             .leader()
-            .and_then(|place| self.slots[place].coordinator.as_ref());
+            .and_then(|place| self.hosts[place].coordinator.as_ref());
         let Some(leader) = leader else { return false };
         let closed = leader
             .view(self.clock(0))
             .windows
             .iter()
-            .all(|w| w.slots.iter().all(closed));
-        closed && self.platform.all.iter().all(|h| h.place == Place::Serving)
+            .all(|w| w.slots.iter().all(is_closed));
+        closed
+            && self
+                .platform
+                .servers
+                .iter()
+                .all(|h| h.state == ServerState::Serving)
     }
 
-    /// Numbers of the windows that the leader knows.
-    pub fn windows(&self) -> BTreeSet<u64> {
+    /// Returns the numbers of the windows known to the leader.
+    pub fn known_windows(&self) -> BTreeSet<u64> {
         let leader = self
             .leader()
-            .and_then(|place| self.slots[place].coordinator.as_ref());
+            .and_then(|place| self.hosts[place].coordinator.as_ref());
         let windows = leader
             .map(|leader| leader.machine().windows())
             .unwrap_or_default();
@@ -274,6 +286,6 @@
     }
 }
 
-fn closed(slot: &load_balancer_maintenance::ServerSlotView) -> bool {
+fn is_closed(slot: &load_balancer_maintenance::ServerSlotView) -> bool {
     slot.state == load_balancer_maintenance::State::Closed
 }
--- a/crates/coordinator/tests/process/cluster.rs
+++ b/crates/coordinator/tests/process/cluster.rs
@@ -10,38 +10,38 @@
 use tokio::net::TcpSocket;
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_coordinator");
-/// A machine under load takes its time; no assertion depends on how long.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Time limit of each wait, generous for a loaded machine; no assertion depends on it.
+const WAIT_LIMIT: Duration = Duration::from_secs(60);
 
 pub struct Cluster {
-    pub at: Vec<SocketAddr>,
-    /// Their addresses, which stay their own while they are down.
-    _kept: Vec<TcpSocket>,
+    pub addresses: Vec<SocketAddr>,
+    /// Sockets that reserve the addresses while coordinators are down.
+    _reserved: Vec<TcpSocket>,
     folder: tempfile::TempDir,
     running: Vec<Option<Child>>,
 }
 
-/// Waits for something that must come.
-pub fn wait_for(what: &str, mut come: impl FnMut() -> bool) {
-    let until = Instant::now() + PATIENCE;
-    while !come() {
-        assert!(Instant::now() < until, "{what}: not in {PATIENCE:?}");
+/// Waits until a condition holds.
+pub fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
+    let until = Instant::now() + WAIT_LIMIT;
+    while !condition() {
+        assert!(Instant::now() < until, "{what}: not in {WAIT_LIMIT:?}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// An hour from now, in milliseconds of Unix time.
-pub fn soon() -> String {
+/// Returns the time in an hour, in milliseconds of Unix time.
+pub fn in_an_hour_ms() -> String {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .expect("after 1970");
     (now.as_millis() + 3_600_000).to_string()
 }
 
-/// Asks once: status and content.
+/// Sends one request. Returns status and content.
 pub fn exchange(at: SocketAddr, method: &str, path: &str, body: &str) -> Option<(u16, String)> {
     let mut stream = TcpStream::connect(at).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
+    stream.set_read_timeout(Some(WAIT_LIMIT)).ok()?;
     let length = body.len();
     let head = format!(
         "{method} {path} HTTP/1.1\r\nhost: s\r\nconnection: close\r\ncontent-length: {length}\r\n\r\n"
@@ -53,8 +53,8 @@
     Some((head.get(9..12)?.parse().ok()?, content.to_owned()))
 }
 
-/// A platform that lists one server.
-fn platform() -> SocketAddr {
+/// Starts a platform that lists one server.
+fn start_platform() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = listener.local_addr().expect("an address");
     std::thread::spawn(move || {
@@ -76,19 +76,19 @@
     at
 }
 
-/// Keeps a port for a coordinator: a bound socket that does not listen and allows reuse, so that
-/// the system gives the port to nobody else and the coordinator, which allows reuse as well, may
-/// listen there. One that was noted and let go of would now and then be found in use, by other
-/// processes or by one just being started, which still holds all sockets of this one.
-fn keep() -> TcpSocket {
+/// Reserves a port for a coordinator: a bound socket that does not listen and allows reuse. The
+/// system assigns the port to no other process, and the coordinator, which also allows reuse, can
+/// listen on it. A port that was only looked up and released could be taken by another process, or
+/// still be held by a child process that is just being started.
+fn reserve_port() -> TcpSocket {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_reuseaddr(true).expect("it may be bound again");
     socket.bind(([127, 0, 0, 1], 0).into()).expect("a port");
     socket
 }
 
-/// A coordinator's file.
-pub fn text(folder: &Path, own: usize, at: &[SocketAddr], platform: u16) -> String {
+/// Returns the configuration of a coordinator.
+pub fn configuration(folder: &Path, own: usize, at: &[SocketAddr], platform: u16) -> String {
     let data = folder.join(format!("s{own}.data"));
     let mut text = format!(
         "[coordinator]\nname = \"s{own}\"\nlisten = \"{}\"\ndata = {data:?}\n\n",
@@ -107,29 +107,32 @@
 impl Cluster {
     pub fn start(size: usize) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
-        let kept: Vec<TcpSocket> = (0..size).map(|_| keep()).collect();
+        let kept: Vec<TcpSocket> = (0..size).map(|_| reserve_port()).collect();
         let at: Vec<SocketAddr> = kept
             .iter()
             .map(|k| k.local_addr().expect("an address"))
             .collect();
-        let platform = platform().port();
+        let platform = start_platform().port();
         for own in 0..size {
             let file = folder.path().join(format!("s{own}.toml"));
-            fs::write(file, text(folder.path(), own, &at, platform)).expect("it is written");
+            fs::write(file, configuration(folder.path(), own, &at, platform))
+                .expect("it is written");
         }
         let mut cluster = Self {
-            at,
-            _kept: kept,
+            addresses: at,
+            _reserved: kept,
             folder,
             running: (0..size).map(|_| None).collect(),
         };
         (0..size).for_each(|n| cluster.run(n));
-        wait_for("all have a voice and one leads", || {
+        wait_for("all coordinators have a vote and one leads", || {
             (0..size).all(|n| {
                 cluster.status(n)["voters"]
                     .as_array()
                     .is_some_and(|all| all.len() == size)
-            }) && cluster.leads().is_some_and(|n| cluster.ready(n))
+            }) && cluster
+                .current_leader()
+                .is_some_and(|n| cluster.is_ready(n))
         });
         cluster
     }
@@ -155,29 +158,29 @@
 
     pub fn status(&self, coordinator: usize) -> Value {
         let content =
-            exchange(self.at[coordinator], "GET", "/status", "").map(|(_, content)| content);
+            exchange(self.addresses[coordinator], "GET", "/status", "").map(|(_, content)| content);
         content
             .and_then(|text| serde_json::from_str(&text).ok())
             .unwrap_or(Value::Null)
     }
 
-    /// Whether it has looked at servers and fleet, and the agreement is taken in: until then it
-    /// says "not yet" to asks.
-    fn ready(&self, coordinator: usize) -> bool {
+    /// Returns whether it has polled the platform and the fleet and committed the disruption
+    /// budget; until then it rejects requests.
+    fn is_ready(&self, coordinator: usize) -> bool {
         let status = self.status(coordinator);
         status["looked"] == true && status["holds"].is_boolean()
     }
 
-    pub fn leads(&self) -> Option<usize> {
-        (0..self.at.len()).find(|n| self.status(*n)["acts"] == true)
+    pub fn current_leader(&self) -> Option<usize> {
+        (0..self.addresses.len()).find(|n| self.status(*n)["acts"] == true)
     }
 
     pub fn leader(&self) -> usize {
-        wait_for("one leads", || self.leads().is_some());
-        self.leads().expect("it still does")
+        wait_for("a coordinator leads", || self.current_leader().is_some());
+        self.current_leader().expect("it still does")
     }
 
-    pub fn said(&self, coordinator: usize) -> String {
+    pub fn log(&self, coordinator: usize) -> String {
         fs::read_to_string(self.file(coordinator, "log")).unwrap_or_default()
     }
 
@@ -188,7 +191,7 @@
         }
     }
 
-    /// Tells it to stop; whether it ended well.
+    /// Sends SIGTERM. Returns whether the process exited successfully.
     pub fn stop(&mut self, coordinator: usize) -> bool {
         let Some(mut child) = self.running[coordinator].take() else {
             return false;
@@ -197,7 +200,10 @@
             .arg("-TERM")
             .arg(child.id().to_string())
             .status();
-        assert!(told.is_ok_and(|told| told.success()), "it cannot be told");
+        assert!(
+            told.is_ok_and(|told| told.success()),
+            "the signal could not be sent"
+        );
         let mut ended = None;
         wait_for("it ends", || {
             ended = child.try_wait().expect("its state");
@@ -206,11 +212,11 @@
         ended.and_then(|ended| ended.code()) == Some(0)
     }
 
-    pub fn empty(&self, coordinator: usize) {
+    pub fn remove_disk(&self, coordinator: usize) {
         fs::remove_file(self.file(coordinator, "data")).expect("it is there");
     }
 
-    pub fn tear(&self, coordinator: usize) {
+    pub fn truncate_disk(&self, coordinator: usize) {
         let file = OpenOptions::new()
             .write(true)
             .open(self.file(coordinator, "data"))
@@ -219,8 +225,8 @@
         file.set_len(length / 2).expect("it is torn");
     }
 
-    /// Puts something in the place of its file that no program can open as one, and back.
-    pub fn block(&self, coordinator: usize) {
+    /// Replaces its data file by something that cannot be opened as one; `unblock_disk` reverts it.
+    pub fn block_disk(&self, coordinator: usize) {
         fs::rename(
             self.file(coordinator, "data"),
             self.file(coordinator, "kept"),
@@ -230,7 +236,7 @@
         File::create(self.file(coordinator, "data").join("x")).expect("which is not empty");
     }
 
-    pub fn free(&self, coordinator: usize) {
+    pub fn unblock_disk(&self, coordinator: usize) {
         fs::remove_dir_all(self.file(coordinator, "data")).expect("it is there");
         fs::rename(
             self.file(coordinator, "kept"),
@@ -246,16 +252,16 @@
     }
 }
 
-/// Whether a window of a server that nobody lists is refused by the leader.
-pub fn refused(cluster: &Cluster, name: &str) -> bool {
-    let latest: i64 = soon().parse().expect("a number");
-    let ask = json!({"name": name, "target": {"servers": ["b"]}, "earliest_ms": 0, "latest_ms": latest,
+/// Returns whether the leader rejects a window for an unlisted server.
+pub fn rejects_unlisted_server(cluster: &Cluster, name: &str) -> bool {
+    let latest: i64 = in_an_hour_ms().parse().expect("a number");
+    let request = json!({"name": name, "target": {"servers": ["b"]}, "earliest_ms": 0, "latest_ms": latest,
         "length_ms": 5});
     let answer = exchange(
-        cluster.at[cluster.leader()],
+        cluster.addresses[cluster.leader()],
         "POST",
         "/windows",
-        &ask.to_string(),
+        &request.to_string(),
     );
     answer.is_some_and(|(code, _)| code == 422)
 }
--- a/crates/coordinator/tests/process/main.rs
+++ b/crates/coordinator/tests/process/main.rs
@@ -1,17 +1,17 @@
-//! Coordinators as real processes: wrong calls, shutdown, and the return of a lost disk.
+//! Coordinators as real processes: invalid requests, shutdown, and recovery of a lost disk.
 
 mod cluster;
 
-use cluster::{Cluster, exchange, refused, wait_for};
+use cluster::{Cluster, exchange, rejects_unlisted_server, wait_for};
 use serde_json::json;
 use std::net::TcpStream;
 use std::process::Command;
 
-// Configurations that were written before the sections had the field's terms.
+// Configurations with the earlier names of the sections are still accepted.
 #[test]
 fn earlier_sections_mean_the_same_as_todays() {
     let folder = tempfile::tempdir().expect("a folder");
-    let today = cluster::text(
+    let today = cluster::configuration(
         folder.path(),
         0,
         &["127.0.0.1:1".parse().expect("an address")],
@@ -24,7 +24,7 @@
         .replace("[disruption_budget]", "[agreement]")
         + "\n[clear]\nask = true\n[log.targets]\nsteward = \"warn\"\n";
     let today = today + "\n[affinity_drain]\nask = true\n[log.targets]\ncoordinator = \"warn\"\n";
-    let checked = |text: &str| {
+    let check_output = |text: &str| {
         let file = folder.path().join("a.toml");
         std::fs::write(&file, text).expect("it is written");
         let mut command = Command::new(cluster::PROGRAM);
@@ -33,15 +33,15 @@
         assert_eq!(done.status.code(), Some(0), "{done:?}");
         String::from_utf8(done.stdout).expect("text")
     };
-    let written = checked(&today);
-    assert_eq!(checked(&earlier), written);
+    let written = check_output(&today);
+    assert_eq!(check_output(&earlier), written);
     assert!(written.contains("[affinity_drain]"), "{written}");
 }
 
 #[test]
 fn a_bad_configuration_is_one_line_with_file_line_and_key() {
     let folder = tempfile::tempdir().expect("a folder");
-    let good = cluster::text(
+    let good = cluster::configuration(
         folder.path(),
         0,
         &["127.0.0.1:1".parse().expect("an address")],
@@ -81,43 +81,47 @@
             .arg(&file)
             .output()
             .expect("it runs");
-        let said = String::from_utf8_lossy(&done.stderr);
+        let stderr = String::from_utf8_lossy(&done.stderr);
         assert_eq!(
-            (done.status.code(), said.lines().count()),
+            (done.status.code(), stderr.lines().count()),
             (Some(code), 1),
-            "{said}"
+            "{stderr}"
         );
         assert!(
-            said.starts_with("coordinator: ") && said.contains(words),
-            "{said}"
+            stderr.starts_with("coordinator: ") && stderr.contains(words),
+            "{stderr}"
         );
     }
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let at = taken.local_addr().expect("an address");
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+    let at = listener.local_addr().expect("an address");
     let file = folder.path().join("a.toml");
-    std::fs::write(&file, cluster::text(folder.path(), 0, &[at], 1)).expect("it is written");
+    std::fs::write(&file, cluster::configuration(folder.path(), 0, &[at], 1))
+        .expect("it is written");
     let done = Command::new(cluster::PROGRAM)
         .arg("--config")
         .arg(&file)
         .output()
         .expect("it runs");
-    let said = String::from_utf8_lossy(&done.stderr);
-    assert_eq!(done.status.code(), Some(69), "{said}");
-    assert!(said.contains(&format!("cannot listen on {at}")), "{said}");
+    let stderr = String::from_utf8_lossy(&done.stderr);
+    assert_eq!(done.status.code(), Some(69), "{stderr}");
+    assert!(
+        stderr.contains(&format!("cannot listen on {at}")),
+        "{stderr}"
+    );
 }
 
 #[test]
 fn wrong_requests_are_refused_with_key_and_reason_and_readers_keep_nobody_out() {
     let cluster = Cluster::start(3);
     let leader = cluster.leader();
-    let at = cluster.at[leader];
-    // More who say nothing than may be connected.
-    let stuck: Vec<TcpStream> = (0..80)
+    let at = cluster.addresses[leader];
+    // More idle connections than the limit.
+    let idle_connections: Vec<TcpStream> = (0..80)
         .map(|_| TcpStream::connect(at).expect("it accepts"))
         .collect();
-    let ask = json!({"name": "w", "target": {"servers": ["a0"]}, "earliest_ms": 0, "latest_ms": 1, "length_ms": 5});
-    let mut odd = ask.clone();
-    odd["lenght_ms"] = json!(5);
+    let request = json!({"name": "w", "target": {"servers": ["a0"]}, "earliest_ms": 0, "latest_ms": 1, "length_ms": 5});
+    let mut misspelt = request.clone();
+    misspelt["lenght_ms"] = json!(5);
     let unlisted = json!({"name": "w", "target": {"servers": ["b"]}, "earliest_ms": 0,
         "latest_ms": 4_000_000_000_000i64, "length_ms": 5});
     for (method, path, body, status, words) in [
@@ -125,14 +129,14 @@
         (
             "POST",
             "/windows",
-            odd.to_string(),
+            misspelt.to_string(),
             400,
             "\"key\":\"lenght_ms\"",
         ),
         (
             "POST",
             "/windows",
-            ask.to_string(),
+            request.to_string(),
             400,
             "\"key\":\"latest_ms\"",
         ),
@@ -141,7 +145,7 @@
             "/windows",
             unlisted
                 .to_string()
-                .replace("4000000000000", &cluster::soon()),
+                .replace("4000000000000", &cluster::in_an_hour_ms()),
             422,
             "b",
         ),
@@ -175,12 +179,12 @@
         assert_eq!(code, status, "{method} {path}: {content}");
         assert!(content.contains(words), "{method} {path}: {content}");
     }
-    drop(stuck);
+    drop(idle_connections);
     let (code, _) = exchange(at, "GET", "/status", "").expect("an answer");
     assert_eq!(
         (code, cluster.leader()),
         (200, leader),
-        "nothing of it has moved anybody"
+        "the coordinator is unaffected"
     );
 }
 
@@ -191,46 +195,47 @@
     let term = cluster.status(first)["term"].as_u64();
     assert!(cluster.stop(first), "it ends by itself");
     assert!(
-        cluster.said(first).contains("hands the lead over"),
+        cluster.log(first).contains("transferring leadership"),
         "{}",
-        cluster.said(first)
+        cluster.log(first)
     );
-    wait_for("another leads, by a hand-over and no waiting", || {
-        cluster.leads().is_some()
+    wait_for("another coordinator leads after the transfer", || {
+        cluster.current_leader().is_some()
     });
     let second = cluster.leader();
     assert_eq!(
         cluster.status(second)["term"].as_u64(),
         term.map(|term| term + 1),
-        "no failed election between"
+        "there was no failed election"
     );
-    // Its disk is gone: no founder, though it is first by name where it is s0.
-    cluster.empty(first);
+    // It lost its disk and must not found a new log, even as the first by name.
+    cluster.remove_disk(first);
     cluster.run(first);
-    wait_for("the new disk has a voice", || {
+    wait_for("the new disk has a vote", || {
         cluster.status(first)["voice"] == true
     });
     let disks = cluster.status(first)["voters"].as_array().map(Vec::len);
     assert_eq!(disks, Some(3));
-    // A file that is torn is quarantined, and said so.
+    // A truncated file is renamed, and logged.
     let follower = (0..3)
         .find(|n| *n != cluster.leader())
         .expect("one that follows");
     cluster.kill(follower);
-    cluster.tear(follower);
+    cluster.truncate_disk(follower);
     cluster.run(follower);
-    wait_for("the torn one has a voice again", || {
-        cluster.status(follower)["voice"] == true
-    });
+    wait_for(
+        "the coordinator with the truncated file has a vote again",
+        || cluster.status(follower)["voice"] == true,
+    );
     assert!(
-        cluster.said(follower).contains("is not believed"),
+        cluster.log(follower).contains("is invalid"),
         "{}",
-        cluster.said(follower)
+        cluster.log(follower)
     );
     assert!(
-        cluster.said(follower).contains(".aside-1"),
+        cluster.log(follower).contains(".aside-1"),
         "{}",
-        cluster.said(follower)
+        cluster.log(follower)
     );
 }
 
@@ -241,18 +246,22 @@
         .find(|n| *n != cluster.leader())
         .expect("one that follows");
     cluster.kill(follower);
-    cluster.block(follower);
+    cluster.block_disk(follower);
     cluster.run(follower);
-    wait_for("it says why", || {
+    wait_for("it reports the reason", || {
         cluster.status(follower)["halted"].is_string()
     });
-    let (code, _) = exchange(cluster.at[follower], "GET", "/windows", "").expect("an answer");
+    let (code, _) =
+        exchange(cluster.addresses[follower], "GET", "/windows", "").expect("an answer");
     assert_eq!(code, 503);
-    let lines = cluster.said(follower);
-    assert_eq!(lines.matches("stands back").count(), 1, "{lines}");
-    cluster.free(follower);
-    wait_for("it takes part again", || {
+    let lines = cluster.log(follower);
+    assert_eq!(lines.matches("halted: ").count(), 1, "{lines}");
+    cluster.unblock_disk(follower);
+    wait_for("it has a vote again", || {
         cluster.status(follower)["voice"] == true
     });
-    assert!(refused(&cluster, "w0"), "whom nobody lists");
+    assert!(
+        rejects_unlisted_server(&cluster, "w0"),
+        "an unlisted server is rejected"
+    );
 }
--- a/crates/coordinator/tests/replicated_log/main.rs
+++ b/crates/coordinator/tests/replicated_log/main.rs
@@ -1,31 +1,30 @@
-//! The replicated log under every fault that docs/coordinator.md names.
+//! The replicated log under every fault listed in docs/coordinator.md.
 //!
-//! The invariants are checked in the world at every step: one history, one leader a term, no answer
-//! lost, repeated or given for another order, time that never goes back, no confirmed reader that
-//! lags.
+//! The invariants are checked at every step: one history, one leader per term, no answer that is
+//! lost, repeated or for another order, non-decreasing time, and no confirmed read that lags.
 
 mod book;
 mod faults;
 mod message_filter;
 mod world;
 
-use faults::{Counts, Faults};
+use faults::{Counts, FaultRates};
 use world::World;
 
-const CALM: Faults = Faults {
+const NO_FAULTS: FaultRates = FaultRates {
     loss: 0,
     repeats: 0,
     delay: 1,
-    harsh: false,
+    with_faults: false,
 };
-const HARSH: Faults = Faults {
+const ALL_FAULTS: FaultRates = FaultRates {
     loss: 100,
     repeats: 50,
     delay: 12,
-    harsh: true,
+    with_faults: true,
 };
 
-fn play(seed: u64, size: usize, faults: Faults, ticks: u64) -> Counts {
+fn run(seed: u64, size: usize, faults: FaultRates, ticks: u64) -> Counts {
     let mut world = World::new(seed, size, faults);
     world.run(ticks);
     world.settle();
@@ -35,8 +34,8 @@
 #[test]
 fn without_faults_one_leader_answers_nearly_everything() {
     for size in [1, 3, 5] {
-        let counts = play(7, size, CALM, 1_000);
-        // One before the restart of all at the end, one after.
+        let counts = run(7, size, NO_FAULTS, 1_000);
+        // One before and one after the restart of all coordinators at the end.
         assert!(
             counts.leaders <= 2 && counts.answered > 50,
             "{size}: {counts:?}"
@@ -47,7 +46,10 @@
 #[test]
 fn a_seed_replays_a_history() {
     for size in [3, 5] {
-        assert_eq!(play(11, size, HARSH, 2_000), play(11, size, HARSH, 2_000));
+        assert_eq!(
+            run(11, size, ALL_FAULTS, 2_000),
+            run(11, size, ALL_FAULTS, 2_000)
+        );
     }
 }
 
@@ -56,7 +58,7 @@
     sweep(0..40);
 }
 
-/// The larger sweep whose figures stand in docs/coordinator.md: `STEWARD_SEEDS` says how many
+/// The larger sweep whose results are in docs/coordinator.md; `STEWARD_SEEDS` sets the number of
 /// seeds.
 #[test]
 #[ignore = "takes minutes"]
@@ -71,14 +73,14 @@
 fn sweep(seeds: std::ops::Range<u64>) {
     let mut sum = Counts::default();
     for seed in seeds {
-        let counts = play(seed, if seed % 2 == 0 { 3 } else { 5 }, HARSH, 2_000);
+        let counts = run(seed, if seed % 2 == 0 { 3 } else { 5 }, ALL_FAULTS, 2_000);
         for (all, one) in [
             (&mut sum.answered, counts.answered),
-            (&mut sum.agreed, counts.agreed),
+            (&mut sum.committed, counts.committed),
             (&mut sum.crashes, counts.crashes),
             (&mut sum.emptied, counts.emptied),
             (&mut sum.refused_disks, counts.refused_disks),
-            (&mut sum.cuts, counts.cuts),
+            (&mut sum.partitions, counts.partitions),
             (&mut sum.lost_messages, counts.lost_messages),
             (&mut sum.leaders, counts.leaders),
             (&mut sum.confirmed, counts.confirmed),
@@ -90,7 +92,7 @@
     for count in [
         sum.crashes,
         sum.emptied,
-        sum.cuts,
+        sum.partitions,
         sum.leaders,
         sum.confirmed,
         10 * sum.refused_disks,
--- a/crates/emulator/pairs/recorder/coordinator.rs
+++ b/crates/emulator/pairs/recorder/coordinator.rs
@@ -9,7 +9,7 @@
 //! `.`.
 
 use super::coordinator_interface::{
-    Admission, Node, Options, Replicated, Shelf, decode, encode, open_store,
+    self as interface, Admission, Node, Replicated, decode, encode, open_store,
 };
 use super::lines::{bytes, hex, read};
 use std::fmt::Write as _;
@@ -54,9 +54,10 @@
     node: Option<Node<Book>>,
 }
 
-/// Ticks that a leader may miss, and voices below which nothing is proposed.
-const PATIENCE: usize = 10;
-const LEAST: usize = 3;
+/// Ticks that a leader may miss.
+const ELECTION_TICKS: usize = 10;
+/// Voters below which nothing is proposed.
+const MIN_VOTERS: usize = 3;
 
 impl Session {
     /// Does what a line says; the lines that come of it.
@@ -70,14 +71,9 @@
             ["start", name, id, run, founds, file] => {
                 let (store, quarantined) = open_store(Path::new(file), name)?;
                 answers.extend(quarantined.map(|why| format!("aside {why}")));
-                let shelf = Shelf::open(store, read(id)?).map_err(|e| e.to_string())?;
-                let options = Options {
-                    name: name.to_owned(),
-                    run: read(run)?,
-                    patience: PATIENCE,
-                    least: LEAST,
-                };
-                let node = Node::new(shelf, Book::default(), options, founds == "1");
+                let log_store = interface::open_log_store(store, read(id)?)?;
+                let options = interface::options(name, read(run)?, ELECTION_TICKS, MIN_VOTERS);
+                let node = Node::new(log_store, Book::default(), options, founds == "1");
                 self.node = Some(node.map_err(|e| e.to_string())?);
                 return Ok(answers);
             }
@@ -116,21 +112,20 @@
                 return Ok(vec![format!(
                     "state {} {} {lines}-",
                     node.id(),
-                    node.acts()
+                    interface::is_active_leader(node)
                 )]);
             }
             _ => return Err(format!("cannot read {line:?}")),
         }
-        let effects = node.drive().map_err(|e| e.to_string())?;
-        for message in &effects.messages {
+        let (messages, answered_tickets) = interface::process_ready(node)?;
+        for message in &messages {
             let bytes = encode(message).ok_or("a message without form")?;
             answers.push(format!("message {} {}", message.to, hex(&bytes)));
         }
         answers.extend(
-            effects
-                .answers
+            answered_tickets
                 .iter()
-                .map(|(ticket, _)| format!("agreed {ticket}")),
+                .map(|ticket| format!("agreed {ticket}")),
         );
         Ok(answers)
     }
--- a/crates/emulator/pairs/recorder/member.rs
+++ b/crates/emulator/pairs/recorder/member.rs
@@ -9,7 +9,7 @@
 //! MEMBERS RECEIVED HEARD DROPPED`, then `.`.
 
 use super::lines::{bytes, hex, read};
-use super::member_interface::{self as interface, Core, FleetSection, Listed};
+use super::member_interface::{self as interface, Core, FleetSection};
 
 /// A member, once it has been started.
 #[derive(Default)]
@@ -49,23 +49,11 @@
         }
         let core = self.core.as_mut().ok_or("not started")?;
         match words[..] {
-            ["list", now, names] => {
-                let listed = |(endpoint, name): (usize, &str)| {
-                    let name = name.to_owned();
-                    Listed {
-                        endpoint,
-                        name,
-                        started: None,
-                        ready: true,
-                    }
-                };
-                core.listed(
-                    read(now)?,
-                    names.split(',').enumerate().map(listed).collect(),
-                );
-            }
+            ["list", now, names] => interface::set_endpoints(core, read(now)?, names.split(',')),
             ["tick", now] => core.tick(read(now)?),
-            ["datagram", now, from, hex] => core.datagram(read(now)?, read(from)?, &bytes(hex)?),
+            ["datagram", now, from, hex] => {
+                interface::handle_datagram(core, read(now)?, read(from)?, &bytes(hex)?);
+            }
             ["witness", now, endpoint, served] => {
                 interface::observe(core, read(now)?, read(endpoint)?, served == "1");
             }
@@ -74,25 +62,23 @@
             }
             ["leave", now] => core.leave(read(now)?),
             ["state"] => {
-                let counts = core.counts();
-                let dropped: Vec<String> = counts.dropped.iter().map(u64::to_string).collect();
-                let (received, heard) = (counts.received, counts.heard);
+                let (received, observations, dropped) = interface::counts(core);
+                let dropped: Vec<String> = dropped.iter().map(u64::to_string).collect();
                 return Ok(vec![format!(
-                    "state {} {received} {heard} {}",
+                    "state {} {received} {observations} {}",
                     core.members(),
                     dropped.join(",")
                 )]);
             }
             _ => return Err(format!("cannot read {line:?}")),
         }
-        let effects = core.effects();
+        let effects = interface::take_effects(core);
         let mut answers: Vec<String> = interface::carried(&effects)
             .into_iter()
             .map(|(kind, content)| format!("carried {kind} {}", hex(&content)))
             .collect();
         answers.extend(
-            effects
-                .datagrams
+            interface::datagrams(&effects)
                 .iter()
                 .map(|(to, bytes)| format!("datagram {to} {}", hex(bytes))),
         );
--- a/crates/emulator/src/byzantine_member.rs
+++ b/crates/emulator/src/byzantine_member.rs
@@ -1,7 +1,7 @@
 //! A Byzantine member that reports every server as dead.
 
 use load_balancer_gossip::core::Core;
-use load_balancer_gossip::frame::{self, Content, Head, MessagePart, OBSERVATION};
+use load_balancer_gossip::frame::{self, Content, FrameHeader, KIND_OBSERVATION, MessagePart};
 use load_balancer_gossip::observation_table::{Observation, ObservedHealth, Process};
 use load_balancer_gossip::section::FleetSection;
 use load_balancer_gossip::{Micros, hash};
@@ -42,12 +42,12 @@
         tokio::select! {
             came = socket.recv_from(&mut bytes) => {
                 if let Ok((length, from)) = came {
-                    core.datagram(now(), from, &bytes[..length]);
+                    core.handle_datagram(now(), from, &bytes[..length]);
                 }
             }
             () = sleep(ROUND) => core.tick(now()),
         }
-        for (to, bytes) in core.effects().datagrams {
+        for (to, bytes) in core.take_effects().datagrams {
             let _ = socket.try_send_to(&bytes, to);
         }
         if !*lies.borrow() {
@@ -55,9 +55,9 @@
         }
         let seen = now();
         for chunk in servers.chunks(10) {
-            let head = Head {
+            let head = FrameHeader {
                 cluster: &section.cluster,
-                sent: seen,
+                sent_at: seen,
                 content: Content::Updates,
             };
             let mut frame = frame::begin(&head);
@@ -76,10 +76,10 @@
                     health: ObservedHealth::Unhealthy,
                 };
                 if let Ok(bytes) = postcard::to_stdvec(&observation) {
-                    frame::add(
+                    frame::try_append(
                         &mut frame,
                         &MessagePart {
-                            kind: OBSERVATION,
+                            kind: KIND_OBSERVATION,
                             bytes: &bytes,
                         },
                     );
--- a/crates/emulator/src/pairs/lan.rs
+++ b/crates/emulator/src/pairs/lan.rs
@@ -2,7 +2,7 @@
 
 use super::member::Session;
 use super::part::Part;
-use load_balancer_gossip::frame::Dropped;
+use load_balancer_gossip::frame::DropReason;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::io;
@@ -135,15 +135,15 @@
         // What cannot be read; a kind that is not known is for earlier members only. Other reasons,
         // such as news from who is not known yet, are no matter of versions.
         let unread = [
-            Dropped::TooLong,
-            Dropped::Malformed,
-            Dropped::Version,
-            Dropped::Cluster,
-            Dropped::Forged,
+            DropReason::TooLong,
+            DropReason::Malformed,
+            DropReason::Version,
+            DropReason::Cluster,
+            DropReason::Forged,
         ];
-        let count = |why: Dropped| c.dropped.get(why as usize).copied().unwrap_or(0);
+        let count = |why: DropReason| c.dropped.get(why as usize).copied().unwrap_or(0);
         if unread.into_iter().any(|why| count(why) > 0)
-            || (!old(member) && count(Dropped::Kind) > 0)
+            || (!old(member) && count(DropReason::Kind) > 0)
         {
             find("cannot read what it should");
         }
--- a/crates/emulator/src/pairs/wire.rs
+++ b/crates/emulator/src/pairs/wire.rs
@@ -3,7 +3,7 @@
 
 use crate::sim::Tap;
 use crate::site::{CLASSES, KINDS, ZONES};
-use load_balancer::{Action, Event, ListUpdate, Listing, Micros, Outcome, Status};
+use load_balancer::{Action, EndpointStatus, Event, ListUpdate, ListedEndpoint, Micros, Outcome};
 use std::fmt::Write as _;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -41,7 +41,7 @@
     }
 
     fn list(&self, instance: usize, update: &ListUpdate) -> String {
-        let (kind, list): (u8, &[Listing]) = match update {
+        let (kind, list): (u8, &[ListedEndpoint]) = match update {
             ListUpdate::Failed => (0, &[]),
             ListUpdate::Delta(list) => (1, list),
             ListUpdate::Cached(list) => (2, list),
@@ -50,9 +50,9 @@
         let mut text = format!("catalog RosterId=0 Hosts={}\n", list.len());
         for l in list {
             let status = match l.status {
-                Status::Gone => 0,
-                Status::Ready => 1,
-                Status::Draining => 2,
+                EndpointStatus::Removed => 0,
+                EndpointStatus::Ready => 1,
+                EndpointStatus::Draining => 2,
             };
             let _ = write!(
                 text,
@@ -114,9 +114,9 @@
                     "returned I={i} Ticket={} Disposition={outcome} Endpoint={} TookUs={} Go={} Settled={}\n",
                     end.request,
                     self.servers[end.endpoint],
-                    end.took,
+                    end.elapsed,
                     end.attempt,
-                    u8::from(end.settled)
+                    u8::from(end.request_answered)
                 )
             }
             Event::Abandoned(request) => format!("withdrawn I={i} Ticket={request}\n"),
--- a/crates/emulator/src/sim.rs
+++ b/crates/emulator/src/sim.rs
@@ -21,9 +21,9 @@
 use crate::{SECOND, Us};
 use event::What;
 use instance::{Instance, Open, address, sections};
-use load_balancer::{AttemptNo, Event, Micros, RequestId};
+use load_balancer::{AttemptIndex, Event, Micros, RequestId};
 use load_balancer_common::config::Problem;
-use load_balancer_gossip::core::{Core, TICK};
+use load_balancer_gossip::core::{ACTIVE_TICK, Core};
 use load_balancer_gossip::section::FleetSection;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -52,7 +52,7 @@
     current: Vec<Option<usize>>,
     open: BTreeMap<Try, Open>,
     /// Attempts that servers hold, by their number.
-    held: BTreeMap<u64, (usize, RequestId, AttemptNo)>,
+    held: BTreeMap<u64, (usize, RequestId, AttemptIndex)>,
     attempts: u64,
     cuts: Vec<(usize, Way)>,
     slow: Us,
@@ -235,13 +235,15 @@
             What::Timer { instance, token } => self.tell(instance, Event::Timer(token)),
             What::Mail { instance, .. } => {
                 if let Some((from, bytes)) = mail {
-                    self.member(instance, |core, now| core.datagram(now, from, &bytes));
+                    self.member(instance, |core, now| {
+                        core.handle_datagram(now, from, &bytes)
+                    });
                 }
             }
             What::Beat { instance } => {
                 self.member(instance, Core::tick);
                 if self.instances[instance].member.is_some() {
-                    self.at(self.now + TICK as Us, What::Beat { instance });
+                    self.at(self.now + ACTIVE_TICK as Us, What::Beat { instance });
                 }
             }
             What::List(sidecar) => self.listed(sidecar),
--- a/crates/emulator/src/sim/attempts.rs
+++ b/crates/emulator/src/sim/attempts.rs
@@ -8,7 +8,7 @@
 use crate::servers::{arrival_of, try_number};
 use crate::site::{CLASSES, Repeat};
 use crate::world::{Admission, Done, Job};
-use load_balancer::{AttemptNo, Micros, Outcome, RequestId};
+use load_balancer::{AttemptIndex, Micros, Outcome, RequestId};
 
 impl Sim<'_> {
     pub(super) fn send(
@@ -97,7 +97,7 @@
         &mut self,
         instance: usize,
         request: RequestId,
-        attempt: AttemptNo,
+        attempt: AttemptIndex,
         dialled: bool,
     ) {
         let Some(out) = self.instances[instance].out.get(&(request, attempt)) else {
@@ -164,7 +164,7 @@
         &mut self,
         instance: usize,
         request: RequestId,
-        attempt: AttemptNo,
+        attempt: AttemptIndex,
         outcome: Came,
     ) {
         let Some(out) = self.instances[instance].out.get(&(request, attempt)) else {
@@ -211,7 +211,7 @@
         &mut self,
         instance: usize,
         request: RequestId,
-        attempt: AttemptNo,
+        attempt: AttemptIndex,
         outcome: Came,
     ) {
         let Some(out) = self.instances[instance].out.remove(&(request, attempt)) else {
@@ -238,7 +238,7 @@
         self.tell(instance, end);
     }
 
-    pub(super) fn timed_out(&mut self, instance: usize, request: RequestId, attempt: AttemptNo) {
+    pub(super) fn timed_out(&mut self, instance: usize, request: RequestId, attempt: AttemptIndex) {
         if let Some(out) = self.instances[instance].out.remove(&(request, attempt)) {
             let end = self.end(request, attempt, &out, Outcome::TimedOut);
             self.tell(instance, end);
--- a/crates/emulator/src/sim/event.rs
+++ b/crates/emulator/src/sim/event.rs
@@ -1,7 +1,7 @@
 //! The events of simulated time.
 
 use crate::record::Try;
-use load_balancer::{AttemptNo, RequestId};
+use load_balancer::{AttemptIndex, RequestId};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum What {
@@ -13,21 +13,21 @@
     Reach {
         instance: usize,
         request: RequestId,
-        attempt: AttemptNo,
+        attempt: AttemptIndex,
         dialled: bool,
     },
     /// Its end comes back.
     Back {
         instance: usize,
         request: RequestId,
-        attempt: AttemptNo,
+        attempt: AttemptIndex,
         outcome: Came,
     },
     /// The sidecar stops waiting for it.
     TimeOut {
         instance: usize,
         request: RequestId,
-        attempt: AttemptNo,
+        attempt: AttemptIndex,
     },
     /// A timer of the module's.
     Timer { instance: usize, token: u64 },
--- a/crates/emulator/src/sim/instance.rs
+++ b/crates/emulator/src/sim/instance.rs
@@ -7,7 +7,7 @@
 use crate::member_addresses::{Address, section};
 use crate::plan::Plan;
 use crate::run::FLEET;
-use load_balancer::{AttemptNo, Balancer, RequestId};
+use load_balancer::{AttemptIndex, Balancer, RequestId};
 use load_balancer_common::config::{self, Configuration, Contradiction, Problem};
 use load_balancer_gossip::core::Core;
 use load_balancer_gossip::section::FleetSection;
@@ -22,8 +22,8 @@
     pub(super) balancer: Balancer,
     pub(super) member: Option<Box<Core>>,
     pub(super) heard: usize,
-    pub(super) out: BTreeMap<(RequestId, AttemptNo), Out>,
-    pub(super) sends: BTreeMap<RequestId, AttemptNo>,
+    pub(super) out: BTreeMap<(RequestId, AttemptIndex), Out>,
+    pub(super) sends: BTreeMap<RequestId, AttemptIndex>,
     pub(super) idle: BTreeMap<usize, Vec<Us>>,
     /// Stopped: what comes waits.
     pub(super) frozen: Option<Vec<What>>,
--- a/crates/emulator/src/sim/network.rs
+++ b/crates/emulator/src/sim/network.rs
@@ -60,7 +60,7 @@
             return Vec::new();
         };
         what(core, now);
-        let effects = core.effects();
+        let effects = core.take_effects();
         for (to, bytes) in effects.datagrams {
             self.post(sidecar, to, bytes);
         }
--- a/crates/emulator/src/sim/sidecars.rs
+++ b/crates/emulator/src/sim/sidecars.rs
@@ -10,10 +10,10 @@
 use crate::site;
 use load_balancer::settings::decode;
 use load_balancer::{
-    Action, AttemptEnd, AttemptNo, Balancer, Event, ListUpdate, Listing, Load, Micros, Outcome,
-    RequestId, SharedKnowledge, Status,
+    Action, AttemptEnd, AttemptIndex, Balancer, EndpointStatus, Event, ListUpdate, ListedEndpoint,
+    LoadReport, Micros, Outcome, RequestId, SharingOptions,
 };
-use load_balancer_gossip::core::{Core, Listed, TICK};
+use load_balancer_gossip::core::{ACTIVE_TICK, Core, ObservedEndpoint};
 use load_balancer_gossip::observation_table::ObservedHealth;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -40,7 +40,7 @@
                 } else {
                     0.0
                 };
-                balancer.share(SharedKnowledge {
+                balancer.set_sharing(SharingOptions {
                     peer_health: section.ejection.enabled,
                     affinity_slack,
                 });
@@ -61,7 +61,7 @@
             });
         if member.is_some() {
             // Members' clocks do not beat together.
-            let beat = self.now + self.rng.u64(0..TICK as Us);
+            let beat = self.now + self.rng.u64(0..ACTIVE_TICK as Us);
             self.at(beat, What::Beat { instance: number });
         }
         if let Some(tap) = self.tap.as_deref_mut() {
@@ -94,29 +94,31 @@
         if self.instances[instance].member.is_none() {
             return;
         }
-        let listed = |l: Listing| Listed {
+        let listed = |l: ListedEndpoint| ObservedEndpoint {
             endpoint: l.endpoint,
             name: self.plan.servers[l.endpoint].name.clone(),
             started: l.started,
-            ready: l.status == Status::Ready,
+            ready: l.status == EndpointStatus::Ready,
         };
         let list = self
             .listings(&self.plan.directory.whole(heard))
             .into_iter()
             .map(listed)
             .collect();
-        self.member(instance, |core, now| core.listed(now, list));
+        self.member(instance, |core, now| core.set_endpoints(now, list));
     }
 
-    pub(super) fn listings(&self, entries: &[(usize, State)]) -> Vec<Listing> {
+    pub(super) fn listings(&self, entries: &[(usize, State)]) -> Vec<ListedEndpoint> {
         let listing = |(server, state): &(usize, State)| {
             let spec = &self.plan.servers[*server];
             let (status, started) = match state {
-                State::Active { since } => (Status::Ready, since.map(|at| EPOCH + at as Micros)),
-                State::Leaving => (Status::Draining, None),
-                State::Left => (Status::Gone, None),
+                State::Active { since } => {
+                    (EndpointStatus::Ready, since.map(|at| EPOCH + at as Micros))
+                }
+                State::Leaving => (EndpointStatus::Draining, None),
+                State::Left => (EndpointStatus::Removed, None),
             };
-            Listing {
+            ListedEndpoint {
                 endpoint: *server,
                 zone: Some(spec.zone),
                 cell: spec.group as u64,
@@ -226,7 +228,7 @@
     pub(super) fn end(
         &self,
         request: RequestId,
-        attempt: AttemptNo,
+        attempt: AttemptIndex,
         out: &Out,
         outcome: Outcome,
     ) -> Event {
@@ -235,9 +237,9 @@
             attempt,
             endpoint: out.server,
             outcome,
-            took: (self.now - out.sent) as Micros,
-            settled: !self.open.contains_key(&request),
-            load: Load::default(),
+            elapsed: (self.now - out.sent) as Micros,
+            request_answered: !self.open.contains_key(&request),
+            load: LoadReport::default(),
         })
     }
 }
--- a/crates/emulator/tests/pairs.rs
+++ b/crates/emulator/tests/pairs.rs
@@ -88,7 +88,7 @@
         .split(',')
         .map(|n| n.parse().expect("a number"))
         .collect();
-    use load_balancer_gossip::frame::Dropped::{
+    use load_balancer_gossip::frame::DropReason::{
         Cluster, Forged, Kind, Malformed, TooLong, Version,
     };
     let unread =
@@ -145,7 +145,7 @@
     assert_eq!(lan::judge(&came, |_| false), [""; 0]);
     // A datagram that cannot be read is found.
     let mut other = came.clone();
-    other[0].dropped[load_balancer_gossip::frame::Dropped::Version as usize] = 1;
+    other[0].dropped[load_balancer_gossip::frame::DropReason::Version as usize] = 1;
     assert_eq!(lan::judge(&other, |_| false).len(), 1);
     let folder = tempfile::tempdir().expect("a folder");
     let mut came = coordinators::play(folder.path(), &[[None; coordinators::COORDINATORS]], 60)
--- a/crates/gossip/benches/cost.rs
+++ b/crates/gossip/benches/cost.rs
@@ -1,13 +1,13 @@
-//! What membership and ejections cost a member, by the size of its fleet: bytes and processor time
-//! a second, memory. A few members are real; all others are answered for, as their own memory would
-//! not fit on one machine.
+//! Cost of membership and ejections per member by fleet size: bytes and processor time per second,
+//! and memory. Only a few members are real; the benchmark answers for the others, because their
+//! memory would not fit on one machine.
 //!
 //! `cargo bench --profile product -p load-balancer-gossip --bench cost`
 
 use foca::{Codec, Header, Message, PostcardCodec};
 use load_balancer_common::process::usage;
-use load_balancer_gossip::core::{Core, Listed};
-use load_balancer_gossip::frame::{self, Content, Head};
+use load_balancer_gossip::core::{Core, ObservedEndpoint};
+use load_balancer_gossip::frame::{self, Content, FrameHeader};
 use load_balancer_gossip::member::Member;
 use load_balancer_gossip::observation_table::ObservedHealth;
 use load_balancer_gossip::section::FleetSection;
@@ -19,7 +19,7 @@
 const REAL: usize = 20;
 const ENDPOINTS: usize = 200;
 const EPOCH: Micros = 1_000_000 * SECOND;
-/// Simulated seconds that are counted, after as many to settle.
+/// Simulated seconds that are measured, after as many for warm-up.
 const COUNTED: Micros = 20;
 
 fn member(n: usize) -> Member {
@@ -32,7 +32,7 @@
     }
 }
 
-/// What another member says to a ping.
+/// The reply of a simulated member to a ping.
 fn answer(bytes: &[u8], now: Micros) -> Option<Vec<u8>> {
     let (head, content) = frame::read(bytes, "linenproxy").ok()?;
     if head.content != Content::Membership {
@@ -48,9 +48,9 @@
         dst: header.src,
         message: Message::Ack(number),
     };
-    let mut out = frame::begin(&Head {
+    let mut out = frame::begin(&FrameHeader {
         cluster: "linenproxy",
-        sent: now,
+        sent_at: now,
         content: Content::Membership,
     });
     PostcardCodec.encode_header(&ack, &mut out).ok()?;
@@ -79,17 +79,17 @@
                     ..FleetSection::default()
                 };
                 let mut core = Core::new(&section, &all[n].name, &all[n].zone, 1, n as u64, now);
-                core.restore_incarnation(
+                core.add_known_members(
                     now,
                     all.iter().filter(|m| m.address != all[n].address).cloned(),
                 );
-                let list = |endpoint| Listed {
+                let list = |endpoint| ObservedEndpoint {
                     endpoint,
                     name: format!("s-{endpoint}"),
                     started: None,
                     ready: true,
                 };
-                core.listed(now, (0..ENDPOINTS).map(list).collect());
+                core.set_endpoints(now, (0..ENDPOINTS).map(list).collect());
                 core
             })
             .collect();
@@ -105,7 +105,7 @@
             }
             let start = Instant::now();
             for (to, from, bytes) in std::mem::take(&mut mail) {
-                cores[to].datagram(now, from, &bytes);
+                cores[to].handle_datagram(now, from, &bytes);
             }
             for (n, core) in cores.iter_mut().enumerate() {
                 if core.next() <= now {
@@ -128,7 +128,7 @@
                 spent += start.elapsed().as_secs_f64();
             }
             for n in 0..cores.len() {
-                for (to, bytes) in cores[n].effects().datagrams {
+                for (to, bytes) in cores[n].take_effects().datagrams {
                     match by_address.get(&to) {
                         Some(to) if *to < cores.len() => mail.push((*to, all[n].address, bytes)),
                         Some(_) => mail.extend(answer(&bytes, now).map(|back| (n, to, back))),
--- a/crates/gossip/src/connectivity.rs
+++ b/crates/gossip/src/connectivity.rs
@@ -1,98 +1,99 @@
-//! The connectivity state of a member, and what each other part may do in it. docs/gossip.md has
-//! the same table, and a test holds both equal.
+//! The connectivity state of a member, and what each subsystem may do in it. docs/gossip.md
+//! contains the same table; a test compares the two.
 
 use serde::Serialize;
 
-/// The connectivity state without its particulars. The earlier one goes first where several would
-/// hold, but for [`ConnectivityState::Connected`].
+/// The connectivity state, without details. If several apply, the one listed first takes
+/// precedence, except for [`ConnectivityState::Connected`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub enum ConnectivityState {
-    /// It hears all that it knows, and they know the same ones.
+    /// All known members can be heard, and they know the same members.
     #[default]
     #[serde(rename = "whole")]
     Connected,
-    /// Views differ for longer than news need.
+    /// Membership views have differed for longer than updates take to propagate.
     #[serde(rename = "disputed")]
     Divergent,
-    /// A zone is not heard, or does not hear this one.
+    /// A zone cannot be heard, or cannot hear this one.
     #[serde(rename = "cut")]
     Partitioned,
-    /// Nobody is heard.
+    /// No member can be heard.
     #[serde(rename = "alone")]
     Isolated,
-    /// Own timers are late: what seems to be wrong with others is doubtful.
+    /// The timers of this member run late, so its own observations are unreliable.
     #[serde(rename = "unwell")]
     Degraded,
 }
 
-/// Health observations of endpoints.
+/// Exchange of health observations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Observations {
-    /// It publishes its own, and follows those of others.
+    /// Observations are published, and those of others are applied.
     Shared,
-    /// It publishes none; what it has received has effect up to its maximum staleness.
+    /// None are published; those received have effect until their maximum staleness.
     Followed,
 }
 
-/// Trials of ejected endpoints.
+/// Assignment of trial requests to ejected endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trials {
-    /// One member of all concerned makes each.
+    /// One member of the whole fleet is assigned to each trial request.
     Shared,
-    /// One of those that are heard.
-    Side,
-    /// Each is its own.
-    Own,
-    /// It makes none.
+    /// One of the reachable members is assigned.
+    ReachableOnly,
+    /// The member makes its own trial requests.
+    Independent,
+    /// The member makes none.
     None,
 }
 
-/// Preference for endpoints at which a key is cached.
+/// Preference for endpoints where a key is cached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AffinityEntries {
-    /// They are used, told and heard.
+    /// Entries are used, published and received.
     Used,
-    /// They are used until they run out by the own clock, and none is renewed by a use.
-    RunOut,
-    /// None is used.
-    Idle,
+    /// Entries are used until they expire by the local clock; uses do not renew them.
+    Expiring,
+    /// Entries are not used.
+    Unused,
 }
 
-/// Answers to a coordinator on servers.
+/// Whether answers to a coordinator about servers are valid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answers {
-    /// They count.
-    Yes,
-    /// They count from the side with more than half of all members.
-    Larger,
-    /// They do not.
-    No,
+pub enum CoordinatorAnswers {
+    /// Valid.
+    Always,
+    /// Valid only on the side with more than half of all members.
+    LargerSideOnly,
+    /// Not valid.
+    Never,
 }
 
-/// What each part may do in a connectivity state.
+/// What each subsystem may do in a connectivity state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permissions {
-    /// Health observations of endpoints.
+    /// Exchange of health observations.
     pub observations: Observations,
-    /// Trials.
+    /// Trial requests.
     pub trials: Trials,
-    /// Keys go down one list: it needs no word of others, but an order that all have.
+    /// Key affinity without entries: it uses the same order of endpoints on all members, without
+    /// messages.
     pub affinity: bool,
     /// Affinity entries.
     pub affinity_entries: AffinityEntries,
     /// Answers to a coordinator.
-    pub answers: Answers,
+    pub answers: CoordinatorAnswers,
 }
 
-/// The table.
-pub const TABLE: [(ConnectivityState, Permissions); 5] = [
+/// The permissions of each state.
+pub const PERMISSIONS_BY_STATE: [(ConnectivityState, Permissions); 5] = [
     (
         ConnectivityState::Connected,
         permissions(
             Observations::Shared,
             Trials::Shared,
             AffinityEntries::Used,
-            Answers::Yes,
+            CoordinatorAnswers::Always,
         ),
     ),
     (
@@ -101,25 +102,25 @@
             Observations::Shared,
             Trials::Shared,
             AffinityEntries::Used,
-            Answers::Yes,
+            CoordinatorAnswers::Always,
         ),
     ),
     (
         ConnectivityState::Partitioned,
         permissions(
             Observations::Shared,
-            Trials::Side,
-            AffinityEntries::RunOut,
-            Answers::Larger,
+            Trials::ReachableOnly,
+            AffinityEntries::Expiring,
+            CoordinatorAnswers::LargerSideOnly,
         ),
     ),
     (
         ConnectivityState::Isolated,
         permissions(
             Observations::Followed,
-            Trials::Own,
-            AffinityEntries::RunOut,
-            Answers::No,
+            Trials::Independent,
+            AffinityEntries::Expiring,
+            CoordinatorAnswers::Never,
         ),
     ),
     (
@@ -127,8 +128,8 @@
         permissions(
             Observations::Followed,
             Trials::None,
-            AffinityEntries::Idle,
-            Answers::No,
+            AffinityEntries::Unused,
+            CoordinatorAnswers::Never,
         ),
     ),
 ];
@@ -137,7 +138,7 @@
     observations: Observations,
     trials: Trials,
     affinity_entries: AffinityEntries,
-    answers: Answers,
+    answers: CoordinatorAnswers,
 ) -> Permissions {
     Permissions {
         observations,
@@ -149,12 +150,12 @@
 }
 
 impl ConnectivityState {
-    /// What the parts may do.
+    /// Returns the permissions in this state.
     pub fn permissions(self) -> Permissions {
-        TABLE[self as usize].1
+        PERMISSIONS_BY_STATE[self as usize].1
     }
 
-    /// Its name in log lines.
+    /// Returns the name in log lines.
     pub fn label(self) -> &'static str {
         match self {
             Self::Connected => "connected",
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Its name on pages, which have the earlier terms.
+    /// Returns the name in status pages, which use earlier terms.
     pub fn page_name(self) -> &'static str {
         match self {
             Self::Connected => "whole",
@@ -177,20 +178,20 @@
     }
 }
 
-/// Which way nothing passes between this zone and another.
+/// In which direction nothing passes between this zone and another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Direction {
-    /// Neither, or nobody tells of the other one.
+    /// Neither direction works, or it is not known that one does.
     Both,
-    /// They hear this zone and are not heard.
+    /// This zone cannot hear the other.
     FromThem,
-    /// They are heard and do not hear this zone.
+    /// The other zone cannot hear this one.
     ToThem,
 }
 
 impl Direction {
-    /// Its name in log lines.
+    /// Returns the name in log lines.
     pub fn label(self) -> &'static str {
         match self {
             Self::Both => "both ways",
@@ -203,23 +204,26 @@
 /// The connectivity of this member.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Connectivity {
-    /// Which.
-    pub kind: ConnectivityState,
-    /// Hashes of the zones that it is cut from, in their order, and which way; not those that died.
+    /// The state.
+    #[serde(rename = "kind")]
+    pub state: ConnectivityState,
+    /// Hashes of the names of the unreachable zones, in the order of the zones, with the direction;
+    /// zones that have failed are not included.
     #[serde(skip)]
-    pub cut: Vec<(u64, Direction)>,
-    /// Where it is cut: whether this side has more than half of all members.
+    pub unreachable_zones: Vec<(u64, Direction)>,
+    /// If partitioned: whether this side has more than half of all members.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub larger: Option<bool>,
+    #[serde(rename = "larger")]
+    pub on_larger_side: Option<bool>,
 }
 
 impl Connectivity {
-    /// It may answer a coordinator.
-    pub fn answers(&self) -> bool {
-        match self.kind.permissions().answers {
-            Answers::Yes => true,
-            Answers::Larger => self.larger == Some(true),
-            Answers::No => false,
+    /// Returns whether this member may answer a coordinator.
+    pub fn may_answer_coordinator(&self) -> bool {
+        match self.state.permissions().answers {
+            CoordinatorAnswers::Always => true,
+            CoordinatorAnswers::LargerSideOnly => self.on_larger_side == Some(true),
+            CoordinatorAnswers::Never => false,
         }
     }
 }
--- a/crates/gossip/src/connectivity/tests.rs
+++ b/crates/gossip/src/connectivity/tests.rs
@@ -9,19 +9,19 @@
     };
     let trials = match permissions.trials {
         Trials::Shared => "one member of all a slot",
-        Trials::Side => "one of those heard a slot",
-        Trials::Own => "its own",
+        Trials::ReachableOnly => "one of those heard a slot",
+        Trials::Independent => "its own",
         Trials::None => "none",
     };
     let entries = match permissions.affinity_entries {
         AffinityEntries::Used => "used",
-        AffinityEntries::RunOut => "expire",
-        AffinityEntries::Idle => "not used",
+        AffinityEntries::Expiring => "expire",
+        AffinityEntries::Unused => "not used",
     };
     let answers = match permissions.answers {
-        Answers::Yes => "yes",
-        Answers::Larger => "from the larger side",
-        Answers::No => "no",
+        CoordinatorAnswers::Always => "yes",
+        CoordinatorAnswers::LargerSideOnly => "from the larger side",
+        CoordinatorAnswers::Never => "no",
     };
     let affinity = if permissions.affinity { "yes" } else { "no" };
     format!(
@@ -33,7 +33,7 @@
 #[test]
 fn the_page_has_the_table_of_the_code_and_each_kind_stands_at_its_number() {
     assert!(
-        TABLE
+        PERMISSIONS_BY_STATE
             .iter()
             .enumerate()
             .all(|(n, (kind, _))| *kind as usize == n)
@@ -45,16 +45,23 @@
         .skip(2)
         .take_while(|l| l.starts_with('|'))
         .collect();
-    assert_eq!(written, TABLE.iter().map(row).collect::<Vec<_>>());
+    assert_eq!(
+        written,
+        PERMISSIONS_BY_STATE.iter().map(row).collect::<Vec<_>>()
+    );
 }
 
 #[test]
 fn only_the_larger_side_of_a_cut_answers() {
     let cut = |larger| Connectivity {
-        kind: ConnectivityState::Partitioned,
-        cut: vec![(1, Direction::Both)],
-        larger,
+        state: ConnectivityState::Partitioned,
+        unreachable_zones: vec![(1, Direction::Both)],
+        on_larger_side: larger,
     };
-    assert!(cut(Some(true)).answers() && !cut(Some(false)).answers() && !cut(None).answers());
-    assert!(Connectivity::default().answers());
+    assert!(
+        cut(Some(true)).may_answer_coordinator()
+            && !cut(Some(false)).may_answer_coordinator()
+            && !cut(None).may_answer_coordinator()
+    );
+    assert!(Connectivity::default().may_answer_coordinator());
 }
--- a/crates/gossip/src/core.rs
+++ b/crates/gossip/src/core.rs
@@ -1,5 +1,5 @@
-//! A member as one state machine without I/O and clock: datagrams, its own health observations, the
-//! endpoint list and the time go in; datagrams and ejections come out.
+//! A member as one state machine without I/O and clock. Its inputs are datagrams, its own health
+//! observations, the endpoint list and the time; its outputs are datagrams and ejections.
 
 mod answers;
 mod anti_entropy;
@@ -16,48 +16,47 @@
 mod zone_probes;
 
 use crate::connectivity_tracker::ConnectivityTracker;
-pub use crate::effects::{CarriedFragment, Counts, Effects, EjectionUpdate, Listed};
+pub use crate::effects::{Counts, Effects, EjectionUpdate, ObservedEndpoint, ReceivedFragment};
 use crate::fragments::FragmentCarrier;
-pub use crate::fragments::{CARRIED, FragmentRefused, MAX_BODY_BYTES};
-use crate::frame::Dropped;
+pub use crate::fragments::{FRAGMENT_KINDS, FragmentError, MAX_BODY_BYTES};
+use crate::frame::DropReason;
 use crate::health_status::EjectionPolicy;
 use crate::member::Member;
 use crate::membership_table::MembershipTable;
-use crate::observation_table::{Process, Table};
+use crate::observation_table::{ObservationTable, Process};
 use crate::section::{FleetSection, micros};
 pub use crate::summary::MembershipSummary;
 use crate::token_bucket::TokenBucket;
 use crate::view_comparison::Digest;
 use crate::{Micros, SECOND, hash};
-use anti_entropy::{ANSWER_RATE, ASKS};
+use anti_entropy::{SYNC_ANSWER_RATE, SYNC_REQUESTS};
 use dissemination::PendingUpdate;
 use ejections::Ejection;
 use foca::{AccumulatingRuntime, Foca, NoCustomBroadcast, PostcardCodec, Timer};
 use ipnet::IpNet;
-use membership::{Known, foca_config};
-use observations::{OWN_BURST, OwnObservation};
+use membership::{RunningMember, foca_config};
+use observations::{OwnObservation, PUBLISH_BURST};
 pub use peers::Peers;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
 
-/// How often news leave and ejections are looked at, while there are any; and how often a member
-/// wakes up else.
-pub const TICK: Micros = SECOND / 10;
+/// Tick interval while there are updates to send or ejections to reassess, and otherwise.
+pub const ACTIVE_TICK: Micros = SECOND / 10;
 const IDLE_TICK: Micros = SECOND;
-/// Members that are told something at a time.
+/// Number of members that receive each batch of updates.
 const FANOUT: usize = 3;
-/// How long news may be under way; the skew of clocks comes on top.
-const UNDER_WAY: Micros = SECOND;
-/// A member that wakes up this much later than it wanted has not seen others' silence but its own.
-const OVERSLEPT: Micros = SECOND;
-/// Part of the endpoints that one member has seen of late, and their least number, beyond which
-/// those it finds sick say more of itself.
-const DOUBTED: f64 = 0.5;
-const DOUBTED_LEAST: usize = 4;
+/// Maximum time of an update on the network, in addition to the clock skew.
+const MAX_TRANSIT_TIME: Micros = SECOND;
+/// A tick that is delayed by more shows that this member, not the others, was unresponsive.
+const LATE_WAKEUP: Micros = SECOND;
+/// A member that finds more than this fraction of its recently used endpoints unhealthy, and at
+/// least this number, is itself the likely cause.
+const MAX_UNHEALTHY_FRACTION: f64 = 0.5;
+const MIN_UNHEALTHY_TO_DOUBT: usize = 4;
 
-/// A member.
+/// A member of the fleet.
 pub struct Core {
     cluster: String,
     networks: Vec<IpNet>,
@@ -66,55 +65,55 @@
     observations_shared: bool,
     policy: EjectionPolicy,
     max_ejected: f64,
-    me: Member,
+    identity: Member,
     origin: u64,
     zone: u64,
     sequence: u64,
-    began: Micros,
+    started_at: Micros,
     rng: SmallRng,
     foca: Foca<Member, PostcardCodec, SmallRng, NoCustomBroadcast>,
     runtime: AccumulatingRuntime<Member>,
     timers: BTreeMap<(Micros, u64), Timer<Member>>,
     timer_number: u64,
     next_tick: Micros,
-    next_ask: Micros,
-    members: BTreeMap<SocketAddr, Known>,
-    /// The same, to draw from.
-    drawn: Vec<SocketAddr>,
-    by_origin: HashMap<u64, SocketAddr>,
-    in_zone: HashMap<u64, usize>,
-    listed: HashMap<u64, Listed>,
+    next_seed_announcement: Micros,
+    members: BTreeMap<SocketAddr, RunningMember>,
+    /// The addresses of `members`, for random choice.
+    member_addresses: Vec<SocketAddr>,
+    addresses_by_origin: HashMap<u64, SocketAddr>,
+    members_per_zone: HashMap<u64, usize>,
+    endpoints_by_name: HashMap<u64, ObservedEndpoint>,
     processes: HashMap<usize, Process>,
     ready: usize,
-    table: Table,
-    /// When all of which anything is known is looked at again.
+    table: ObservationTable,
+    /// When all endpoints with observations are reassessed next.
     next_sweep: Micros,
-    own: HashMap<Process, OwnObservation>,
-    tokens: TokenBucket,
-    answers: TokenBucket,
-    asks: (u8, Micros),
-    overslept_until: Micros,
+    own_observations: HashMap<Process, OwnObservation>,
+    publish_tokens: TokenBucket,
+    sync_answer_tokens: TokenBucket,
+    sync_requests: (u8, Micros),
+    ignore_observations_until: Micros,
     ejected: BTreeMap<usize, Ejection>,
-    news: VecDeque<PendingUpdate>,
+    pending_updates: VecDeque<PendingUpdate>,
     tracks_connectivity: bool,
     tracker: ConnectivityTracker,
     membership: MembershipTable,
     version: String,
-    list_seen: Option<Micros>,
-    /// Zones of endpoints, by their numbers.
-    placed: HashMap<usize, u64>,
+    list_confirmed_at: Option<Micros>,
+    /// Zone of each endpoint.
+    endpoint_zones: HashMap<usize, u64>,
     digest: Option<Digest>,
     next_view: Micros,
     views_due: u8,
-    asked: u8,
+    last_probe_number: u8,
     fragments: FragmentCarrier,
     effects: Effects,
     counts: Counts,
 }
 
 impl Core {
-    /// A member that knows nobody yet. `incarnation` must be higher than that of any earlier
-    /// incarnation.
+    /// Creates a member that does not know any other. `incarnation` must be higher than in any
+    /// earlier run.
     pub fn new(
         section: &FleetSection,
         name: &str,
@@ -123,16 +122,16 @@
         seed: u64,
         now: Micros,
     ) -> Self {
-        let address = section.reached_at();
-        let me = Member {
-            address,
+        let advertised_address = section.advertised_address();
+        let identity = Member {
+            address: advertised_address,
             name: name.to_owned(),
             zone: zone.to_owned(),
             incarnation,
         };
         let (origin, zone) = (hash(name), hash(zone));
         let foca = Foca::new(
-            me.clone(),
+            identity.clone(),
             foca_config(section),
             SmallRng::seed_from_u64(seed),
             PostcardCodec,
@@ -145,7 +144,7 @@
                 .seeds
                 .iter()
                 .copied()
-                .filter(|seed| *seed != address)
+                .filter(|seed| *seed != advertised_address)
                 .collect(),
             skew: micros(section.skew),
             observations_shared: ejection.enabled,
@@ -155,64 +154,64 @@
                 ejection_time: micros(ejection.ejection_time),
             },
             max_ejected: ejection.max_ejected,
-            me,
+            identity,
             origin,
             zone,
             sequence: 0,
-            began: now,
+            started_at: now,
             rng: SmallRng::seed_from_u64(seed ^ 0x6c70_6600),
             foca,
             runtime: AccumulatingRuntime::new(),
             timers: BTreeMap::new(),
             timer_number: 0,
             next_tick: now,
-            next_ask: now,
+            next_seed_announcement: now,
             members: BTreeMap::new(),
-            drawn: Vec::new(),
-            by_origin: HashMap::new(),
-            in_zone: HashMap::from([(zone, 1)]),
-            listed: HashMap::new(),
+            member_addresses: Vec::new(),
+            addresses_by_origin: HashMap::new(),
+            members_per_zone: HashMap::from([(zone, 1)]),
+            endpoints_by_name: HashMap::new(),
             processes: HashMap::new(),
             ready: 0,
-            table: Table::default(),
+            table: ObservationTable::default(),
             next_sweep: now,
-            own: HashMap::new(),
-            tokens: TokenBucket::new(now, OWN_BURST),
-            answers: TokenBucket::new(now, ANSWER_RATE),
-            asks: (ASKS, now),
-            overslept_until: Micros::MIN,
+            own_observations: HashMap::new(),
+            publish_tokens: TokenBucket::new(now, PUBLISH_BURST),
+            sync_answer_tokens: TokenBucket::new(now, SYNC_ANSWER_RATE),
+            sync_requests: (SYNC_REQUESTS, now),
+            ignore_observations_until: Micros::MIN,
             ejected: BTreeMap::new(),
-            news: VecDeque::new(),
+            pending_updates: VecDeque::new(),
             tracks_connectivity: section.connectivity.enabled,
             tracker: ConnectivityTracker::new(now),
             membership: MembershipTable::default(),
             version: String::new(),
-            list_seen: None,
-            placed: HashMap::new(),
+            list_confirmed_at: None,
+            endpoint_zones: HashMap::new(),
             digest: None,
             next_view: now,
             views_due: 0,
-            asked: 0,
+            last_probe_number: 0,
             fragments: FragmentCarrier::new(now),
             effects: Effects::default(),
             counts: Counts::default(),
         }
     }
 
-    /// When [`Core::tick`] is due next.
+    /// Returns when [`Core::tick`] is due next.
     pub fn next(&self) -> Micros {
         self.timers
             .first_key_value()
             .map_or(self.next_tick, |((at, _), _)| (*at).min(self.next_tick))
     }
 
-    /// What came of it so far; to be taken after each call.
-    pub fn effects(&mut self) -> Effects {
+    /// Returns the accumulated outputs; to be called after each input.
+    pub fn take_effects(&mut self) -> Effects {
         std::mem::take(&mut self.effects)
     }
 
-    fn drop_one(&mut self, why: Dropped) {
-        self.counts.dropped[why as usize] += 1;
+    fn record_drop(&mut self, reason: DropReason) {
+        self.counts.dropped[reason as usize] += 1;
     }
 
     fn send(&mut self, to: SocketAddr, bytes: Vec<u8>) {
@@ -221,40 +220,47 @@
         self.effects.datagrams.push((to, bytes));
     }
 
-    /// Time has come.
+    /// Runs everything that is due.
     pub fn tick(&mut self, now: Micros) {
         if self.tracks_connectivity {
-            self.tracker.woke(now, self.next());
+            self.tracker.record_wakeup(now, self.next());
         }
         while let Some((&(at, number), _)) = self.timers.first_key_value()
             && at <= now
         {
             if let Some(timer) = self.timers.remove(&(at, number)) {
-                // One that came too late for its own purpose tells so, and the next begins anew.
+                // A timer that fired too late for its purpose is an error here; the next one starts
+                // anew.
                 let _ = self.foca.handle_timer(timer, &mut self.runtime);
             }
         }
-        self.follow(now);
+        self.run_membership_effects(now);
         if now < self.next_tick {
             return;
         }
-        if now - self.next_tick > OVERSLEPT {
-            self.overslept_until = now + OVERSLEPT;
+        if now - self.next_tick > LATE_WAKEUP {
+            self.ignore_observations_until = now + LATE_WAKEUP;
         }
         self.next_tick = now + IDLE_TICK;
-        if now >= self.next_ask && !self.seeds.is_empty() {
-            self.ask_seeds(now);
+        if now >= self.next_seed_announcement && !self.seeds.is_empty() {
+            self.announce_to_seeds(now);
         }
         self.update_connectivity(now);
         if self.observations_shared {
             self.reassess_all(now);
-            self.ask(now);
+            self.request_sync(now);
         }
-        self.gossip(now);
+        self.send_updates(now);
         self.publish_views(now);
-        let asks = self.observations_shared && self.asks.0 > 0 && !self.drawn.is_empty();
-        if asks || !self.news.is_empty() || !self.fragments.is_empty() || !self.ejected.is_empty() {
-            self.wake(now);
+        let has_sync_requests = self.observations_shared
+            && self.sync_requests.0 > 0
+            && !self.member_addresses.is_empty();
+        if has_sync_requests
+            || !self.pending_updates.is_empty()
+            || !self.fragments.is_empty()
+            || !self.ejected.is_empty()
+        {
+            self.schedule_active_tick(now);
         }
     }
 }
--- a/crates/gossip/src/core/answers.rs
+++ b/crates/gossip/src/core/answers.rs
@@ -1,17 +1,17 @@
-//! What a member answers about other members and servers over HTTP.
+//! Answers over HTTP about other members and servers.
 
 use super::Core;
-use crate::effects::Listed;
+use crate::effects::ObservedEndpoint;
 use crate::membership_table::Departure;
 use crate::observation_table::{ObservedHealth, Process};
-use crate::summary::{MembershipEntrySummary, Server, Servers, State};
+use crate::summary::{MembershipEntrySummary, ServerHealth, ServerReport, ServerReports};
 use crate::{Micros, SECOND, hash};
 
 impl Core {
-    /// All who are known, by name, and seeds of which nobody was heard.
+    /// Returns all known members by name, followed by the seeds that were never heard of.
     pub(super) fn membership_entries(&self, now: Micros) -> Vec<MembershipEntrySummary> {
         let seconds = |us: Micros| (us as f64 / SECOND as f64 * 1000.0).round() / 1000.0;
-        let known = self
+        let known_members = self
             .membership
             .entries()
             .map(|(_, e)| MembershipEntrySummary {
@@ -20,22 +20,24 @@
                 address: e.member.address,
                 incarnation: e.member.incarnation,
                 version: e.version.clone(),
-                left: e.left.map(|(left, _)| left),
-                for_s: Some(seconds(now - e.left.map_or(e.since, |(_, at)| at))),
+                left: e.departure.map(|(left, _)| left),
+                for_s: Some(seconds(
+                    now - e.departure.map_or(e.running_since, |(_, at)| at),
+                )),
                 twice: e
-                    .twice
+                    .duplicate
                     .filter(|(_, _, sure)| *sure)
                     .map(|(other, ..)| other),
                 quarantined_for_s: e
-                    .quarantined
+                    .quarantined_until
                     .filter(|until| *until > now)
                     .map(|until| seconds(until - now)),
             });
-        let mut all: Vec<_> = known.collect();
-        all.sort_by(|a, b| a.name.cmp(&b.name));
-        let unseen = |seed: &&std::net::SocketAddr| !all.iter().any(|e| e.address == **seed);
-        let unseen: Vec<_> = self.seeds.iter().filter(unseen).copied().collect();
-        all.extend(unseen.into_iter().map(|address| MembershipEntrySummary {
+        let mut entries: Vec<_> = known_members.collect();
+        entries.sort_by(|a, b| a.name.cmp(&b.name));
+        let is_unseen = |seed: &&std::net::SocketAddr| !entries.iter().any(|e| e.address == **seed);
+        let unseen: Vec<_> = self.seeds.iter().filter(is_unseen).copied().collect();
+        entries.extend(unseen.into_iter().map(|address| MembershipEntrySummary {
             name: String::new(),
             zone: String::new(),
             address,
@@ -46,66 +48,73 @@
             twice: None,
             quarantined_for_s: None,
         }));
-        all
+        entries
     }
 
-    /// What it may tell the coordinator of the endpoints of its list.
-    pub fn servers(&self, now: Micros) -> Servers {
-        let mut listed: Vec<&Listed> = self.listed.values().collect();
+    /// Returns what this member may report to the coordinator about its endpoints.
+    pub fn server_reports(&self, now: Micros) -> ServerReports {
+        let mut listed: Vec<&ObservedEndpoint> = self.endpoints_by_name.values().collect();
         listed.sort_by(|a, b| a.name.cmp(&b.name));
-        Servers {
-            member: self.me.name.clone(),
-            incarnation: self.me.incarnation,
-            zone: self.me.zone.clone(),
-            connectivity: self.connectivity().kind.page_name(),
-            answers: self.connectivity().answers(),
-            servers: listed.into_iter().map(|l| self.server(now, l)).collect(),
+        ServerReports {
+            member: self.identity.name.clone(),
+            incarnation: self.identity.incarnation,
+            zone: self.identity.zone.clone(),
+            connectivity: self.connectivity().state.page_name(),
+            answers: self.connectivity().may_answer_coordinator(),
+            servers: listed
+                .into_iter()
+                .map(|l| self.server_report(now, l))
+                .collect(),
         }
     }
 
-    fn server(&self, now: Micros, l: &Listed) -> Server {
+    fn server_report(&self, now: Micros, listed: &ObservedEndpoint) -> ServerReport {
         let process = Process {
-            name: hash(&l.name),
-            started: l.started.unwrap_or(0),
+            name: hash(&listed.name),
+            started: listed.started.unwrap_or(0),
         };
-        let rests = self
+        let ejection = self
             .ejected
-            .get(&l.endpoint)
+            .get(&listed.endpoint)
             .filter(|r| r.process == process);
-        let status = self.health_status(now, process, rests.map(|r| r.zones.as_slice()));
+        let status = self.health_status(now, process, ejection.map(|r| r.zones.as_slice()));
         let fresh = |at: &Micros| now - *at < self.policy.max_staleness;
-        let data = || self.table.of(process).flat_map(|(_, data)| data);
+        let observations = || {
+            self.table
+                .observations_of(process)
+                .flat_map(|(_, data)| data)
+        };
         let newest = |health: ObservedHealth| {
-            data()
+            observations()
                 .filter(|d| d.health == health)
                 .map(|d| d.seen)
                 .filter(fresh)
                 .max()
         };
-        let own = self.own.get(&process);
+        let own = self.own_observations.get(&process);
         let served = own
-            .and_then(|o| o.served)
+            .and_then(|o| o.last_served)
             .filter(fresh)
             .max(newest(ObservedHealth::Healthy));
         let failed = own
             .filter(|o| o.health == ObservedHealth::Unhealthy)
-            .map(|o| o.at)
+            .map(|o| o.observed_at)
             .filter(fresh)
             .max(newest(ObservedHealth::Unhealthy));
         let (state, seen) = match (served, failed) {
-            _ if status.unhealthy && status.until > now => (State::Unhealthy, failed),
-            // One that only this member finds sick is neither.
+            _ if status.unhealthy && status.until > now => (ServerHealth::Unhealthy, failed),
+            // If only this member finds the endpoint unhealthy, its state is unknown.
             (Some(served), failed) if failed.is_none_or(|at| at < served) => {
-                (State::Healthy, Some(served))
+                (ServerHealth::Healthy, Some(served))
             }
-            _ => (State::Unknown, None),
+            _ => (ServerHealth::Unknown, None),
         };
-        let since = seen.unwrap_or(self.began);
-        Server {
-            name: l.name.clone(),
+        let last_seen = seen.unwrap_or(self.started_at);
+        ServerReport {
+            name: listed.name.clone(),
             started_ms: process.started / 1000,
             state,
-            age_ms: ((now - since) / 1000).max(0),
+            age_ms: ((now - last_seen) / 1000).max(0),
         }
     }
 }
--- a/crates/gossip/src/core/anti_entropy.rs
+++ b/crates/gossip/src/core/anti_entropy.rs
@@ -1,40 +1,41 @@
-//! Anti-entropy at a join: a new member asks for what the others know, and is answered.
+//! Anti-entropy at a join: a new member requests what other members know.
 
 use super::{Core, FANOUT};
-use crate::frame::{self, ASK, Content, Dropped, Head, MessagePart, OBSERVATION};
+use crate::frame::{
+    self, Content, DropReason, FrameHeader, KIND_OBSERVATION, KIND_SYNC_REQUEST, MessagePart,
+};
 use crate::observation_table::{Observation, ObservedHealth};
 use crate::{Micros, SECOND};
 use rand::RngExt;
 use std::cmp::Reverse;
 use std::net::SocketAddr;
 
-/// How often a member that has just come asks some others for what they know, and its pause
-/// between.
-pub(super) const ASKS: u8 = 3;
-const ASK_PAUSE: Micros = SECOND / 2;
-/// Datagrams of one answer to that, and answers a second and at once.
-const ANSWER: usize = 2;
-pub(super) const ANSWER_RATE: f64 = 20.0;
+/// How many times a new member requests observations, and the interval between requests.
+pub(super) const SYNC_REQUESTS: u8 = 3;
+const SYNC_REQUEST_INTERVAL: Micros = SECOND / 2;
+/// Datagrams in one answer, and answers per second and per burst.
+const DATAGRAMS_PER_SYNC_ANSWER: usize = 2;
+pub(super) const SYNC_ANSWER_RATE: f64 = 20.0;
 
 impl Core {
-    /// Asks a few members for what they know, as one that has just come knows nothing.
-    pub(super) fn ask(&mut self, now: Micros) {
-        let (left, next) = self.asks;
-        if left == 0 || now < next || self.drawn.is_empty() {
+    /// Requests observations from a few members while this member is new.
+    pub(super) fn request_sync(&mut self, now: Micros) {
+        let (remaining, next_request) = self.sync_requests;
+        if remaining == 0 || now < next_request || self.member_addresses.is_empty() {
             return;
         }
-        self.asks = (left - 1, now + ASK_PAUSE);
+        self.sync_requests = (remaining - 1, now + SYNC_REQUEST_INTERVAL);
         for _ in 0..FANOUT {
-            let to = self.drawn[self.rng.random_range(0..self.drawn.len())];
-            let mut bytes = frame::begin(&Head {
+            let to = self.member_addresses[self.rng.random_range(0..self.member_addresses.len())];
+            let mut bytes = frame::begin(&FrameHeader {
                 cluster: &self.cluster,
-                sent: now,
+                sent_at: now,
                 content: Content::Updates,
             });
-            if frame::add(
+            if frame::try_append(
                 &mut bytes,
                 &MessagePart {
-                    kind: ASK,
+                    kind: KIND_SYNC_REQUEST,
                     bytes: &[],
                 },
             ) {
@@ -43,50 +44,56 @@
         }
     }
 
-    /// Tells one that has just come of the endpoints that members have found sick, the newest
-    /// first.
-    pub(super) fn answer(&mut self, now: Micros, to: SocketAddr) {
-        if !self.answers.take(now, ANSWER_RATE, ANSWER_RATE) {
-            return self.drop_one(Dropped::Full);
+    /// Answers a new member with the observations of endpoints that any member found unhealthy, the
+    /// newest first.
+    pub(super) fn answer_sync(&mut self, now: Micros, to: SocketAddr) {
+        if !self
+            .sync_answer_tokens
+            .take(now, SYNC_ANSWER_RATE, SYNC_ANSWER_RATE)
+        {
+            return self.record_drop(DropReason::Full);
         }
-        let mut data: Vec<Observation> = Vec::new();
+        let mut observations: Vec<Observation> = Vec::new();
         for process in self.table.processes() {
-            let of: Vec<Observation> = self
+            let process_observations: Vec<Observation> = self
                 .table
-                .of(process)
+                .observations_of(process)
                 .flat_map(|(_, data)| data)
                 .copied()
                 .collect();
-            if of.iter().any(|d| d.health == ObservedHealth::Unhealthy) {
-                data.extend(of);
+            if process_observations
+                .iter()
+                .any(|d| d.health == ObservedHealth::Unhealthy)
+            {
+                observations.extend(process_observations);
             }
         }
-        data.sort_by_key(|d| Reverse(d.seen));
-        let mut data = data.into_iter().peekable();
-        for _ in 0..ANSWER {
-            let mut bytes = frame::begin(&Head {
+        observations.sort_by_key(|d| Reverse(d.seen));
+        let mut remaining = observations.into_iter().peekable();
+        for _ in 0..DATAGRAMS_PER_SYNC_ANSWER {
+            let mut bytes = frame::begin(&FrameHeader {
                 cluster: &self.cluster,
-                sent: now,
+                sent_at: now,
                 content: Content::Updates,
             });
-            let mut any = false;
-            while let Some(observation) = data.peek() {
+            let mut has_observations = false;
+            while let Some(observation) = remaining.peek() {
                 let Ok(part) = postcard::to_stdvec(observation) else {
                     break;
                 };
-                if !frame::add(
+                if !frame::try_append(
                     &mut bytes,
                     &MessagePart {
-                        kind: OBSERVATION,
+                        kind: KIND_OBSERVATION,
                         bytes: &part,
                     },
                 ) {
                     break;
                 }
-                data.next();
-                any = true;
+                remaining.next();
+                has_observations = true;
             }
-            if any {
+            if has_observations {
                 self.send(to, bytes);
             }
         }
--- a/crates/gossip/src/core/connectivity.rs
+++ b/crates/gossip/src/core/connectivity.rs
@@ -1,5 +1,4 @@
-//! Derives the connectivity state of this member from what it hears, and says what it may do in
-//! that state.
+//! Updates the connectivity state of this member, and applies its permissions.
 
 use super::Core;
 use super::views::{MAX_VERSION_BYTES, VIEW_INTERVAL, VIEWS_PER_INTERVAL};
@@ -10,18 +9,18 @@
 use crate::zone_reachability::ZoneFacts;
 use crate::{Micros, SECOND, hash};
 
-/// Discovery's list counts as new for so long: two of its usual answers.
-const FRESH: Micros = 5 * SECOND;
-/// Members that were missed at most so long before their zone was lost were cut off with it.
-const MISSED_WITH_ZONE: Micros = 15 * SECOND;
+/// Time for which the endpoint list counts as current: two of its usual polls.
+const LIST_FRESHNESS: Micros = 5 * SECOND;
+/// Members that were lost at most this long before their zone are unreachable along with it.
+const ZONE_LOSS_WINDOW: Micros = 15 * SECOND;
 
 impl Core {
-    /// Where this member stands.
+    /// Returns the connectivity of this member.
     pub fn connectivity(&self) -> &Connectivity {
         self.tracker.connectivity()
     }
 
-    /// The version of the program, as others' membership table show it; to be said before it runs.
+    /// Sets the program version that other members see; to be called before the first tick.
     pub fn set_version(&mut self, version: &str) {
         let end = (0..=MAX_VERSION_BYTES.min(version.len()))
             .rev()
@@ -29,42 +28,46 @@
         self.version = version[..end.unwrap_or(0)].to_owned();
     }
 
-    /// Discovery has answered: the list is as new as this.
-    pub fn list_seen(&mut self, now: Micros) {
-        self.list_seen = Some(now);
+    /// Records that discovery confirmed the endpoint list.
+    pub fn confirm_list(&mut self, now: Micros) {
+        self.list_confirmed_at = Some(now);
     }
 
-    /// Where the endpoints of the own list stand, by their numbers: what they say of a zone that is
-    /// not heard.
-    pub fn placed<'a>(&mut self, zones: impl Iterator<Item = (usize, &'a str)>) {
-        self.placed = zones
+    /// Sets the zone of each endpoint on the list. Endpoints of a silent zone show whether it has
+    /// failed.
+    pub fn set_endpoint_zones<'a>(&mut self, zones: impl Iterator<Item = (usize, &'a str)>) {
+        self.endpoint_zones = zones
             .take(super::observations::MAX_ENDPOINTS)
             .map(|(e, zone)| (e, hash(zone)))
             .collect();
     }
 
-    /// Somebody of that zone is heard: an answer to what this one sent, or not.
+    /// Records a datagram from a zone; `answer` if it answers one of this member.
     pub(super) fn record_contact(&mut self, now: Micros, zone: u64, answer: bool) {
         if self.tracks_connectivity {
-            self.tracker.heard.came(now, self.zone, zone, answer);
+            self.tracker
+                .zone_contacts
+                .record_contact(now, self.zone, zone, answer);
         }
     }
 
-    /// What it may say and do about endpoints now.
-    pub(super) fn may_publish(&self) -> bool {
-        self.connectivity().kind.permissions().observations == Observations::Shared
+    /// Returns whether this member may publish health observations.
+    pub(super) fn may_publish_observations(&self) -> bool {
+        self.connectivity().state.permissions().observations == Observations::Shared
     }
 
-    /// Whether that member may be thought to make trials.
-    pub(super) fn may_try(&self, now: Micros, origin: u64, zone: u64) -> bool {
-        match self.connectivity().kind.permissions().trials {
-            Trials::Shared => !self.quarantined(now, origin),
-            Trials::Side => !self.tracker.silent(zone) && !self.quarantined(now, origin),
-            Trials::Own | Trials::None => false,
+    /// Returns whether the member may be assigned trial requests.
+    pub(super) fn may_make_trials(&self, now: Micros, origin: u64, zone: u64) -> bool {
+        match self.connectivity().state.permissions().trials {
+            Trials::Shared => !self.is_quarantined(now, origin),
+            Trials::ReachableOnly => {
+                !self.tracker.is_zone_silent(zone) && !self.is_quarantined(now, origin)
+            }
+            Trials::Independent | Trials::None => false,
         }
     }
 
-    /// Derives the connectivity state anew, and notes what has changed.
+    /// Updates the connectivity state and reports changes.
     pub(super) fn update_connectivity(&mut self, now: Micros) {
         if !self.tracks_connectivity {
             return;
@@ -74,10 +77,10 @@
         let zones = self.zone_facts(now);
         let state_before = self.connectivity().clone();
         let lost_before = self.lost_zones(&zones);
-        let probes = self.tracker.step(now, self.zone, &zones);
+        let probes = self.tracker.update(now, self.zone, &zones);
         self.relabel_departures(now, &zones, &lost_before);
         for (zone, count) in probes {
-            self.ask_zone(now, zone, count);
+            self.probe_zone(now, zone, count);
         }
         if *self.connectivity() != state_before {
             self.note_connectivity();
@@ -85,22 +88,24 @@
         self.next_tick = self.next_tick.min(self.tracker.next());
     }
 
-    /// Notes names under which two members run at once.
+    /// Reports names that two running members share.
     fn note_duplicate_names(&mut self, now: Micros) {
-        let (members, me) = (&self.members, self.me.address);
-        let runs = |at| at == me || members.contains_key(&at);
-        for (name, addresses) in self.membership.twice(now, runs) {
-            self.effects.notes.push(Note::Twice { name, addresses });
+        let (members, me) = (&self.members, self.identity.address);
+        let is_running = |at| at == me || members.contains_key(&at);
+        for (name, addresses) in self.membership.confirm_duplicates(now, is_running) {
+            self.effects
+                .notes
+                .push(Note::DuplicateName { name, addresses });
         }
     }
 
-    /// Begins the next interval of views, once the last one is over.
+    /// Begins the next view interval if it is due.
     fn schedule_views(&mut self, now: Micros) {
         if now < self.next_view {
             return;
         }
         self.next_view = now + VIEW_INTERVAL;
-        self.views_due = if self.connectivity().kind == ConnectivityState::Connected {
+        self.views_due = if self.connectivity().state == ConnectivityState::Connected {
             VIEWS_PER_INTERVAL
         } else {
             2 * VIEWS_PER_INTERVAL
@@ -109,24 +114,30 @@
     }
 
     fn lost_zones(&self, zones: &[ZoneFacts]) -> Vec<bool> {
-        let lost = zones.iter().map(|zone| self.tracker.lost(zone.zone));
+        let lost = zones
+            .iter()
+            .map(|zone| self.tracker.is_zone_lost(zone.zone));
         lost.collect()
     }
 
-    /// Members that were missed with a zone that is lost now count as unreachable; those of a zone
-    /// that is heard again and in which none runs have failed.
+    /// Members lost along with a zone that has become unreachable count as unreachable. If the zone
+    /// is heard again and none of its members is running, they count as failed.
     fn relabel_departures(&mut self, now: Micros, zones: &[ZoneFacts], lost_before: &[bool]) {
         for (facts, before) in zones.iter().zip(lost_before) {
             let (failed, unreachable) = (Departure::Failed, Departure::Unreachable);
-            match (*before, self.tracker.lost(facts.zone)) {
+            match (*before, self.tracker.is_zone_lost(facts.zone)) {
                 (false, true) => {
-                    let since = now - MISSED_WITH_ZONE;
+                    let since = now - ZONE_LOSS_WINDOW;
                     self.membership
-                        .relabel(facts.zone, since, failed, unreachable);
+                        .relabel_departures(facts.zone, since, failed, unreachable);
                 }
                 (true, false) if facts.running == 0 => {
-                    self.membership
-                        .relabel(facts.zone, Micros::MIN, unreachable, failed);
+                    self.membership.relabel_departures(
+                        facts.zone,
+                        Micros::MIN,
+                        unreachable,
+                        failed,
+                    );
                 }
                 _ => {}
             }
@@ -136,7 +147,7 @@
     fn note_connectivity(&mut self) {
         let connectivity = self.connectivity().clone();
         let zones = connectivity
-            .cut
+            .unreachable_zones
             .iter()
             .map(|(zone, direction)| (self.zone_name(*zone), *direction))
             .collect();
@@ -147,23 +158,29 @@
     }
 
     fn zone_facts(&self, now: Micros) -> Vec<ZoneFacts> {
-        let fresh = self.list_seen.is_some_and(|at| now - at < FRESH);
-        let mut zones = self.membership.zones();
-        let own = zones.entry(self.zone).or_default();
-        (own.0, own.1) = (own.0 + 1, own.1 + 1);
+        let list_is_fresh = self
+            .list_confirmed_at
+            .is_some_and(|at| now - at < LIST_FRESHNESS);
+        let mut zones = self.membership.members_by_zone();
+        let own_zone = zones.entry(self.zone).or_default();
+        (own_zone.0, own_zone.1) = (own_zone.0 + 1, own_zone.1 + 1);
         let facts = zones.into_iter().map(|(zone, (running, known))| {
-            let there = || {
-                self.listed
+            let endpoints_in_zone = || {
+                self.endpoints_by_name
                     .values()
-                    .filter(|l| self.placed.get(&l.endpoint) == Some(&zone))
+                    .filter(|l| self.endpoint_zones.get(&l.endpoint) == Some(&zone))
             };
-            let (served, named) = if self.tracker.silent(zone) {
-                let process = |l: &crate::effects::Listed| self.processes.get(&l.endpoint).copied();
-                let served = there()
+            let (served, has_ready_endpoints) = if self.tracker.is_zone_silent(zone) {
+                let process =
+                    |l: &crate::effects::ObservedEndpoint| self.processes.get(&l.endpoint).copied();
+                let served = endpoints_in_zone()
                     .filter_map(process)
-                    .filter_map(|p: Process| self.own.get(&p)?.served)
+                    .filter_map(|p: Process| self.own_observations.get(&p)?.last_served)
                     .max();
-                (served, fresh.then(|| there().any(|l| l.ready)))
+                (
+                    served,
+                    list_is_fresh.then(|| endpoints_in_zone().any(|l| l.ready)),
+                )
             } else {
                 (None, None)
             };
@@ -171,8 +188,8 @@
                 zone,
                 running,
                 known,
-                served,
-                listed: named,
+                last_served: served,
+                has_ready_endpoints,
             }
         });
         facts.collect()
@@ -183,15 +200,15 @@
         entry.map_or_else(|| format!("{zone:016x}"), |(_, e)| e.member.zone.clone())
     }
 
-    /// Its word does not count for now.
-    pub(super) fn quarantined(&self, now: Micros, origin: u64) -> bool {
-        self.tracks_connectivity && self.membership.quarantined(now, origin)
+    /// Returns whether the observations of this member are ignored because it flaps.
+    pub(super) fn is_quarantined(&self, now: Micros, origin: u64) -> bool {
+        self.tracks_connectivity && self.membership.is_quarantined(now, origin)
     }
 
-    /// How one leaves that is missed now.
-    pub(super) fn left_how(&self, zone: u64) -> Departure {
-        let all = self.connectivity().kind == ConnectivityState::Isolated;
-        if self.tracker.lost(zone) || all {
+    /// Returns the reason of the departure of a member that was lost just now.
+    pub(super) fn departure_reason(&self, zone: u64) -> Departure {
+        let is_isolated = self.connectivity().state == ConnectivityState::Isolated;
+        if self.tracker.is_zone_lost(zone) || is_isolated {
             Departure::Unreachable
         } else {
             Departure::Failed
--- a/crates/gossip/src/core/ejections.rs
+++ b/crates/gossip/src/core/ejections.rs
@@ -1,23 +1,26 @@
-//! This member's ejections: which endpoints are ejected, and which it may try.
+//! Ejections of endpoints by this member, and the trial requests assigned to it.
 
-use super::{Core, DOUBTED, DOUBTED_LEAST};
+use super::{Core, MAX_UNHEALTHY_FRACTION, MIN_UNHEALTHY_TO_DOUBT};
 use crate::connectivity::Trials;
 use crate::effects::EjectionUpdate;
 use crate::health_status::{EjectionStatus, HealthStatus, evaluate};
 use crate::observation_table::{Observation, Process};
-use crate::trial::{Slot, chosen, slot};
+use crate::trial::{Slot, choose_members, slot};
 use crate::{Micros, SECOND};
 
-/// Who makes the trial of a slot: the second one where nothing is heard of the first in half of it.
+/// The members assigned to the trial of a slot; the second takes over in the second half.
 #[derive(Clone, Copy)]
-struct TrialTurn {
+struct TrialAssignment {
     slot: Slot,
     members: [Option<u64>; 2],
 }
 
-impl TrialTurn {
+impl TrialAssignment {
     const NONE: Self = Self {
-        slot: Slot { from: 0, length: 0 },
+        slot: Slot {
+            start: 0,
+            length: 0,
+        },
         members: [None; 2],
     };
 }
@@ -28,71 +31,72 @@
     pub(super) since: Micros,
     pub(super) status: EjectionStatus,
     pub(super) expires: Micros,
-    turn: TrialTurn,
-    /// Zones that have found it unhealthy.
+    assignment: TrialAssignment,
+    /// Zones that found it unhealthy.
     pub(super) zones: Vec<u64>,
 }
 
 impl Core {
-    /// The health status of an endpoint process by all observations that count. `ejected_by` are
-    /// the zones for which it is ejected now.
+    /// Returns the health status of an endpoint process by all observations that count.
+    /// `ejected_by` are the zones for which it is ejected now.
     pub(super) fn health_status(
         &self,
         now: Micros,
         process: Process,
         ejected_by: Option<&[u64]>,
     ) -> HealthStatus {
-        let members = |zone: u64| self.in_zone.get(&zone).copied().unwrap_or(0);
+        let members = |zone: u64| self.members_per_zone.get(&zone).copied().unwrap_or(0);
         evaluate(
-            self.table.of(process),
+            self.table.observations_of(process),
             now,
             self.zone,
             ejected_by,
             &self.policy,
-            |observation| self.counts_observation(now, observation),
+            |observation| self.is_counted(now, observation),
             members,
         )
     }
 
-    /// Only observations of those who are members now count, for the zone that they are in, and
-    /// neither of quarantined ones nor of those that find most endpoints unhealthy.
-    fn counts_observation(&self, now: Micros, observation: &Observation) -> bool {
+    /// Returns whether an observation counts: its origin is a member of that zone, is not
+    /// quarantined, and does not find most endpoints unhealthy.
+    fn is_counted(&self, now: Micros, observation: &Observation) -> bool {
         if observation.origin == self.origin {
             return true;
         }
-        let address = self.by_origin.get(&observation.origin);
+        let address = self.addresses_by_origin.get(&observation.origin);
         let reporter = address.and_then(|address| self.members.get(address));
         reporter.is_some_and(|reporter| reporter.zone == observation.zone)
-            && !self.is_doubted(observation.origin)
-            && !self.quarantined(now, observation.origin)
+            && !self.is_unreliable_reporter(observation.origin)
+            && !self.is_quarantined(now, observation.origin)
     }
 
-    fn is_doubted(&self, origin: u64) -> bool {
-        let unhealthy = self.table.unhealthy_by(origin);
-        unhealthy >= DOUBTED_LEAST && unhealthy as f64 > DOUBTED * self.ready as f64
+    fn is_unreliable_reporter(&self, origin: u64) -> bool {
+        let unhealthy = self.table.unhealthy_count(origin);
+        unhealthy >= MIN_UNHEALTHY_TO_DOUBT
+            && unhealthy as f64 > MAX_UNHEALTHY_FRACTION * self.ready as f64
     }
 
-    /// Looks at an endpoint anew, and ejects it or takes its ejection back.
+    /// Reassesses an endpoint, and ejects it or withdraws its ejection.
     pub(super) fn reassess(&mut self, now: Micros, endpoint: usize) {
         let Some(process) = self.processes.get(&endpoint).copied() else {
             return;
         };
-        let before = self.ejected.get(&endpoint);
-        let before = before.filter(|ejection| ejection.process == process);
+        let previous = self.ejected.get(&endpoint);
+        let before = previous.filter(|ejection| ejection.process == process);
         let zones = before.map(|ejection| ejection.zones.as_slice());
         let health = self.health_status(now, process, zones);
-        let most = (self.max_ejected * self.ready as f64) as usize;
-        let has_room = before.is_some() || self.ejected.len() < most;
-        if !health.unhealthy || health.until <= now || !has_room {
+        let max_ejected = (self.max_ejected * self.ready as f64) as usize;
+        let has_capacity = before.is_some() || self.ejected.len() < max_ejected;
+        if !health.unhealthy || health.until <= now || !has_capacity {
             if before.is_some() {
-                self.take_back(now, endpoint, health.served);
+                self.withdraw_ejection(now, endpoint, health.served);
             }
             return;
         }
         self.eject(now, endpoint, process, health);
     }
 
-    fn take_back(&mut self, now: Micros, endpoint: usize, served: bool) {
+    fn withdraw_ejection(&mut self, now: Micros, endpoint: usize, served: bool) {
         self.ejected.remove(&endpoint);
         self.effects.ejections.push(EjectionUpdate {
             endpoint,
@@ -105,17 +109,17 @@
         });
     }
 
-    /// Ejects an endpoint, or keeps it ejected; the decision module is told where that changes
-    /// anything for it.
+    /// Ejects an endpoint or extends its ejection; reports it to the decision module only if it
+    /// changes anything there.
     fn eject(&mut self, now: Micros, endpoint: usize, process: Process, health: HealthStatus) {
-        let before = self.ejected.get(&endpoint);
-        let before = before.filter(|ejection| ejection.process == process);
+        let previous = self.ejected.get(&endpoint);
+        let before = previous.filter(|ejection| ejection.process == process);
         let is_new = before.is_none();
         let since = before.map_or(now, |ejection| ejection.since);
         let slot = slot(now, since, &health, &self.policy);
-        let turn = self.trial_turn(now, process, slot, before, &health);
+        let assignment = self.trial_assignment(now, process, slot, before, &health);
         let trial_due =
-            slot.is_some_and(|slot| self.is_trial_due(now, process, slot, &turn, &health));
+            slot.is_some_and(|slot| self.is_trial_due(now, process, slot, &assignment, &health));
         let status = if trial_due {
             EjectionStatus::TrialDue
         } else {
@@ -126,85 +130,89 @@
             ejection.status != status || expires - ejection.expires >= self.policy.ejection_time
         });
         if changed {
-            self.counts.rests += u64::from(is_new);
+            self.counts.ejections += u64::from(is_new);
             self.counts.trials += u64::from(trial_due);
             self.effects.ejections.push(EjectionUpdate {
                 endpoint,
                 status,
                 expires,
             });
-            self.wake(now);
+            self.schedule_active_tick(now);
             let ejection = Ejection {
                 process,
                 since,
                 status,
                 expires,
-                turn,
+                assignment,
                 zones: health.zones,
             };
             self.ejected.insert(endpoint, ejection);
         } else if let Some(ejection) = self.ejected.get_mut(&endpoint) {
-            ejection.turn = turn;
+            ejection.assignment = assignment;
         }
     }
 
-    /// Whose turn a trial is: that of the slot, or of the slot before where none is due.
-    fn trial_turn(
+    /// Returns the assignment of the slot, or the previous one if no trial is due.
+    fn trial_assignment(
         &self,
         now: Micros,
         process: Process,
         slot: Option<Slot>,
-        before: Option<&Ejection>,
+        previous: Option<&Ejection>,
         health: &HealthStatus,
-    ) -> TrialTurn {
-        let last = before.map_or(TrialTurn::NONE, |ejection| ejection.turn);
+    ) -> TrialAssignment {
+        let previous_assignment =
+            previous.map_or(TrialAssignment::NONE, |ejection| ejection.assignment);
         let Some(slot) = slot else {
-            return last;
+            return previous_assignment;
         };
-        if before.is_some() && last.slot == slot {
-            return last;
+        if previous.is_some() && previous_assignment.slot == slot {
+            return previous_assignment;
         }
         let others = self.members.values().filter(|known| {
-            health.zones.contains(&known.zone) && self.may_try(now, known.origin, known.zone)
+            health.zones.contains(&known.zone)
+                && self.may_make_trials(now, known.origin, known.zone)
         });
         let origins = others
             .map(|known| known.origin)
             .chain(std::iter::once(self.origin));
-        TrialTurn {
+        TrialAssignment {
             slot,
-            members: chosen(process, slot, origins),
+            members: choose_members(process, slot, origins),
         }
     }
 
-    /// Whether this member is to try an ejected endpoint now: it is its turn, and nobody has tried
-    /// it in this slot.
+    /// Returns whether this member is assigned the trial and no member has made it in this slot.
     fn is_trial_due(
         &self,
         now: Micros,
         process: Process,
         slot: Slot,
-        turn: &TrialTurn,
+        assignment: &TrialAssignment,
         health: &HealthStatus,
     ) -> bool {
-        let is_late = now >= slot.from + slot.length / 2;
-        let untried = health.newest.is_none_or(|(_, seen)| seen < slot.from);
-        let is_turn_of_this = |place: usize| turn.members[place] == Some(self.origin);
-        let own = self.own.get(&process).map_or(Micros::MIN, |own| own.at);
-        self.connectivity().kind.permissions().trials != Trials::None
-            && own < slot.from
+        let is_second_half = now >= slot.start + slot.length / 2;
+        let untried = health.newest.is_none_or(|(_, seen)| seen < slot.start);
+        let is_assigned = |position: usize| assignment.members[position] == Some(self.origin);
+        let last_own_observation = self
+            .own_observations
+            .get(&process)
+            .map_or(Micros::MIN, |own| own.observed_at);
+        self.connectivity().state.permissions().trials != Trials::None
+            && last_own_observation < slot.start
             && untried
-            && (is_turn_of_this(0) || (is_late && is_turn_of_this(1)))
+            && (is_assigned(0) || (is_second_half && is_assigned(1)))
     }
 
-    /// Looks at all ejected endpoints, as their trials have their times; and, once a second, at all
-    /// that anything was observed of.
+    /// Reassesses all ejected endpoints, because their trials become due; and once per second all
+    /// endpoints with observations.
     pub(super) fn reassess_all(&mut self, now: Micros) {
         let mut endpoints: Vec<usize> = self.ejected.keys().copied().collect();
         if now >= self.next_sweep {
             self.next_sweep = now + SECOND;
             self.table.drop_before(now - self.policy.max_staleness);
             let observed = self.table.processes();
-            let listed = observed.filter_map(|process| self.listed.get(&process.name));
+            let listed = observed.filter_map(|process| self.endpoints_by_name.get(&process.name));
             endpoints.extend(listed.map(|listed| listed.endpoint));
             endpoints.sort_unstable();
             endpoints.dedup();
--- a/crates/gossip/src/core/fragments.rs
+++ b/crates/gossip/src/core/fragments.rs
@@ -1,69 +1,80 @@
-//! Carries message parts of other crates.
+//! Sends and receives message fragments of other crates.
 
 use super::dissemination::MAX_SENDS;
 use super::{Core, FANOUT};
 use crate::Micros;
-use crate::effects::CarriedFragment;
-use crate::fragments::{BOUND, FragmentEnvelope, FragmentRefused, Receipt};
-use crate::frame::{self, Content, Dropped, FAREWELL, Head, MessagePart};
+use crate::effects::ReceivedFragment;
+use crate::fragments::{FragmentEnvelope, FragmentError, MAX_FRAGMENT_AGE, ReceiveResult};
+use crate::frame::{self, Content, DropReason, FrameHeader, KIND_FAREWELL, MessagePart};
 use rand::RngExt;
 use std::net::SocketAddr;
 
 impl Core {
-    /// Spreads a fragment to all members, as news are spread: nine sends by each that hears of it,
-    /// in datagrams with what else there is to say, observations first. It comes out once at each
-    /// that is reached, and not here.
+    /// Broadcasts a fragment to all members in the way of observations: each member that receives
+    /// it forwards it nine times, in datagrams with other updates, which take precedence. Each
+    /// member that is reached outputs it once; this member does not.
     ///
     /// # Errors
-    /// Why it is not; nothing was sent then.
-    pub fn carry(&mut self, now: Micros, kind: u8, bytes: &[u8]) -> Result<(), FragmentRefused> {
+    /// Returns the reason why the fragment was not accepted; nothing is sent then.
+    pub fn broadcast_fragment(
+        &mut self,
+        now: Micros,
+        kind: u8,
+        bytes: &[u8],
+    ) -> Result<(), FragmentError> {
         let envelope = self.envelope(now, kind, bytes, true)?;
-        self.keep_carrying(now, kind, envelope, now);
+        self.forward_fragment(now, kind, envelope, now);
         Ok(())
     }
 
-    /// Sends a fragment to one member alone, at once, in a datagram of its own. It may be lost.
+    /// Sends a fragment to one member, immediately and in a datagram of its own. It may be lost.
     ///
     /// # Errors
-    /// Why it is not sent.
-    pub fn carry_to(
+    /// Returns the reason why the fragment was not sent.
+    pub fn send_fragment(
         &mut self,
         now: Micros,
-        to: u64,
+        recipient: u64,
         kind: u8,
         bytes: &[u8],
-    ) -> Result<(), FragmentRefused> {
-        let to = *self.by_origin.get(&to).ok_or(FragmentRefused::Nobody)?;
+    ) -> Result<(), FragmentError> {
+        let address = *self
+            .addresses_by_origin
+            .get(&recipient)
+            .ok_or(FragmentError::UnknownMember)?;
         let envelope = self.envelope(now, kind, bytes, false)?;
-        let mut frame = frame::begin(&Head {
+        let mut frame = frame::begin(&FrameHeader {
             cluster: &self.cluster,
-            sent: now,
+            sent_at: now,
             content: Content::Updates,
         });
-        if !frame::add(
+        if !frame::try_append(
             &mut frame,
             &MessagePart {
                 kind,
                 bytes: &envelope,
             },
         ) {
-            return Err(FragmentRefused::TooLong);
+            return Err(FragmentError::TooLong);
         }
-        self.send(to, frame);
+        self.send(address, frame);
         Ok(())
     }
 
-    /// Members drawn at random, at most so many, none twice: to ask them for something by
-    /// [`Core::carry_to`].
-    pub fn neighbours(&mut self, most: usize) -> Vec<u64> {
-        let mut drawn = Vec::new();
-        // Twice the draws find as many as there are, or nearly.
-        for _ in 0..2 * most.min(self.drawn.len()) {
-            let at = self.drawn[self.rng.random_range(0..self.drawn.len())];
-            let origin = self.members.get(&at).map(|known| known.origin);
-            drawn.extend(origin.filter(|origin| drawn.len() < most && !drawn.contains(origin)));
+    /// Returns distinct random members, at most `max_members`, for use with
+    /// [`Core::send_fragment`].
+    pub fn random_members(&mut self, max_members: usize) -> Vec<u64> {
+        let mut chosen = Vec::new();
+        // Twice as many draws find nearly as many distinct members.
+        for _ in 0..2 * max_members.min(self.member_addresses.len()) {
+            let address =
+                self.member_addresses[self.rng.random_range(0..self.member_addresses.len())];
+            let origin = self.members.get(&address).map(|known| known.origin);
+            chosen.extend(
+                origin.filter(|origin| chosen.len() < max_members && !chosen.contains(origin)),
+            );
         }
-        drawn
+        chosen
     }
 
     fn envelope(
@@ -71,56 +82,64 @@
         now: Micros,
         kind: u8,
         body: &[u8],
-        spreads: bool,
-    ) -> Result<Vec<u8>, FragmentRefused> {
-        let sequence = self.fragments.next(now, kind, body.len(), spreads)?;
-        self.counts.carried += 1;
-        let (origin, incarnation) = (self.origin, self.me.incarnation);
+        broadcast: bool,
+    ) -> Result<Vec<u8>, FragmentError> {
+        let sequence = self
+            .fragments
+            .next_sequence(now, kind, body.len(), broadcast)?;
+        self.counts.fragments_sent += 1;
+        let (origin, incarnation) = (self.origin, self.identity.incarnation);
         let envelope = FragmentEnvelope {
             origin,
             incarnation,
             sequence,
-            said: now,
-            spreads,
+            created_at: now,
+            broadcast,
             body,
         };
-        postcard::to_stdvec(&envelope).map_err(|_| FragmentRefused::TooLong)
+        postcard::to_stdvec(&envelope).map_err(|_| FragmentError::TooLong)
     }
 
-    fn keep_carrying(&mut self, now: Micros, kind: u8, envelope: Vec<u8>, said: Micros) {
-        if !self.fragments.disseminate(kind, envelope, said, MAX_SENDS) {
-            self.drop_one(Dropped::Full);
+    fn forward_fragment(&mut self, now: Micros, kind: u8, envelope: Vec<u8>, created_at: Micros) {
+        if !self
+            .fragments
+            .enqueue(kind, envelope, created_at, MAX_SENDS)
+        {
+            self.record_drop(DropReason::Full);
         }
-        self.wake(now);
+        self.schedule_active_tick(now);
     }
 
-    /// Says to some that it leaves; they pass it on.
-    pub(super) fn farewell(&mut self, now: Micros) {
-        let (origin, incarnation, sequence) =
-            (self.origin, self.me.incarnation, self.fragments.last());
+    /// Announces the departure of this member to a few members, which forward it.
+    pub(super) fn send_farewell(&mut self, now: Micros) {
+        let (origin, incarnation, sequence) = (
+            self.origin,
+            self.identity.incarnation,
+            self.fragments.final_sequence(),
+        );
         let envelope = FragmentEnvelope {
             origin,
             incarnation,
             sequence,
-            said: now,
-            spreads: true,
+            created_at: now,
+            broadcast: true,
             body: &[],
         };
         let Ok(envelope) = postcard::to_stdvec(&envelope) else {
             return;
         };
-        for to in self.neighbours(2 * FANOUT) {
-            let to = self.by_origin.get(&to).copied();
-            let mut frame = frame::begin(&Head {
+        for to in self.random_members(2 * FANOUT) {
+            let address = self.addresses_by_origin.get(&to).copied();
+            let mut frame = frame::begin(&FrameHeader {
                 cluster: &self.cluster,
-                sent: now,
+                sent_at: now,
                 content: Content::Updates,
             });
-            if let Some(to) = to.filter(|_| {
-                frame::add(
+            if let Some(to) = address.filter(|_| {
+                frame::try_append(
                     &mut frame,
                     &MessagePart {
-                        kind: FAREWELL,
+                        kind: KIND_FAREWELL,
                         bytes: &envelope,
                     },
                 )
@@ -130,56 +149,63 @@
         }
     }
 
-    /// A carried fragment came from there, a member.
-    pub(super) fn carried(&mut self, now: Micros, from: SocketAddr, kind: u8, bytes: &[u8]) {
+    /// Handles a fragment received from a member.
+    pub(super) fn handle_fragment(
+        &mut self,
+        now: Micros,
+        from: SocketAddr,
+        kind: u8,
+        bytes: &[u8],
+    ) {
         let Ok(envelope) = postcard::from_bytes::<FragmentEnvelope<'_>>(bytes) else {
-            return self.drop_one(Dropped::Malformed);
+            return self.record_drop(DropReason::Malformed);
         };
-        if envelope.body.len() > crate::fragments::longest(envelope.spreads) {
-            return self.drop_one(Dropped::TooLong);
+        if envelope.body.len() > crate::fragments::max_body_bytes(envelope.broadcast) {
+            return self.record_drop(DropReason::TooLong);
         }
         if envelope.origin == self.origin {
-            // The own word comes back, which is nothing; one that was never given is another's.
-            if envelope.incarnation >= self.me.incarnation
-                && envelope.sequence > self.fragments.given()
+            // Own fragments are ignored when they return. One with an unused sequence number is
+            // forged.
+            if envelope.incarnation >= self.identity.incarnation
+                && envelope.sequence > self.fragments.last_sequence()
             {
-                self.drop_one(Dropped::Forged);
+                self.record_drop(DropReason::Forged);
             }
             return;
         }
-        if !envelope.spreads
+        if !envelope.broadcast
             && self
                 .members
                 .get(&from)
                 .is_none_or(|known| known.origin != envelope.origin)
         {
-            return self.drop_one(Dropped::Forged);
+            return self.record_drop(DropReason::Forged);
         }
-        if envelope.said > now + self.skew {
-            return self.drop_one(Dropped::Clock);
+        if envelope.created_at > now + self.skew {
+            return self.record_drop(DropReason::Clock);
         }
-        if now - envelope.said >= BOUND {
-            return self.drop_one(Dropped::Stale);
+        if now - envelope.created_at >= MAX_FRAGMENT_AGE {
+            return self.record_drop(DropReason::Stale);
         }
-        match self.fragments.came(now, &envelope) {
-            Receipt::Before => return,
-            Receipt::Full => return self.drop_one(Dropped::Full),
-            Receipt::New => {}
+        match self.fragments.record_received(now, &envelope) {
+            ReceiveResult::Duplicate => return,
+            ReceiveResult::Full => return self.record_drop(DropReason::Full),
+            ReceiveResult::New => {}
         }
-        if kind == FAREWELL {
+        if kind == KIND_FAREWELL {
             self.membership
-                .announced(envelope.origin, envelope.incarnation);
+                .record_announced_departure(envelope.origin, envelope.incarnation);
         } else {
-            self.counts.handed_out += 1;
-            self.effects.carried.push(CarriedFragment {
+            self.counts.fragments_received += 1;
+            self.effects.fragments.push(ReceivedFragment {
                 origin: envelope.origin,
                 incarnation: envelope.incarnation,
                 kind,
                 bytes: envelope.body.to_vec(),
             });
         }
-        if envelope.spreads {
-            self.keep_carrying(now, kind, bytes.to_vec(), envelope.said);
+        if envelope.broadcast {
+            self.forward_fragment(now, kind, bytes.to_vec(), envelope.created_at);
         }
     }
 }
--- a/crates/gossip/src/core/membership.rs
+++ b/crates/gossip/src/core/membership.rs
@@ -1,8 +1,8 @@
-//! Drives foca's membership protocol.
+//! Runs foca's membership protocol.
 
 use super::{Core, FANOUT};
 use crate::effects::Note;
-use crate::frame::{self, Content, Dropped, Head, MAX_DATAGRAM_BYTES};
+use crate::frame::{self, Content, DropReason, FrameHeader, MAX_DATAGRAM_BYTES};
 use crate::member::Member;
 use crate::section::FleetSection;
 use crate::{Micros, SECOND, hash};
@@ -12,20 +12,20 @@
 use std::num::{NonZeroU8, NonZeroU32, NonZeroUsize};
 use std::time::Duration;
 
-/// How often the seeds are asked while nobody is known.
-const SEEDS: Micros = SECOND;
-/// How often they are asked all the same, so that two parts of a fleet that lost each other for
-/// long find together.
-const SEEDS_AGAIN: Micros = 20 * SECOND;
-/// Room that a datagram's beginning takes at most: marks, the longest name of a fleet, a time.
+/// Interval of announcements to seeds while no member is known.
+const SEED_INTERVAL_ALONE: Micros = SECOND;
+/// Interval of announcements to seeds otherwise, so that two parts of a fleet that were partitioned
+/// for long find each other again.
+const SEED_INTERVAL: Micros = 20 * SECOND;
+/// Maximum size of the frame header: magic, version, the longest cluster name and a time.
 const MAX_HEADER_BYTES: usize = 64;
 
-/// A member that runs.
-pub(super) struct Known {
+/// A running member.
+pub(super) struct RunningMember {
     pub(super) member: Member,
     pub(super) origin: u64,
     pub(super) zone: u64,
-    pub(super) since: Micros,
+    pub(super) known_since: Micros,
 }
 
 pub(super) fn foca_config(section: &FleetSection) -> foca::Config {
@@ -33,10 +33,10 @@
         foca::Config::new_lan(NonZeroU32::new(section.members).unwrap_or(NonZeroU32::MIN));
     let usize_of = |n| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
     config.max_packet_size = usize_of(MAX_DATAGRAM_BYTES - MAX_HEADER_BYTES);
-    // Four probes: with three datagrams in ten lost, hardly anybody is taken for dead who is not.
+    // Four probes: with 30 % datagram loss hardly any live member is declared down.
     config.suspect_to_down_after = Duration::from_secs(4);
     config.probe_rtt = Duration::from_millis(400);
-    // A cut that heals is found out within some seconds, at the cost of two datagrams in that time.
+    // A healed partition is detected within seconds, at the cost of two datagrams per interval.
     config.periodic_announce_to_down_members = Some(foca::PeriodicParams {
         frequency: Duration::from_secs(5),
         num_members: usize_of(2),
@@ -53,8 +53,8 @@
 }
 
 impl Core {
-    pub(super) fn membership(&mut self, now: Micros, from: SocketAddr, content: &[u8]) {
-        // Whoever speaks is who it says it is: else one could speak for all.
+    pub(super) fn handle_membership(&mut self, now: Micros, from: SocketAddr, content: &[u8]) {
+        // The sender must be the member it claims to be; otherwise one member could speak for all.
         match postcard::take_from_bytes::<Header<Member>>(content) {
             Ok((header, _)) if header.src.address == from => {
                 if !header.src.name.is_empty() {
@@ -65,21 +65,21 @@
                     );
                 }
             }
-            Ok(_) => return self.drop_one(Dropped::Unknown),
-            Err(_) => return self.drop_one(Dropped::Malformed),
+            Ok(_) => return self.record_drop(DropReason::Unknown),
+            Err(_) => return self.record_drop(DropReason::Malformed),
         }
         if self.foca.handle_data(content, &mut self.runtime).is_err() {
-            self.drop_one(Dropped::Malformed);
+            self.record_drop(DropReason::Malformed);
         }
-        self.follow(now);
+        self.run_membership_effects(now);
     }
 
-    /// Carries out what foca wants.
-    pub(super) fn follow(&mut self, now: Micros) {
+    /// Performs the outputs of foca.
+    pub(super) fn run_membership_effects(&mut self, now: Micros) {
         while let Some((to, content)) = self.runtime.to_send() {
-            let head = Head {
+            let head = FrameHeader {
                 cluster: &self.cluster,
-                sent: now,
+                sent_at: now,
                 content: Content::Membership,
             };
             let mut bytes = frame::begin(&head);
@@ -92,16 +92,16 @@
             self.timers
                 .insert((now.saturating_add(after), self.timer_number), timer);
         }
-        while let Some(told) = self.runtime.to_notify() {
-            match told {
-                OwnedNotification::MemberUp(member) => self.up(now, member),
-                OwnedNotification::MemberDown(member) => self.missed(now, &member.address),
+        while let Some(notification) = self.runtime.to_notify() {
+            match notification {
+                OwnedNotification::MemberUp(member) => self.record_up(now, member),
+                OwnedNotification::MemberDown(member) => self.record_down(now, &member.address),
                 OwnedNotification::Rename(old, new) => {
                     if self.members.contains_key(&old.address) {
-                        self.up(now, new);
+                        self.record_up(now, new);
                     }
                 }
-                OwnedNotification::Rejoin(me) => self.me = me,
+                OwnedNotification::Rejoin(me) => self.identity = me,
                 OwnedNotification::Active
                 | OwnedNotification::Idle
                 | OwnedNotification::Defunct => {}
@@ -109,11 +109,11 @@
         }
     }
 
-    pub(super) fn up(&mut self, now: Micros, member: Member) {
-        self.down(&member.address);
+    pub(super) fn record_up(&mut self, now: Micros, member: Member) {
+        self.remove_member(&member.address);
         self.digest = None;
-        let counts = self.may_publish() && self.tracks_connectivity;
-        if self.membership.up(now, &member, counts) {
+        let count_crashes = self.may_publish_observations() && self.tracks_connectivity;
+        if self.membership.record_up(now, &member, count_crashes) {
             self.effects.notes.push(Note::Quarantined {
                 name: member.name.clone(),
             });
@@ -121,77 +121,81 @@
         let (address, origin, zone) = (member.address, hash(&member.name), hash(&member.zone));
         self.members.insert(
             address,
-            Known {
+            RunningMember {
                 member,
                 origin,
                 zone,
-                since: now,
+                known_since: now,
             },
         );
-        self.drawn.push(address);
-        self.by_origin.insert(origin, address);
-        *self.in_zone.entry(zone).or_default() += 1;
+        self.member_addresses.push(address);
+        self.addresses_by_origin.insert(origin, address);
+        *self.members_per_zone.entry(zone).or_default() += 1;
     }
 
-    /// That one does not run any more.
-    fn missed(&mut self, now: Micros, address: &SocketAddr) {
+    /// Records that a member no longer runs.
+    fn record_down(&mut self, now: Micros, address: &SocketAddr) {
         if let Some(known) = self.members.get(address) {
-            let how = self.left_how(known.zone);
-            if self.membership.down(now, &known.member, how) && self.tracks_connectivity {
+            let departure = self.departure_reason(known.zone);
+            if self.membership.record_down(now, &known.member, departure)
+                && self.tracks_connectivity
+            {
                 self.effects.notes.push(Note::Quarantined {
                     name: known.member.name.clone(),
                 });
             }
         }
-        self.down(address);
+        self.remove_member(address);
     }
 
-    fn down(&mut self, address: &SocketAddr) {
+    fn remove_member(&mut self, address: &SocketAddr) {
         let Some(known) = self.members.remove(address) else {
             return;
         };
         self.digest = None;
-        self.drawn.retain(|a| a != address);
-        if self.by_origin.get(&known.origin) == Some(address) {
-            self.by_origin.remove(&known.origin);
+        self.member_addresses.retain(|a| a != address);
+        if self.addresses_by_origin.get(&known.origin) == Some(address) {
+            self.addresses_by_origin.remove(&known.origin);
         }
-        if let Some(count) = self.in_zone.get_mut(&known.zone) {
+        if let Some(count) = self.members_per_zone.get_mut(&known.zone) {
             *count -= 1;
         }
     }
 
-    pub(super) fn ask_seeds(&mut self, now: Micros) {
-        self.next_ask = now
+    pub(super) fn announce_to_seeds(&mut self, now: Micros) {
+        self.next_seed_announcement = now
             + if self.members.is_empty() {
-                SEEDS
+                SEED_INTERVAL_ALONE
             } else {
-                SEEDS_AGAIN
+                SEED_INTERVAL
             };
-        // A start asks a few at once; later on one is enough.
+        // At the start several seeds are contacted at once; later one is enough.
         let count = if self.members.is_empty() { FANOUT } else { 1 };
         for _ in 0..count.min(self.seeds.len()) {
             let seed = self.seeds[self.rng.random_range(0..self.seeds.len())];
-            // What cannot be sent now is sent at the next turn.
-            let _ = self.foca.announce(Member::at(seed), &mut self.runtime);
+            // What cannot be sent now is sent in the next interval.
+            let _ = self
+                .foca
+                .announce(Member::with_address(seed), &mut self.runtime);
         }
-        self.follow(now);
+        self.run_membership_effects(now);
     }
 
-    /// Takes members as known to run, without telling others of them: what was known before, or is
-    /// known from elsewhere.
-    pub fn restore_incarnation(&mut self, now: Micros, members: impl Iterator<Item = Member>) {
-        let alive = members.map(foca::Member::alive);
-        // Who does not run is found out as anyone is.
-        let _ = self.foca.apply_many(alive, false, &mut self.runtime);
-        self.follow(now);
+    /// Adds members as running without announcing them to others: restored, or known from
+    /// elsewhere.
+    pub fn add_known_members(&mut self, now: Micros, members: impl Iterator<Item = Member>) {
+        let members = members.map(foca::Member::alive);
+        // Members that do not run are detected as usual.
+        let _ = self.foca.apply_many(members, false, &mut self.runtime);
+        self.run_membership_effects(now);
     }
 
-    /// Tells others that this member leaves.
+    /// Announces the departure of this member.
     pub fn leave(&mut self, now: Micros) {
         if self.tracks_connectivity {
-            self.farewell(now);
+            self.send_farewell(now);
         }
         let _ = self.foca.leave_cluster(&mut self.runtime);
-        self.follow(now);
+        self.run_membership_effects(now);
     }
 }
--- a/crates/gossip/src/core/observations.rs
+++ b/crates/gossip/src/core/observations.rs
@@ -1,34 +1,34 @@
-//! This member's own health observations, and those it receives.
+//! Health observations made by this member and received from others.
 
-use super::{Core, DOUBTED, DOUBTED_LEAST};
-use crate::effects::{EjectionUpdate, Listed};
-use crate::frame::Dropped;
+use super::{Core, MAX_UNHEALTHY_FRACTION, MIN_UNHEALTHY_TO_DOUBT};
+use crate::effects::{EjectionUpdate, ObservedEndpoint};
+use crate::frame::DropReason;
 use crate::health_status::EjectionStatus;
-use crate::observation_table::{Merged, Observation, ObservedHealth, Process};
+use crate::observation_table::{MergeResult, Observation, ObservedHealth, Process};
 use crate::{Micros, hash};
 
-/// Observations that a member gives on its own, a second and at once.
-const OWN_RATE: f64 = 20.0;
-pub(super) const OWN_BURST: f64 = 40.0;
-/// Data of one sign from one zone from which on a further one is not forwarded: a health status
-/// needs no more.
-const ENOUGH: usize = 4;
-/// Endpoints that are followed at most.
+/// Observations that this member publishes per second and per burst.
+const PUBLISH_RATE: f64 = 20.0;
+pub(super) const PUBLISH_BURST: f64 = 40.0;
+/// Number of equal observations from one zone above which a further one is not forwarded: the
+/// health status does not need more.
+const SUFFICIENT_REPORTS: usize = 4;
+/// Maximum number of endpoints tracked.
 pub(super) const MAX_ENDPOINTS: usize = 4096;
 
-/// What this member saw last of an endpoint process, and what it said of it last.
+/// The last observation of an endpoint process by this member, and the last one it published.
 pub(super) struct OwnObservation {
     pub(super) health: ObservedHealth,
-    pub(super) at: Micros,
-    pub(super) said: Option<(ObservedHealth, Micros)>,
-    /// When it last served this member.
-    pub(super) served: Option<Micros>,
+    pub(super) observed_at: Micros,
+    pub(super) published: Option<(ObservedHealth, Micros)>,
+    /// When the endpoint last served this member.
+    pub(super) last_served: Option<Micros>,
 }
 
 impl Core {
-    /// The own list as it is now: other members' observations counts only for what it names.
-    pub fn listed(&mut self, now: Micros, list: Vec<Listed>) {
-        self.listed.clear();
+    /// Replaces the endpoint list: observations count only for the endpoints on it.
+    pub fn set_endpoints(&mut self, now: Micros, list: Vec<ObservedEndpoint>) {
+        self.endpoints_by_name.clear();
         self.processes.clear();
         self.ready = list.iter().filter(|l| l.ready).count();
         for entry in list.into_iter().take(MAX_ENDPOINTS) {
@@ -40,18 +40,18 @@
                     started: entry.started.unwrap_or(0),
                 },
             );
-            self.listed.insert(name, entry);
+            self.endpoints_by_name.insert(name, entry);
         }
         let processes = &self.processes;
-        self.own
+        self.own_observations
             .retain(|process, _| processes.values().any(|p| p == process));
-        let gone: Vec<usize> = self
+        let removed: Vec<usize> = self
             .ejected
             .iter()
             .filter(|(endpoint, r)| self.processes.get(endpoint) != Some(&r.process))
             .map(|(endpoint, _)| *endpoint)
             .collect();
-        for endpoint in gone {
+        for endpoint in removed {
             self.ejected.remove(&endpoint);
             self.effects.ejections.push(EjectionUpdate {
                 endpoint,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// This member was served by an endpoint, or was not.
+    /// Records whether an endpoint served this member.
     pub fn observe(&mut self, now: Micros, endpoint: usize, health: ObservedHealth) {
         let Some(process) = self
             .processes
@@ -71,72 +71,81 @@
         else {
             return;
         };
-        if now < self.overslept_until {
+        if now < self.ignore_observations_until {
             return;
         }
-        let own = self.own.entry(process).or_insert(OwnObservation {
-            health,
-            at: now,
-            said: None,
-            served: None,
-        });
-        (own.health, own.at) = (health, now);
+        let observation = self
+            .own_observations
+            .entry(process)
+            .or_insert(OwnObservation {
+                health,
+                observed_at: now,
+                published: None,
+                last_served: None,
+            });
+        (observation.health, observation.observed_at) = (health, now);
         if health == ObservedHealth::Healthy {
-            own.served = Some(now);
+            observation.last_served = Some(now);
         }
-        let said = own
-            .said
+        let already_published = observation
+            .published
             .is_some_and(|(what, at)| what == health && now - at < self.policy.ejection_time);
         let ejected = self.ejected.contains_key(&endpoint);
         let fresh = |d: &&Observation| now - d.seen < self.policy.max_staleness;
         let zone = self.zone;
-        let alike = |health: ObservedHealth| {
-            let here = self.table.of(process).filter(|(of, _)| *of == zone);
-            here.flat_map(|(_, data)| data)
+        let reports_with = |health: ObservedHealth| {
+            let in_own_zone = self
+                .table
+                .observations_of(process)
+                .filter(|(of, _)| *of == zone);
+            in_own_zone
+                .flat_map(|(_, data)| data)
                 .filter(fresh)
                 .filter(|d| d.health == health)
                 .count()
         };
-        let worth_saying = match health {
-            ObservedHealth::Unhealthy => ejected || alike(ObservedHealth::Unhealthy) <= ENOUGH,
-            // Nobody doubts it where nobody found it unhealthy, and two who were served since are
-            // enough.
+        let is_informative = match health {
+            ObservedHealth::Unhealthy => {
+                ejected || reports_with(ObservedHealth::Unhealthy) <= SUFFICIENT_REPORTS
+            }
+            // If no member found the endpoint unhealthy, or two were served since, a further
+            // success adds nothing.
             ObservedHealth::Healthy => {
-                let here = || {
-                    let here = self
+                let relevant = || {
+                    let in_zone = self
                         .table
-                        .of(process)
+                        .observations_of(process)
                         .filter(|(of, _)| *of == zone || ejected);
-                    here.flat_map(|(_, data)| data).filter(fresh)
+                    in_zone.flat_map(|(_, data)| data).filter(fresh)
                 };
-                let unhealthy = here()
+                let unhealthy = relevant()
                     .filter(|d| d.health == ObservedHealth::Unhealthy)
                     .map(|d| d.seen)
                     .max();
                 unhealthy.is_some_and(|unhealthy| {
-                    here()
+                    relevant()
                         .filter(|d| d.health == ObservedHealth::Healthy && d.seen > unhealthy)
                         .count()
                         < 2
                 })
             }
         };
-        if said
-            || !worth_saying
-            || !self.may_publish()
-            || (health == ObservedHealth::Unhealthy && self.doubts_itself(now))
-            || !self.tokens.take(now, OWN_RATE, OWN_BURST)
+        if already_published
+            || !is_informative
+            || !self.may_publish_observations()
+            || (health == ObservedHealth::Unhealthy && self.is_self_doubting(now))
+            || !self.publish_tokens.take(now, PUBLISH_RATE, PUBLISH_BURST)
         {
             return self.reassess(now, endpoint);
         }
-        if let Some(own) = self.own.get_mut(&process) {
-            own.said = Some((health, now));
+        if let Some(own) = self.own_observations.get_mut(&process) {
+            own.published = Some((health, now));
         }
         self.sequence += 1;
-        self.counts.said += 1;
+        self.counts.published += 1;
         let observation = Observation {
             origin: self.origin,
-            incarnation: self.me.incarnation,
+            incarnation: self.identity.incarnation,
             sequence: self.sequence,
             zone: self.zone,
             seen: now,
@@ -148,55 +157,59 @@
         self.reassess(now, endpoint);
     }
 
-    /// It finds most of what it has tried of late sick: likely the fault lies with itself.
-    pub(super) fn doubts_itself(&self, now: Micros) -> bool {
+    /// Returns whether this member finds most endpoints that it used recently unhealthy: the fault
+    /// is likely its own.
+    pub(super) fn is_self_doubting(&self, now: Micros) -> bool {
         let fresh = || {
-            self.own
+            self.own_observations
                 .values()
-                .filter(|own| now - own.at < self.policy.max_staleness)
+                .filter(|own| now - own.observed_at < self.policy.max_staleness)
         };
         let unhealthy = fresh()
             .filter(|own| own.health == ObservedHealth::Unhealthy)
             .count();
-        unhealthy >= DOUBTED_LEAST && unhealthy as f64 > DOUBTED * fresh().count() as f64
+        unhealthy >= MIN_UNHEALTHY_TO_DOUBT
+            && unhealthy as f64 > MAX_UNHEALTHY_FRACTION * fresh().count() as f64
     }
 
-    pub(super) fn receive(&mut self, now: Micros, observation: Observation) {
+    pub(super) fn handle_observation(&mut self, now: Micros, observation: Observation) {
         if observation.origin == self.origin {
-            // What an earlier incarnation saw is as good as another's.
-            if observation.incarnation >= self.me.incarnation
+            // Observations of an earlier incarnation are treated like those of other members.
+            if observation.incarnation >= self.identity.incarnation
                 && observation.sequence > self.sequence
             {
-                self.drop_one(Dropped::Forged);
+                self.record_drop(DropReason::Forged);
             }
             return;
         }
         if observation.seen > now + self.skew {
-            return self.drop_one(Dropped::Clock);
+            return self.record_drop(DropReason::Clock);
         }
         if now - observation.seen >= self.policy.max_staleness {
-            return self.drop_one(Dropped::Stale);
+            return self.record_drop(DropReason::Stale);
         }
         let Some((endpoint, started)) = self
-            .listed
+            .endpoints_by_name
             .get(&observation.process.name)
             .map(|l| (l.endpoint, l.started.unwrap_or(0)))
         else {
-            return self.drop_one(Dropped::Unlisted);
+            return self.record_drop(DropReason::Unlisted);
         };
         if observation.process.started < started {
-            return self.drop_one(Dropped::Unlisted);
+            return self.record_drop(DropReason::Unlisted);
         }
         match self.table.merge(observation) {
-            Merged::New { alike } => {
-                self.counts.heard += 1;
-                if alike < ENOUGH {
+            MergeResult::Added {
+                newer_with_same_health: alike,
+            } => {
+                self.counts.observations_received += 1;
+                if alike < SUFFICIENT_REPORTS {
                     self.disseminate(now, observation);
                 }
                 self.reassess(now, endpoint);
             }
-            Merged::Known => {}
-            Merged::Full => self.drop_one(Dropped::Full),
+            MergeResult::Unchanged => {}
+            MergeResult::Full => self.record_drop(DropReason::Full),
         }
     }
 }
--- a/crates/gossip/src/core/summaries.rs
+++ b/crates/gossip/src/core/summaries.rs
@@ -1,42 +1,42 @@
-//! The figures of a member for people.
+//! Summary of a member's state for status pages.
 
 use super::Core;
 use crate::effects::Counts;
-use crate::frame::REASONS;
+use crate::frame::DROP_REASONS;
 use crate::health_status::EjectionStatus;
 use crate::member::Member;
 use crate::summary::{EjectionSummary, MemberSummary, MembershipSummary, ObservationSummary};
 use crate::{Micros, SECOND};
 
 impl Core {
-    /// Members that are known to run, this one not counted.
+    /// Returns the number of running members other than this one.
     pub fn members(&self) -> usize {
         self.members.len()
     }
 
-    /// What it has done so far.
+    /// Returns counters since the start.
     pub fn counts(&self) -> &Counts {
         &self.counts
     }
 
-    /// Endpoints that are ejected.
+    /// Returns the ejected endpoints.
     pub fn ejected(&self) -> impl Iterator<Item = usize> {
         self.ejected.keys().copied()
     }
 
-    /// All that on-call wants to see.
+    /// Returns the summary for on-call engineers.
     pub fn summary(&self, now: Micros) -> MembershipSummary {
         let seconds = |us: Micros| (us as f64 / SECOND as f64 * 1000.0).round() / 1000.0;
-        let name_of = |origin: u64| match self
-            .by_origin
+        let member_name = |origin: u64| match self
+            .addresses_by_origin
             .get(&origin)
             .and_then(|a| self.members.get(a))
         {
             Some(known) => known.member.name.clone(),
-            None if origin == self.origin => self.me.name.clone(),
+            None if origin == self.origin => self.identity.name.clone(),
             None => format!("{origin:016x}"),
         };
-        let member = |member: &Member, since: Option<Micros>| MemberSummary {
+        let member_summary = |member: &Member, since: Option<Micros>| MemberSummary {
             name: member.name.clone(),
             zone: member.zone.clone(),
             address: member.address,
@@ -44,8 +44,14 @@
             known_for_s: since.map(|since| seconds(now - since)),
         };
         let ejections = self.ejected.iter().filter_map(|(endpoint, r)| {
-            let listed = self.listed.values().find(|l| l.endpoint == *endpoint)?;
-            let observations = self.table.of(r.process).flat_map(|(_, data)| data);
+            let listed = self
+                .endpoints_by_name
+                .values()
+                .find(|l| l.endpoint == *endpoint)?;
+            let observations = self
+                .table
+                .observations_of(r.process)
+                .flat_map(|(_, data)| data);
             Some(EjectionSummary {
                 endpoint: listed.name.clone(),
                 trial: r.status == EjectionStatus::TrialDue,
@@ -53,7 +59,7 @@
                 expires_in_s: seconds(r.expires - now),
                 observations: observations
                     .map(|d| ObservationSummary {
-                        member: name_of(d.origin),
+                        member: member_name(d.origin),
                         health: d.health,
                         age_s: seconds(now - d.seen),
                     })
@@ -62,12 +68,12 @@
         });
         MembershipSummary {
             cluster: self.cluster.clone(),
-            me: member(&self.me, None),
-            doubts_itself: self.doubts_itself(now),
+            me: member_summary(&self.identity, None),
+            doubts_itself: self.is_self_doubting(now),
             connectivity: self.connectivity().clone(),
             cut: self
                 .connectivity()
-                .cut
+                .unreachable_zones
                 .iter()
                 .map(|(zone, direction)| (self.zone_name(*zone), *direction))
                 .collect(),
@@ -75,13 +81,13 @@
             members: self
                 .members
                 .values()
-                .map(|k| member(&k.member, Some(k.since)))
+                .map(|k| member_summary(&k.member, Some(k.known_since)))
                 .collect(),
             ejections: ejections.collect(),
             observations: self.table.len(),
-            dropped: REASONS
+            dropped: DROP_REASONS
                 .iter()
-                .map(|why| why.word())
+                .map(|why| why.label())
                 .zip(self.counts.dropped)
                 .collect(),
             counts: self.counts.clone(),
--- a/crates/gossip/src/core/views.rs
+++ b/crates/gossip/src/core/views.rs
@@ -1,62 +1,61 @@
-//! Exchanges views of the membership with other members.
+//! Exchange of membership views.
 //!
-//! In each interval a member tells its view to two others, one of its own zone, with updates that go
-//! anyway or in a datagram of its own: at most two more a second, four while it is not connected,
-//! whatever the size of the fleet.
+//! In each interval a member sends its view to two others, one of them in its own zone, along with
+//! pending updates or in a datagram of its own. That is at most two extra datagrams per second,
+//! four while not connected, independent of the fleet size.
 
 use super::{Core, FANOUT};
-use crate::frame::{self, Content, Dropped, Head, MessagePart, VIEW};
+use crate::frame::{self, Content, DropReason, FrameHeader, KIND_VIEW, MessagePart};
 use crate::view_comparison::Digest;
 use crate::{Micros, SECOND};
 use rand::RngExt;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// How often the view is told.
+/// Interval at which views are sent.
 pub(super) const VIEW_INTERVAL: Micros = SECOND;
-/// Members that are told in an interval; twice as many by one that is not connected, as others are
-/// to learn of it.
+/// Views sent per interval; twice as many while not connected, so that others learn of it sooner.
 pub(super) const VIEWS_PER_INTERVAL: u8 = 2;
-/// Pairs of zones that were heard longer ago than this are not told: they are lost to all.
-const TELLS: Micros = 10 * SECOND;
-/// Longest text of a version, in bytes.
+/// Contacts between zones older than this are not sent: they are lost for all members.
+const MAX_REPORTED_AGE: Micros = 10 * SECOND;
+/// Maximum length of a version string in bytes.
 pub(super) const MAX_VERSION_BYTES: usize = 32;
 
-/// A member's view as it is written.
+/// A membership view as sent to other members.
 #[derive(Serialize, Deserialize)]
-struct View<'a> {
+struct ViewMessage<'a> {
     origin: u64,
     version: &'a str,
-    parts: [u8; crate::view_comparison::PARTS],
+    parts: [u8; crate::view_comparison::DIGEST_PARTS],
     members: u32,
     zones: Vec<u64>,
-    /// For two zones by their place: how long before the datagram the first last heard the second,
-    /// in milliseconds.
+    /// Pairs of indexes into `zones`: how long before the datagram the first zone last heard the
+    /// second, in milliseconds.
     pairs: Vec<(u8, u8, u16)>,
 }
 
 impl Core {
-    /// The own view, where one is to be told now.
-    pub(super) fn view_due(&mut self, now: Micros) -> Option<Vec<u8>> {
+    /// Returns the encoded view if one is due.
+    pub(super) fn next_view_message(&mut self, now: Micros) -> Option<Vec<u8>> {
         if self.views_due == 0 {
             return None;
         }
         self.views_due -= 1;
         let (parts, members) = self.digest().parts();
         let mut zones: Vec<u64> = Vec::new();
-        let mut place = |zone: u64| {
-            let at = zones.iter().position(|z| *z == zone).unwrap_or_else(|| {
+        let mut zone_index = |zone: u64| {
+            let index = zones.iter().position(|z| *z == zone).unwrap_or_else(|| {
                 zones.push(zone);
                 zones.len() - 1
             });
-            u8::try_from(at).unwrap_or(u8::MAX)
+            u8::try_from(index).unwrap_or(u8::MAX)
         };
         let age = |at: Micros| u16::try_from((now - at) / 1000).unwrap_or(u16::MAX);
-        let pairs = self.tracker.heard.pairs(now - TELLS);
+        let pairs = self.tracker.zone_contacts.pairs(now - MAX_REPORTED_AGE);
         let pairs = pairs
-            .map(|((by, whom), at)| (place(by), place(whom), age(at)))
+            .map(|((by, whom), at)| (zone_index(by), zone_index(whom), age(at)))
             .collect();
-        let view = View {
+        let view = ViewMessage {
             origin: self.origin,
             version: &self.version,
             parts,
@@ -69,37 +68,37 @@
 
     fn digest(&mut self) -> Digest {
         let origins = self.members.values().map(|k| k.origin);
-        *self
-            .digest
-            .get_or_insert_with(|| Digest::of(origins.chain(std::iter::once(self.origin))))
+        *self.digest.get_or_insert_with(|| {
+            Digest::from_origins(origins.chain(std::iter::once(self.origin)))
+        })
     }
 
-    /// Tells the views that are due and found no other datagram.
+    /// Sends the views that are due and were not sent along with other updates.
     pub(super) fn publish_views(&mut self, now: Micros) {
-        while !self.drawn.is_empty() && self.views_due > 0 {
+        while !self.member_addresses.is_empty() && self.views_due > 0 {
             let own_zone = self.views_due.is_multiple_of(2);
-            let to = self.draw_viewer(own_zone);
-            let Some(view) = self.view_due(now) else {
+            let to = self.draw_view_recipient(own_zone);
+            let Some(view) = self.next_view_message(now) else {
                 break;
             };
-            let mut bytes = frame::begin(&Head {
+            let mut bytes = frame::begin(&FrameHeader {
                 cluster: &self.cluster,
-                sent: now,
+                sent_at: now,
                 content: Content::Updates,
             });
             let part = MessagePart {
-                kind: VIEW,
+                kind: KIND_VIEW,
                 bytes: &view,
             };
-            if frame::add(&mut bytes, &part) {
+            if frame::try_append(&mut bytes, &part) {
                 self.send(to, bytes);
             }
         }
     }
 
-    /// Draws a member to tell the view, of the own zone or of another one. A few draws find one of
-    /// the wanted zone, unless it is small.
-    fn draw_viewer(&mut self, own_zone: bool) -> SocketAddr {
+    /// Draws a recipient of a view, from the own zone or from another one. A few draws suffice
+    /// unless that zone is small.
+    fn draw_view_recipient(&mut self, own_zone: bool) -> SocketAddr {
         let mut drawn = self.draw_member();
         for _ in 0..2 * FANOUT {
             let member = self.members.get(&drawn);
@@ -112,41 +111,49 @@
     }
 
     fn draw_member(&mut self) -> SocketAddr {
-        self.drawn[self.rng.random_range(0..self.drawn.len())]
+        self.member_addresses[self.rng.random_range(0..self.member_addresses.len())]
     }
 
-    /// Takes a view that came from there, sent then.
-    pub(super) fn viewed(&mut self, now: Micros, sent: Micros, from: SocketAddr, bytes: &[u8]) {
-        let Ok(view) = postcard::from_bytes::<View<'_>>(bytes) else {
-            return self.drop_one(Dropped::Malformed);
+    /// Handles a view received from a member.
+    pub(super) fn handle_view(
+        &mut self,
+        now: Micros,
+        sent: Micros,
+        from: SocketAddr,
+        bytes: &[u8],
+    ) {
+        let Ok(view) = postcard::from_bytes::<ViewMessage<'_>>(bytes) else {
+            return self.record_drop(DropReason::Malformed);
         };
         let Some((origin, zone)) = self.members.get(&from).map(|k| (k.origin, k.zone)) else {
             return;
         };
         if view.origin != origin || view.version.len() > MAX_VERSION_BYTES {
-            return self.drop_one(Dropped::Forged);
+            return self.record_drop(DropReason::Forged);
         }
         if !self.tracks_connectivity {
             return;
         }
-        self.membership.version(origin, view.version);
-        self.learn_contacts(now, sent, &view);
-        if !self.tracker.silent(zone) {
-            let theirs = Digest::read(view.parts, view.members);
-            let differs = self.digest().differs(&theirs);
-            self.tracker.views.compared(now, differs);
+        self.membership.record_version(origin, view.version);
+        self.merge_contacts(now, sent, &view);
+        if !self.tracker.is_zone_silent(zone) {
+            let their_digest = Digest::from_parts(view.parts, view.members);
+            let differs = self.digest().differs(&their_digest);
+            self.tracker.view_comparison.record(now, differs);
         }
     }
 
-    /// Takes over which zones the sender heard, and when.
-    fn learn_contacts(&mut self, now: Micros, sent: Micros, view: &View<'_>) {
-        let zone = |place: u8| view.zones.get(usize::from(place)).copied();
+    /// Merges the contacts between zones that the sender reports.
+    fn merge_contacts(&mut self, now: Micros, sent: Micros, view: &ViewMessage<'_>) {
+        let zone_at = |place: u8| view.zones.get(usize::from(place)).copied();
         for &(by, whom, age_ms) in &view.pairs {
-            let (Some(by), Some(whom)) = (zone(by), zone(whom)) else {
+            let (Some(by), Some(whom)) = (zone_at(by), zone_at(whom)) else {
                 continue;
             };
             let heard = sent - Micros::from(age_ms) * 1000;
-            self.tracker.heard.told(now, self.skew, by, whom, heard);
+            self.tracker
+                .zone_contacts
+                .record_report(now, self.skew, by, whom, heard);
         }
     }
 }
--- a/crates/gossip/src/effects.rs
+++ b/crates/gossip/src/effects.rs
@@ -1,108 +1,113 @@
-//! The inputs and outputs of a member.
+//! Inputs and outputs of a member.
 
 use crate::Micros;
 use crate::connectivity::{Connectivity, Direction};
-use crate::frame::REASONS;
+use crate::frame::DROP_REASONS;
 use crate::health_status::EjectionStatus;
 use serde::Serialize;
 use std::net::SocketAddr;
 
-/// An endpoint of the own list.
+/// An endpoint on the local list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
-    /// Its number at this member.
+pub struct ObservedEndpoint {
+    /// Its id at this member.
     pub endpoint: usize,
     /// Its name.
     pub name: String,
-    /// When its process started, where that is not long ago.
+    /// When its process started, if not long ago.
     pub started: Option<Micros>,
-    /// It takes requests.
+    /// Whether it accepts requests.
     pub ready: bool,
 }
 
-/// What the decision module is told of an endpoint.
+/// A change of an ejection for the decision module.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EjectionUpdate {
-    /// Its number.
+    /// Id of the endpoint.
     pub endpoint: usize,
-    /// What other members' observations makes of it.
+    /// Status that follows from all members' observations.
     pub status: EjectionStatus,
-    /// From then on it counts as never heard.
+    /// When the status ceases to have effect.
     pub expires: Micros,
 }
 
-/// A fragment of other crates' data that a member has spread, or sent to this one alone.
+/// A fragment of another crate's data that was broadcast, or sent to this member.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct CarriedFragment {
-    /// Hash of the name of who said it.
+pub struct ReceivedFragment {
+    /// Hash of the name of its origin.
     pub origin: u64,
-    /// Its incarnation.
+    /// Incarnation of its origin.
     pub incarnation: u64,
-    /// What it is, in the range [`crate::fragments::CARRIED`].
+    /// Its kind, in the range [`crate::fragments::FRAGMENT_KINDS`].
     pub kind: u8,
-    /// Its own form.
+    /// Its content.
     pub bytes: Vec<u8>,
 }
 
-/// Something that people should know.
+/// An event for on-call engineers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Note {
-    /// The own connectivity state is another.
+    /// The connectivity state changed.
     Connectivity {
-        /// Which.
+        /// The new connectivity.
         connectivity: Connectivity,
-        /// The zones that it is cut from, by name.
+        /// Names of the unreachable zones.
         zones: Vec<(String, Direction)>,
     },
-    /// Two processes run under one name.
-    Twice {
+    /// Two processes run under the same name.
+    DuplicateName {
         /// The name.
         name: String,
-        /// Where they are.
+        /// Their addresses.
         addresses: [SocketAddr; 2],
     },
-    /// A member fails again and again; its word does not count for now.
+    /// A member fails repeatedly; its observations are ignored for now.
     Quarantined {
         /// Its name.
         name: String,
     },
 }
 
-/// What is to be done.
+/// Outputs of a member.
 #[derive(Clone, Debug, Default)]
 pub struct Effects {
-    /// Datagrams, and where they go.
+    /// Datagrams and their destinations.
     pub datagrams: Vec<(SocketAddr, Vec<u8>)>,
-    /// What is new for the decision module.
+    /// Changed ejections for the decision module.
     pub ejections: Vec<EjectionUpdate>,
-    /// What people should know.
+    /// Events for on-call engineers.
     pub notes: Vec<Note>,
-    /// What others carried here for the host.
-    pub carried: Vec<CarriedFragment>,
+    /// Fragments received for the host.
+    pub fragments: Vec<ReceivedFragment>,
 }
 
-/// What it has done so far.
+/// Counters since the start.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Counts {
-    /// Datagrams sent, and their bytes.
+    /// Datagrams sent.
     pub sent: u64,
-    /// See `sent`.
+    /// Bytes of the datagrams sent.
     pub sent_bytes: u64,
-    /// Datagrams that came.
+    /// Datagrams received.
     pub received: u64,
-    /// Observations given by this member.
-    pub said: u64,
-    /// Observations of others that was new.
-    pub heard: u64,
-    /// Pieces of others' data that this member gave to be carried, and that came.
-    pub carried: u64,
-    /// See `carried`.
-    pub handed_out: u64,
-    /// Trials that fell to this member.
+    /// Observations published by this member.
+    #[serde(rename = "said")]
+    pub published: u64,
+    /// New observations received from others.
+    #[serde(rename = "heard")]
+    pub observations_received: u64,
+    /// Fragments that this member sent.
+    #[serde(rename = "carried")]
+    pub fragments_sent: u64,
+    /// Fragments received for the host.
+    #[serde(rename = "handed_out")]
+    pub fragments_received: u64,
+    /// Trial requests assigned to this member.
     pub trials: u64,
-    /// Ejections that sent an endpoint to rest.
-    pub rests: u64,
-    /// What was dropped, by reason, in the order of [`REASONS`]; the summary names them.
+    /// Ejections of endpoints.
+    #[serde(rename = "rests")]
+    pub ejections: u64,
+    /// Dropped input by reason, in the order of [`DROP_REASONS`].
     #[serde(skip)]
-    pub dropped: [u64; REASONS.len()],
+    pub dropped: [u64; DROP_REASONS.len()],
 }
