--- a/src/balancer/endpoint_list.rs
+++ b/src/balancer/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! How the endpoint list is followed.
+//! Handles updates of the endpoint list and failed calls to discovery.
 
 use super::Balancer;
 use super::bulkhead::Bulkhead;
@@ -10,64 +10,66 @@
 use crate::api::*;
 use std::collections::BTreeSet;
 
-/// Endpoint numbers are dense: one from here on is a fault of the caller's, and is ignored.
+/// Bound on endpoint ids, which the caller assigns densely; larger ones are ignored.
 const MAX_ENDPOINTS: EndpointId = 1 << 20;
-/// Longest wait in microseconds before a broken push is asked for anew.
-const MAX_WAIT_WHERE_PUSHED: f64 = 200_000.0;
-/// The same where lists are polled: with it two calls may be lost before a change counts as
+/// Maximum delay before a failed push subscription is renewed.
+const MAX_PUSHED_RETRY_DELAY_US: f64 = 200_000.0;
+/// Maximum delay where the list is polled: two calls in a row may fail before a change counts as
 /// notified.
-const MAX_WAIT_WHERE_POLLED: f64 = 400_000.0;
-/// The longest wait as a part of the polling interval.
-const MAX_WAIT_PART_OF_INTERVAL: f64 = 1.0 / 2.0;
-/// The wait before the first doubling, as a part of the longest one.
-const FIRST_WAIT_PART: f64 = 1.0 / 16.0;
-/// How often the wait doubles at most.
+const MAX_POLLED_RETRY_DELAY_US: f64 = 400_000.0;
+/// Maximum delay as a fraction of the polling interval.
+const MAX_DELAY_FRACTION_OF_INTERVAL: f64 = 1.0 / 2.0;
+/// Delay before the first doubling, as a fraction of the maximum.
+const BASE_DELAY_FRACTION: f64 = 1.0 / 16.0;
+/// Upper bound of the exponent of the delay.
 const MAX_DOUBLINGS: u32 = 8;
-/// Least factor by jitter; it is drawn from there to as much more.
+/// Lower bound of the random jitter factor; the upper bound is twice as high.
 const MIN_JITTER: f64 = 0.5;
-/// Sizes are taken as no less and no more than this.
-const SIZES: std::ops::RangeInclusive<f64> = 1e-3..=1e6;
+/// Bounds on the size of an endpoint.
+const SIZE_RANGE: std::ops::RangeInclusive<f64> = 1e-3..=1e6;
 
-/// How the list has been asked for.
+/// State of the subscription to the endpoint list.
 #[derive(Default)]
 pub struct ListFollower {
     subscribed: bool,
-    /// Failed calls since the last list.
+    /// Failed calls to discovery since the last update.
     failures: u32,
 }
 
 impl ListFollower {
-    /// Waits longer with each failed call. Where changes are pushed, what is missed counts as
-    /// notified, and asking costs nobody anything.
-    fn wait_after_failure(&mut self, settings: &Settings, rng: &mut fastrand::Rng) -> f64 {
+    /// Returns the delay before the next call in microseconds; it grows with each failure. Where
+    /// changes are pushed, missed changes count as notified and calls are free, so it stays short.
+    fn delay_after_failure(&mut self, settings: &Settings, rng: &mut fastrand::Rng) -> f64 {
         self.failures += 1;
         let interval = settings.rules.poll_interval as f64;
-        let longest = match settings.discovery {
-            Discovery::Pushed => MAX_WAIT_WHERE_PUSHED,
-            Discovery::OnRequest => (interval * MAX_WAIT_PART_OF_INTERVAL)
-                .clamp(MAX_WAIT_WHERE_PUSHED, MAX_WAIT_WHERE_POLLED),
+        let max_delay = match settings.discovery {
+            Discovery::Pushed => MAX_PUSHED_RETRY_DELAY_US,
+            Discovery::OnRequest => (interval * MAX_DELAY_FRACTION_OF_INTERVAL)
+                .clamp(MAX_PUSHED_RETRY_DELAY_US, MAX_POLLED_RETRY_DELAY_US),
         };
         let doubled = f64::from(1u32 << self.failures.min(MAX_DOUBLINGS));
-        let grown = (longest * FIRST_WAIT_PART * doubled).min(longest);
-        grown * (MIN_JITTER + MIN_JITTER * rng.f64())
+        let delay = (max_delay * BASE_DELAY_FRACTION * doubled).min(max_delay);
+        delay * (MIN_JITTER + MIN_JITTER * rng.f64())
     }
 }
 
 impl Balancer {
-    /// Subscribes to the list with the first event, where it does not come unasked.
+    /// Subscribes to the list on the first event, if updates have to be requested.
     pub(super) fn subscribe_once(&mut self, out: &mut Vec<Action>) {
-        if self.settings.discovery == Discovery::OnRequest && !self.list.subscribed {
-            self.list.subscribed = true;
+        if self.settings.discovery == Discovery::OnRequest && !self.list_follower.subscribed {
+            self.list_follower.subscribed = true;
             out.push(Action::Subscribe(true));
         }
     }
 
-    /// Follows the list. Draining, gone and missing endpoints get nothing from now on.
-    pub(super) fn follow_list(&mut self, now: Timestamp, update: ListUpdate) {
+    /// Applies an update of the list. Draining and removed endpoints receive nothing from then on.
+    pub(super) fn apply_list_update(&mut self, now: Timestamp, update: ListUpdate) {
         let entries = match update {
             ListUpdate::Failed => {
-                let wait = self.list.wait_after_failure(&self.settings, &mut self.rng);
-                return self.timers.set(after(now, wait), Wake::Poll);
+                let delay = self
+                    .list_follower
+                    .delay_after_failure(&self.settings, &mut self.rng);
+                return self.timers.set(after(now, delay), Wake::Poll);
             }
             ListUpdate::Delta(entries) => entries,
             ListUpdate::Full(entries) | ListUpdate::Cached(entries) => {
@@ -78,31 +80,32 @@
                 entries
             }
         };
-        self.list.failures = 0;
+        self.list_follower.failures = 0;
         for entry in entries {
             if entry.endpoint < MAX_ENDPOINTS {
-                self.follow_entry(now, entry);
+                self.apply_entry(now, entry);
             }
         }
-        self.forget_gone();
+        self.remove_unused_endpoints();
     }
 
-    fn follow_entry(&mut self, now: Timestamp, entry: Listing) {
+    fn apply_entry(&mut self, now: Timestamp, entry: ListedEndpoint) {
         let id = entry.endpoint;
-        let endpoints = self.endpoints.len().max(id + 1);
-        self.endpoints.resize_with(endpoints, Endpoint::default);
+        let endpoint_count = self.endpoints.len().max(id + 1);
+        self.endpoints
+            .resize_with(endpoint_count, Endpoint::default);
         if !self.endpoints[id].known {
             self.add_endpoint(now, id);
         }
         let endpoint = &mut self.endpoints[id];
-        endpoint.listed = entry.status != Status::Gone;
-        endpoint.ready = entry.status == Status::Ready;
+        endpoint.listed = entry.status != EndpointStatus::Removed;
+        endpoint.ready = entry.status == EndpointStatus::Ready;
         endpoint.zone = entry.zone;
         endpoint.cell = entry.cell;
         endpoint.kind = entry.kind;
         endpoint.alias = entry.alias;
         endpoint.size = if entry.size > 0.0 {
-            entry.size.clamp(*SIZES.start(), *SIZES.end())
+            entry.size.clamp(*SIZE_RANGE.start(), *SIZE_RANGE.end())
         } else {
             1.0
         };
@@ -111,40 +114,41 @@
         }
     }
 
-    /// Adds an endpoint of which nothing is known, at a random place of the rotation.
+    /// Adds an unknown endpoint at a random position of the rotation.
     fn add_endpoint(&mut self, now: Timestamp, id: EndpointId) {
         let deficit = self.rng.f64();
         self.rotation.insert(id, &mut self.rng);
         self.endpoints[id] = Endpoint {
             known: true,
             deficit,
-            last_heard: now,
+            last_outcome_at: now,
             bulkhead: Bulkhead::new(self.initial_limit),
             latency: EndpointLatency {
-                per_work: self.latency.fleet(),
+                per_work: self.latency_estimator.fleet(),
             },
             ..Endpoint::default()
         };
     }
 
-    /// Another process answers there now: what was known of the earlier one is void, its circuit
-    /// too. What it gets while it warms up is bounded, and by rationed trials a whole site would
-    /// take half a minute to come back.
+    /// Resets the state of an endpoint whose process was replaced, including its circuit. Slow
+    /// start already bounds what it receives; waiting for trial requests as well would delay the
+    /// return of a whole site by half a minute.
     fn replace_process(&mut self, now: Timestamp, id: EndpointId, started: Option<Timestamp>) {
         let endpoint = &mut self.endpoints[id];
-        endpoint.latency.per_work = self.latency.fleet();
+        endpoint.latency.per_work = self.latency_estimator.fleet();
         endpoint.circuit = CircuitBreaker::default();
         endpoint.ejection = None;
         self.begin_slow_start(now, id, started.unwrap_or(now));
     }
 
-    /// Forgets endpoints that are gone, once no open request has been there: one that is replaced
-    /// over and over must cost neither memory nor time at each pick.
-    fn forget_gone(&mut self) {
+    /// Removes endpoints that are no longer listed once no open request has an attempt there.
+    /// Otherwise endpoints that are replaced repeatedly would cost memory, and time for each pick.
+    fn remove_unused_endpoints(&mut self) {
         let attempts = self.requests.values().flat_map(|request| &request.attempts);
-        let tried: BTreeSet<EndpointId> = attempts.map(|attempt| attempt.endpoint).collect();
+        let attempted: BTreeSet<EndpointId> = attempts.map(|attempt| attempt.endpoint).collect();
         for (id, endpoint) in self.endpoints.iter_mut().enumerate() {
-            let in_use = endpoint.listed || !endpoint.in_flight.is_empty() || tried.contains(&id);
+            let in_use =
+                endpoint.listed || !endpoint.in_flight.is_empty() || attempted.contains(&id);
             if endpoint.known && !in_use {
                 *endpoint = Endpoint::default();
             }
@@ -153,6 +157,7 @@
         self.rotation.retain(|id| endpoints[id].known);
         let known = endpoints.iter().filter(|endpoint| endpoint.known);
         let cells: BTreeSet<u64> = known.map(|endpoint| endpoint.cell).collect();
-        self.latency.retain_groups(|cell| cells.contains(&cell));
+        self.latency_estimator
+            .retain_groups(|cell| cells.contains(&cell));
     }
 }
--- a/src/balancer/event_log.rs
+++ b/src/balancer/event_log.rs
@@ -1,42 +1,43 @@
-//! The log lines for on-call engineers, and the count of requests that were given up.
+//! Log lines for on-call engineers, and counts of the requests that were given up.
 
 use crate::api::{Action, Micros, Timestamp};
 
-/// Least time from one line to the next.
-const LINE_INTERVAL: Micros = 1_000_000;
-/// Least time from one line on requests given up to the next.
-const GIVEN_UP_INTERVAL: Micros = 5_000_000;
+/// Minimum time between two lines.
+const MIN_LINE_INTERVAL: Micros = 1_000_000;
+/// Minimum time between two lines on requests given up.
+const MIN_GIVEN_UP_LINE_INTERVAL: Micros = 5_000_000;
 
 /// Why a request was given up.
 #[derive(Clone, Copy)]
 pub enum GiveUpReason {
     /// Load was shed.
     Shed,
-    /// Its time, or its time in the queue, ran out.
+    /// The deadline, or the time limit in the queue, passed.
     Waiting,
-    /// No retry was allowed after a failure.
+    /// An attempt failed and no retry was allowed.
     Failing,
 }
 
-/// Requests given up, by reason.
-type GivenUp = [u64; 3];
+/// Numbers of requests given up, indexed by reason.
+type GivenUpCounts = [u64; 3];
 
-/// The log: at most one line a second, so that trouble does not drown its own first sign.
+/// Writes at most one line per second, so that a flood of lines does not hide the first one.
 #[derive(Default)]
 pub struct EventLog {
     last_line: Option<Timestamp>,
     suppressed: u64,
     last_given_up_line: Option<Timestamp>,
-    given_up: GivenUp,
-    given_up_since_start: GivenUp,
+    given_up: GivenUpCounts,
+    given_up_since_start: GivenUpCounts,
 }
 
 impl EventLog {
-    /// Writes a line, if it is time for one, with the number of lines suppressed since the last.
-    pub fn line(&mut self, now: Timestamp, text: String, out: &mut Vec<Action>) {
+    /// Writes a line unless the last one was too recent, and appends how many were suppressed
+    /// since.
+    pub fn write_line(&mut self, now: Timestamp, text: String, out: &mut Vec<Action>) {
         if self
             .last_line
-            .is_some_and(|last| now - last < LINE_INTERVAL)
+            .is_some_and(|last| now - last < MIN_LINE_INTERVAL)
         {
             self.suppressed += 1;
             return;
@@ -49,12 +50,12 @@
         out.push(Action::Log(text + &suppressed));
     }
 
-    /// Counts a request given up, and writes now and then how many there were.
-    pub fn gave_up(&mut self, now: Timestamp, reason: GiveUpReason, out: &mut Vec<Action>) {
+    /// Counts a request given up, and periodically writes the counts.
+    pub fn record_given_up(&mut self, now: Timestamp, reason: GiveUpReason, out: &mut Vec<Action>) {
         self.given_up[reason as usize] += 1;
         self.given_up_since_start[reason as usize] += 1;
         let last = self.last_given_up_line;
-        if last.is_none_or(|last| now - last >= GIVEN_UP_INTERVAL) {
+        if last.is_none_or(|last| now - last >= MIN_GIVEN_UP_LINE_INTERVAL) {
             self.last_given_up_line = Some(now);
             let [shed, waiting, failing] = std::mem::take(&mut self.given_up);
             out.push(Action::Log(format!(
@@ -63,8 +64,8 @@
         }
     }
 
-    /// Requests given up since the start: shed, waiting, failing.
-    pub fn given_up_since_start(&self) -> GivenUp {
+    /// Returns the requests given up since the start: shed, waiting, failing.
+    pub fn given_up_since_start(&self) -> GivenUpCounts {
         self.given_up_since_start
     }
 }
--- a/src/balancer/key_affinity.rs
+++ b/src/balancer/key_affinity.rs
@@ -1,25 +1,25 @@
-//! Key affinity: which endpoint a request with a key prefers among those whose turn is near.
+//! Key affinity: which endpoint a request with a key prefers among those whose pick is near.
 
 use super::endpoint::Endpoint;
 use super::request::Request;
 use crate::api::*;
 
-/// Picks that an endpoint may be owed, as a multiple of those by which it may be ahead.
-const OWED_PER_AHEAD: f64 = 8.0;
+/// How many picks an endpoint may be behind, as a multiple of those it may be ahead.
+const MAX_BEHIND_PER_SLACK: f64 = 8.0;
 
-/// A preference that comes before all others.
-const FIRST: f64 = -1.0;
-/// A preference that comes behind all others.
-const LAST: f64 = f64::MAX;
-/// The preference without an affinity.
-const NEUTRAL: f64 = 0.0;
+/// Preference of an endpoint that is picked before all others.
+const PREFERRED: f64 = -1.0;
+/// Preference of an endpoint that is picked after all others.
+const AVOIDED: f64 = f64::MAX;
+/// Preference of every endpoint when affinity does not apply.
+const NO_PREFERENCE: f64 = 0.0;
 
-/// How far keys may set endpoints ahead of and behind their turns.
+/// How far keys may move endpoints ahead of or behind their fair share of picks.
 #[derive(Default)]
 pub struct KeyAffinity {
-    /// Picks by which an endpoint may be ahead of its weight; 0 is no affinity.
+    /// Picks by which an endpoint may be ahead of its weight; 0 disables affinity.
     slack: f64,
-    /// A request with a key has come.
+    /// A request with a key has arrived.
     in_use: bool,
 }
 
@@ -29,29 +29,29 @@
         self.slack = slack;
     }
 
-    /// A request came.
+    /// Records that a request arrived.
     pub fn record_request(&mut self, has_key: bool) {
         self.in_use |= has_key && self.slack > 0.0;
     }
 
-    /// Whether any request has been picked for by its key, so that picks may be out of turn.
+    /// Returns whether any request may have been picked for by its key, out of rotation order.
     pub fn is_in_use(&self) -> bool {
         self.in_use
     }
 
-    /// The least deficit: what an endpoint may be owed.
+    /// Returns the lower bound of deficits, which limits how far an endpoint may be behind.
     pub fn min_deficit(&self) -> f64 {
-        -OWED_PER_AHEAD * self.slack - 1.0
+        -MAX_BEHIND_PER_SLACK * self.slack - 1.0
     }
 
-    /// How far down its list of endpoints a request has this one, the least first.
+    /// Returns the preference of a request for an endpoint; the lowest is picked.
     ///
-    /// The list of a key is the same at every instance, in proportion to weights (highest random
-    /// weight: Thaler and Ravishankar, IEEE/ACM Transactions on Networking 6, 1998, p. 1), past
-    /// endpoints that are ahead of their turns (consistent hashing with bounded loads: Mirrokni,
-    /// Thorup and Zadimoghaddam, SODA 2018, p. 587). An endpoint that is due a trial, or is owed
-    /// picks, comes before all; then come those where the key is cached. Without a key all are
-    /// alike.
+    /// The order of preference for a key is the same on every instance, in proportion to weights
+    /// (highest random weight: Thaler and Ravishankar, IEEE/ACM Transactions on Networking 6, 1998,
+    /// p. 1), and skips endpoints that are ahead of their share (consistent hashing with bounded
+    /// loads: Mirrokni, Thorup and Zadimoghaddam, SODA 2018, p. 587). An endpoint that is due a
+    /// trial request or is far behind comes first, then the endpoints where the key is cached.
+    /// Without a key all endpoints are equal.
     pub fn preference(
         &self,
         request: &Request,
@@ -60,24 +60,24 @@
         weight: f64,
     ) -> f64 {
         if endpoint.is_trial_due() {
-            return FIRST;
+            return PREFERRED;
         }
         let Some(key) = request.key.filter(|_| self.slack > 0.0) else {
-            return NEUTRAL;
+            return NO_PREFERENCE;
         };
         if endpoint.deficit >= self.slack {
-            return LAST;
+            return AVOIDED;
         }
-        if endpoint.deficit <= -OWED_PER_AHEAD * self.slack {
-            return FIRST;
+        if endpoint.deficit <= -MAX_BEHIND_PER_SLACK * self.slack {
+            return PREFERRED;
         }
         let cached = request.affinity_endpoints.iter().position(|e| *e == id);
         match cached {
             Some(rank) => -1.0 / (rank as f64 + 2.0),
             None => {
                 let hash = key ^ endpoint.alias.rotate_left(32);
-                let drawn = fastrand::Rng::with_seed(hash).f64();
-                -(1.0 - drawn).ln() / weight
+                let random = fastrand::Rng::with_seed(hash).f64();
+                -(1.0 - random).ln() / weight
             }
         }
     }
--- a/src/balancer/load_estimate.rs
+++ b/src/balancer/load_estimate.rs
@@ -1,18 +1,18 @@
-//! How crowded the fleet is: the latency of answers and of what is in flight against the unloaded
-//! latency.
+//! Load ratio of the fleet: the latency of answers and of attempts in flight compared with the
+//! unloaded latency.
 
-use super::latency::MAX_STRETCH;
+use super::latency::MAX_MEAN_SLOWDOWN;
 use super::latency_group::LatencyGroup;
 use crate::api::{Micros, Timestamp};
 
-/// The load ratio of the fleet.
+/// Estimate of the fleet's load ratio.
 pub struct LoadEstimate {
     window: Micros,
     attempts: LatencyGroup,
 }
 
 impl LoadEstimate {
-    /// Looks back over a window.
+    /// Creates an estimate over a window.
     pub fn new(window: Micros) -> Self {
         Self {
             window,
@@ -20,63 +20,68 @@
         }
     }
 
-    /// Latency now against that without load.
+    /// Returns the current latency divided by the unloaded latency.
     pub fn ratio(&self) -> f64 {
         self.attempts.slowdown()
     }
 
-    /// Takes an answer that took this many unloaded latencies.
+    /// Records an answer that took `ratio` unloaded latencies.
     pub fn record_answer(&mut self, now: Timestamp, ratio: f64) {
         self.attempts
-            .record(now, ratio.min(MAX_STRETCH), true, self.window);
+            .record(now, ratio.min(MAX_MEAN_SLOWDOWN), true, self.window);
     }
 
-    /// Brings the ratio up to date.
+    /// Updates the ratio.
     pub fn refresh(&mut self, now: Timestamp) {
         self.attempts.refresh(now, self.window);
     }
 
-    /// Beyond this ratio an attempt in flight tells of its endpoint, not of load.
+    /// Returns the ratio above which an attempt in flight indicates a fault of its endpoint, not
+    /// load.
     pub fn max_in_flight_ratio(&self) -> f64 {
-        MAX_STRETCH * self.ratio()
+        MAX_MEAN_SLOWDOWN * self.ratio()
     }
 
-    /// Counts an attempt in flight that has taken this many unloaded latencies so far.
+    /// Counts an attempt in flight that has taken `ratio` unloaded latencies so far.
     pub fn add_in_flight(&mut self, ratio: f64) {
-        self.attempts.add_in_flight(ratio.clamp(0.0, MAX_STRETCH));
+        self.attempts
+            .add_in_flight(ratio.clamp(0.0, MAX_MEAN_SLOWDOWN));
     }
 }
 
 impl super::Balancer {
-    /// Brings up to date how slow each group of endpoints is against their kinds, and the fleet
-    /// against no load.
+    /// Updates the slowdown of each group compared with its kinds, and of the fleet compared with
+    /// its unloaded latency.
     pub(super) fn refresh_estimates(&mut self, now: Timestamp) {
-        let unloaded = self.latency.unloaded(self.work.objective_use());
-        self.load.refresh(now);
-        let max_ratio = self.load.max_in_flight_ratio();
+        let unloaded = self
+            .latency_estimator
+            .unloaded(self.work_estimate.objective_use());
+        self.load_estimate.refresh(now);
+        let max_ratio = self.load_estimate.max_in_flight_ratio();
         for endpoint in &self.endpoints {
             if endpoint.in_flight.is_empty() {
                 continue;
             }
-            let usual = self.latency.of_kind(endpoint.kind);
+            let usual = self.latency_estimator.for_kind(endpoint.kind);
             let unanswered = endpoint
                 .in_flight
                 .iter()
                 .filter(|attempt| !attempt.streaming);
             let slowdowns =
                 unanswered.map(|attempt| attempt.elapsed(now) / (attempt.work * usual).max(1.0));
-            self.latency.add_in_flight(endpoint.cell, slowdowns.clone());
+            self.latency_estimator
+                .add_in_flight(endpoint.cell, slowdowns.clone());
             if !endpoint.circuit.is_closed() {
                 continue;
             }
             for slowdown in slowdowns {
-                let ratio = slowdown * self.latency.fleet() / unloaded;
+                let ratio = slowdown * self.latency_estimator.fleet() / unloaded;
                 if ratio < max_ratio {
-                    self.load.add_in_flight(ratio);
+                    self.load_estimate.add_in_flight(ratio);
                 }
             }
         }
-        self.latency.refresh(now);
-        self.load.refresh(now);
+        self.latency_estimator.refresh(now);
+        self.load_estimate.refresh(now);
     }
 }
--- a/src/balancer/peer_health.rs
+++ b/src/balancer/peer_health.rs
@@ -1,34 +1,34 @@
-//! What other members' health observations do here, and what is reported to them.
+//! Effect of other members' health observations, and the observations reported to them.
 //!
-//! An ejection stands above the own circuit and leaves it as it is: once it is taken back or
-//! expires, the instance decides as one that has never heard of it.
+//! An ejection overrides the circuit but does not change it: once the ejection is withdrawn or
+//! expires, the instance decides as if there had been none.
 
 use crate::api::*;
 
-/// Expected times after which an attempt at an ejected endpoint is cancelled.
-const OVERDUE_IN_EXPECTED_TIMES: f64 = 2.0;
-/// Expected times after which an attempt is reported as unanswered: by its work alone one in four
-/// hundred takes six times the mean.
-const UNANSWERED_IN_EXPECTED_TIMES: f64 = 6.0;
+/// Expected latencies after which an attempt at an ejected endpoint is cancelled.
+const OVERDUE_IN_EXPECTED_LATENCIES: f64 = 2.0;
+/// Expected latencies after which an attempt is reported as unanswered: the work of one request in
+/// four hundred is six times the mean.
+const UNANSWERED_IN_EXPECTED_LATENCIES: f64 = 6.0;
 
-/// Whether health observations are shared with other members.
+/// Exchange of health observations with other members.
 #[derive(Default)]
 pub struct PeerHealth {
     enabled: bool,
 }
 
 impl PeerHealth {
-    /// Shared or not.
+    /// Creates the exchange, enabled or not.
     pub fn new(enabled: bool) -> Self {
         Self { enabled }
     }
 
-    /// Whether observations are reported and ejections followed.
+    /// Returns whether observations are reported and ejections are applied.
     pub fn is_enabled(&self) -> bool {
         self.enabled
     }
 
-    /// Reports how an attempt ended. One that was rejected for want of room says nothing of the
+    /// Reports the outcome of an attempt. A rejection for lack of capacity says nothing about the
     /// endpoint's health.
     pub fn report(&self, endpoint: EndpointId, outcome: Outcome, out: &mut Vec<Action>) {
         if self.enabled && outcome != Outcome::Rejected {
@@ -41,8 +41,8 @@
 }
 
 impl super::Balancer {
-    /// Follows ejections. Where others were served again the own circuit need not be tried by this
-    /// instance too.
+    /// Applies ejections. If other members' trial requests were served, the circuit closes without
+    /// a trial request of this instance.
     pub(super) fn apply_ejections(
         &mut self,
         now: Timestamp,
@@ -50,8 +50,8 @@
         out: &mut Vec<Action>,
     ) {
         for update in updates {
-            let known = self.endpoints.get_mut(update.endpoint);
-            let Some(endpoint) = known.filter(|endpoint| endpoint.known) else {
+            let endpoint = self.endpoints.get_mut(update.endpoint);
+            let Some(endpoint) = endpoint.filter(|endpoint| endpoint.known) else {
                 continue;
             };
             let status = if now < update.expires {
@@ -73,14 +73,14 @@
         }
     }
 
-    /// Others get no answer there: what has waited for longer than usual, and may run again, waits
-    /// no more.
+    /// Cancels the attempts at an ejected endpoint that are overdue and may be repeated: other
+    /// members get no answers there either.
     fn cancel_overdue(&self, now: Timestamp, id: EndpointId, out: &mut Vec<Action>) {
         let endpoint = &self.endpoints[id];
-        let overdue = OVERDUE_IN_EXPECTED_TIMES * self.latency.slower_of(endpoint);
+        let overdue = OVERDUE_IN_EXPECTED_LATENCIES * self.latency_estimator.slower_of(endpoint);
         for attempt in &endpoint.in_flight {
             let is_overdue = (now - attempt.sent_at) as f64 > overdue * attempt.work;
-            let may_repeat = self.settings.classes[attempt.class].effect != Effect::Unsafe;
+            let may_repeat = self.settings.classes[attempt.class].effect != Effect::NonIdempotent;
             if !attempt.streaming && is_overdue && may_repeat && self.retry_budget.allows_retry() {
                 out.push(Action::Cancel {
                     request: attempt.request,
@@ -90,16 +90,17 @@
         }
     }
 
-    /// Drops ejections that have expired. Reports attempts that are far later than any answer,
-    /// before their time is out.
+    /// Drops expired ejections. Reports attempts that are far later than any answer, before they
+    /// time out.
     pub(super) fn expire_peer_health(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         if !self.peer_health.is_enabled() {
             return;
         }
         for (id, endpoint) in self.endpoints.iter_mut().enumerate() {
             endpoint.ejection = endpoint.ejection.filter(|update| now < update.expires);
-            let unanswered = UNANSWERED_IN_EXPECTED_TIMES * self.latency.slower_of(endpoint);
-            let last_heard = endpoint.last_heard;
+            let unanswered =
+                UNANSWERED_IN_EXPECTED_LATENCIES * self.latency_estimator.slower_of(endpoint);
+            let last_heard = endpoint.last_outcome_at;
             for attempt in &mut endpoint.in_flight {
                 if attempt.reported_overdue || attempt.streaming || last_heard > attempt.sent_at {
                     continue;
--- a/src/balancer/request.rs
+++ b/src/balancer/request.rs
@@ -1,33 +1,33 @@
-//! What is remembered of an open request and its attempts.
+//! State of an open request and its attempts.
 
 use super::wait_queue::QueuePosition;
 use crate::api::*;
 
-/// An attempt as its request remembers it.
+/// An attempt, as recorded in its request.
 pub struct Attempt {
     pub endpoint: EndpointId,
-    /// Where the endpoint was when the attempt was sent: a later list may move it, and a repeat is
-    /// dropped by those who shared what it had seen then.
+    /// Zone of the endpoint when the attempt was sent: a later list may move the endpoint, and a
+    /// repeat is dropped by the endpoints that shared its idempotency keys at that time.
     pub zone: Option<ZoneId>,
-    /// See `zone`.
+    /// Cell of the endpoint when the attempt was sent; see `zone`.
     pub cell: u64,
     pub sent_at: Timestamp,
     pub in_flight: bool,
-    /// Also while it is in flight.
+    /// Also true while the attempt is in flight.
     pub may_have_run: bool,
 }
 
-/// How far a request has come.
+/// Progress of a request.
 #[derive(Default, PartialEq)]
 pub enum RequestState {
     /// An attempt is in flight, or the request has just arrived.
     #[default]
     Sent,
-    /// It waits until its next attempt may be made.
+    /// Waiting for the backoff before the next attempt.
     Backoff,
-    /// It waits for an endpoint with room.
+    /// Waiting for an endpoint with capacity.
     Queued,
-    /// Its answer has begun.
+    /// The answer has begun.
     Streaming,
 }
 
@@ -35,31 +35,31 @@
 #[derive(Default)]
 pub struct Request {
     pub class: ClassId,
-    /// Its latency objective in microseconds.
+    /// Latency objective in microseconds.
     pub objective: f64,
     pub arrived: Timestamp,
     pub key: Option<u64>,
     pub affinity_endpoints: Vec<EndpointId>,
-    /// When it stops waiting in the queue.
+    /// When the request stops waiting in the queue.
     pub queue_deadline: Timestamp,
-    /// When it must have its final answer.
+    /// When the final answer is due.
     pub deadline: Timestamp,
     /// Expected work in microseconds.
     pub work: f64,
-    /// A retry of its client, or beyond its tenant's quota.
+    /// Marked by its client as a retry, or over its tenant's quota.
     pub low_priority: bool,
-    /// Failed attempts, and selections that found every circuit open.
+    /// Failed attempts, and selections that found no endpoint.
     pub failures: u32,
     pub attempts: Vec<Attempt>,
     pub state: RequestState,
 }
 
 impl Request {
-    /// Cancels what is still in flight for it, but for one attempt to keep.
+    /// Cancels the attempts in flight, except for one.
     pub fn cancel_in_flight(
         &self,
         id: RequestId,
-        keep: Option<AttemptNo>,
+        except: Option<AttemptIndex>,
         limits: &Limits,
         out: &mut Vec<Action>,
     ) {
@@ -67,7 +67,7 @@
             return;
         }
         for (number, attempt) in (0..).zip(&self.attempts) {
-            if attempt.in_flight && Some(number) != keep {
+            if attempt.in_flight && Some(number) != except {
                 out.push(Action::Cancel {
                     request: id,
                     attempt: number,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Its position in the queue while it waits there.
+    /// Returns the position of the request in the queue.
     pub fn queue_position(&self, id: RequestId) -> QueuePosition {
         QueuePosition {
             low_priority: self.low_priority,
@@ -85,19 +85,19 @@
         }
     }
 
-    /// Whether its time is up, or it has been queued for long enough.
+    /// Returns whether the deadline, or the time limit in the queue, has passed.
     pub fn is_overdue(&self, now: Timestamp) -> bool {
-        let waited = self.state == RequestState::Queued && self.queue_deadline <= now;
-        waited || (self.deadline <= now && self.state != RequestState::Streaming)
+        let queue_timed_out = self.state == RequestState::Queued && self.queue_deadline <= now;
+        queue_timed_out || (self.deadline <= now && self.state != RequestState::Streaming)
     }
 
-    /// Attempts in flight.
+    /// Returns the number of attempts in flight.
     pub fn in_flight(&self) -> usize {
         let in_flight = self.attempts.iter().filter(|attempt| attempt.in_flight);
         in_flight.count()
     }
 
-    /// Whether any attempt may have run.
+    /// Returns whether any attempt may have run.
     pub fn may_have_run(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.may_have_run)
     }
--- a/src/balancer/retry_budget.rs
+++ b/src/balancer/retry_budget.rs
@@ -1,33 +1,33 @@
-//! The retry budget: how many retries the traffic has earned.
+//! The retry budget: bounds retries in proportion to the traffic.
 
 use super::token_bucket::TokenBucket;
 
-/// Retries that one request earns.
+/// Retries that one request adds to the budget.
 const RETRIES_PER_REQUEST: f64 = 0.1;
-/// Retries that the budget holds at most.
+/// Maximum number of retries in the budget.
 const MAX_RETRIES: f64 = 3.0;
 
-/// Rations retries in an outage, in which every request would otherwise come back several times and
-/// nothing recover.
+/// Limits retries during an outage, in which every request would otherwise be sent several times
+/// and prevent recovery.
 pub struct RetryBudget(TokenBucket);
 
 impl RetryBudget {
-    /// A full budget.
+    /// Creates a full budget.
     pub const fn full() -> Self {
         Self(TokenBucket::full(RETRIES_PER_REQUEST, MAX_RETRIES))
     }
 
-    /// A request arrived.
+    /// Adds the share of a new request.
     pub fn deposit(&mut self) {
         self.0.deposit();
     }
 
-    /// Whether a retry is within the budget.
+    /// Returns whether a retry is within the budget.
     pub fn allows_retry(&self) -> bool {
         self.0.has_token()
     }
 
-    /// A retry was sent.
+    /// Deducts a retry.
     pub fn withdraw(&mut self) {
         self.0.withdraw();
     }
--- a/src/balancer/round_robin.rs
+++ b/src/balancer/round_robin.rs
@@ -3,25 +3,25 @@
 use super::endpoint::Endpoint;
 use crate::api::*;
 
-/// How much of its weight an endpoint loses and gains at most by its latency.
+/// Bounds of the factor by which latency changes the weight of an endpoint.
 const MIN_LATENCY_FACTOR: f64 = 0.05;
 const MAX_LATENCY_FACTOR: f64 = 2.0;
-/// Power of the latency ratio in the weight: overloaded endpoints at a third of their speed need to
-/// recover, and a third of their picks would keep them just as busy.
+/// Exponent of the latency ratio in the weight. Overloaded endpoints that are three times slower
+/// need to recover, and a third of their picks would keep them just as busy.
 const LATENCY_EXPONENT: i32 = 2;
 
-/// The endpoints in an order of this instance's own.
+/// The endpoints in a rotation order that differs between instances.
 #[derive(Default)]
 pub struct WeightedRoundRobin {
     order: Vec<EndpointId>,
 }
 
-/// How much an affinity may set endpoints ahead and back.
+/// Parameters for picks by affinity, which may be out of rotation order.
 #[derive(Clone, Copy)]
-pub struct OutOfTurn {
-    /// Weight of all endpoints of the subset.
+pub struct AffinityAccounting {
+    /// Sum of the weights of the endpoints in the subset.
     pub total_weight: f64,
-    /// Least deficit.
+    /// Lower bound of deficits.
     pub min_deficit: f64,
 }
 
@@ -31,67 +31,73 @@
         self.order.insert(rng.usize(..=self.order.len()), id);
     }
 
-    /// Keeps the endpoints that hold.
-    pub fn retain(&mut self, holds: impl Fn(EndpointId) -> bool) {
-        self.order.retain(|id| holds(*id));
+    /// Removes the endpoints for which `keep` returns false.
+    pub fn retain(&mut self, keep: impl Fn(EndpointId) -> bool) {
+        self.order.retain(|id| keep(*id));
     }
 
-    /// Endpoints in rotation, ready or not.
+    /// Returns the number of endpoints in the rotation, ready or not.
     pub fn len(&self) -> usize {
         self.order.len()
     }
 
-    /// The endpoints in rotation order.
+    /// Returns the endpoints in rotation order.
     pub fn iter(&self) -> impl Iterator<Item = EndpointId> {
         self.order.iter().copied()
     }
 }
 
-/// An endpoint was picked in turn: time passes on to its turn. What the others lack shrinks by
-/// their weights of now, as a turn fixed at the last send would come by what was known a round ago,
-/// which may be seconds.
+/// Records a pick in rotation order: time advances to the pick. The deficits of the other endpoints
+/// shrink by their current weights; a schedule fixed at the last pick would rely on estimates that
+/// are one round old, which may be seconds.
 pub fn advance(endpoints: &mut [Endpoint], weights: &[f64], picked: EndpointId) {
-    let passed = endpoints[picked].deficit / weights[picked];
+    let elapsed = endpoints[picked].deficit / weights[picked];
     for (endpoint, weight) in endpoints.iter_mut().zip(weights) {
-        endpoint.deficit = (endpoint.deficit - passed * weight).max(0.0);
+        endpoint.deficit = (endpoint.deficit - elapsed * weight).max(0.0);
     }
     endpoints[picked].deficit = 1.0;
 }
 
-/// An endpoint was picked by an affinity, maybe out of turn: deficits are accounts, from which each
-/// send takes one, which all endpoints are given by their weights.
-pub fn settle(endpoints: &mut [Endpoint], weights: &[f64], picked: EndpointId, by: OutOfTurn) {
+/// Records a pick by affinity, possibly out of rotation order: each pick adds one to the deficit of
+/// its endpoint and reduces the deficits of all by one in total, in proportion to their weights.
+pub fn settle(
+    endpoints: &mut [Endpoint],
+    weights: &[f64],
+    picked: EndpointId,
+    accounting: AffinityAccounting,
+) {
     for (endpoint, weight) in endpoints.iter_mut().zip(weights) {
-        let given = weight / by.total_weight.max(*weight);
-        endpoint.deficit = (endpoint.deficit - given).max(by.min_deficit);
+        let credit = weight / accounting.total_weight.max(*weight);
+        endpoint.deficit = (endpoint.deficit - credit).max(accounting.min_deficit);
     }
     endpoints[picked].deficit += 1.0;
 }
 
 impl super::Balancer {
-    /// An endpoint's part of the picks: its size, less while it is warming up or slower than the
-    /// fleet.
+    /// Returns the relative weight of an endpoint: its size, reduced while it is warming up or
+    /// slower than the fleet.
     pub(super) fn weight(&self, now: Timestamp, endpoint: &Endpoint) -> f64 {
-        let speed = self.latency.fleet() / self.latency.of_endpoint(now, endpoint);
+        let speed =
+            self.latency_estimator.fleet() / self.latency_estimator.for_endpoint(now, endpoint);
         let factor = speed
             .powi(LATENCY_EXPONENT)
             .clamp(MIN_LATENCY_FACTOR, MAX_LATENCY_FACTOR);
         endpoint.size * self.slow_start.capacity(now, endpoint) * factor
     }
 
-    /// The weights of the endpoints of the subset, as far as they take traffic.
+    /// Returns the sum of the weights of the endpoints in the subset that receive traffic.
     pub(super) fn total_weight(&self, now: Timestamp) -> f64 {
-        let open = || {
+        let available = || {
             self.endpoints
                 .iter()
                 .filter(|endpoint| endpoint.takes_traffic())
         };
-        let part = (self.subset_size(now) / open().count() as f64).min(1.0);
-        let weights = open().map(|endpoint| self.weight(now, endpoint));
-        weights.sum::<f64>() * part
+        let subset_fraction = (self.subset_size(now) / available().count() as f64).min(1.0);
+        let weights = available().map(|endpoint| self.weight(now, endpoint));
+        weights.sum::<f64>() * subset_fraction
     }
 
-    /// Takes a pick into the rotation.
+    /// Records a pick in the rotation.
     pub(super) fn record_pick(&mut self, now: Timestamp, picked: EndpointId) {
         let weights: Vec<f64> = self
             .endpoints
@@ -99,11 +105,11 @@
             .map(|endpoint| self.weight(now, endpoint))
             .collect();
         if self.affinity.is_in_use() {
-            let by = OutOfTurn {
+            let accounting = AffinityAccounting {
                 total_weight: self.total_weight(now),
                 min_deficit: self.affinity.min_deficit(),
             };
-            settle(&mut self.endpoints, &weights, picked, by);
+            settle(&mut self.endpoints, &weights, picked, accounting);
         } else {
             advance(&mut self.endpoints, &weights, picked);
         }
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -1,4 +1,4 @@
-//! The selection of an endpoint for an attempt, in the order in which the policies are asked.
+//! Selection of the endpoint for an attempt; combines the policies in a fixed order.
 
 use super::Balancer;
 use super::bulkhead::FAIR_SHARE_SLACK;
@@ -9,80 +9,81 @@
 use super::send_rules;
 use crate::api::*;
 
-/// How much of a place in the subset an endpoint takes up that gets no traffic. With none, an
-/// instance that left every sick endpoint for the next would try the whole fleet.
-const PLACE_WITHOUT_TRAFFIC: f64 = 0.5;
+/// How much of the subset an endpoint without traffic takes up. If it took up nothing, an instance
+/// would replace each failed endpoint by another one until it had tried the whole fleet.
+const SUBSET_COST_WITHOUT_TRAFFIC: f64 = 0.5;
 
-/// Where an attempt goes now, or why nowhere.
+/// Result of a selection.
 pub enum Selection {
-    /// To this endpoint.
+    /// Send to this endpoint.
     Endpoint(EndpointId),
-    /// Nowhere until an endpoint has room.
-    NoRoom,
-    /// Nowhere: no endpoint may be sent it.
+    /// Wait: all suitable endpoints are at capacity.
+    NoCapacity,
+    /// No endpoint may receive this attempt.
     NoEndpoint,
 }
 
 /// Whether an endpoint can take an attempt now.
-enum Room {
-    Free,
+enum Availability {
+    Available,
     Full,
-    /// Its circuit is open, and this attempt is no trial of it.
+    /// The circuit is open and this attempt is not a trial request.
     CircuitOpen,
 }
 
-/// What one selection looks at, computed once.
+/// Values that are computed once per selection.
 struct Conditions {
     total_weight: f64,
     concurrency: Concurrency,
-    /// All limits together are reached.
-    at_limit: bool,
+    /// The attempts in flight have reached the sum of all limits.
+    at_total_limit: bool,
     mean_work: f64,
 }
 
-/// An endpoint that may take the attempt. The least is picked.
+/// An endpoint that may take the attempt. The smallest candidate is picked.
 #[derive(Clone, Copy, PartialEq, PartialOrd)]
 struct Candidate {
     already_tried: bool,
     preference: f64,
-    /// Time until its turn.
+    /// Time until its next pick, in units of the rotation.
     wait: f64,
     last_sent: Timestamp,
     endpoint: EndpointId,
 }
 
 impl Balancer {
-    /// Weighted round robin over the endpoints of the subset that may take the attempt: one not yet
-    /// tried, then the next turn. Open circuits and full bulkheads are passed over.
+    /// Selects an endpoint by weighted round robin over the subset: endpoints that this request has
+    /// not tried come first, then the next in rotation. Open circuits and full bulkheads are
+    /// skipped.
     pub(super) fn select(&self, now: Timestamp, request: &Request) -> Selection {
-        let subset = self.subset_size(now);
+        let subset_size = self.subset_size(now);
         let conditions = self.conditions(now);
         let mut best: Option<Candidate> = None;
-        let mut no_room = false;
-        let mut places = 0.0;
+        let mut at_capacity = false;
+        let mut subset_used = 0.0;
         for id in self.rotation.iter() {
             let endpoint = &self.endpoints[id];
             if !send_rules::may_send(&self.settings, now, request, endpoint) {
                 continue;
             }
-            // What this instance is to try for all members it tries wherever that stands in its own
-            // rotation.
+            // A trial request on behalf of all members goes to its endpoint wherever that is in
+            // this instance's rotation.
             let trial_due = self.peer_health.is_enabled() && endpoint.is_trial_due();
-            if places >= subset && best.is_some() && !trial_due {
+            if subset_used >= subset_size && best.is_some() && !trial_due {
                 continue;
             }
-            places += if endpoint.takes_traffic() {
+            subset_used += if endpoint.takes_traffic() {
                 1.0
             } else {
-                PLACE_WITHOUT_TRAFFIC
+                SUBSET_COST_WITHOUT_TRAFFIC
             };
-            match self.room(now, request, endpoint, &conditions) {
-                Room::Free => {}
-                Room::Full => {
-                    no_room = true;
+            match self.availability(now, request, endpoint, &conditions) {
+                Availability::Available => {}
+                Availability::Full => {
+                    at_capacity = true;
                     continue;
                 }
-                Room::CircuitOpen => continue,
+                Availability::CircuitOpen => continue,
             }
             let candidate = self.candidate(now, request, id);
             if best.is_none_or(|best| candidate < best) {
@@ -91,49 +92,50 @@
         }
         match best {
             Some(best) => Selection::Endpoint(best.endpoint),
-            None if no_room => Selection::NoRoom,
+            None if at_capacity => Selection::NoCapacity,
             None => Selection::NoEndpoint,
         }
     }
 
     fn conditions(&self, now: Timestamp) -> Conditions {
         let concurrency = Concurrency::of(&self.endpoints);
-        // Many instances leave each less than one attempt in flight for each endpoint: such limits
-        // bind as a sum.
-        let most = concurrency.limits.max(self.goodput.min_concurrency(now));
+        // With many instances each has less than one attempt in flight per endpoint, so their
+        // limits apply as a sum.
+        let total_limit = concurrency.limits.max(self.goodput.min_concurrency(now));
         Conditions {
             total_weight: self.total_weight(now),
             concurrency,
-            at_limit: concurrency.in_flight > most,
-            mean_work: self.work.mean(),
+            at_total_limit: concurrency.in_flight > total_limit,
+            mean_work: self.work_estimate.mean(),
         }
     }
 
-    fn room(
+    fn availability(
         &self,
         now: Timestamp,
         request: &Request,
         endpoint: &Endpoint,
         conditions: &Conditions,
-    ) -> Room {
+    ) -> Availability {
         let full = match endpoint.circuit_state() {
             CircuitState::Closed => {
-                conditions.at_limit || self.bulkhead_is_full(now, request, endpoint, conditions)
+                conditions.at_total_limit
+                    || self.bulkhead_is_full(now, request, endpoint, conditions)
             }
             CircuitState::OpenUntil(until) if now < until || !endpoint.in_flight.is_empty() => {
-                return Room::CircuitOpen;
+                return Availability::CircuitOpen;
             }
             CircuitState::OpenUntil(_)
                 if !self.trial_budget.allows_trial() && conditions.total_weight > 0.0 =>
             {
-                return Room::CircuitOpen;
+                return Availability::CircuitOpen;
             }
             CircuitState::OpenUntil(_) => false,
         };
         if full || self.slow_start_credit(now, endpoint) < conditions.mean_work {
-            Room::Full
+            Availability::Full
         } else {
-            Room::Free
+            Availability::Available
         }
     }
 
@@ -144,14 +146,15 @@
         endpoint: &Endpoint,
         conditions: &Conditions,
     ) -> bool {
-        // The fair part does not hold up retries, which may be bound to few endpoints.
-        let slack = if request.attempts.is_empty() {
+        // Fair shares do not delay retries, which may be restricted to a few endpoints.
+        let share_factor = if request.attempts.is_empty() {
             FAIR_SHARE_SLACK
         } else {
             f64::INFINITY
         };
         let weight = self.weight(now, endpoint);
-        let share = slack * conditions.concurrency.in_flight * weight / conditions.total_weight;
+        let share =
+            share_factor * conditions.concurrency.in_flight * weight / conditions.total_weight;
         endpoint.bulkhead.is_full(endpoint.in_flight.len(), share)
     }
 
@@ -163,7 +166,7 @@
             already_tried: attempts.any(|attempt| attempt.endpoint == id),
             preference: self.affinity.preference(request, id, endpoint, weight),
             wait: endpoint.deficit / weight,
-            last_sent: endpoint.last_sent,
+            last_sent: endpoint.last_sent_at,
             endpoint: id,
         }
     }
--- a/src/balancer/slow_start_credit.rs
+++ b/src/balancer/slow_start_credit.rs
@@ -1,17 +1,20 @@
-//! What is left of an endpoint's credit in slow start.
+//! Remaining slow start credit of an endpoint.
 
 use crate::api::Timestamp;
 
-/// Work that a warming endpoint may still be sent, in microseconds.
+/// Work that a warming endpoint may still receive, in microseconds.
 #[derive(Default)]
 pub struct SlowStartCredit {
     pub work: f64,
-    pub updated: Timestamp,
+    pub updated_at: Timestamp,
 }
 
 impl SlowStartCredit {
-    /// That of a process that has just started.
+    /// Creates a credit as of `now`.
     pub fn new(work: f64, now: Timestamp) -> Self {
-        Self { work, updated: now }
+        Self {
+            work,
+            updated_at: now,
+        }
     }
 }
--- a/src/balancer/summary.rs
+++ b/src/balancer/summary.rs
@@ -1,14 +1,14 @@
-//! The figures of an instance, for whoever measures it. Reading them changes nothing.
+//! A summary of an instance's state for metrics. Reading it changes nothing.
 
 use super::Balancer;
 use super::endpoint::Endpoint;
 use crate::api::*;
 
 impl Balancer {
-    /// Its figures now.
+    /// Returns the current summary.
     pub fn summary(&self) -> BalancerSummary {
         let listed = || self.endpoints.iter().filter(|endpoint| endpoint.listed);
-        let count = |holds: fn(&&Endpoint) -> bool| listed().filter(holds).count();
+        let count = |predicate: fn(&&Endpoint) -> bool| listed().filter(predicate).count();
         BalancerSummary {
             listed: listed().count(),
             ready: count(|endpoint| endpoint.ready),
@@ -19,9 +19,9 @@
         }
     }
 
-    /// Whether anything is remembered of this endpoint. The number of one that is not known may be
-    /// given to another.
-    pub fn knows(&self, endpoint: EndpointId) -> bool {
+    /// Returns whether any state is held for this endpoint. An id that is not known may be reused
+    /// for another endpoint.
+    pub fn is_known(&self, endpoint: EndpointId) -> bool {
         let endpoint = self.endpoints.get(endpoint);
         endpoint.is_some_and(|endpoint| endpoint.known)
     }
--- a/src/balancer/time.rs
+++ b/src/balancer/time.rs
@@ -1,13 +1,14 @@
-//! Bounds on instants and spans, so that arithmetic on what comes from outside cannot overflow.
+//! Bounds on instants and durations, so that arithmetic on external input cannot overflow.
 
 use crate::api::{Micros, Timestamp};
 
-/// Longest timer, and longest span taken from outside: an hour.
+/// Maximum duration of a timer and of any duration from external input: one hour.
 pub const MAX_DURATION: Micros = 3_600_000_000;
-/// Instants beyond this are taken as this.
+/// Latest instant; later ones are clamped to it.
 pub const END_OF_TIME: Timestamp = Timestamp::MAX / 4;
 
-/// The instant `delay` microseconds after `now`, at least one and at most an hour away.
+/// Returns the instant `delay` microseconds after `now`, at least one microsecond and at most an
+/// hour later.
 pub fn after(now: Timestamp, delay: f64) -> Timestamp {
     now.saturating_add((delay as Micros).clamp(1, MAX_DURATION))
 }
--- a/src/balancer/timers.rs
+++ b/src/balancer/timers.rs
@@ -1,28 +1,28 @@
-//! All wake-ups of an instance behind a single timer of the caller's.
+//! All timers of an instance, multiplexed onto a single timer of the caller.
 
 use super::time::MAX_DURATION;
 use crate::api::*;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// What to wake up for. Of two at one instant the earlier variant comes first.
+/// Reason to wake up. Of two at the same instant the variant listed first is handled first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Wake {
-    /// The request's time is up.
+    /// The deadline of the request has passed.
     Deadline(RequestId),
-    /// The request's backoff is over.
+    /// The backoff of the request has passed.
     Retry(RequestId),
-    /// The request has been queued for long enough.
+    /// The time limit of the request in the queue has passed.
     QueueTimeout(RequestId),
-    /// Discovery is to be asked anew.
+    /// Discovery is to be called again.
     Poll,
 }
 
-/// The wake-ups still to come.
+/// Pending wake-ups, the earliest first.
 #[derive(Default)]
 pub struct Timers {
     wakes: BinaryHeap<Reverse<(Timestamp, Wake)>>,
-    /// The instant for which the caller's timer was last set, until it goes off.
+    /// The instant for which the caller's timer was last set, until it fires.
     armed: Option<Timestamp>,
 }
 
@@ -32,8 +32,8 @@
         self.wakes.push(Reverse((when, wake)));
     }
 
-    /// Sets the caller's timer where the next wake-up is earlier than the one that it was last set
-    /// for.
+    /// Sets the caller's timer if the next wake-up is earlier than the one for which it was last
+    /// set.
     pub fn arm(&mut self, now: Timestamp, out: &mut Vec<Action>) {
         let Some(&Reverse((when, _))) = self.wakes.peek() else {
             return;
@@ -47,12 +47,12 @@
         }
     }
 
-    /// The caller's timer with this token went off.
+    /// Records that the caller's timer with this token has fired.
     pub fn fired(&mut self, token: u64) {
         self.armed = self.armed.filter(|armed| armed.unsigned_abs() != token);
     }
 
-    /// Takes the next wake-up that is due.
+    /// Removes and returns the next wake-up that is due.
     pub fn next_due(&mut self, now: Timestamp) -> Option<Wake> {
         self.wakes.peek().filter(|wake| wake.0.0 <= now)?;
         self.wakes.pop().map(|wake| wake.0.1)
--- a/src/balancer/token_bucket.rs
+++ b/src/balancer/token_bucket.rs
@@ -1,6 +1,6 @@
-//! A token bucket that is filled by requests rather than by time.
+//! A token bucket that is filled by requests instead of by time.
 
-/// Tokens that requests earn and that certain attempts cost.
+/// Tokens that requests add and that certain attempts cost.
 #[derive(Clone, Copy)]
 pub struct TokenBucket {
     tokens: f64,
@@ -9,7 +9,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub const fn full(per_request: f64, capacity: f64) -> Self {
         Self {
             tokens: capacity,
@@ -18,18 +18,17 @@
         }
     }
 
-    /// A request arrived.
+    /// Adds the tokens of a new request.
     pub fn deposit(&mut self) {
         self.tokens = (self.tokens + self.per_request).min(self.capacity);
     }
 
-    /// Whether an attempt may take a token.
+    /// Returns whether a token is available.
     pub fn has_token(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// An attempt that costs a token was sent. The bucket may run into debt where the caller did
-    /// not ask first.
+    /// Removes a token. The balance may become negative if the caller did not check it first.
     pub fn withdraw(&mut self) {
         self.tokens -= 1.0;
     }
--- a/src/balancer/trial_budget.rs
+++ b/src/balancer/trial_budget.rs
@@ -1,32 +1,32 @@
-//! The trial budget: how many requests may test open circuits while others are closed.
+//! The trial budget: limits the trial requests to open circuits while other circuits are closed.
 
 use super::token_bucket::TokenBucket;
 
-/// Trial requests that one request earns.
+/// Trial requests that one request adds to the budget.
 const TRIALS_PER_REQUEST: f64 = 0.05;
-/// Trial requests that the budget holds at most.
+/// Maximum number of trial requests in the budget.
 const MAX_TRIALS: f64 = 1.0;
 
-/// Keeps many open circuits from making a trial of every other request.
+/// Prevents many open circuits from turning a large part of the traffic into trial requests.
 pub struct TrialBudget(TokenBucket);
 
 impl TrialBudget {
-    /// A full budget.
+    /// Creates a full budget.
     pub const fn full() -> Self {
         Self(TokenBucket::full(TRIALS_PER_REQUEST, MAX_TRIALS))
     }
 
-    /// A request arrived.
+    /// Adds the share of a new request.
     pub fn deposit(&mut self) {
         self.0.deposit();
     }
 
-    /// Whether a trial request is within the budget.
+    /// Returns whether a trial request is within the budget.
     pub fn allows_trial(&self) -> bool {
         self.0.has_token()
     }
 
-    /// A trial request was sent.
+    /// Deducts a trial request.
     pub fn withdraw(&mut self) {
         self.0.withdraw();
     }
--- a/src/balancer/wait_queue.rs
+++ b/src/balancer/wait_queue.rs
@@ -1,24 +1,24 @@
-//! The queue of requests that wait for an endpoint with room.
+//! The queue of requests that wait for an endpoint with capacity.
 
 use crate::api::{RequestId, Timestamp};
 use std::collections::BTreeSet;
 use std::ops::Bound::{Excluded, Unbounded};
 
-/// Part of its latency objective that a request waits in the queue at most.
-pub const WAIT_PART_OF_OBJECTIVE: f64 = 0.15;
+/// Maximum time of a request in the queue, as a fraction of its latency objective.
+pub const MAX_WAIT_FRACTION_OF_OBJECTIVE: f64 = 0.15;
 
-/// Where a request stands in the queue: the least is served first.
+/// Position of a request in the queue; the smallest is served first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueuePosition {
     /// First attempts within their quota come first.
     pub low_priority: bool,
-    /// Then those that give up waiting first.
+    /// Then the requests whose wait ends first.
     pub deadline: Timestamp,
     pub request: RequestId,
 }
 
-/// Requests in the order in which they are served. It holds open requests only, so it is bounded as
-/// they are.
+/// Waiting requests in the order in which they are served. It contains open requests only, so their
+/// bound applies to it.
 #[derive(Default)]
 pub struct WaitQueue(BTreeSet<QueuePosition>);
 
@@ -28,23 +28,23 @@
         self.0.insert(position);
     }
 
-    /// Removes a request, if it waits here.
+    /// Removes a request if it is queued.
     pub fn remove(&mut self, position: &QueuePosition) {
         self.0.remove(position);
     }
 
-    /// The request that is served first.
+    /// Returns the request that is served first.
     pub fn first(&self) -> Option<QueuePosition> {
         self.0.first().copied()
     }
 
-    /// The request that is served after `position`, which may have left the queue.
+    /// Returns the request that is served after `position`, which itself may have been removed.
     pub fn after(&self, position: QueuePosition) -> Option<QueuePosition> {
-        let behind = (Excluded(position), Unbounded);
-        self.0.range(behind).next().copied()
+        let later_positions = (Excluded(position), Unbounded);
+        self.0.range(later_positions).next().copied()
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.0.len()
     }
--- a/src/bin/sidecar/affinity.rs
+++ b/src/bin/sidecar/affinity.rs
@@ -9,7 +9,7 @@
 use load_balancer_affinity::exchange::TICK;
 use load_balancer_affinity::{AffinityMember, Process};
 use load_balancer_gossip::connectivity::AffinityEntries as Permission;
-use load_balancer_gossip::core::{CarriedFragment, Listed};
+use load_balancer_gossip::core::{ObservedEndpoint, ReceivedFragment};
 use load_balancer_gossip::section::{FleetSection, micros};
 use load_balancer_gossip::udp;
 use std::cell::{Cell, RefCell};
@@ -31,7 +31,7 @@
 pub struct Host(Rc<Inner>);
 
 struct Inner {
-    member: udp::Fleet,
+    member: udp::GossipHandle,
     clock: Clock,
     offset: Micros,
     core: RefCell<AffinityMember>,
@@ -62,8 +62,8 @@
 
 impl Host {
     /// Begins with no entry, as a member of that fleet.
-    pub fn start(section: &FleetSection, member: &udp::Fleet, clock: Clock) -> Self {
-        let (entries, offset) = (&section.affinity_entries, section.offset());
+    pub fn start(section: &FleetSection, member: &udp::GossipHandle, clock: Clock) -> Self {
+        let (entries, offset) = (&section.affinity_entries, section.clock_offset_micros());
         let times = entries.times_with(micros(section.skew));
         let rates = entries.rates(section.members);
         let now = clock.now() + offset;
@@ -74,13 +74,13 @@
             offset,
             core: RefCell::new(core),
             list: RefCell::default(),
-            may: Cell::new(Permission::Idle),
+            may: Cell::new(Permission::Unused),
             running: RefCell::default(),
             picks: RefCell::default(),
         };
         let host = Self(Rc::new(inner));
         let receiver = host.clone();
-        member.on_carried(Rc::new(move |fragments| receiver.receive(&fragments)));
+        member.set_fragment_handler(Rc::new(move |fragments| receiver.receive(&fragments)));
         spawn_local(host.clone().run());
         host
     }
@@ -92,7 +92,7 @@
         (mono + self.0.offset, mono)
     }
 
-    fn receive(&self, fragments: &[CarriedFragment]) {
+    fn receive(&self, fragments: &[ReceivedFragment]) {
         let (now, _) = self.now();
         for fragment in fragments
             .iter()
@@ -117,12 +117,12 @@
             let outgoing = self.0.core.borrow_mut().tick(now, mono);
             // Pieces may be lost, so one that the fleet does not take now is.
             if let Some(pulse) = outgoing.nearby {
-                for to in self.0.member.neighbours(FANOUT) {
-                    let _ = self.0.member.carry_to(to, FRAGMENT_KIND, &pulse);
+                for to in self.0.member.random_members(FANOUT) {
+                    let _ = self.0.member.send_fragment(to, FRAGMENT_KIND, &pulse);
                 }
             }
             for (to, piece) in outgoing.direct {
-                let _ = self.0.member.carry_to(to, FRAGMENT_KIND, &piece);
+                let _ = self.0.member.send_fragment(to, FRAGMENT_KIND, &piece);
             }
             sleep(every).await;
         }
@@ -141,7 +141,7 @@
     }
 
     /// The list has changed.
-    pub fn listed<'a>(&self, list: impl Iterator<Item = &'a Listed>) {
+    pub fn listed<'a>(&self, list: impl Iterator<Item = &'a ObservedEndpoint>) {
         let closed = self.0.list.borrow_mut().follow(list);
         let names = &self.0.list.borrow().names;
         self.0
@@ -153,7 +153,7 @@
 
     /// Where a key is cached by its entries, if they may be used.
     pub fn pick(&self, key: u64) -> Option<Pick> {
-        if self.0.may.get() == Permission::Idle {
+        if self.0.may.get() == Permission::Unused {
             return None;
         }
         let ((now, mono), list) = (self.now(), self.0.list.borrow());
--- a/src/bin/sidecar/affinity_list.rs
+++ b/src/bin/sidecar/affinity_list.rs
@@ -2,7 +2,7 @@
 
 use load_balancer::EndpointId;
 use load_balancer_affinity::{Process, hash};
-use load_balancer_gossip::core::Listed;
+use load_balancer_gossip::core::ObservedEndpoint;
 use std::collections::{HashMap, HashSet, VecDeque};
 
 /// Processes that are remembered to have been listed: more than entries on them may be on their
@@ -24,7 +24,10 @@
 
 impl List {
     /// Follows the whole list; gives the processes that take nothing any more.
-    pub fn follow<'a>(&mut self, list: impl Iterator<Item = &'a Listed>) -> HashSet<Process> {
+    pub fn follow<'a>(
+        &mut self,
+        list: impl Iterator<Item = &'a ObservedEndpoint>,
+    ) -> HashSet<Process> {
         let before: Vec<Process> = self.names.keys().copied().collect();
         (self.processes, self.endpoints, self.names) = Default::default();
         for l in list {
--- a/src/bin/sidecar/affinity_list/tests.rs
+++ b/src/bin/sidecar/affinity_list/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn who_drains_or_is_gone_is_the_process_that_it_was_and_takes_nothing() {
-    let listed = |name: &str, started: Option<i64>, ready| Listed {
+    let listed = |name: &str, started: Option<i64>, ready| ObservedEndpoint {
         endpoint: name.len(),
         name: name.to_owned(),
         started: started.map(|ms| ms * 1000),
--- a/src/bin/sidecar/affinity_pages.rs
+++ b/src/bin/sidecar/affinity_pages.rs
@@ -151,8 +151,8 @@
     let (summary, may, _) = host.summary();
     let bindings = match may {
         Permission::Used => "used",
-        Permission::RunOut => "run out",
-        Permission::Idle => "not used",
+        Permission::Expiring => "run out",
+        Permission::Unused => "not used",
     };
     let leaves = |l: crate::affinity::reports::Draining| Leaves {
         server: l.name,
--- a/src/bin/sidecar/attempt.rs
+++ b/src/bin/sidecar/attempt.rs
@@ -6,7 +6,7 @@
 use http_body_util::Full;
 use hyper::Request;
 use hyper::header::HeaderValue;
-use load_balancer::{Load, Outcome};
+use load_balancer::{LoadReport, Outcome};
 use std::rc::Rc;
 use tokio::time::Instant;
 
@@ -17,12 +17,12 @@
     /// The answer to pass on.
     pub served: Option<Served>,
     /// The load report that came along.
-    pub load: Load,
+    pub load: LoadReport,
 }
 
 impl Reply {
     /// One without an answer to pass on.
-    pub fn of(outcome: Outcome, load: Load) -> Self {
+    pub fn of(outcome: Outcome, load: LoadReport) -> Self {
         Self {
             outcome,
             served: None,
@@ -33,7 +33,7 @@
 
 impl From<Outcome> for Reply {
     fn from(outcome: Outcome) -> Self {
-        Self::of(outcome, Load::default())
+        Self::of(outcome, LoadReport::default())
     }
 }
 
--- a/src/bin/sidecar/config.rs
+++ b/src/bin/sidecar/config.rs
@@ -2,7 +2,7 @@
 
 use crate::config_error::{ConfigError, ContentError};
 use crate::host_list::HostList;
-use load_balancer::settings::{self, Decoded};
+use load_balancer::settings::{self, DecodedSettings};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
@@ -33,7 +33,7 @@
     /// The endpoints as last known.
     pub known: Option<HostList>,
     /// The settings object.
-    pub decoded: Decoded,
+    pub decoded: DecodedSettings,
     /// What only a start takes in: the file less discovery's address, the known list and the seed.
     pub fixed: serde_json::Value,
 }
--- a/src/bin/sidecar/endpoint_directory.rs
+++ b/src/bin/sidecar/endpoint_directory.rs
@@ -5,18 +5,18 @@
 use crate::messages::{Exported, NamedEndpoint};
 use crate::pool::{Pool, Target};
 use crate::product::{Fleet, SnapshotHost};
-use load_balancer::settings::Names;
+use load_balancer::settings::NameTable;
 #[cfg(feature = "product")]
 use load_balancer::{Balancer, RestoredEndpoint};
-use load_balancer::{ListUpdate, Listing, Status};
+use load_balancer::{EndpointStatus, ListUpdate, ListedEndpoint};
 use std::collections::HashSet;
 use std::rc::Rc;
 
 /// Names by number, and what follows lists besides the module.
 pub struct EndpointDirectory {
-    endpoints: Names,
-    zones: Names,
-    kinds: Names,
+    endpoints: NameTable,
+    zones: NameTable,
+    kinds: NameTable,
     pool: Rc<Pool>,
     fleet: Option<Fleet>,
     state: Option<SnapshotHost>,
@@ -25,15 +25,15 @@
 impl EndpointDirectory {
     /// No endpoint yet; the settings name some zones.
     pub fn new(
-        zones: Names,
+        zones: NameTable,
         pool: Rc<Pool>,
         fleet: Option<Fleet>,
         state: Option<SnapshotHost>,
     ) -> Self {
         Self {
-            endpoints: Names::default(),
+            endpoints: NameTable::default(),
             zones,
-            kinds: Names::default(),
+            kinds: NameTable::default(),
             pool,
             fleet,
             state,
@@ -45,7 +45,7 @@
     pub fn by_number(&self, known: Vec<NamedEndpoint>) -> Vec<RestoredEndpoint> {
         let numbered = |named: NamedEndpoint| {
             Some(RestoredEndpoint {
-                endpoint: self.endpoints.find(&named.name)?,
+                endpoint: self.endpoints.lookup(&named.name)?,
                 ..named.known
             })
         };
@@ -91,7 +91,7 @@
         list: HostList,
         full: bool,
         knows: impl Fn(usize) -> bool,
-    ) -> Vec<Listing> {
+    ) -> Vec<ListedEndpoint> {
         if let Some(state) = &self.state {
             state.listed(&list, full);
         }
@@ -102,17 +102,19 @@
         for host in list.endpoints {
             let id = self.endpoints.id(&host.name);
             let status = match (host.status, host.address) {
-                (HostStatus::Active, Some(_)) => Status::Ready,
+                (HostStatus::Active, Some(_)) => EndpointStatus::Ready,
                 // One that can't be reached takes nothing.
-                (HostStatus::Active, None) | (HostStatus::Leaving, _) => Status::Draining,
-                (HostStatus::Left, _) => Status::Gone,
+                (HostStatus::Active, None) | (HostStatus::Leaving, _) => EndpointStatus::Draining,
+                (HostStatus::Left, _) => EndpointStatus::Removed,
             };
             let at = host.address.map(|address| Target {
                 address,
                 since_ms: host.since_ms,
             });
-            self.pool.endpoint(id).set(at, status == Status::Ready);
-            listings.push(Listing {
+            self.pool
+                .endpoint(id)
+                .set(at, status == EndpointStatus::Ready);
+            listings.push(ListedEndpoint {
                 endpoint: id,
                 zone: host.zone.map(|zone| self.zones.id(&zone)),
                 cell: host.group,
--- a/src/bin/sidecar/engine.rs
+++ b/src/bin/sidecar/engine.rs
@@ -110,7 +110,7 @@
             } => self.deliver(Event::ProbeEnded {
                 endpoint,
                 outcome,
-                took,
+                elapsed: took,
                 load,
             }),
             Input::EndpointList(list) => {
@@ -121,7 +121,7 @@
                     ));
                 }
                 self.observer.listed();
-                let update = self.listed.answered(list, |id| self.balancer.knows(id));
+                let update = self.listed.answered(list, |id| self.balancer.is_known(id));
                 self.deliver(Event::Endpoints(update));
             }
             Input::ListFailed(what) => {
--- a/src/bin/sidecar/engine/start.rs
+++ b/src/bin/sidecar/engine/start.rs
@@ -64,7 +64,7 @@
         let pushed = decoded.settings.discovery == Discovery::Pushed;
         let mut balancer = Balancer::new(decoded.settings, config.seed)?;
         if let Some(fleet) = &fleet {
-            balancer.share(fleet.sharing());
+            balancer.set_sharing(fleet.sharing());
         }
         let (asks, asked) = mpsc::unbounded_channel();
         let mut engine = Self {
@@ -109,7 +109,7 @@
         });
         let listings = engine
             .listed
-            .apply(known, true, |id| engine.balancer.knows(id));
+            .apply(known, true, |id| engine.balancer.is_known(id));
         engine.deliver(Event::Endpoints(ListUpdate::Cached(listings)));
         Ok((engine, EngineHandle::new(sender, clock)))
     }
--- a/src/bin/sidecar/gossip.rs
+++ b/src/bin/sidecar/gossip.rs
@@ -4,13 +4,15 @@
 use crate::clock::Clock;
 use crate::messages::{Input, Inputs};
 use crate::report::say;
-use load_balancer::{EjectionStatus, EjectionUpdate, EndpointId, Listing, SharedKnowledge, Status};
+use load_balancer::{
+    EjectionStatus, EjectionUpdate, EndpointId, EndpointStatus, ListedEndpoint, SharingOptions,
+};
 use load_balancer_common::cli;
-use load_balancer_gossip::core::{Listed, MembershipSummary};
+use load_balancer_gossip::core::{MembershipSummary, ObservedEndpoint};
 use load_balancer_gossip::effects::Note;
 use load_balancer_gossip::observation_table::ObservedHealth;
 use load_balancer_gossip::section::FleetSection;
-use load_balancer_gossip::summary::Servers;
+use load_balancer_gossip::summary::ServerReports;
 use load_balancer_gossip::{hash, health_status, udp};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -21,9 +23,9 @@
 /// The membership.
 #[derive(Clone)]
 pub struct Fleet {
-    member: udp::Fleet,
-    list: Rc<RefCell<BTreeMap<EndpointId, (Listed, String)>>>,
-    sharing: SharedKnowledge,
+    member: udp::GossipHandle,
+    list: Rc<RefCell<BTreeMap<EndpointId, (ObservedEndpoint, String)>>>,
+    sharing: SharingOptions,
     affinity: Option<Host>,
 }
 
@@ -45,7 +47,7 @@
                 ));
             },
         );
-        let member = udp::Fleet::bind(
+        let member = udp::GossipHandle::bind(
             section,
             name,
             zone,
@@ -54,14 +56,14 @@
             incarnation,
         )?;
         member.set_version(cli::VERSION);
-        member.on_notes(Rc::new(|note| note_down(&note)));
+        member.set_note_handler(Rc::new(|note| note_down(&note)));
         spawn_local(member.clone().run());
         let affinity_slack = if section.affinity.enabled {
             section.affinity.max_ahead
         } else {
             0.0
         };
-        let sharing = SharedKnowledge {
+        let sharing = SharingOptions {
             peer_health: section.ejection.enabled,
             affinity_slack,
         };
@@ -95,7 +97,7 @@
     }
 
     /// What the module is to share.
-    pub fn sharing(&self) -> SharedKnowledge {
+    pub fn sharing(&self) -> SharingOptions {
         self.sharing
     }
 
@@ -106,14 +108,14 @@
 
     /// Discovery has answered.
     pub fn list_seen(&self) {
-        self.member.list_seen();
+        self.member.confirm_list();
     }
 
     /// The list, or a part of it that has changed; names of endpoints, and of zones.
     pub fn listed<'a>(
         &self,
         full: bool,
-        listings: &[Listing],
+        listings: &[ListedEndpoint],
         name: impl Fn(EndpointId) -> &'a str,
         zone: impl Fn(usize) -> &'a str,
     ) {
@@ -122,8 +124,9 @@
             list.clear();
         }
         for l in listings {
-            let (endpoint, started, ready) = (l.endpoint, l.started, l.status == Status::Ready);
-            if l.status == Status::Gone {
+            let (endpoint, started, ready) =
+                (l.endpoint, l.started, l.status == EndpointStatus::Ready);
+            if l.status == EndpointStatus::Removed {
                 list.remove(&endpoint);
                 continue;
             }
@@ -132,7 +135,7 @@
             list.insert(
                 endpoint,
                 (
-                    Listed {
+                    ObservedEndpoint {
                         endpoint,
                         name,
                         started,
@@ -145,12 +148,12 @@
         if let Some(affinity) = &self.affinity {
             affinity.listed(list.values().map(|(listed, _)| listed));
         }
-        self.member.placed(
+        self.member.set_endpoint_zones(
             list.iter()
                 .map(|(endpoint, (_, zone))| (*endpoint, zone.as_str())),
         );
         self.member
-            .listed(list.values().map(|(listed, _)| listed.clone()).collect());
+            .set_endpoints(list.values().map(|(listed, _)| listed.clone()).collect());
     }
 
     /// An attempt was served, or was not.
@@ -171,8 +174,8 @@
     }
 
     /// What a coordinator may be told of the servers.
-    pub fn servers(&self) -> Servers {
-        self.member.servers()
+    pub fn servers(&self) -> ServerReports {
+        self.member.server_reports()
     }
 
     /// What on-call wants to see.
@@ -202,12 +205,12 @@
             connectivity,
             zones,
         } => {
-            let state = connectivity.kind.label();
+            let state = connectivity.state.label();
             let zones: Vec<String> = zones
                 .iter()
                 .map(|(zone, direction)| format!("{zone} {}", direction.label()))
                 .collect();
-            let side = match connectivity.larger {
+            let side = match connectivity.on_larger_side {
                 Some(true) => ", on the larger side",
                 Some(false) => ", not on the larger side",
                 None => "",
@@ -219,7 +222,7 @@
             };
             say!(info, "sidecar::fleet", "connectivity: {state}{from}{side}");
         }
-        Note::Twice {
+        Note::DuplicateName {
             name,
             addresses: [one, other],
         } => {
--- a/src/bin/sidecar/load_report.rs
+++ b/src/bin/sidecar/load_report.rs
@@ -1,12 +1,12 @@
 //! The load report that comes along with an endpoint's answer.
 
 use hyper::header::HeaderValue;
-use load_balancer::Load;
+use load_balancer::LoadReport;
 
 /// Reads a load report: `name=value` pairs set apart by commas. What can't be read was not
 /// reported.
-pub fn read_load(value: &HeaderValue) -> Load {
-    let mut load = Load::default();
+pub fn read_load(value: &HeaderValue) -> LoadReport {
+    let mut load = LoadReport::default();
     for (name, value) in value
         .to_str()
         .unwrap_or("")
--- a/src/bin/sidecar/load_report/tests.rs
+++ b/src/bin/sidecar/load_report/tests.rs
@@ -9,10 +9,10 @@
     ));
     assert_eq!(
         load,
-        Load {
+        LoadReport {
             active: Some(7.0),
             cpu: Some(0.61),
-            ..Load::default()
+            ..LoadReport::default()
         }
     );
 }
--- a/src/bin/sidecar/messages.rs
+++ b/src/bin/sidecar/messages.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::{Method, Uri};
-use load_balancer::{AttemptNo, EndpointId, Load, Micros, NewRequest, Outcome, RequestId};
+use load_balancer::{AttemptIndex, EndpointId, LoadReport, Micros, NewRequest, Outcome, RequestId};
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::{OwnedSemaphorePermit, mpsc, oneshot};
@@ -40,7 +40,7 @@
         /// Time since it was sent.
         took: Micros,
         /// The load report that came along.
-        load: Load,
+        load: LoadReport,
     },
     /// Discovery answered.
     EndpointList(HostList),
@@ -75,7 +75,7 @@
     /// The request.
     pub request: RequestId,
     /// Its attempt.
-    pub attempt: AttemptNo,
+    pub attempt: AttemptIndex,
 }
 
 /// What is known of an endpoint, by its name; its number is only the engine's.
@@ -194,5 +194,5 @@
     /// The answer, where it was served.
     pub served: Option<Served>,
     /// The load report that came along.
-    pub load: Load,
+    pub load: LoadReport,
 }
--- a/src/bin/sidecar/observer.rs
+++ b/src/bin/sidecar/observer.rs
@@ -4,7 +4,7 @@
 mod series;
 
 use crate::messages::{Answer, EngineSummary, Outgoing};
-use load_balancer::{AttemptNo, Micros, Outcome};
+use load_balancer::{AttemptIndex, Micros, Outcome};
 use load_balancer_common::metering::Figures;
 use series::{ENDS, Series, outcome_label};
 use std::rc::Rc;
@@ -44,7 +44,7 @@
     }
 
     /// An attempt of it goes out.
-    pub fn sent(&self, outgoing: &Outgoing, attempt: AttemptNo, endpoint: &str) {
+    pub fn sent(&self, outgoing: &Outgoing, attempt: AttemptIndex, endpoint: &str) {
         tracing::debug!(target: "sidecar::request", id = outgoing.id(), attempt, endpoint, "sent");
         if let Some(seen) = self.0.as_deref().filter(|_| attempt > 0) {
             seen.retries.increment(1);
--- a/src/bin/sidecar/observer/gossip.rs
+++ b/src/bin/sidecar/observer/gossip.rs
@@ -32,19 +32,19 @@
             (
                 "sidecar_fleet_evidence_said_total",
                 "Health observations published by this member.",
-                counts.said,
+                counts.published,
             ),
             (
                 "sidecar_fleet_evidence_heard_total",
                 "Health observations of others that were new.",
-                counts.heard,
+                counts.observations_received,
             ),
             (
                 "sidecar_fleet_trials_total",
                 "Trials that fell to this member.",
                 counts.trials,
             ),
-            ("sidecar_fleet_rests_total", "Ejections.", counts.rests),
+            ("sidecar_fleet_rests_total", "Ejections.", counts.ejections),
         ] {
             f.counter(name, what, &[]).absolute(value);
         }
--- a/src/bin/sidecar/open_requests.rs
+++ b/src/bin/sidecar/open_requests.rs
@@ -4,7 +4,7 @@
 use crate::messages::{Answer, AttemptId, Ended, Outgoing};
 use crate::product::{Fleet, Observer, Pick};
 use load_balancer::{
-    AttemptEnd, AttemptNo, ClassId, Event, Load, Micros, NewRequest, Outcome, RequestId,
+    AttemptEnd, AttemptIndex, ClassId, Event, LoadReport, Micros, NewRequest, Outcome, RequestId,
 };
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -15,7 +15,7 @@
 struct OpenRequest {
     reply: oneshot::Sender<Answer>,
     outgoing: Rc<Outgoing>,
-    attempts: AttemptNo,
+    attempts: AttemptIndex,
     class: ClassId,
     arrived: Micros,
     key: Option<u64>,
@@ -115,7 +115,7 @@
     }
 
     /// The next attempt of a request, to an endpoint of that name; `None` where it has its answer.
-    pub fn next(&mut self, request: RequestId, name: &str) -> Option<(AttemptNo, Rc<Outgoing>)> {
+    pub fn next(&mut self, request: RequestId, name: &str) -> Option<(AttemptIndex, Rc<Outgoing>)> {
         let held = self.open.get_mut(&request)?;
         let attempt = held.attempts;
         held.attempts += 1;
@@ -155,7 +155,7 @@
         let out = self.in_flight.remove(&id)?;
         out.task.abort();
         self.note(id, &out, Outcome::Cancelled);
-        Some(self.end(id, &out, Outcome::Cancelled, Load::default()))
+        Some(self.end(id, &out, Outcome::Cancelled, LoadReport::default()))
     }
 
     fn note(&self, id: AttemptId, out: &InFlight, outcome: Outcome) {
@@ -169,7 +169,7 @@
         AttemptId { request, attempt }: AttemptId,
         out: &InFlight,
         outcome: Outcome,
-        load: Load,
+        load: LoadReport,
     ) -> Event {
         let took = self.clock.now() - out.sent;
         let (endpoint, settled) = (out.endpoint, !self.open.contains_key(&request));
@@ -178,8 +178,8 @@
             attempt,
             endpoint,
             outcome,
-            took,
-            settled,
+            elapsed: took,
+            request_answered: settled,
             load,
         })
     }
--- a/src/bin/sidecar/product_disabled.rs
+++ b/src/bin/sidecar/product_disabled.rs
@@ -7,7 +7,7 @@
 use crate::host_list::HostList;
 use crate::messages::{Answer, Inputs, Outgoing};
 use crate::product_file::{CONFIG_VARIABLE, EARLIER_CONFIG_VARIABLE};
-use load_balancer::{AttemptNo, EndpointId, Listing, Micros, Outcome, SharedKnowledge};
+use load_balancer::{AttemptIndex, EndpointId, ListedEndpoint, Micros, Outcome, SharingOptions};
 use std::process::ExitCode;
 
 /// No product parts.
@@ -73,7 +73,7 @@
 
 impl Fleet {
     /// See `gossip.rs`.
-    pub fn sharing(&self) -> SharedKnowledge {
+    pub fn sharing(&self) -> SharingOptions {
         match *self {}
     }
     /// See `gossip.rs`.
@@ -84,7 +84,7 @@
     pub fn listed<'a>(
         &self,
         _: bool,
-        _: &[Listing],
+        _: &[ListedEndpoint],
         _: impl Fn(EndpointId) -> &'a str,
         _: impl Fn(usize) -> &'a str,
     ) {
@@ -141,7 +141,7 @@
     /// A request was taken.
     pub fn taken(&self, _: usize, _: &Outgoing) {}
     /// An attempt of it goes out.
-    pub fn sent(&self, _: &Outgoing, _: AttemptNo, _: &str) {}
+    pub fn sent(&self, _: &Outgoing, _: AttemptIndex, _: &str) {}
     /// An attempt ended.
     pub fn ended(&self, _: Option<&Outgoing>, _: Outcome, _: Micros) {}
     /// A request got its answer, or its client has left.
--- a/src/bin/sidecar/request_headers.rs
+++ b/src/bin/sidecar/request_headers.rs
@@ -65,9 +65,9 @@
         // promises.
         let keyed = headers.contains_key(IDEMPOTENCY_KEY);
         let fits = match lanes.classes[class].1 {
-            Effect::Safe => method == Method::GET,
-            Effect::Keyed { .. } => method == Method::POST && keyed,
-            Effect::Unsafe => method == Method::POST && !keyed,
+            Effect::Idempotent => method == Method::GET,
+            Effect::IdempotentByKey { .. } => method == Method::POST && keyed,
+            Effect::NonIdempotent => method == Method::POST && !keyed,
         };
         // Of two ids an endpoint could take either for one that no client sent.
         let once = headers.get_all(CORRELATION_ID).iter().count() == 1;
--- a/src/bin/sidecar/stored_form.rs
+++ b/src/bin/sidecar/stored_form.rs
@@ -111,7 +111,7 @@
     let endpoint = RestoredEndpoint {
         endpoint: 0,
         started: process.started,
-        last_heard: process.seen,
+        last_outcome_at: process.seen,
         circuit_open: process.open,
         openings: process.openings,
         latency_per_work: process.slow,
@@ -128,7 +128,7 @@
     Process {
         name,
         started: known.started,
-        seen: known.last_heard,
+        seen: known.last_outcome_at,
         open: known.circuit_open,
         openings: known.openings,
         slow: known.latency_per_work,
--- a/src/bin/simulator-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -1,4 +1,4 @@
-//! Hosts any number of instances on the simulator's wire: standard input in, standard output out.
+//! Runs any number of instances on the simulator's protocol, over standard input and output.
 
 use std::io::{BufWriter, stdin, stdout};
 use std::process::ExitCode;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,42 +1,49 @@
-//! The settings object that an instance is given at its start, as JSON: on the simulator's wire and
-//! in a sidecar's configuration alike. Decoded here and nowhere else.
+//! Decoding of the settings object: JSON that both the simulator and the sidecar's configuration
+//! use.
 
 mod error;
 mod form;
 mod names;
 
 use crate::api::*;
-pub use error::{DecodeError, Named};
-use form::{Conf, Lane};
-pub use names::Names;
+pub use error::{DecodeError, NamedItem};
+use form::{ClassObject, SettingsObject};
+pub use names::NameTable;
 use std::collections::HashSet;
 
-/// What a settings object says: the module's settings, and the names behind the numbers in them.
-pub struct Decoded {
+/// A decoded settings object: the settings, and the names behind the ids in them.
+pub struct DecodedSettings {
     /// The settings.
     pub settings: Settings,
-    /// Classes by their numbers.
+    /// Names of the classes, by id.
     pub classes: Vec<String>,
-    /// Tenants by their numbers.
+    /// Names of the tenants, by id.
     pub tenants: Vec<String>,
-    /// Zones by their numbers; lists may name further ones.
-    pub zones: Names,
-    /// How long an endpoint keeps an idle connection; 0 where that is not said.
+    /// Names of the zones; endpoint lists may add more.
+    pub zones: NameTable,
+    /// How long an endpoint keeps an idle connection open; 0 if not specified.
     pub idle_close: Micros,
 }
 
-/// Reads a settings object.
+/// Decodes a settings object.
 ///
 /// # Errors
-/// It is not of the form; [`Settings::check`] says whether requests can be decided under it.
-pub fn decode(text: &str) -> Result<Decoded, DecodeError> {
-    let conf: Conf = serde_json::from_str(text)?;
-    let mut zones = Names::default();
-    let classes = unique_names(Named::Class, conf.lanes.iter().map(|l| l.name.clone()))?;
-    let tenants = unique_names(Named::Tenant, conf.tenants.iter().map(|t| t.name.clone()))?;
-    let idle_close = conf.limits.idle_close_us;
-    let settings = conf.settings(&mut zones)?;
-    Ok(Decoded {
+/// Returns an error if the text is not a valid settings object. [`Settings::check`] validates the
+/// values.
+pub fn decode(text: &str) -> Result<DecodedSettings, DecodeError> {
+    let object: SettingsObject = serde_json::from_str(text)?;
+    let mut zones = NameTable::default();
+    let classes = unique_names(
+        NamedItem::Class,
+        object.lanes.iter().map(|l| l.name.clone()),
+    )?;
+    let tenants = unique_names(
+        NamedItem::Tenant,
+        object.tenants.iter().map(|t| t.name.clone()),
+    )?;
+    let idle_close = object.limits.idle_close_us;
+    let settings = object.settings(&mut zones)?;
+    Ok(DecodedSettings {
         settings,
         classes,
         tenants,
@@ -45,35 +52,36 @@
     })
 }
 
-/// The names, none of them empty or given twice: requests name their class and tenant, and a second
-/// one of that name would lend the first one's effect and limits to the other's requests.
+/// Returns the names, or an error if one is empty or used twice: requests refer to their class and
+/// tenant by name, so a duplicate would apply the effect and limits of one to requests of the
+/// other.
 fn unique_names(
-    kind: Named,
+    kind: NamedItem,
     names: impl Iterator<Item = String>,
 ) -> Result<Vec<String>, DecodeError> {
     let mut seen = HashSet::new();
     let mut unique = Vec::new();
     for name in names {
         if name.is_empty() {
-            return Err(DecodeError::NoName(kind));
+            return Err(DecodeError::MissingName(kind));
         }
         if !seen.insert(name.clone()) {
-            return Err(DecodeError::NameTwice { kind, name });
+            return Err(DecodeError::DuplicateName { kind, name });
         }
         unique.push(name);
     }
     Ok(unique)
 }
 
-impl Conf {
-    fn settings(self, zones: &mut Names) -> Result<Settings, DecodeError> {
+impl SettingsObject {
+    fn settings(self, zones: &mut NameTable) -> Result<Settings, DecodeError> {
         for zone in &self.zones {
             zones.id(zone);
         }
         let classes = self
             .lanes
             .into_iter()
-            .map(Lane::class)
+            .map(ClassObject::class)
             .collect::<Result<_, _>>()?;
         let tenants = self.tenants.iter();
         Ok(Settings {
@@ -94,12 +102,12 @@
             weights: match self.weight_source.as_str() {
                 "nominal" | "rough" => WeightSource::Size,
                 "live" => WeightSource::Live,
-                _ => WeightSource::Silent,
+                _ => WeightSource::Uniform,
             },
             reports: match self.report.source.as_str() {
                 "piggyback" => ReportSource::Piggyback,
                 "pull" => ReportSource::Probe,
-                _ => ReportSource::Silent,
+                _ => ReportSource::Disabled,
             },
             limits: Limits {
                 max_attempts: self.limits.max_attempts,
@@ -127,7 +135,7 @@
                 handshake: self.prices.handshake,
             },
             goal: Goal {
-                whole: self.goal.whole,
+                overall: self.goal.whole,
                 worst_class: self.goal.worst_class,
                 worst_tenant: self.goal.worst_tenant,
                 worst_window: self.goal.worst_window,
@@ -140,15 +148,15 @@
     }
 }
 
-impl Lane {
+impl ClassObject {
     fn class(self) -> Result<Class, DecodeError> {
         let effect = match self.effect.as_str() {
-            "pure" => Effect::Safe,
-            "token" => Effect::Keyed {
+            "pure" => Effect::Idempotent,
+            "token" => Effect::IdempotentByKey {
                 scope: self.scope()?,
                 ttl: self.key_ttl_us,
             },
-            "side_effect" => Effect::Unsafe,
+            "side_effect" => Effect::NonIdempotent,
             other => return Err(DecodeError::UnknownEffect(other.to_owned())),
         };
         Ok(Class {
@@ -162,7 +170,7 @@
         })
     }
 
-    /// Which endpoints drop repeats. Where that is not said, it is those that surely do.
+    /// Which endpoints drop repeats; the narrowest scope if not specified.
     fn scope(&self) -> Result<DedupScope, DecodeError> {
         match self.dedup_scope.as_deref() {
             Some("all") => Ok(DedupScope::All),
--- a/src/settings/form.rs
+++ b/src/settings/form.rs
@@ -1,35 +1,35 @@
-//! The settings object as it is written.
+//! The settings object as serialized.
 
 use crate::api::Micros;
 use serde::Deserialize;
 
-/// The object as it is written. What has a default may be absent.
+/// The settings object as serialized. Fields with a default may be absent.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Conf {
-    #[serde(default = "one")]
+pub struct SettingsObject {
+    #[serde(default = "default_balancers")]
     pub balancers: u32,
     #[serde(default)]
     pub index: u32,
-    pub lanes: Vec<Lane>,
+    pub lanes: Vec<ClassObject>,
     #[serde(default)]
-    pub clients: Clients,
+    pub clients: ClientsObject,
     #[serde(default)]
     pub counted_by: String,
     #[serde(default)]
     pub discovery: String,
     #[serde(default)]
-    pub goal: GoalConf,
-    pub limits: LimitsConf,
+    pub goal: GoalObject,
+    pub limits: LimitsObject,
     #[serde(default)]
     pub over_share_worth: f64,
     #[serde(default)]
-    pub prices: PricesConf,
+    pub prices: PricesObject,
     #[serde(default)]
-    pub report: ReportConf,
-    pub rules: RulesConf,
+    pub report: ReportObject,
+    pub rules: RulesObject,
     #[serde(default)]
-    pub tenants: Vec<TenantConf>,
+    pub tenants: Vec<TenantObject>,
     #[serde(default)]
     pub tick_us: Micros,
     #[serde(default)]
@@ -41,7 +41,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Lane {
+pub struct ClassObject {
     pub name: String,
     pub aim_us: Micros,
     #[serde(default)]
@@ -55,19 +55,19 @@
     pub late_share: f64,
     #[serde(default)]
     pub streaming: bool,
-    #[serde(default = "unit")]
+    #[serde(default = "default_worth")]
     pub worth: f64,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
-pub struct Clients {
+pub struct ClientsObject {
     pub marks_retry: bool,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
-pub struct GoalConf {
+pub struct GoalObject {
     pub whole: f64,
     pub worst_class: f64,
     pub worst_tenant: f64,
@@ -76,7 +76,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct LimitsConf {
+pub struct LimitsObject {
     #[serde(default)]
     pub dial_timeout_us: Micros,
     #[serde(default)]
@@ -98,7 +98,7 @@
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
-pub struct PricesConf {
+pub struct PricesObject {
     pub cross_zone: f64,
     pub handshake: f64,
     pub late_fail: f64,
@@ -108,13 +108,13 @@
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
-pub struct ReportConf {
+pub struct ReportObject {
     pub source: String,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct RulesConf {
+pub struct RulesObject {
     #[serde(default)]
     pub answer_slack_us: Micros,
     #[serde(default)]
@@ -127,7 +127,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct TenantConf {
+pub struct TenantObject {
     pub name: String,
     #[serde(default)]
     pub quota_per_s: f64,
@@ -135,9 +135,9 @@
     pub share: f64,
 }
 
-fn one() -> u32 {
+fn default_balancers() -> u32 {
     1
 }
-fn unit() -> f64 {
+fn default_worth() -> f64 {
     1.0
 }
--- a/src/settings/names.rs
+++ b/src/settings/names.rs
@@ -1,17 +1,17 @@
-//! Numbers for names.
+//! Interning of names.
 
 use std::collections::HashMap;
 
-/// Names by number and back.
+/// Names and their ids.
 #[derive(Default)]
-pub struct Names {
+pub struct NameTable {
     ids: HashMap<String, usize>,
     names: Vec<String>,
     free: Vec<usize>,
 }
 
-impl Names {
-    /// The number of a name, given out in the order of first mention; released ones come first.
+impl NameTable {
+    /// Returns the id of a name, and assigns one if the name is new; released ids are reused first.
     pub fn id(&mut self, name: &str) -> usize {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -25,11 +25,11 @@
         id
     }
 
-    /// Releases the numbers that are no longer wanted, for other names, and says which.
-    pub fn release(&mut self, unwanted: impl Fn(usize) -> bool) -> Vec<usize> {
+    /// Releases the ids for which `is_unused` returns true, and returns them in ascending order.
+    pub fn release(&mut self, is_unused: impl Fn(usize) -> bool) -> Vec<usize> {
         let mut released: Vec<usize> = self
             .ids
-            .extract_if(|_, id| unwanted(*id))
+            .extract_if(|_, id| is_unused(*id))
             .map(|(_, id)| id)
             .collect();
         released.sort_unstable();
@@ -37,13 +37,13 @@
         released
     }
 
-    /// The name of a number that was given out.
+    /// Returns the name of an assigned id.
     pub fn name(&self, id: usize) -> &str {
         &self.names[id]
     }
 
-    /// The number of a name mentioned before.
-    pub fn find(&self, name: &str) -> Option<usize> {
+    /// Returns the id of a name, if it has one.
+    pub fn lookup(&self, name: &str) -> Option<usize> {
         self.ids.get(name).copied()
     }
 }
--- a/src/simulator_wire.rs
+++ b/src/simulator_wire.rs
@@ -1,5 +1,5 @@
-//! The adapter: reads the simulator's wire, hands each event to its instance, writes down the
-//! actions. It translates and decides nothing. Names are interned for each instance on its own.
+//! The simulator's protocol: reads lines, passes each event to its instance, and writes the
+//! actions. It only translates. Each instance has its own names.
 
 mod error;
 mod instance;
@@ -7,22 +7,25 @@
 
 use crate::api::{Action, Micros};
 pub use error::{LineError, WireError};
-use instance::{Entry, Instance};
+use instance::{CatalogEntry, Instance};
 use line::Line;
 use std::collections::HashMap;
 use std::fmt::Write as _;
 use std::io::{BufRead, Write};
 
-/// Serves the wire until the end of input, one reply a batch.
+/// Serves the protocol until the end of input, with one reply per batch.
+///
+/// # Errors
+/// Returns the first line that cannot be read, or an I/O error.
 pub fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), WireError> {
-    let mut host = Host::default();
+    let mut adapter = Adapter::default();
     let (mut bytes, mut number) = (Vec::new(), 0);
     loop {
         bytes.clear();
         number += 1;
         if input.read_until(b'\n', &mut bytes)? == 0 {
-            let open = host.batch.is_some();
-            return if open {
+            let inside_batch = adapter.batch.is_some();
+            return if inside_batch {
                 Err(WireError::Line {
                     number,
                     error: LineError::UnfinishedBatch,
@@ -36,34 +39,34 @@
             error: LineError::NotText,
         })?;
         let text = text.trim_end_matches(['\n', '\r']);
-        if host
+        if adapter
             .line(text)
             .map_err(|error| WireError::Line { number, error })?
         {
-            output.write_all(host.reply.as_bytes())?;
+            output.write_all(adapter.reply.as_bytes())?;
             output.flush()?;
-            host.reply.clear();
+            adapter.reply.clear();
         }
     }
 }
 
 #[derive(Default)]
-struct Host {
+struct Adapter {
     instances: HashMap<u64, Instance>,
-    catalogs: HashMap<u64, Vec<Entry>>,
-    /// Clock and number of the batch being read.
+    catalogs: HashMap<u64, Vec<CatalogEntry>>,
+    /// Clock and number of the current batch.
     batch: Option<(Micros, u64)>,
-    /// Catalog being read and entries still to come.
-    reading: Option<(u64, usize)>,
+    /// The catalog being read, and the number of entries still missing.
+    open_catalog: Option<(u64, usize)>,
     actions: Vec<Action>,
     reply: String,
 }
 
-impl Host {
-    /// Takes one line; true once a reply is complete.
+impl Adapter {
+    /// Handles one line. Returns true once a reply is complete.
     fn line(&mut self, text: &str) -> Result<bool, LineError> {
         let line = Line::new(text);
-        if let Some((catalog, left)) = self.reading {
+        if let Some((catalog, left)) = self.open_catalog {
             if line.name != "m" {
                 return Err(LineError::CatalogTooShort {
                     catalog,
@@ -73,8 +76,8 @@
             self.catalogs
                 .entry(catalog)
                 .or_default()
-                .push(Entry::read(&line)?);
-            self.reading = Some((catalog, left - 1)).filter(|(_, left)| *left > 0);
+                .push(CatalogEntry::read(&line)?);
+            self.open_catalog = Some((catalog, left - 1)).filter(|(_, left)| *left > 0);
             return Ok(false);
         }
         let Some((now, number)) = self.batch else {
@@ -99,7 +102,7 @@
             "catalog" => {
                 let (catalog, hosts) = (line.get("RosterId")?, line.get("Hosts")?);
                 self.catalogs.insert(catalog, Vec::new());
-                self.reading = Some((catalog, hosts)).filter(|(_, left)| *left > 0);
+                self.open_catalog = Some((catalog, hosts)).filter(|(_, left)| *left > 0);
             }
             "start" => {
                 self.instances
@@ -119,7 +122,7 @@
                 };
                 instance.balancer.handle(now, event, &mut self.actions);
                 for action in self.actions.drain(..) {
-                    instance.write(id, &action, &mut self.reply);
+                    instance.write_action(id, &action, &mut self.reply);
                 }
             }
             _ => {}
--- a/src/simulator_wire/error.rs
+++ b/src/simulator_wire/error.rs
@@ -1,19 +1,19 @@
-//! Why the simulator's wire could not be served.
+//! Errors of the simulator's protocol.
 
 use crate::api::SettingsError;
 use crate::settings::DecodeError;
 use std::io;
 use thiserror::Error;
 
-/// Why the wire could not be served.
+/// Error that ends the protocol.
 #[derive(Debug, Error)]
 pub enum WireError {
-    /// Input that cannot be read.
+    /// A line cannot be read.
     #[error("line {number}: {error}")]
     Line {
         /// Number of the line, from 1.
         number: u64,
-        /// What is wrong with it.
+        /// What is wrong with the line.
         error: LineError,
     },
     /// Reading or writing failed.
@@ -21,13 +21,13 @@
     Io(#[from] io::Error),
 }
 
-/// Why a line cannot be read.
+/// Error in a line.
 #[derive(Debug, Error)]
 pub enum LineError {
-    /// It is no text.
+    /// It is not UTF-8.
     #[error("not UTF-8")]
     NotText,
-    /// A message has no such field.
+    /// A message lacks a required field.
     #[error("{message} has no field {field}")]
     MissingField {
         /// The message.
@@ -35,7 +35,7 @@
         /// The field.
         field: String,
     },
-    /// A field is no number of its type.
+    /// A field is not a number of its type.
     #[error("{message}: {field} is not a number it can hold")]
     NotANumber {
         /// The message.
@@ -43,7 +43,7 @@
         /// The field.
         field: String,
     },
-    /// A number has more bits than its field may have.
+    /// A number has more bits than its field allows.
     #[error("{message}: {field} is too large")]
     TooLarge {
         /// The message.
@@ -51,7 +51,7 @@
         /// The field.
         field: String,
     },
-    /// A field has a value that is not known.
+    /// A field has an unknown value.
     #[error("{message}: unknown {field} {value}")]
     UnknownValue {
         /// The message.
@@ -61,39 +61,39 @@
         /// Its value.
         value: String,
     },
-    /// A load report is not of the form.
+    /// A load report is not a list of name:value pairs.
     #[error("Load is not name:value pairs")]
     LoadNotPairs,
-    /// A figure of a load report is no number.
+    /// A value in a load report is not a number.
     #[error("Load: {0} is not a number")]
     LoadNotANumber(String),
-    /// The settings object cannot be read.
+    /// The settings object cannot be decoded.
     #[error("start: Conf: {0}")]
     Settings(#[from] DecodeError),
-    /// No request could be decided under the settings.
+    /// The settings are invalid.
     #[error("start: Conf: {0}")]
     UnusableSettings(#[from] SettingsError),
-    /// A list names no catalog that was sent.
+    /// A list refers to a catalog that was not sent.
     #[error("endpoints: RosterId {0} is no catalog")]
     UnknownCatalog(u64),
-    /// The content of a peer's message cannot be decoded.
+    /// The content of a peer message cannot be decoded.
     #[error("peer_data: Bytes: {0}")]
     PeerBytes(#[from] base64::DecodeError),
-    /// A catalog ends before all its entries have come.
+    /// A catalog ends before all its entries were read.
     #[error("catalog {catalog} has {missing} entries too few")]
     CatalogTooShort {
         /// The catalog.
         catalog: u64,
-        /// Entries that are missing.
+        /// Number of missing entries.
         missing: usize,
     },
-    /// An entry stands outside a catalog.
+    /// An entry is outside a catalog.
     #[error("entry outside a catalog")]
     EntryOutsideCatalog,
-    /// A message stands outside a batch.
+    /// A message is outside a batch.
     #[error("{0} outside a batch")]
     OutsideBatch(String),
-    /// A batch begins inside another.
+    /// A batch begins inside another batch.
     #[error("mark inside a batch")]
     BatchInsideBatch,
     /// The input ends inside a batch.
--- a/src/simulator_wire/instance.rs
+++ b/src/simulator_wire/instance.rs
@@ -1,32 +1,31 @@
-//! One instance on the simulator's wire: its names, its events, and its actions as they are
-//! written.
+//! One instance on the simulator's protocol: its names, its events, and the actions it writes.
 
 use super::error::LineError;
 use super::line::Line;
 use crate::api::*;
 use crate::balancer::Balancer;
-use crate::settings::{self, Decoded, Names};
+use crate::settings::{self, DecodedSettings, NameTable};
 use base64::{Engine, engine::general_purpose::STANDARD};
 use std::collections::HashMap;
 use std::fmt::Write as _;
 
-/// An entry of a catalog, with names still as text.
-pub struct Entry {
+/// An entry of a catalog, with names as text.
+pub struct CatalogEntry {
     endpoint: String,
     zone: Option<String>,
     kind: Option<String>,
     cell: u64,
-    status: Status,
+    status: EndpointStatus,
     size: f64,
     started: Option<Micros>,
 }
 
-impl Entry {
+impl CatalogEntry {
     pub fn read(line: &Line) -> Result<Self, LineError> {
-        let status = match line.need("Status")? {
-            "1" => Status::Ready,
-            "2" => Status::Draining,
-            "0" => Status::Gone,
+        let status = match line.required("Status")? {
+            "1" => EndpointStatus::Ready,
+            "2" => EndpointStatus::Draining,
+            "0" => EndpointStatus::Removed,
             other => {
                 return Err(LineError::UnknownValue {
                     message: "m".to_owned(),
@@ -36,13 +35,13 @@
             }
         };
         Ok(Self {
-            endpoint: line.need("Endpoint")?.to_owned(),
+            endpoint: line.required("Endpoint")?.to_owned(),
             zone: line.find("Campus").map(str::to_owned),
             kind: line.find("Model").map(str::to_owned),
-            cell: line.may("Group")?.unwrap_or(0),
+            cell: line.optional("Group")?.unwrap_or(0),
             status,
-            size: line.may("Size")?.unwrap_or(1.0),
-            started: line.may("ReadyAtUs")?.filter(|at| *at != 0),
+            size: line.optional("Size")?.unwrap_or(1.0),
+            started: line.optional("ReadyAtUs")?.filter(|at| *at != 0),
         })
     }
 }
@@ -51,16 +50,16 @@
     pub balancer: Balancer,
     classes: Vec<String>,
     tenants: Vec<String>,
-    zones: Names,
-    kinds: Names,
-    endpoints: Names,
+    zones: NameTable,
+    kinds: NameTable,
+    endpoints: NameTable,
 }
 
 impl Instance {
     pub fn start(line: &Line) -> Result<Self, LineError> {
         let seed: i128 = line.get("RandomSeed")?;
         let decoded = settings::decode(line.text("Conf")?)?;
-        let Decoded {
+        let DecodedSettings {
             settings,
             classes,
             tenants,
@@ -73,16 +72,16 @@
             classes,
             tenants,
             zones,
-            kinds: Names::default(),
-            endpoints: Names::default(),
+            kinds: NameTable::default(),
+            endpoints: NameTable::default(),
         })
     }
 
-    /// The event that a line tells, or none where it is of no concern.
+    /// Reads the event of a line. Returns `None` if it does not concern this instance.
     pub fn event(
         &mut self,
         line: &Line,
-        catalogs: &HashMap<u64, Vec<Entry>>,
+        catalogs: &HashMap<u64, Vec<CatalogEntry>>,
     ) -> Result<Option<Event>, LineError> {
         Ok(Some(match line.name {
             "endpoints" => {
@@ -110,12 +109,12 @@
                 })
             }
             "demand" => {
-                let profile = line.need("Profile")?;
+                let profile = line.required("Profile")?;
                 let class = self.classes.iter().position(|c| c == profile);
-                let flags: u64 = line.may("Flags")?.unwrap_or(0);
+                let flags: u64 = line.optional("Flags")?.unwrap_or(0);
                 let project = line.find("Project");
                 Event::Request(NewRequest {
-                    id: line.bounded("Ticket", 52)?,
+                    id: line.bounded_integer("Ticket", 52)?,
                     class: class.ok_or_else(|| LineError::UnknownValue {
                         message: "demand".to_owned(),
                         field: "Profile",
@@ -125,23 +124,23 @@
                         .tenants
                         .iter()
                         .position(|t| Some(t.as_str()) == project),
-                    key: line.may("PartitionKey")?,
+                    key: line.optional("PartitionKey")?,
                     affinity_endpoints: Vec::new(),
                     deadline: line.get("DueUs")?,
-                    work: line.may("WorkHintUs")?.filter(|_| flags & 1 != 0),
+                    work: line.optional("WorkHintUs")?.filter(|_| flags & 1 != 0),
                     is_retry: flags & 2 != 0,
                 })
             }
             "under_way" => Event::StreamStarted {
-                request: line.bounded("Ticket", 52)?,
+                request: line.bounded_integer("Ticket", 52)?,
                 attempt: line.get("Go")?,
             },
             "returned" => {
-                let request = line.bounded("Ticket", 52)?;
+                let request = line.bounded_integer("Ticket", 52)?;
                 let (attempt, outcome) = (line.get("Go")?, line.outcome()?);
                 let (took, load) = (line.get("TookUs")?, line.load()?);
                 let settled = matches!(line.find("Settled"), Some("1"));
-                let Some(endpoint) = self.endpoints.find(line.need("Endpoint")?) else {
+                let Some(endpoint) = self.endpoints.lookup(line.required("Endpoint")?) else {
                     return Ok(None);
                 };
                 Event::AttemptEnded(AttemptEnd {
@@ -149,26 +148,26 @@
                     attempt,
                     endpoint,
                     outcome,
-                    took,
-                    settled,
+                    elapsed: took,
+                    request_answered: settled,
                     load,
                 })
             }
             "health_result" => {
                 let (outcome, took, load) = (line.outcome()?, line.get("TookUs")?, line.load()?);
-                let Some(endpoint) = self.endpoints.find(line.need("Endpoint")?) else {
+                let Some(endpoint) = self.endpoints.lookup(line.required("Endpoint")?) else {
                     return Ok(None);
                 };
                 Event::ProbeEnded {
                     endpoint,
                     outcome,
-                    took,
+                    elapsed: took,
                     load,
                 }
             }
-            "withdrawn" => Event::Abandoned(line.bounded("Ticket", 52)?),
+            "withdrawn" => Event::Abandoned(line.bounded_integer("Ticket", 52)?),
             "peer_data" => {
-                let text = line.need("Bytes")?;
+                let text = line.required("Bytes")?;
                 let bytes = if text == "-" {
                     Ok(Vec::new())
                 } else {
@@ -180,13 +179,13 @@
                     bytes,
                 }
             }
-            "alarm" => Event::Timer(line.bounded("Ctx", 63)?),
+            "alarm" => Event::Timer(line.bounded_integer("Ctx", 63)?),
             _ => return Ok(None),
         }))
     }
 
-    fn listing(&mut self, entry: &Entry) -> Listing {
-        Listing {
+    fn listing(&mut self, entry: &CatalogEntry) -> ListedEndpoint {
+        ListedEndpoint {
             endpoint: self.endpoints.id(&entry.endpoint),
             zone: entry.zone.as_deref().map(|z| self.zones.id(z)),
             cell: entry.cell,
@@ -198,9 +197,9 @@
         }
     }
 
-    pub fn write(&self, instance: u64, action: &Action, out: &mut String) {
+    pub fn write_action(&self, instance: u64, action: &Action, out: &mut String) {
         let name = |e: &usize| self.endpoints.name(*e);
-        let i = instance;
+        let id = instance;
         let written = match action {
             Action::Send {
                 request,
@@ -211,7 +210,7 @@
                 let endpoint = name(endpoint);
                 writeln!(
                     out,
-                    "hand_off I={i} Ticket={request} Endpoint={endpoint} TimeoutUs={timeout}"
+                    "hand_off I={id} Ticket={request} Endpoint={endpoint} TimeoutUs={timeout}"
                 )
             }
             Action::Reject {
@@ -220,23 +219,23 @@
             } => {
                 writeln!(
                     out,
-                    "not_now I={i} Ticket={request} HoldOffUs={retry_after}"
+                    "not_now I={id} Ticket={request} HoldOffUs={retry_after}"
                 )
             }
-            Action::Fail(request) => writeln!(out, "error I={i} Ticket={request}"),
+            Action::Fail(request) => writeln!(out, "error I={id} Ticket={request}"),
             Action::Cancel { request, attempt } => {
-                writeln!(out, "recall I={i} Ticket={request} Go={attempt}")
+                writeln!(out, "recall I={id} Ticket={request} Go={attempt}")
             }
             Action::Probe(endpoint) => {
-                writeln!(out, "health_check I={i} Endpoint={}", name(endpoint))
+                writeln!(out, "health_check I={id} Endpoint={}", name(endpoint))
             }
             Action::SetTimer { after, token } => {
-                writeln!(out, "defer I={i} FromNowUs={after} Ctx={token}")
+                writeln!(out, "defer I={id} FromNowUs={after} Ctx={token}")
             }
-            Action::Subscribe(on) => writeln!(out, "tail I={i} Active={}", u8::from(*on)),
-            Action::FetchList => writeln!(out, "read_list I={i}"),
+            Action::Subscribe(on) => writeln!(out, "tail I={id} Active={}", u8::from(*on)),
+            Action::FetchList => writeln!(out, "read_list I={id}"),
             Action::CloseIdle(endpoint) => {
-                writeln!(out, "free_links I={i} Endpoint={}", name(endpoint))
+                writeln!(out, "free_links I={id} Endpoint={}", name(endpoint))
             }
             Action::SendToPeer { to, bytes } => {
                 let to = to.map_or(-1, i64::from);
@@ -245,13 +244,13 @@
                 } else {
                     STANDARD.encode(bytes)
                 };
-                writeln!(out, "post I={i} Dst={to} Bytes={bytes}")
+                writeln!(out, "post I={id} Dst={to} Bytes={bytes}")
             }
-            // Nothing is shared here.
+            // The simulator does not exchange health observations.
             Action::ReportHealth { .. } => Ok(()),
             Action::Log(text) => writeln!(
                 out,
-                "say_log I={i} Text={}",
+                "say_log I={id} Text={}",
                 text.replace(['\n', '\r'], " ")
             ),
         };
--- a/src/simulator_wire/line.rs
+++ b/src/simulator_wire/line.rs
@@ -1,34 +1,34 @@
-//! A line of the simulator's wire: a message name and fields.
+//! A line of the simulator's protocol: a message name and its fields.
 
 use super::error::LineError;
-use crate::api::{Load, Outcome};
+use crate::api::{LoadReport, Outcome};
 use std::str::FromStr;
 
-/// One line, taken apart as far as its message name.
+/// A line, split into its message name and its fields.
 pub struct Line<'a> {
-    /// Its message name.
+    /// The message name.
     pub name: &'a str,
-    rest: &'a str,
+    fields: &'a str,
 }
 
 impl<'a> Line<'a> {
     pub fn new(text: &'a str) -> Self {
-        let (name, rest) = text.split_once(' ').unwrap_or((text, ""));
-        Self { name, rest }
+        let (name, fields) = text.split_once(' ').unwrap_or((text, ""));
+        Self { name, fields }
     }
     pub fn find(&self, field: &str) -> Option<&'a str> {
-        self.rest
+        self.fields
             .split(' ')
             .find_map(|part| part.strip_prefix(field)?.strip_prefix('='))
     }
-    /// The value of a field of type text, which runs to the end of the line.
+    /// Returns the value of a text field, which extends to the end of the line.
     pub fn text(&self, field: &str) -> Result<&'a str, LineError> {
-        let mut rest = self.rest;
+        let mut fields = self.fields;
         loop {
-            if let Some(value) = rest.strip_prefix(field).and_then(|r| r.strip_prefix('=')) {
+            if let Some(value) = fields.strip_prefix(field).and_then(|r| r.strip_prefix('=')) {
                 return Ok(value);
             }
-            rest = rest.split_once(' ').ok_or_else(|| self.missing(field))?.1;
+            fields = fields.split_once(' ').ok_or_else(|| self.missing(field))?.1;
         }
     }
     fn missing(&self, field: &str) -> LineError {
@@ -37,10 +37,10 @@
             field: field.to_owned(),
         }
     }
-    pub fn need(&self, field: &str) -> Result<&'a str, LineError> {
+    pub fn required(&self, field: &str) -> Result<&'a str, LineError> {
         self.find(field).ok_or_else(|| self.missing(field))
     }
-    pub fn may<T: FromStr>(&self, field: &str) -> Result<Option<T>, LineError> {
+    pub fn optional<T: FromStr>(&self, field: &str) -> Result<Option<T>, LineError> {
         self.find(field)
             .map(|v| {
                 v.parse().map_err(|_| LineError::NotANumber {
@@ -51,9 +51,9 @@
             .transpose()
     }
     pub fn get<T: FromStr>(&self, field: &str) -> Result<T, LineError> {
-        self.may(field)?.ok_or_else(|| self.missing(field))
+        self.optional(field)?.ok_or_else(|| self.missing(field))
     }
-    pub fn bounded(&self, field: &str, bits: u32) -> Result<u64, LineError> {
+    pub fn bounded_integer(&self, field: &str, bits: u32) -> Result<u64, LineError> {
         let value: u64 = self.get(field)?;
         if value >> bits == 0 {
             Ok(value)
@@ -64,8 +64,8 @@
             })
         }
     }
-    pub fn load(&self) -> Result<Load, LineError> {
-        let mut load = Load::default();
+    pub fn load(&self) -> Result<LoadReport, LineError> {
+        let mut load = LoadReport::default();
         for pair in self
             .find("Load")
             .unwrap_or("")
@@ -90,7 +90,7 @@
         Ok(load)
     }
     pub fn outcome(&self) -> Result<Outcome, LineError> {
-        Ok(match self.need("Disposition")? {
+        Ok(match self.required("Disposition")? {
             "OK" => Outcome::Ok,
             "INTERNAL" => Outcome::Error,
             "RESOURCE_EXHAUSTED" => Outcome::Rejected,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,16 +1,17 @@
-//! A sidecar in miniature: it keeps the clock, fires timers and remembers what is out.
+//! A simulated sidecar around the decision module: it advances the clock, fires timers and tracks
+//! the attempts in flight.
 #![allow(dead_code)]
 
 use load_balancer::*;
 use std::collections::BTreeMap;
 
-pub const SAFE: ClassId = 0;
-pub const KEYED: ClassId = 1;
-pub const UNSAFE: ClassId = 2;
+pub const IDEMPOTENT: ClassId = 0;
+pub const IDEMPOTENT_BY_KEY: ClassId = 1;
+pub const NON_IDEMPOTENT: ClassId = 2;
 pub const MS: Micros = 1000;
 pub const START: Micros = 50_000 * MS;
 
-pub fn settings() -> Settings {
+pub fn default_settings() -> Settings {
     let class = |effect| Class {
         latency_objective: 1000 * MS,
         objective_per_work: 0.0,
@@ -20,19 +21,23 @@
         effect,
         streaming: false,
     };
-    let keyed = Effect::Keyed {
+    let keyed = Effect::IdempotentByKey {
         scope: DedupScope::Cell,
         ttl: 1200 * MS,
     };
     Settings {
-        classes: vec![class(Effect::Safe), class(keyed), class(Effect::Unsafe)],
+        classes: vec![
+            class(Effect::Idempotent),
+            class(keyed),
+            class(Effect::NonIdempotent),
+        ],
         tenants: Vec::new(),
         instances: 1,
         index: 0,
         zone: Some(0),
         discovery: Discovery::Pushed,
         weights: WeightSource::Size,
-        reports: ReportSource::Silent,
+        reports: ReportSource::Disabled,
         limits: Limits {
             max_attempts: 3,
             max_retry_after: 2000 * MS,
@@ -60,15 +65,15 @@
     }
 }
 
-/// Two endpoints to a cell and to a zone.
-pub fn listing(endpoint: EndpointId) -> Listing {
+/// A listed endpoint; each cell and each zone has two.
+pub fn listing(endpoint: EndpointId) -> ListedEndpoint {
     let (zone, cell) = (Some(endpoint / 2), endpoint as u64 / 2);
-    Listing {
+    ListedEndpoint {
         endpoint,
         zone,
         cell,
         kind: None,
-        status: Status::Ready,
+        status: EndpointStatus::Ready,
         size: 1.0,
         started: None,
         alias: endpoint as u64,
@@ -76,42 +81,42 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Out {
+pub struct InFlightAttempt {
     pub endpoint: EndpointId,
-    pub sent: Micros,
+    pub sent_at: Micros,
     pub timeout: Micros,
 }
 
-pub struct Rig {
+pub struct Harness {
     pub balancer: Balancer,
     pub now: Micros,
-    pub set: Settings,
+    pub settings: Settings,
     pub timers: Vec<(Micros, u64)>,
-    pub out: BTreeMap<(RequestId, AttemptNo), Out>,
-    pub sends: BTreeMap<RequestId, AttemptNo>,
-    pub next: RequestId,
+    pub in_flight: BTreeMap<(RequestId, AttemptIndex), InFlightAttempt>,
+    pub attempts_sent: BTreeMap<RequestId, AttemptIndex>,
+    pub next_id: RequestId,
 }
 
-impl Rig {
-    pub fn new(set: Settings, endpoints: usize, seed: u64) -> Self {
-        let balancer = Balancer::new(set.clone(), seed).expect("usable settings");
-        let (timers, out, sends) = (Vec::new(), BTreeMap::new(), BTreeMap::new());
-        let mut rig = Self {
+impl Harness {
+    pub fn new(settings: Settings, endpoints: usize, seed: u64) -> Self {
+        let balancer = Balancer::new(settings.clone(), seed).expect("usable settings");
+        let (timers, in_flight, attempts_sent) = (Vec::new(), BTreeMap::new(), BTreeMap::new());
+        let mut harness = Self {
             balancer,
             now: START,
-            set,
+            settings,
             timers,
-            out,
-            sends,
-            next: 1,
+            in_flight,
+            attempts_sent,
+            next_id: 1,
         };
-        rig.event(Event::Endpoints(ListUpdate::Cached(
+        harness.handle(Event::Endpoints(ListUpdate::Cached(
             (0..endpoints).map(listing).collect(),
         )));
-        rig
+        harness
     }
 
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in &actions {
@@ -122,16 +127,16 @@
                     timeout,
                     ..
                 } => {
-                    let n = self.sends.entry(request).or_default();
-                    self.out.insert(
-                        (request, *n),
-                        Out {
+                    let index = self.attempts_sent.entry(request).or_default();
+                    self.in_flight.insert(
+                        (request, *index),
+                        InFlightAttempt {
                             endpoint,
-                            sent: self.now,
+                            sent_at: self.now,
                             timeout,
                         },
                     );
-                    *n += 1;
+                    *index += 1;
                 }
                 Action::SetTimer { after, token } => self.timers.push((self.now + after, token)),
                 _ => {}
@@ -140,26 +145,28 @@
         actions
     }
 
-    /// Moves the clock, and fires the timers and time-outs that are due on the way.
-    pub fn until(&mut self, to: Micros) -> Vec<Action> {
+    /// Advances the clock and fires the timers and timeouts that become due.
+    pub fn advance_to(&mut self, to: Micros) -> Vec<Action> {
         let mut actions = Vec::new();
         loop {
             let timer = (0..self.timers.len()).min_by_key(|i| self.timers[*i].0);
             let timer = timer
                 .map(|i| (self.timers[i].0, i))
                 .filter(|(at, _)| *at <= to);
-            let over = self
-                .out
+            let timed_out = self
+                .in_flight
                 .iter()
-                .map(|(key, o)| (o.sent + o.timeout, *key))
+                .map(|(key, attempt)| (attempt.sent_at + attempt.timeout, *key))
                 .min();
-            if let Some((at, (id, n))) = over.filter(|(at, _)| *at <= timer.map_or(to, |t| t.0)) {
+            if let Some((at, (id, index))) =
+                timed_out.filter(|(at, _)| *at <= timer.map_or(to, |t| t.0))
+            {
                 self.now = self.now.max(at);
-                actions.extend(self.end(id, n, Outcome::TimedOut));
+                actions.extend(self.finish(id, index, Outcome::TimedOut));
             } else if let Some((at, i)) = timer {
                 self.now = self.now.max(at);
                 let (_, token) = self.timers.swap_remove(i);
-                actions.extend(self.event(Event::Timer(token)));
+                actions.extend(self.handle(Event::Timer(token)));
             } else {
                 self.now = to;
                 return actions;
@@ -167,24 +174,24 @@
         }
     }
 
-    pub fn wait(&mut self, time: Micros) -> Vec<Action> {
-        self.until(self.now + time)
+    pub fn advance(&mut self, time: Micros) -> Vec<Action> {
+        self.advance_to(self.now + time)
     }
 
     pub fn request(&mut self, class: ClassId) -> (RequestId, Vec<Action>) {
-        self.request_for(class, 3000 * MS, None, None)
+        self.request_with(class, 3000 * MS, None, None)
     }
 
-    pub fn request_for(
+    pub fn request_with(
         &mut self,
         class: ClassId,
-        left: Micros,
+        time_left: Micros,
         tenant: Option<TenantId>,
         work: Option<Micros>,
     ) -> (RequestId, Vec<Action>) {
-        let id = self.next;
-        self.next += 1;
-        let deadline = self.now + left;
+        let id = self.next_id;
+        self.next_id += 1;
+        let deadline = self.now + time_left;
         let new = NewRequest {
             id,
             class,
@@ -195,63 +202,68 @@
             work,
             is_retry: false,
         };
-        (id, self.event(Event::Request(new)))
+        (id, self.handle(Event::Request(new)))
     }
 
-    pub fn end(&mut self, request: RequestId, attempt: AttemptNo, outcome: Outcome) -> Vec<Action> {
-        let out = self
-            .out
+    pub fn finish(
+        &mut self,
+        request: RequestId,
+        attempt: AttemptIndex,
+        outcome: Outcome,
+    ) -> Vec<Action> {
+        let in_flight = self
+            .in_flight
             .remove(&(request, attempt))
-            .expect("an attempt that is out");
-        self.event(Event::AttemptEnded(AttemptEnd {
+            .expect("an attempt in flight");
+        self.handle(Event::AttemptEnded(AttemptEnd {
             request,
             attempt,
-            endpoint: out.endpoint,
+            endpoint: in_flight.endpoint,
             outcome,
-            took: self.now - out.sent,
-            settled: outcome == Outcome::Ok,
-            load: Load::default(),
+            elapsed: self.now - in_flight.sent_at,
+            request_answered: outcome == Outcome::Ok,
+            load: LoadReport::default(),
         }))
     }
 
-    /// Answers everything that is out, and what follows from it, after `time` each.
-    pub fn serve(&mut self, time: Micros) {
-        while !self.out.is_empty() {
-            self.wait(time);
-            for (request, attempt) in self.out.keys().copied().collect::<Vec<_>>() {
-                self.end(request, attempt, Outcome::Ok);
+    /// Answers all attempts in flight, and those sent in response, after `time` each.
+    pub fn serve_all(&mut self, time: Micros) {
+        while !self.in_flight.is_empty() {
+            self.advance(time);
+            for (request, attempt) in self.in_flight.keys().copied().collect::<Vec<_>>() {
+                self.finish(request, attempt, Outcome::Ok);
             }
         }
     }
 }
 
-pub fn sent(actions: &[Action]) -> Vec<EndpointId> {
-    let to = |a: &Action| {
-        if let Action::Send { endpoint, .. } = a {
+pub fn endpoints_sent_to(actions: &[Action]) -> Vec<EndpointId> {
+    let endpoint_of = |action: &Action| {
+        if let Action::Send { endpoint, .. } = action {
             Some(*endpoint)
         } else {
             None
         }
     };
-    actions.iter().filter_map(to).collect()
+    actions.iter().filter_map(endpoint_of).collect()
 }
 
-/// Where so many served requests were sent.
-pub fn used(rig: &mut Rig, requests: usize) -> Vec<EndpointId> {
+/// Sends a number of requests that are all served. Returns the endpoints that they were sent to.
+pub fn endpoints_used(harness: &mut Harness, requests: usize) -> Vec<EndpointId> {
     let mut all = Vec::new();
     for _ in 0..requests {
-        all.extend(sent(&rig.request(SAFE).1));
-        rig.serve(20 * MS);
+        all.extend(endpoints_sent_to(&harness.request(IDEMPOTENT).1));
+        harness.serve_all(20 * MS);
     }
     all
 }
 
-pub fn refused(actions: &[Action], id: RequestId) -> bool {
+pub fn is_rejected(actions: &[Action], id: RequestId) -> bool {
     actions
         .iter()
         .any(|a| matches!(a, Action::Reject { request, .. } if *request == id))
 }
 
-pub fn failed(actions: &[Action], id: RequestId) -> bool {
+pub fn is_failed(actions: &[Action], id: RequestId) -> bool {
     actions.contains(&Action::Fail(id))
 }
--- a/tests/failures/ends.rs
+++ b/tests/failures/ends.rs
@@ -1,33 +1,33 @@
-//! How requests and their attempts end, and events that fit nothing.
+//! How requests and their attempts end, and events without a matching request.
 
 use crate::common::*;
 use load_balancer::*;
 
 #[test]
 fn every_request_is_answered_before_its_deadline() {
-    for class in [SAFE, KEYED, UNSAFE] {
-        let mut rig = Rig::new(settings(), 2, 1);
-        let (id, _) = rig.request_for(class, 700 * MS, None, None);
+    for class in [IDEMPOTENT, IDEMPOTENT_BY_KEY, NON_IDEMPOTENT] {
+        let mut harness = Harness::new(default_settings(), 2, 1);
+        let (id, _) = harness.request_with(class, 700 * MS, None, None);
         let due = START + 700 * MS;
         let mut actions = Vec::new();
-        while rig.now < due {
-            actions.extend(rig.wait(5 * MS));
+        while harness.now < due {
+            actions.extend(harness.advance(5 * MS));
         }
         assert!(
-            refused(&actions, id) || failed(&actions, id),
+            is_rejected(&actions, id) || is_failed(&actions, id),
             "class {class}"
         );
-        assert!(sent(&rig.wait(3000 * MS)).is_empty());
+        assert!(endpoints_sent_to(&harness.advance(3000 * MS)).is_empty());
     }
 }
 
 #[test]
-fn a_request_that_comes_too_late_is_refused_unsent() {
+fn a_request_without_time_left_is_rejected_without_an_attempt() {
     for left in [0, -5, 1, 10] {
-        let mut rig = Rig::new(settings(), 2, 1);
-        let (id, actions) = rig.request_for(UNSAFE, left * MS, None, None);
+        let mut harness = Harness::new(default_settings(), 2, 1);
+        let (id, actions) = harness.request_with(NON_IDEMPOTENT, left * MS, None, None);
         assert!(
-            refused(&actions, id) && sent(&actions).is_empty(),
+            is_rejected(&actions, id) && endpoints_sent_to(&actions).is_empty(),
             "{left} ms left"
         );
     }
@@ -35,15 +35,16 @@
 
 #[test]
 fn a_started_stream_has_no_deadline_and_its_interruption_ends_the_request() {
-    let mut rig = Rig::new(settings(), 2, 1);
-    let (id, _) = rig.request_for(SAFE, 500 * MS, None, None);
-    rig.event(Event::StreamStarted {
+    let mut harness = Harness::new(default_settings(), 2, 1);
+    let (id, _) = harness.request_with(IDEMPOTENT, 500 * MS, None, None);
+    harness.handle(Event::StreamStarted {
         request: id,
         attempt: 0,
     });
-    let out = rig.out.remove(&(id, 0)).expect("sent");
+    let out = harness.in_flight.remove(&(id, 0)).expect("sent");
     assert!(
-        !rig.wait(5000 * MS)
+        !harness
+            .advance(5000 * MS)
             .iter()
             .any(|a| matches!(a, Action::Reject { .. } | Action::Fail(_)))
     );
@@ -52,41 +53,42 @@
         attempt: 0,
         endpoint: out.endpoint,
         outcome: Outcome::Reset,
-        took: 5000 * MS,
-        settled: true,
-        load: Load::default(),
+        elapsed: 5000 * MS,
+        request_answered: true,
+        load: LoadReport::default(),
     };
     assert!(
-        !rig.event(Event::AttemptEnded(end))
+        !harness
+            .handle(Event::AttemptEnded(end))
             .iter()
             .any(|a| matches!(a, Action::Reject { .. } | Action::Fail(_)))
     );
 }
 
 #[test]
-fn a_long_stream_is_neither_silence_nor_slowness_and_outlives_its_copies() {
-    let mut rig = Rig::new(settings(), 2, 1);
-    let (id, actions) = rig.request(SAFE);
-    rig.wait(800 * MS);
-    let at = sent(&actions)[0];
-    rig.event(Event::StreamStarted {
+fn a_long_stream_counts_neither_as_a_timeout_nor_as_slow() {
+    let mut harness = Harness::new(default_settings(), 2, 1);
+    let (id, actions) = harness.request(IDEMPOTENT);
+    harness.advance(800 * MS);
+    let at = endpoints_sent_to(&actions)[0];
+    harness.handle(Event::StreamStarted {
         request: id,
         attempt: 0,
     });
-    rig.out.remove(&(id, 0)).expect("sent");
+    harness.in_flight.remove(&(id, 0)).expect("sent");
     let end = |attempt, outcome, settled| {
-        let (endpoint, took, load) = (at, 1000 * MS, Load::default());
+        let (endpoint, took, load) = (at, 1000 * MS, LoadReport::default());
         Event::AttemptEnded(AttemptEnd {
             request: id,
             attempt,
             endpoint,
             outcome,
-            took,
-            settled,
+            elapsed: took,
+            request_answered: settled,
             load,
         })
     };
-    let quiet = rig.wait(60_000 * MS);
+    let quiet = harness.advance(60_000 * MS);
     assert!(
         !quiet
             .iter()
@@ -94,25 +96,26 @@
         "{quiet:?}"
     );
     assert!(
-        rig.event(end(0, Outcome::Ok, true))
+        harness
+            .handle(end(0, Outcome::Ok, true))
             .iter()
             .all(|a| matches!(a, Action::SetTimer { .. }))
     );
-    assert!(used(&mut rig, 8).contains(&at));
+    assert!(endpoints_used(&mut harness, 8).contains(&at));
 }
 
 #[test]
 fn unknown_and_repeated_events_change_nothing() {
-    let mut rig = Rig::new(settings(), 2, 1);
-    let (id, _) = rig.request(SAFE);
+    let mut harness = Harness::new(default_settings(), 2, 1);
+    let (id, _) = harness.request(IDEMPOTENT);
     let end = AttemptEnd {
         request: id,
         attempt: 0,
-        endpoint: rig.out[&(id, 0)].endpoint,
+        endpoint: harness.in_flight[&(id, 0)].endpoint,
         outcome: Outcome::Error,
-        took: 1,
-        settled: false,
-        load: Load::default(),
+        elapsed: 1,
+        request_answered: false,
+        load: LoadReport::default(),
     };
     for odd in [
         Event::Timer(99),
@@ -130,8 +133,8 @@
         Event::ProbeEnded {
             endpoint: 9,
             outcome: Outcome::Ok,
-            took: 1,
-            load: Load::default(),
+            elapsed: 1,
+            load: LoadReport::default(),
         },
         Event::PeerMessage {
             from: 3,
@@ -139,22 +142,22 @@
         },
     ] {
         let text = format!("{odd:?}");
-        assert!(rig.event(odd).is_empty(), "{text}");
+        assert!(harness.handle(odd).is_empty(), "{text}");
     }
-    rig.event(Event::AttemptEnded(end));
-    assert!(rig.event(Event::AttemptEnded(end)).is_empty());
+    harness.handle(Event::AttemptEnded(end));
+    assert!(harness.handle(Event::AttemptEnded(end)).is_empty());
 }
 
 #[test]
-fn a_client_that_left_ends_the_request_and_its_attempt() {
-    let mut rig = Rig::new(settings(), 2, 1);
-    let (id, _) = rig.request(SAFE);
+fn a_client_disconnect_ends_the_request_and_its_attempt() {
+    let mut harness = Harness::new(default_settings(), 2, 1);
+    let (id, _) = harness.request(IDEMPOTENT);
     assert_eq!(
-        rig.event(Event::Abandoned(id)),
+        harness.handle(Event::Abandoned(id)),
         [Action::Cancel {
             request: id,
             attempt: 0
         }]
     );
-    assert!(rig.end(id, 0, Outcome::Cancelled).is_empty());
+    assert!(harness.finish(id, 0, Outcome::Cancelled).is_empty());
 }
--- a/tests/failures/latency.rs
+++ b/tests/failures/latency.rs
@@ -1,60 +1,68 @@
-//! What slow endpoints, groups and kinds lose of their turns.
+//! How many requests slow endpoints, groups and kinds lose.
 
 use crate::common::*;
 use load_balancer::*;
 
-// A stalled answer is one error in the breaker's eyes. It says nothing of the pace of the answers
-// that come.
+// A stalled answer counts as one error for the circuit breaker, but says nothing about the latency
+// of other answers.
 #[test]
-fn one_answer_that_never_comes_costs_an_endpoint_no_requests() {
-    let mut rig = Rig::new(settings(), 3, 1);
-    let part = |rig: &mut Rig| used(rig, 60).iter().filter(|e| **e == 2).count();
-    let before = part(&mut rig);
+fn one_missing_answer_costs_an_endpoint_no_requests() {
+    let mut harness = Harness::new(default_settings(), 3, 1);
+    let part = |harness: &mut Harness| {
+        endpoints_used(harness, 60)
+            .iter()
+            .filter(|e| **e == 2)
+            .count()
+    };
+    let before = part(&mut harness);
     loop {
-        let (id, actions) = rig.request_for(UNSAFE, 400 * MS, None, None);
-        if sent(&actions)[0] == 2 {
-            rig.wait(400 * MS);
-            assert!(rig.out.is_empty(), "it has timed out");
+        let (id, actions) = harness.request_with(NON_IDEMPOTENT, 400 * MS, None, None);
+        if endpoints_sent_to(&actions)[0] == 2 {
+            harness.advance(400 * MS);
+            assert!(harness.in_flight.is_empty(), "it has timed out");
             break;
         }
-        rig.wait(20 * MS);
-        rig.end(id, 0, Outcome::Ok);
+        harness.advance(20 * MS);
+        harness.finish(id, 0, Outcome::Ok);
     }
-    let after = part(&mut rig);
+    let after = part(&mut harness);
     assert!(
         after * 4 >= before * 3,
-        "{after} of 60 turns, {before} before"
+        "{after} of 60 requests, {before} before"
     );
 }
 
 #[test]
-fn others_slow_requests_do_not_make_an_endpoint_silent() {
-    let mut rig = Rig::new(settings(), 4, 1);
-    used(&mut rig, 40);
-    let (_, actions) = rig.request(SAFE);
-    let held = sent(&actions)[0];
-    let logs = rig.wait(450 * MS);
+fn slow_requests_elsewhere_do_not_open_the_circuit_of_an_endpoint() {
+    let mut harness = Harness::new(default_settings(), 4, 1);
+    endpoints_used(&mut harness, 40);
+    let (_, actions) = harness.request(IDEMPOTENT);
+    let endpoint = endpoints_sent_to(&actions)[0];
+    let logs = harness.advance(450 * MS);
     assert!(
         !logs.iter().any(|a| matches!(a, Action::Log(_))),
-        "{held} answers within half the aim"
+        "{endpoint} answers within half of the objective"
     );
 }
 
 #[test]
 fn a_slow_endpoint_without_errors_loses_its_requests() {
-    let mut rig = Rig::new(settings(), 4, 1);
-    used(&mut rig, 80);
+    let mut harness = Harness::new(default_settings(), 4, 1);
+    endpoints_used(&mut harness, 80);
     let (mut slow, mut all) = (0, 0);
     for round in 0..1200 {
-        let (_, actions) = rig.request(SAFE);
+        let (_, actions) = harness.request(IDEMPOTENT);
         if round > 600 {
-            slow += sent(&actions).iter().filter(|e| **e == 3).count();
-            all += sent(&actions).len();
+            slow += endpoints_sent_to(&actions)
+                .iter()
+                .filter(|e| **e == 3)
+                .count();
+            all += endpoints_sent_to(&actions).len();
         }
-        rig.wait(50 * MS);
-        for ((id, n), out) in rig.out.clone() {
-            if rig.now - out.sent >= if out.endpoint == 3 { 700 * MS } else { 90 * MS } {
-                rig.end(id, n, Outcome::Ok);
+        harness.advance(50 * MS);
+        for ((id, n), out) in harness.in_flight.clone() {
+            if harness.now - out.sent_at >= if out.endpoint == 3 { 700 * MS } else { 90 * MS } {
+                harness.finish(id, n, Outcome::Ok);
             }
         }
     }
@@ -63,166 +71,167 @@
 
 #[test]
 fn slower_endpoints_have_fewer_requests_even_without_overload() {
-    let mut rig = Rig::new(settings(), 4, 1);
+    let mut harness = Harness::new(default_settings(), 4, 1);
     let mut slow = 0;
     for _ in 0..200 {
-        let first = sent(&rig.request(SAFE).1)[0] == 0;
+        let first = endpoints_sent_to(&harness.request(IDEMPOTENT).1)[0] == 0;
         slow += usize::from(first);
-        rig.serve(if first { 80 * MS } else { 20 * MS });
+        harness.serve_all(if first { 80 * MS } else { 20 * MS });
     }
     assert!((8..40).contains(&slow), "{slow}");
 }
 
-// A sidecar with little traffic takes seconds for a round: by then what it learnt at the last send
-// is old.
+// A sidecar with little traffic takes seconds per round, so a schedule fixed at the last pick would
+// rely on outdated latencies.
 #[test]
-fn a_turn_follows_what_was_learnt_since_the_last_one() {
-    let mut rig = Rig::new(settings(), 4, 1);
-    let kinds = (0..4).map(|e| Listing {
+fn a_pick_uses_latencies_observed_since_the_last_one() {
+    let mut harness = Harness::new(default_settings(), 4, 1);
+    let kinds = (0..4).map(|e| ListedEndpoint {
         kind: Some(e),
         ..listing(e)
     });
-    rig.event(Event::Endpoints(ListUpdate::Full(kinds.collect())));
+    harness.handle(Event::Endpoints(ListUpdate::Full(kinds.collect())));
     for _ in 0..40 {
-        rig.request(UNSAFE);
-        rig.serve(100 * MS);
+        harness.request(NON_IDEMPOTENT);
+        harness.serve_all(100 * MS);
     }
-    // One endpoint's answer takes twenty times as long as the others' while none else has a turn.
-    let (slow, _) = rig.request(UNSAFE);
-    let crowded = rig.out[&(slow, 0)].endpoint;
-    rig.wait(2000 * MS);
-    rig.end(slow, 0, Outcome::Ok);
+    // The answer of one endpoint takes twenty times as long as the others while no other is picked.
+    let (slow, _) = harness.request(NON_IDEMPOTENT);
+    let slow_endpoint = harness.in_flight[&(slow, 0)].endpoint;
+    harness.advance(2000 * MS);
+    harness.finish(slow, 0, Outcome::Ok);
     let to: Vec<_> = (0..4)
         .map(|_| {
-            let (id, _) = rig.request(UNSAFE);
-            let to = rig.out[&(id, 0)].endpoint;
-            rig.serve(100 * MS);
+            let (id, _) = harness.request(NON_IDEMPOTENT);
+            let to = harness.in_flight[&(id, 0)].endpoint;
+            harness.serve_all(100 * MS);
             to
         })
         .collect();
-    assert!(!to.contains(&crowded), "{to:?} after {crowded} was slow");
+    assert!(
+        !to.contains(&slow_endpoint),
+        "{to:?} after {slow_endpoint} was slow"
+    );
 }
 
-/// Sidecar traffic of two requests a second over eight seconds, each answered by its endpoint's own
-/// time; returns what each endpoint got in the second half.
-fn sparse(rig: &mut Rig, requests: usize, time: impl Fn(EndpointId) -> Micros) -> Vec<EndpointId> {
+/// Sends two requests per second, each answered after the time of its endpoint. Returns the
+/// endpoints used by the second half of the requests.
+fn sparse(
+    harness: &mut Harness,
+    requests: usize,
+    time: impl Fn(EndpointId) -> Micros,
+) -> Vec<EndpointId> {
     let mut to = Vec::new();
     for n in 0..requests {
-        let (_, actions) = rig.request(SAFE);
+        let (_, actions) = harness.request(IDEMPOTENT);
         if n >= requests / 2 {
-            to.extend(sent(&actions));
+            to.extend(endpoints_sent_to(&actions));
         }
-        let until = rig.now + 500 * MS;
-        while let Some((at, key)) = rig
-            .out
+        let until = harness.now + 500 * MS;
+        while let Some((at, key)) = harness
+            .in_flight
             .iter()
-            .map(|(k, o)| (o.sent + time(o.endpoint), *k))
+            .map(|(k, o)| (o.sent_at + time(o.endpoint), *k))
             .min()
         {
             if at > until {
                 break;
             }
-            rig.until(at);
-            if rig.out.contains_key(&key) {
-                rig.end(key.0, key.1, Outcome::Ok);
+            harness.advance_to(at);
+            if harness.in_flight.contains_key(&key) {
+                harness.finish(key.0, key.1, Outcome::Ok);
             }
         }
-        rig.until(until);
+        harness.advance_to(until);
     }
     to
 }
 
 #[test]
-fn what_one_endpoint_shows_of_its_kind_holds_for_those_not_yet_met() {
+fn latency_of_a_kind_applies_to_endpoints_not_used_yet() {
     let mut slow = 0;
     for seed in 0..20 {
-        let mut rig = Rig::new(
+        let mut harness = Harness::new(
             Settings {
                 instances: 1000,
-                ..settings()
+                ..default_settings()
             },
             0,
             seed,
         );
-        let kind = |endpoint| Listing {
+        let kind = |endpoint| ListedEndpoint {
             kind: Some(endpoint % 2),
             ..listing(endpoint)
         };
-        rig.event(Event::Endpoints(ListUpdate::Full(
+        harness.handle(Event::Endpoints(ListUpdate::Full(
             (0..40).map(kind).collect(),
         )));
-        let to = sparse(
-            &mut rig,
-            48,
-            |e| if e % 2 == 1 { 900 * MS } else { 90 * MS },
-        );
+        let to = sparse(&mut harness, 48, |e| {
+            if e % 2 == 1 { 900 * MS } else { 90 * MS }
+        });
         slow += to.iter().filter(|e| **e % 2 == 1).count();
     }
     assert!(slow <= 160, "{slow} of 480 to the slow kind");
 }
 
-// A limited group is overdriven within a second by many sidecars, each of which sees an endpoint
-// once in seconds.
+// Many sidecars overload a slow group within a second, while each of them uses an endpoint only
+// once in several seconds.
 #[test]
 fn a_group_that_slows_down_together_soon_gets_fewer_requests() {
     let in_slow = |endpoint: EndpointId| endpoint / 8 == 1;
     let mut to_slow = 0;
     for seed in 0..20 {
-        let mut rig = Rig::new(
+        let mut harness = Harness::new(
             Settings {
                 instances: 100,
-                ..settings()
+                ..default_settings()
             },
             0,
             seed,
         );
-        let grouped = |endpoint| Listing {
+        let grouped = |endpoint| ListedEndpoint {
             cell: endpoint as u64 / 8,
             ..listing(endpoint)
         };
-        rig.event(Event::Endpoints(ListUpdate::Full(
+        harness.handle(Event::Endpoints(ListUpdate::Full(
             (0..40).map(grouped).collect(),
         )));
-        let to = sparse(
-            &mut rig,
-            40,
-            |e| if in_slow(e) { 900 * MS } else { 90 * MS },
-        );
+        let to = sparse(&mut harness, 40, |e| {
+            if in_slow(e) { 900 * MS } else { 90 * MS }
+        });
         to_slow += to.iter().filter(|e| in_slow(**e)).count();
     }
-    // One in five endpoints, and one in five of 400 sends if nothing were learnt.
+    // The group has one in five endpoints, so it would get 80 of 400 requests without adaptation.
     assert!(to_slow <= 40, "{to_slow} of 400 to the slow group");
 }
 
-// Choked servers at a third of their pace need rest, and a third of their turns keeps them just as
-// busy.
+// Overloaded servers that are three times slower need to recover, and a third of their requests
+// would keep them just as busy.
 #[test]
 fn a_group_three_times_as_slow_gets_less_than_a_third_of_its_requests() {
     let in_slow = |endpoint: EndpointId| endpoint / 8 == 1;
     let mut to_slow = 0;
     for seed in 0..20 {
-        let mut rig = Rig::new(
+        let mut harness = Harness::new(
             Settings {
                 instances: 100,
-                ..settings()
+                ..default_settings()
             },
             0,
             seed,
         );
-        let grouped = |endpoint| Listing {
+        let grouped = |endpoint| ListedEndpoint {
             cell: endpoint as u64 / 8,
             ..listing(endpoint)
         };
-        rig.event(Event::Endpoints(ListUpdate::Full(
+        harness.handle(Event::Endpoints(ListUpdate::Full(
             (0..40).map(grouped).collect(),
         )));
-        let to = sparse(
-            &mut rig,
-            80,
-            |e| if in_slow(e) { 270 * MS } else { 90 * MS },
-        );
+        let to = sparse(&mut harness, 80, |e| {
+            if in_slow(e) { 270 * MS } else { 90 * MS }
+        });
         to_slow += to.iter().filter(|e| in_slow(**e)).count();
     }
-    // A fifth of 800 sends is 160.
+    // Without adaptation the group would get a fifth of 800 requests, 160.
     assert!(to_slow <= 90, "{to_slow} of 800 to the slow group");
 }
--- a/tests/failures/lines.rs
+++ b/tests/failures/lines.rs
@@ -1,21 +1,21 @@
-//! The lines for the on-call engineers.
+//! Log lines for on-call engineers.
 
 use crate::common::*;
 use load_balancer::*;
 
 #[test]
-fn the_log_says_what_the_on_call_page_quotes() {
+fn log_lines_match_the_on_call_table() {
     let page = include_str!("../../README.md");
-    let mut rig = Rig::new(settings(), 1, 1);
-    used(&mut rig, 5);
+    let mut harness = Harness::new(default_settings(), 1, 1);
+    endpoints_used(&mut harness, 5);
     let (mut seen, mut logs) = (Vec::new(), Vec::new());
     for n in 0..12 {
-        let (id, _) = rig.request(UNSAFE);
+        let (id, _) = harness.request(NON_IDEMPOTENT);
         let outcome = if n < 2 { Outcome::Error } else { Outcome::Ok };
-        if rig.out.contains_key(&(id, 0)) {
-            seen.extend(rig.end(id, 0, outcome));
+        if harness.in_flight.contains_key(&(id, 0)) {
+            seen.extend(harness.finish(id, 0, outcome));
         }
-        seen.extend(rig.wait(10_000 * MS));
+        seen.extend(harness.advance(10_000 * MS));
     }
     for action in seen {
         if let Action::Log(text) = action {
@@ -38,29 +38,34 @@
     );
 }
 
-// A line a second at most: what is left out must still be counted, or three circuits look like one.
+// At most one line per second is written. Suppressed lines must be counted in the next one, or three
+// open circuits would look like one.
 #[test]
-fn lines_on_circuits_that_are_left_out_are_counted_in_the_next() {
-    let mut rig = Rig::new(settings(), 3, 1);
-    used(&mut rig, 15);
-    rig.wait(10_000 * MS);
+fn suppressed_lines_are_counted_in_the_next_line() {
+    let mut harness = Harness::new(default_settings(), 3, 1);
+    endpoints_used(&mut harness, 15);
+    harness.advance(10_000 * MS);
     let mut lines = Vec::new();
-    // All at once until none is left, then seldom enough for trials, which are answered.
+    // First all circuits open at once, then requests are rare enough for trial requests, which are
+    // served.
     for (outcome, open, pause) in [(Outcome::Error, 3, 0), (Outcome::Ok, 2, 1000 * MS)] {
         for _ in 0..100 {
-            let (id, _) = rig.request(UNSAFE);
-            if rig.out.contains_key(&(id, 0)) {
-                lines.extend(rig.end(id, 0, outcome).into_iter().filter_map(
-                    |action| match action {
-                        Action::Log(text) if text.starts_with("circuit") => Some(text),
-                        _ => None,
-                    },
-                ));
+            let (id, _) = harness.request(NON_IDEMPOTENT);
+            if harness.in_flight.contains_key(&(id, 0)) {
+                lines.extend(
+                    harness
+                        .finish(id, 0, outcome)
+                        .into_iter()
+                        .filter_map(|action| match action {
+                            Action::Log(text) if text.starts_with("circuit") => Some(text),
+                            _ => None,
+                        }),
+                );
             }
-            if rig.balancer.summary().circuits_open == open {
+            if harness.balancer.summary().circuits_open == open {
                 break;
             }
-            rig.wait(pause);
+            harness.advance(pause);
         }
     }
     assert_eq!(lines.len(), 2, "{lines:?}");
--- a/tests/failures/main.rs
+++ b/tests/failures/main.rs
@@ -1,4 +1,4 @@
-//! What the module does in each kind of trouble, one small test for each failure found.
+//! Behaviour under faults: one small test for each failure that was found.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -16,6 +16,6 @@
 use common::*;
 use load_balancer::*;
 
-fn delta(rig: &mut Rig, entry: Listing) -> Vec<Action> {
-    rig.event(Event::Endpoints(ListUpdate::Delta(vec![entry])))
+fn delta(harness: &mut Harness, entry: ListedEndpoint) -> Vec<Action> {
+    harness.handle(Event::Endpoints(ListUpdate::Delta(vec![entry])))
 }
--- a/tests/failures/slow_start_fleet.rs
+++ b/tests/failures/slow_start_fleet.rs
@@ -1,16 +1,16 @@
-//! What a whole fleet of sidecars, each deciding alone, sends to one server that has just started,
-//! against the bound beyond which such a server falls: in any window, what the settings allow it,
-//! and what is put down to chance.
+//! What a fleet of sidecars, each deciding alone, sends to a server that has just started, compared
+//! with the load at which such a server fails: what the settings allow in any window, plus a margin
+//! for random variation.
 
 use crate::common::*;
 use load_balancer::*;
 use std::collections::BTreeMap;
 
-/// A deployment as its settings have it, and how much work a warm server does.
+/// The settings of a deployment, and the capacity of a warm server.
 #[derive(Clone, Copy)]
 struct Site {
     name: &'static str,
-    /// The figures of the rules for cold servers.
+    /// Parameters of the rules for warming servers.
     overload_factor: f64,
     overload_window: Micros,
     cold_capacity: f64,
@@ -18,7 +18,7 @@
     latency_objective: Micros,
     deadline: Micros,
     effect: Effect,
-    /// Work of a request on a standard core, and requests a second that a warm server can do.
+    /// Work of a request on a standard core, and requests per second that a warm server can serve.
     work: Micros,
     capacity: f64,
 }
@@ -31,7 +31,7 @@
     warmup_time: 7400 * MS,
     latency_objective: 1000 * MS,
     deadline: 3000 * MS,
-    effect: Effect::Safe,
+    effect: Effect::Idempotent,
     work: 90 * MS,
     capacity: 2.0 / 0.09,
 };
@@ -44,31 +44,31 @@
     warmup_time: 24_000 * MS,
     latency_objective: 600 * MS,
     deadline: 1200 * MS,
-    effect: Effect::Unsafe,
+    effect: Effect::NonIdempotent,
     work: 70 * MS,
     capacity: 1.2 / 0.07,
 };
 
-/// Sidecars and servers: a small day, a throng, the whole fleet.
+/// Numbers of sidecars and servers: a small, a medium and a large fleet.
 const FLEETS: [(u32, usize); 3] = [(5, 10), (30, 20), (300, 200)];
-/// Part of what all servers can do that clients ask for.
+/// Traffic as a fraction of the capacity of all servers.
 const LOAD: f64 = 0.6;
-/// Time before the restart, and time that is looked at after it, in windows.
+/// Time before the restart, and number of windows observed after it.
 const BEFORE: Micros = 10_000 * MS;
 const WINDOWS: Micros = 6;
 
-/// How clients ask after the restart.
+/// Traffic after the restart.
 #[derive(Clone, Copy, Debug)]
 enum Traffic {
     Steady,
-    /// Half as much again for good.
+    /// Permanently 1.5 times as much.
     Burst,
     /// Three times as much for the second window.
     Flood,
 }
 
 impl Traffic {
-    /// The traffic against that before, so long after the restart.
+    /// Returns the traffic relative to that before the restart.
     fn at(self, since: Micros, window: Micros) -> f64 {
         match self {
             _ if since < 0 => 1.0,
@@ -82,33 +82,33 @@
 
 impl Site {
     fn settings(self, instances: u32, index: u32) -> Settings {
-        let mut set = Settings {
+        let mut settings = Settings {
             instances,
             index,
-            ..settings()
+            ..default_settings()
         };
         let class = Class {
             latency_objective: self.latency_objective,
             deadline: self.deadline,
             effect: self.effect,
-            ..set.classes[0].clone()
+            ..settings.classes[0].clone()
         };
-        set.classes = vec![class];
-        set.limits.may_duplicate = false;
-        set.rules.overload_factor = self.overload_factor;
-        set.rules.overload_window = self.overload_window;
-        set.rules.cold_capacity = self.cold_capacity;
-        set.rules.warmup_time = self.warmup_time;
-        set
+        settings.classes = vec![class];
+        settings.limits.may_duplicate = false;
+        settings.rules.overload_factor = self.overload_factor;
+        settings.rules.overload_window = self.overload_window;
+        settings.rules.cold_capacity = self.cold_capacity;
+        settings.rules.warmup_time = self.warmup_time;
+        settings
     }
 
-    /// Part of its capacity that a server has so long after its start.
+    /// Returns the capacity of a server of this age, as a fraction of its full capacity.
     fn warmth(self, age: Micros) -> f64 {
         let age = age as f64 / self.warmup_time as f64;
         (self.cold_capacity + (1.0 - self.cold_capacity) * age).min(1.0)
     }
 
-    /// Requests in a window that begins so long after the start from which on the server falls.
+    /// Returns the number of requests in a window, starting at this age, at which the server fails.
     fn bound(self, age: Micros) -> f64 {
         let allowed =
             self.overload_factor * self.capacity * self.warmth(age) * self.overload_window as f64
@@ -116,7 +116,7 @@
         allowed + 2.0 * allowed.sqrt() + 2.0
     }
 
-    /// When one sidecar sent something to servers that restarted: server and time since the
+    /// Simulates one sidecar. Returns its attempts at restarted servers: server and time since the
     /// restart.
     fn plays(
         self,
@@ -126,7 +126,7 @@
         index: u32,
     ) -> Vec<(usize, Micros)> {
         let seed = u64::from(index) * 2 + 1;
-        let mut rig = Rig::new(self.settings(sidecars, index), servers, seed);
+        let mut harness = Harness::new(self.settings(sidecars, index), servers, seed);
         let mut rng = fastrand::Rng::with_seed(seed);
         let rate = LOAD * self.capacity * servers as f64 / f64::from(sidecars) / 1_000_000.0;
         let (restart, end) = (
@@ -134,52 +134,56 @@
             START + BEFORE + WINDOWS * self.overload_window,
         );
         let (mut arrival, mut restarted, mut to_cold) = (START, false, Vec::new());
-        // When each attempt that is out will be answered.
-        let mut answers: BTreeMap<(RequestId, AttemptNo), Micros> = BTreeMap::new();
-        while rig.now < end {
+        // When each attempt in flight will be answered.
+        let mut answers: BTreeMap<(RequestId, AttemptIndex), Micros> = BTreeMap::new();
+        while harness.now < end {
             let answer = answers.iter().map(|(key, at)| (*at, *key)).min();
             let next = arrival.min(answer.map_or(end, |(at, _)| at));
             let next = if restarted { next } else { next.min(restart) };
-            rig.until(next.min(end));
+            harness.advance_to(next.min(end));
             if !restarted && next == restart {
                 restarted = true;
                 let back = (0..cold)
-                    .map(|e| Listing {
+                    .map(|e| ListedEndpoint {
                         started: Some(restart),
                         ..listing(e)
                     })
                     .collect();
-                rig.event(Event::Endpoints(ListUpdate::Delta(back)));
+                harness.handle(Event::Endpoints(ListUpdate::Delta(back)));
             } else if let Some((at, key)) = answer.filter(|(at, _)| *at <= next) {
                 answers.remove(&key);
-                if at <= end && rig.out.contains_key(&key) {
-                    rig.end(key.0, key.1, Outcome::Ok);
+                if at <= end && harness.in_flight.contains_key(&key) {
+                    harness.finish(key.0, key.1, Outcome::Ok);
                 }
             } else if arrival <= next {
-                rig.request_for(0, self.deadline, None, Some(self.work));
-                let now = traffic.at(rig.now - restart, self.overload_window);
+                harness.request_with(0, self.deadline, None, Some(self.work));
+                let now = traffic.at(harness.now - restart, self.overload_window);
                 arrival += (-(1.0 - rng.f64()).ln() / (rate * now)) as Micros + 1;
             }
-            // What went out just now.
-            for (key, out) in rig.out.iter().filter(|(_, out)| out.sent == rig.now) {
+            // Attempts sent just now.
+            for (key, out) in harness
+                .in_flight
+                .iter()
+                .filter(|(_, out)| out.sent_at == harness.now)
+            {
                 if answers.contains_key(key) {
                     continue;
                 }
                 let is_cold = restarted && out.endpoint < cold;
                 let slower = if is_cold {
-                    self.warmth(rig.now - restart)
+                    self.warmth(harness.now - restart)
                 } else {
                     1.0
                 };
-                answers.insert(*key, out.sent + (self.work as f64 / slower) as Micros);
-                to_cold.extend(is_cold.then_some((out.endpoint, out.sent - restart)));
+                answers.insert(*key, out.sent_at + (self.work as f64 / slower) as Micros);
+                to_cold.extend(is_cold.then_some((out.endpoint, out.sent_at - restart)));
             }
         }
         to_cold
     }
 
-    /// The most that one restarted server got in a window, as a part of what it falls from, and
-    /// that number.
+    /// Returns the maximum number of requests to a restarted server in a window, as a fraction of
+    /// the bound and as a number.
     fn worst(self, fleet: (u32, usize), cold: usize, traffic: Traffic) -> (f64, usize) {
         let mut times: BTreeMap<usize, Vec<Micros>> = BTreeMap::new();
         for (server, at) in (0..fleet.0).flat_map(|index| self.plays(fleet, cold, traffic, index)) {
@@ -203,7 +207,7 @@
     }
 }
 
-/// How many servers start at once.
+/// Number of servers that restart at the same time.
 #[derive(Clone, Copy, PartialEq)]
 enum Cold {
     One,
@@ -211,7 +215,7 @@
     Zone,
 }
 
-/// Plays all fleets of both sites; fails with every one that pushes a server over.
+/// Simulates all fleets of both sites, and fails for each that overloads a server.
 fn stays_under(cold: Cold, traffic: Traffic) {
     let mut over = Vec::new();
     for (site, fleet) in [JADRAN, ROTA]
@@ -235,18 +239,18 @@
 }
 
 #[test]
-fn under_steady_traffic_no_fleet_pushes_a_cold_server_over() {
+fn no_fleet_overloads_a_warming_server_under_steady_traffic() {
     stays_under(Cold::One, Traffic::Steady);
     stays_under(Cold::Zone, Traffic::Steady);
 }
 
 #[test]
-fn under_a_burst_no_fleet_pushes_a_cold_server_over() {
+fn no_fleet_overloads_a_warming_server_under_a_burst() {
     stays_under(Cold::One, Traffic::Burst);
     stays_under(Cold::Zone, Traffic::Burst);
 }
 
 #[test]
-fn under_a_flood_no_fleet_pushes_the_only_cold_server_over() {
+fn no_fleet_overloads_the_only_warming_server_under_a_flood() {
     stays_under(Cold::One, Traffic::Flood);
 }
--- a/tests/gossip/affinity.rs
+++ b/tests/gossip/affinity.rs
@@ -5,9 +5,9 @@
 use load_balancer::*;
 
 /// A request about a key.
-fn about(rig: &mut Rig, class: ClassId, key: Option<u64>) -> (RequestId, Vec<Action>) {
-    let (id, deadline) = (rig.next, rig.now + 3 * SECOND);
-    rig.next += 1;
+fn about(harness: &mut Harness, class: ClassId, key: Option<u64>) -> (RequestId, Vec<Action>) {
+    let (id, deadline) = (harness.next_id, harness.now + 3 * SECOND);
+    harness.next_id += 1;
     let new = NewRequest {
         id,
         class,
@@ -18,19 +18,19 @@
         work: None,
         is_retry: false,
     };
-    (id, rig.event(Event::Request(new)))
+    (id, harness.handle(Event::Request(new)))
 }
 
 /// Without a key, or with affinity off, first picks are the round robin to the bit.
 #[test]
 fn keys_change_nothing_where_affinity_is_off_and_affinity_nothing_without_keys() {
     let picks = |ahead: f64, key: Option<u64>| {
-        let mut rig = Rig::new(settings(), 7, 3);
-        rig.balancer.share(sharing(false, ahead));
+        let mut harness = Harness::new(default_settings(), 7, 3);
+        harness.balancer.set_sharing(sharing(false, ahead));
         let mut all = Vec::new();
         for _ in 0..300 {
-            all.extend(sent(&about(&mut rig, SAFE, key).1));
-            rig.serve(20 * MS);
+            all.extend(endpoints_sent_to(&about(&mut harness, IDEMPOTENT, key).1));
+            harness.serve_all(20 * MS);
         }
         all
     };
@@ -44,17 +44,17 @@
 #[test]
 fn keys_keep_to_their_endpoints_within_the_stated_slack() {
     let ahead = 2.0;
-    let mut rig = Rig::new(settings(), 5, 3);
-    rig.balancer.share(sharing(false, ahead));
+    let mut harness = Harness::new(default_settings(), 5, 3);
+    harness.balancer.set_sharing(sharing(false, ahead));
     let mut rng = fastrand::Rng::with_seed(1);
     let (mut counts, mut by_key) = ([0_i64; 5], vec![[0_usize; 5]; 40]);
     for n in 1..=2000_i64 {
         let key = rng.u64(0..40);
-        for endpoint in sent(&about(&mut rig, SAFE, Some(key)).1) {
+        for endpoint in endpoints_sent_to(&about(&mut harness, IDEMPOTENT, Some(key)).1) {
             counts[endpoint] += 1;
             by_key[key as usize][endpoint] += 1;
         }
-        rig.serve(20 * MS);
+        harness.serve_all(20 * MS);
         let fair = n as f64 / 5.0;
         // A turn more for the one that is under way, and one for where the ring began.
         let ahead_now = counts.iter().map(|c| *c as f64 - fair).fold(0.0, f64::max);
@@ -76,14 +76,14 @@
 /// One key alone must not keep the others from their turns.
 #[test]
 fn a_single_key_is_spread_by_weight_all_the_same() {
-    let mut rig = Rig::new(settings(), 4, 9);
-    rig.balancer.share(sharing(false, 2.0));
+    let mut harness = Harness::new(default_settings(), 4, 9);
+    harness.balancer.set_sharing(sharing(false, 2.0));
     let mut counts = [0; 4];
     for _ in 0..400 {
-        sent(&about(&mut rig, SAFE, Some(1)).1)
+        endpoints_sent_to(&about(&mut harness, IDEMPOTENT, Some(1)).1)
             .into_iter()
             .for_each(|e| counts[e] += 1);
-        rig.serve(20 * MS);
+        harness.serve_all(20 * MS);
     }
     // The others are owed turns, up to so many; weights differ a little while paces are learnt.
     assert!(counts.iter().all(|c| (60..=125).contains(c)), "{counts:?}");
--- a/tests/gossip/main.rs
+++ b/tests/gossip/main.rs
@@ -15,16 +15,16 @@
 const SECOND: Micros = 1000 * MS;
 
 /// Ends whatever is out at an endpoint.
-fn end_at(rig: &mut Rig, endpoint: EndpointId, outcome: Outcome) -> Vec<Action> {
-    let there: Vec<_> = rig
-        .out
+fn end_at(harness: &mut Harness, endpoint: EndpointId, outcome: Outcome) -> Vec<Action> {
+    let there: Vec<_> = harness
+        .in_flight
         .iter()
         .filter(|(_, o)| o.endpoint == endpoint)
         .map(|(key, _)| *key)
         .collect();
     there
         .into_iter()
-        .flat_map(|(id, attempt)| rig.end(id, attempt, outcome))
+        .flat_map(|(id, attempt)| harness.finish(id, attempt, outcome))
         .collect()
 }
 
@@ -36,8 +36,8 @@
     }])
 }
 
-fn sharing(peer_health: bool, affinity_slack: f64) -> SharedKnowledge {
-    SharedKnowledge {
+fn sharing(peer_health: bool, affinity_slack: f64) -> SharingOptions {
+    SharingOptions {
         peer_health,
         affinity_slack,
     }
--- a/tests/gossip/staleness.rs
+++ b/tests/gossip/staleness.rs
@@ -7,23 +7,23 @@
 /// A history drawn from a seed; `more` may say things in between. Gives all that was asked for.
 fn history(
     seed: u64,
-    share: SharedKnowledge,
-    more: impl Fn(&mut Rig, &mut fastrand::Rng),
+    share: SharingOptions,
+    more: impl Fn(&mut Harness, &mut fastrand::Rng),
 ) -> Vec<Action> {
-    let (mut rig, mut rng) = (
-        Rig::new(settings(), 12, seed),
+    let (mut harness, mut rng) = (
+        Harness::new(default_settings(), 12, seed),
         fastrand::Rng::with_seed(seed),
     );
     // What is drawn for words must not move what is drawn for the history.
     let mut others = fastrand::Rng::with_seed(!seed);
-    rig.balancer.share(share);
+    harness.balancer.set_sharing(share);
     let mut all = Vec::new();
     for _ in 0..200 {
-        more(&mut rig, &mut others);
+        more(&mut harness, &mut others);
         let (class, pause) = (rng.usize(0..3), rng.i64(1..200) * MS);
-        all.extend(rig.request(class).1);
-        all.extend(rig.wait(pause));
-        let open: Vec<_> = rig.out.keys().copied().collect();
+        all.extend(harness.request(class).1);
+        all.extend(harness.advance(pause));
+        let open: Vec<_> = harness.in_flight.keys().copied().collect();
         for (id, attempt) in open {
             let outcome = match rng.u8(0..10) {
                 0 => Outcome::Error,
@@ -32,7 +32,7 @@
                 3 | 4 => continue,
                 _ => Outcome::Ok,
             };
-            all.extend(rig.end(id, attempt, outcome));
+            all.extend(harness.finish(id, attempt, outcome));
         }
     }
     all.retain(|a| !matches!(a, Action::ReportHealth { .. }));
@@ -44,8 +44,8 @@
 #[test]
 fn observations_past_their_bound_change_no_decision_at_all() {
     for seed in 0..60 {
-        let lone = history(seed, SharedKnowledge::default(), |rig, _| {
-            drop(rig.event(Event::Ejections(Vec::new())))
+        let lone = history(seed, SharingOptions::default(), |harness, _| {
+            drop(harness.handle(Event::Ejections(Vec::new())))
         });
         let same = |one: &[Action], other: &[Action], what: &str| {
             let differs = one.iter().zip(other).position(|(a, b)| a != b);
@@ -55,7 +55,7 @@
                 "{what}, seed {seed}"
             );
         };
-        let late = history(seed, sharing(true, 0.0), |rig, rng| {
+        let late = history(seed, sharing(true, 0.0), |harness, rng| {
             let statuses = [
                 EjectionStatus::Ejected,
                 EjectionStatus::TrialDue,
@@ -63,18 +63,18 @@
             ];
             let mut words = Vec::new();
             for _ in 0..rng.usize(0..4) {
-                let (endpoint, until) = (rng.usize(0..12), rig.now - rng.i64(0..5 * SECOND));
+                let (endpoint, until) = (rng.usize(0..12), harness.now - rng.i64(0..5 * SECOND));
                 words.push(EjectionUpdate {
                     endpoint,
                     status: statuses[rng.usize(0..3)],
                     expires: until,
                 });
             }
-            rig.event(Event::Ejections(words));
+            harness.handle(Event::Ejections(words));
         });
         same(&late, &lone, "past the bound");
-        let taken_back = history(seed, sharing(true, 0.0), |rig, rng| {
-            let (endpoint, until) = (rng.usize(0..12), rig.now + SECOND);
+        let taken_back = history(seed, sharing(true, 0.0), |harness, rng| {
+            let (endpoint, until) = (rng.usize(0..12), harness.now + SECOND);
             let both = [EjectionStatus::Ejected, EjectionStatus::NotEjected].map(|status| {
                 EjectionUpdate {
                     endpoint,
@@ -82,7 +82,7 @@
                     expires: until,
                 }
             });
-            rig.event(Event::Ejections(both.to_vec()));
+            harness.handle(Event::Ejections(both.to_vec()));
         });
         same(&taken_back, &lone, "taken back");
     }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,16 +1,16 @@
-//! What holds for the files of the decision module: the deploy file names each of them, none is too
-//! long to read in one go, and none does I/O or reads a clock.
+//! Rules for the files of the decision module: the deploy file lists each of them, none is too long,
+//! and none does I/O or reads a clock.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Folders of the decision module; the module file beside a folder belongs to it.
+/// Folders of the decision module; the module file next to a folder belongs to it.
 const FOLDERS: [&str; 1] = ["src/balancer"];
-/// Lines of one file.
+/// Maximum number of lines of a file.
 const MAX_LINES: usize = 250;
-/// Characters of a line.
+/// Maximum number of characters of a line.
 const MAX_WIDTH: usize = 100;
-/// What a file that neither does I/O nor reads a clock has no use for.
+/// Names that indicate I/O or a clock.
 const FORBIDDEN: [&str; 17] = [
     "std::env",
     "std::fs",
@@ -35,7 +35,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// The files under `policy` in the deploy file, in its order.
+/// Returns the files listed under `policy` in the deploy file.
 fn policy_files() -> Vec<String> {
     let deploy = fs::read_to_string(root().join("deploy/balancer.toml")).expect("the deploy file");
     let list = deploy
@@ -49,7 +49,7 @@
         .collect()
 }
 
-/// All files below `folder`, as paths from the root.
+/// Returns all files below `folder`, as paths from the root.
 fn files_below(folder: &str) -> Vec<String> {
     let mut folders = vec![PathBuf::from(folder)];
     let mut files = Vec::new();
--- a/tests/ordinary/main.rs
+++ b/tests/ordinary/main.rs
@@ -1,4 +1,5 @@
-//! The ordinary path: turns, retries with waits, time-outs, breaker and bulkhead.
+//! Behaviour without unusual faults: round robin, retries with backoff, timeouts, circuit breaker and
+//! bulkhead.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/ordinary/retries.rs
+++ b/tests/ordinary/retries.rs
@@ -1,21 +1,21 @@
-//! Retries, their filter and their waits.
+//! Retries: which are allowed, and their backoff.
 
 use crate::common::*;
 use load_balancer::*;
 
 #[test]
-fn waits_grow_between_base_and_most_delay_and_are_jittered() {
+fn backoffs_grow_between_their_bounds_and_are_jittered() {
     let mut waits = [Vec::new(), Vec::new()];
     for seed in 0..40 {
-        let mut set = settings();
-        set.limits.max_attempts = 5;
-        let mut rig = Rig::new(set, 8, seed);
-        let (id, _) = rig.request(SAFE);
+        let mut settings = default_settings();
+        settings.limits.max_attempts = 5;
+        let mut harness = Harness::new(settings, 8, seed);
+        let (id, _) = harness.request(IDEMPOTENT);
         for (n, seen) in waits.iter_mut().enumerate() {
-            let failed = rig.now;
-            rig.end(id, n as AttemptNo, Outcome::Error);
-            rig.wait(200 * MS);
-            let wait = rig.out[&(id, n as AttemptNo + 1)].sent - failed;
+            let failed = harness.now;
+            harness.finish(id, n as AttemptIndex, Outcome::Error);
+            harness.advance(200 * MS);
+            let wait = harness.in_flight[&(id, n as AttemptIndex + 1)].sent_at - failed;
             assert!(
                 (1000 * MS / 64..=1000 * MS / 8 + 5 * MS).contains(&wait),
                 "{wait}"
@@ -30,44 +30,44 @@
 }
 
 #[test]
-fn time_outs_and_waits_fit_the_time_left() {
+fn timeouts_and_backoffs_fit_the_time_left() {
     for left in [200, 700, 2000, 3500] {
-        let mut rig = Rig::new(settings(), 4, 3);
-        let (id, _) = rig.request_for(SAFE, left * MS, None, Some(20 * MS));
-        let first = rig.out[&(id, 0)].timeout;
+        let mut harness = Harness::new(default_settings(), 4, 3);
+        let (id, _) = harness.request_with(IDEMPOTENT, left * MS, None, Some(20 * MS));
+        let first = harness.in_flight[&(id, 0)].timeout;
         let usable = left * MS - 10 * MS;
         let fits = (0..3).any(|r| {
             (r + 1) * first + r * 125 * MS <= usable && (r + 2) * first > usable - 125 * 3 * MS
         });
         assert!(first > 0 && fits, "{left}: {first}");
     }
-    let mut rig = Rig::new(settings(), 4, 3);
-    let (id, _) = rig.request_for(UNSAFE, 3000 * MS, None, Some(20 * MS));
+    let mut harness = Harness::new(default_settings(), 4, 3);
+    let (id, _) = harness.request_with(NON_IDEMPOTENT, 3000 * MS, None, Some(20 * MS));
     assert_eq!(
-        rig.out[&(id, 0)].timeout,
+        harness.in_flight[&(id, 0)].timeout,
         2990 * MS,
-        "an unsafe request gets no second try for a time-out"
+        "a non-idempotent request is not retried after a timeout"
     );
 }
 
 #[test]
 fn retries_prefer_an_endpoint_not_yet_tried() {
     for seed in 0..20 {
-        let mut rig = Rig::new(settings(), 3, seed);
-        let (id, first) = rig.request(SAFE);
-        rig.end(id, 0, Outcome::Error);
-        let second = sent(&rig.wait(200 * MS));
-        rig.end(id, 1, Outcome::Error);
-        let third = sent(&rig.wait(200 * MS));
-        let mut all = [sent(&first)[0], second[0], third[0]];
+        let mut harness = Harness::new(default_settings(), 3, seed);
+        let (id, first) = harness.request(IDEMPOTENT);
+        harness.finish(id, 0, Outcome::Error);
+        let second = endpoints_sent_to(&harness.advance(200 * MS));
+        harness.finish(id, 1, Outcome::Error);
+        let third = endpoints_sent_to(&harness.advance(200 * MS));
+        let mut all = [endpoints_sent_to(&first)[0], second[0], third[0]];
         all.sort_unstable();
         assert_eq!(all, [0, 1, 2]);
     }
 }
 
-/// Every row of filter x class x outcome: what follows a first attempt that ended so.
+/// What follows a first attempt, for every class and outcome.
 #[test]
-fn the_retry_filter_by_class_and_outcome() {
+fn which_outcomes_are_retried_for_each_class() {
     use Outcome::*;
     for outcome in [
         Error,
@@ -78,23 +78,26 @@
         Cancelled,
         NotSent,
     ] {
-        for class in [SAFE, KEYED, UNSAFE] {
-            let mut rig = Rig::new(settings(), 6, 5);
-            let (id, first) = rig.request(class);
-            rig.wait(10 * MS);
-            let mut after = rig.end(id, 0, outcome);
-            after.extend(rig.wait(200 * MS));
-            if class == UNSAFE && !outcome.never_ran() {
-                assert!(failed(&after, id) && sent(&after).is_empty(), "{outcome:?}");
+        for class in [IDEMPOTENT, IDEMPOTENT_BY_KEY, NON_IDEMPOTENT] {
+            let mut harness = Harness::new(default_settings(), 6, 5);
+            let (id, first) = harness.request(class);
+            harness.advance(10 * MS);
+            let mut after = harness.finish(id, 0, outcome);
+            after.extend(harness.advance(200 * MS));
+            if class == NON_IDEMPOTENT && !outcome.never_ran() {
+                assert!(
+                    is_failed(&after, id) && endpoints_sent_to(&after).is_empty(),
+                    "{outcome:?}"
+                );
                 continue;
             }
-            let next = sent(&after);
+            let next = endpoints_sent_to(&after);
             assert_eq!(next.len(), 1, "{class} {outcome:?}");
-            if class == KEYED && !outcome.never_ran() {
+            if class == IDEMPOTENT_BY_KEY && !outcome.never_ran() {
                 assert_eq!(
                     next[0] / 2,
-                    sent(&first)[0] / 2,
-                    "stays in its cell after {outcome:?}"
+                    endpoints_sent_to(&first)[0] / 2,
+                    "must stay in its cell after {outcome:?}"
                 );
             }
         }
@@ -102,30 +105,30 @@
 }
 
 #[test]
-fn keyed_retries_end_with_the_dedup_time() {
-    let mut set = settings();
-    set.classes[KEYED].late_value = 0.5;
-    let mut rig = Rig::new(set, 1, 5);
-    let (id, _) = rig.request(KEYED);
-    rig.wait(1190 * MS);
-    let mut after = rig.end(id, 0, Outcome::Error);
-    after.extend(rig.wait(1500 * MS));
-    assert!(sent(&after).is_empty());
+fn requests_with_idempotency_keys_are_retried_only_while_repeats_are_dropped() {
+    let mut settings = default_settings();
+    settings.classes[IDEMPOTENT_BY_KEY].late_value = 0.5;
+    let mut harness = Harness::new(settings, 1, 5);
+    let (id, _) = harness.request(IDEMPOTENT_BY_KEY);
+    harness.advance(1190 * MS);
+    let mut after = harness.finish(id, 0, Outcome::Error);
+    after.extend(harness.advance(1500 * MS));
+    assert!(endpoints_sent_to(&after).is_empty());
     assert!(
-        failed(&after, id),
-        "it may have run, so it cannot be refused"
+        is_failed(&after, id),
+        "it may have run, so it cannot be rejected"
     );
 }
 
 #[test]
 fn attempts_are_bounded() {
-    let mut rig = Rig::new(settings(), 8, 2);
-    let (id, _) = rig.request(SAFE);
+    let mut harness = Harness::new(default_settings(), 8, 2);
+    let (id, _) = harness.request(IDEMPOTENT);
     let mut actions = Vec::new();
     for n in 0..3 {
-        actions.extend(rig.end(id, n, Outcome::Error));
-        actions.extend(rig.wait(200 * MS));
+        actions.extend(harness.finish(id, n, Outcome::Error));
+        actions.extend(harness.advance(200 * MS));
     }
-    assert_eq!(rig.sends[&id], 3);
-    assert!(refused(&actions, id));
+    assert_eq!(harness.attempts_sent[&id], 3);
+    assert!(is_rejected(&actions, id));
 }
--- a/tests/ordinary/round_robin.rs
+++ b/tests/ordinary/round_robin.rs
@@ -1,63 +1,63 @@
-//! Turns over the ready endpoints.
+//! Round robin over the ready endpoints.
 
 use crate::common::*;
 use load_balancer::*;
 
 #[test]
 fn round_robin_reaches_all_endpoints() {
-    let mut rig = Rig::new(settings(), 4, 1);
+    let mut harness = Harness::new(default_settings(), 4, 1);
     let mut counts = [0; 4];
     for _ in 0..40 {
-        counts[sent(&rig.request(SAFE).1)[0]] += 1;
-        rig.serve(20 * MS);
+        counts[endpoints_sent_to(&harness.request(IDEMPOTENT).1)[0]] += 1;
+        harness.serve_all(20 * MS);
     }
     assert!(counts.iter().all(|c| (9..=11).contains(c)), "{counts:?}");
 }
 
 #[test]
 fn round_robin_follows_listed_sizes() {
-    let mut rig = Rig::new(settings(), 2, 1);
-    rig.event(Event::Endpoints(ListUpdate::Delta(vec![Listing {
+    let mut harness = Harness::new(default_settings(), 2, 1);
+    harness.handle(Event::Endpoints(ListUpdate::Delta(vec![ListedEndpoint {
         size: 3.0,
         ..listing(1)
     }])));
     let mut counts = [0; 2];
     for _ in 0..80 {
-        counts[sent(&rig.request(SAFE).1)[0]] += 1;
-        rig.serve(20 * MS);
+        counts[endpoints_sent_to(&harness.request(IDEMPOTENT).1)[0]] += 1;
+        harness.serve_all(20 * MS);
     }
     assert!((55..=65).contains(&counts[1]), "{counts:?}");
 }
 
 #[test]
-fn little_traffic_goes_round_few_endpoints_and_more_goes_round_more() {
+fn the_subset_grows_with_the_traffic() {
     for (pause, range) in [(500 * MS, 8..=24), (25 * MS, 60..=64)] {
-        let mut rig = Rig::new(settings(), 64, 1);
+        let mut harness = Harness::new(default_settings(), 64, 1);
         let mut used = std::collections::BTreeMap::new();
         for _ in 0..400 {
-            let (_, actions) = rig.request(SAFE);
-            sent(&actions)
+            let (_, actions) = harness.request(IDEMPOTENT);
+            endpoints_sent_to(&actions)
                 .iter()
                 .for_each(|e| *used.entry(*e).or_insert(0) += 1);
-            rig.serve(20 * MS);
-            rig.wait(pause - 20 * MS);
+            harness.serve_all(20 * MS);
+            harness.advance(pause - 20 * MS);
         }
         assert!(range.contains(&used.len()), "{} endpoints", used.len());
     }
 }
 
-// What a sidecar learns of an endpoint fades within four longest latency objectives, long before a
-// long deadline has passed.
+// Estimates decay within four longest latency objectives, which is much less than a long deadline.
 #[test]
-fn an_endpoint_has_its_next_turn_before_what_was_learnt_there_fades() {
-    let mut set = settings();
-    set.classes
+fn an_endpoint_is_picked_again_before_its_estimates_decay() {
+    let mut settings = default_settings();
+    settings
+        .classes
         .iter_mut()
         .for_each(|c| (c.latency_objective, c.deadline) = (300 * MS, 1340 * MS));
-    let mut rig = Rig::new(
+    let mut harness = Harness::new(
         Settings {
             instances: 297,
-            ..set
+            ..settings
         },
         151,
         1,
@@ -65,42 +65,44 @@
     let mut last = std::collections::BTreeMap::new();
     let mut pauses = Vec::new();
     for n in 0..800 {
-        let (_, actions) = rig.request_for(SAFE, 800 * MS, None, None);
-        let now = rig.now;
-        let before = sent(&actions).first().and_then(|to| last.insert(*to, now));
+        let (_, actions) = harness.request_with(IDEMPOTENT, 800 * MS, None, None);
+        let now = harness.now;
+        let before = endpoints_sent_to(&actions)
+            .first()
+            .and_then(|to| last.insert(*to, now));
         pauses.extend(before.filter(|_| n >= 400).map(|before| now - before));
-        rig.serve(20 * MS);
-        rig.wait(40 * MS);
+        harness.serve_all(20 * MS);
+        harness.advance(40 * MS);
     }
     pauses.sort_unstable();
     let median = pauses[pauses.len() / 2];
     assert!(
         median <= 1200 * MS,
-        "half of the turns come more than {median} us after the one before"
+        "half of the picks are more than {median} us after the previous one"
     );
 }
 
-// Refused clients come back: their repeats, and a moment's more traffic, must not lead on to
-// endpoints not met yet.
+// Rejected clients retry. Their retries, or a short burst of traffic, must not make the sidecar use
+// further endpoints.
 #[test]
-fn repeats_and_a_short_burst_do_not_lead_on_to_further_endpoints() {
-    let mut rig = Rig::new(
+fn client_retries_and_a_short_burst_do_not_enlarge_the_subset() {
+    let mut harness = Harness::new(
         Settings {
             marks_retries: true,
-            ..settings()
+            ..default_settings()
         },
         64,
         1,
     );
-    let mut met = |rounds, repeats, pause| {
+    let mut endpoints_used_by = |rounds, repeats, pause| {
         let mut used = std::collections::BTreeSet::new();
         for _ in 0..rounds {
             for n in 0..=repeats {
-                let (id, deadline) = (rig.next, rig.now + 3000 * MS);
-                rig.next += 1;
+                let (id, deadline) = (harness.next_id, harness.now + 3000 * MS);
+                harness.next_id += 1;
                 let new = NewRequest {
                     id,
-                    class: SAFE,
+                    class: IDEMPOTENT,
                     tenant: None,
                     key: None,
                     affinity_endpoints: Vec::new(),
@@ -108,49 +110,58 @@
                     work: None,
                     is_retry: n > 0,
                 };
-                used.extend(sent(&rig.event(Event::Request(new))));
-                rig.serve(20 * MS);
+                used.extend(endpoints_sent_to(&harness.handle(Event::Request(new))));
+                harness.serve_all(20 * MS);
             }
-            rig.wait(pause);
+            harness.advance(pause);
         }
         used.len()
     };
-    let few = met(400, 0, 380 * MS);
+    let few = endpoints_used_by(400, 0, 380 * MS);
     assert!(
-        met(200, 2, 340 * MS) <= few + 2,
-        "repeats lead on beyond {few}"
+        endpoints_used_by(200, 2, 340 * MS) <= few + 2,
+        "client retries enlarge the subset beyond {few}"
     );
     assert!(
-        met(20, 0, 180 * MS) <= few + 2,
-        "four seconds of twice the traffic lead on beyond {few}"
+        endpoints_used_by(20, 0, 180 * MS) <= few + 2,
+        "four seconds of twice the traffic enlarge the subset beyond {few}"
     );
 }
 
 #[test]
-fn an_endpoint_lost_from_the_few_is_replaced() {
-    let mut rig = Rig::new(settings(), 64, 1);
+fn an_endpoint_lost_from_the_subset_is_replaced() {
+    let mut harness = Harness::new(default_settings(), 64, 1);
     let mut first = None;
     for _ in 0..40 {
-        let (_, actions) = rig.request(SAFE);
-        first = first.or(sent(&actions).first().copied());
-        rig.serve(20 * MS);
-        rig.wait(480 * MS);
+        let (_, actions) = harness.request(IDEMPOTENT);
+        first = first.or(endpoints_sent_to(&actions).first().copied());
+        harness.serve_all(20 * MS);
+        harness.advance(480 * MS);
     }
-    let gone = Listing {
-        status: Status::Gone,
+    let gone = ListedEndpoint {
+        status: EndpointStatus::Removed,
         ..listing(first.expect("a pick"))
     };
-    rig.event(Event::Endpoints(ListUpdate::Delta(vec![gone])));
+    harness.handle(Event::Endpoints(ListUpdate::Delta(vec![gone])));
     for _ in 0..40 {
-        let (_, actions) = rig.request(SAFE);
-        assert!(sent(&actions).len() == 1 && sent(&actions).first() != first.as_ref());
-        rig.serve(20 * MS);
+        let (_, actions) = harness.request(IDEMPOTENT);
+        assert!(
+            endpoints_sent_to(&actions).len() == 1
+                && endpoints_sent_to(&actions).first() != first.as_ref()
+        );
+        harness.serve_all(20 * MS);
     }
 }
 
 #[test]
-fn instances_start_their_rounds_apart() {
-    let first = |seed| sent(&Rig::new(settings(), 8, seed).request(SAFE).1)[0];
+fn instances_have_different_rotation_orders() {
+    let first = |seed| {
+        endpoints_sent_to(
+            &Harness::new(default_settings(), 8, seed)
+                .request(IDEMPOTENT)
+                .1,
+        )[0]
+    };
     let firsts: std::collections::BTreeSet<_> = (0..20).map(first).collect();
     assert!(firsts.len() > 2, "{firsts:?}");
 }
--- a/tests/ordinary/settings.rs
+++ b/tests/ordinary/settings.rs
@@ -1,14 +1,14 @@
-//! Settings that can't be used.
+//! Invalid settings.
 
 use crate::common::*;
 use load_balancer::*;
 
 #[test]
-fn unusable_settings_are_an_error() {
+fn invalid_settings_are_an_error() {
     let spoil = |f: fn(&mut Settings)| {
-        let mut set = settings();
-        f(&mut set);
-        Balancer::new(set, 1).is_err()
+        let mut settings = default_settings();
+        f(&mut settings);
+        Balancer::new(settings, 1).is_err()
     };
     assert!(spoil(|s| s.classes.clear()));
     assert!(spoil(|s| s.classes[0].latency_objective = 0));
@@ -35,9 +35,9 @@
         (|s| s.clock_granularity = -5, "tick"),
     ];
     for (spoil, word) in spoilt {
-        let mut set = settings();
-        spoil(&mut set);
-        let error = Balancer::new(set, 1).err().expect(word).to_string();
+        let mut settings = default_settings();
+        spoil(&mut settings);
+        let error = Balancer::new(settings, 1).err().expect(word).to_string();
         assert!(error.contains(word), "{error}");
     }
 }
