--- a/tests/rules/judge.rs
+++ b/tests/rules/rule_checker.rs
@@ -1,41 +1,41 @@
-//! What the rules allow, kept apart from the module under test.
+//! An independent model of the send rules.
 
 use crate::common::*;
 use load_balancer::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-pub struct Sent {
-    /// As it was listed then.
-    pub to: Listing,
+pub struct SentAttempt {
+    /// The endpoint as listed when the attempt was sent.
+    pub to: ListedEndpoint,
     pub at: Micros,
     pub outcome: Option<Outcome>,
 }
 
-pub struct Open {
+pub struct OpenRequest {
     pub class: ClassId,
     pub deadline: Micros,
-    pub attempts: Vec<Sent>,
+    pub attempts: Vec<SentAttempt>,
     /// The attempt whose answer has begun.
-    pub streaming: Option<AttemptNo>,
+    pub streaming: Option<AttemptIndex>,
 }
 
-/// What the rules allow, kept apart from the module under test.
-pub struct Judge {
-    pub set: Settings,
-    pub open: BTreeMap<RequestId, Open>,
+/// Checks actions against an independent model of the send rules.
+pub struct RuleChecker {
+    pub settings: Settings,
+    pub open: BTreeMap<RequestId, OpenRequest>,
     pub ended: BTreeSet<RequestId>,
-    pub status: Vec<Listing>,
+    pub listed: Vec<ListedEndpoint>,
     pub answered: usize,
 }
 
-impl Judge {
-    fn ran(open: &Open) -> impl Iterator<Item = &Sent> {
+impl RuleChecker {
+    fn attempts_that_may_have_run(open: &OpenRequest) -> impl Iterator<Item = &SentAttempt> {
         open.attempts
             .iter()
             .filter(|a| a.outcome.is_none_or(|o| !o.never_ran()))
     }
 
-    pub fn look(&mut self, now: Micros, actions: &[Action]) {
+    pub fn check(&mut self, now: Micros, actions: &[Action]) {
         for action in actions {
             match *action {
                 Action::Send {
@@ -48,21 +48,27 @@
                         .open
                         .get_mut(&request)
                         .expect("a send for an open request");
-                    let to = &self.status[endpoint];
-                    assert_eq!(to.status, Status::Ready, "drains are kept");
+                    let to = &self.listed[endpoint];
+                    assert_eq!(
+                        to.status,
+                        EndpointStatus::Ready,
+                        "draining endpoints get nothing"
+                    );
                     assert!(timeout > 0 && now < open.deadline && open.streaming.is_none());
                     assert!(now < write_by && write_by <= now + timeout);
-                    assert!((open.attempts.len() as u32) < self.set.limits.max_attempts);
-                    let live = open.attempts.iter().filter(|a| a.outcome.is_none()).count();
+                    assert!((open.attempts.len() as u32) < self.settings.limits.max_attempts);
+                    let in_flight = open.attempts.iter().filter(|a| a.outcome.is_none()).count();
                     assert!(
-                        live == 0 || self.set.limits.may_duplicate,
+                        in_flight == 0 || self.settings.limits.may_duplicate,
                         "one attempt at a time"
                     );
-                    for earlier in Self::ran(open) {
-                        match self.set.classes[open.class].effect {
-                            Effect::Safe => {}
-                            Effect::Unsafe => panic!("an unsafe request sent twice"),
-                            Effect::Keyed { scope, ttl } => {
+                    for earlier in Self::attempts_that_may_have_run(open) {
+                        match self.settings.classes[open.class].effect {
+                            Effect::Idempotent => {}
+                            Effect::NonIdempotent => {
+                                panic!("a non-idempotent request was sent twice")
+                            }
+                            Effect::IdempotentByKey { scope, ttl } => {
                                 let from = &earlier.to;
                                 let same = match scope {
                                     DedupScope::All => true,
@@ -71,13 +77,13 @@
                                 };
                                 assert!(
                                     same && now - earlier.at < ttl,
-                                    "inside the group and its time"
+                                    "repeats only within the deduplication scope and time"
                                 );
-                                assert!(write_by - earlier.at < ttl, "written inside that time");
+                                assert!(write_by - earlier.at < ttl, "written within that time");
                             }
                         }
                     }
-                    open.attempts.push(Sent {
+                    open.attempts.push(SentAttempt {
                         to: to.clone(),
                         at: now,
                         outcome: None,
@@ -87,16 +93,16 @@
                     let open = self
                         .open
                         .remove(&request)
-                        .expect("a refusal of an open request");
-                    let harmless = match self.set.classes[open.class].effect {
-                        Effect::Safe
-                        | Effect::Keyed {
+                        .expect("a rejection of an open request");
+                    let harmless = match self.settings.classes[open.class].effect {
+                        Effect::Idempotent
+                        | Effect::IdempotentByKey {
                             scope: DedupScope::All,
                             ..
                         } => true,
-                        _ => Self::ran(&open).next().is_none(),
+                        _ => Self::attempts_that_may_have_run(&open).next().is_none(),
                     };
-                    assert!(harmless, "refused though it may have run");
+                    assert!(harmless, "rejected although it may have run");
                     self.close(request);
                 }
                 Action::Fail(request) => {
@@ -105,18 +111,18 @@
                         .expect("a failure of an open request");
                     self.close(request);
                 }
-                Action::Cancel { .. } => assert!(self.set.limits.may_cancel),
-                Action::Probe(_) => assert!(self.set.limits.probes),
-                Action::SendToPeer { .. } => assert!(self.set.limits.peers),
+                Action::Cancel { .. } => assert!(self.settings.limits.may_cancel),
+                Action::Probe(_) => assert!(self.settings.limits.probes),
+                Action::SendToPeer { .. } => assert!(self.settings.limits.peers),
                 Action::SetTimer { after, .. } => assert!((0..=71 * 60_000 * MS).contains(&after)),
                 _ => {}
             }
         }
         for (id, open) in &self.open {
-            let end = open.deadline + self.set.rules.answer_slack;
+            let end = open.deadline + self.settings.rules.answer_slack;
             assert!(
                 open.streaming.is_some() || now <= end,
-                "request {id} is unanswered after its deadline"
+                "request {id} has no answer after its deadline"
             );
         }
     }
--- a/tests/simulator_wire/hostile.rs
+++ b/tests/simulator_wire/hostile.rs
@@ -1,10 +1,10 @@
-//! Input that cannot be read.
+//! Malformed input.
 
-use crate::play::*;
+use crate::lines::*;
 use load_balancer::simulator_wire::serve;
 
 #[test]
-fn what_cannot_be_read_is_named_with_its_line() {
+fn malformed_input_is_reported_with_its_line_number() {
     let good = start(0);
     for (events, line, word) in [
         ("demand I=0 Profile=look DueUs=9\n", 7, "Ticket"),
@@ -138,7 +138,7 @@
         "Flags",
         "Size",
     ];
-    let (mut read, mut told) = (0, 0);
+    let (mut accepted, mut rejected) = (0, 0);
     for _ in 0..3000 {
         let mut input = format!(
             "mark WallUs={} batch=1\n",
@@ -196,9 +196,9 @@
             input.truncate(rng.usize(..input.len()));
         }
         match run(&input) {
-            Ok(_) => read += 1,
+            Ok(_) => accepted += 1,
             Err(error) => {
-                told += 1;
+                rejected += 1;
                 assert!(
                     error.starts_with("line ") && error.lines().count() == 1,
                     "{error}"
@@ -206,11 +206,14 @@
             }
         }
     }
-    assert!(read > 100 && told > 100, "{read} read, {told} told");
+    assert!(
+        accepted > 100 && rejected > 100,
+        "{accepted} accepted, {rejected} rejected"
+    );
 }
 
 #[test]
-fn input_that_is_not_text_is_told() {
+fn input_that_is_not_utf_8_is_an_error() {
     let error = serve(&b"mark WallUs=1 batch=1\n\xff\xfe\n"[..], Vec::new())
         .expect_err("not text")
         .to_string();
--- a/tests/simulator_wire/play.rs
+++ b/tests/simulator_wire/lines.rs
@@ -1,4 +1,4 @@
-//! Lines that the simulator would write.
+//! Lines as the simulator writes them.
 
 use load_balancer::simulator_wire::serve;
 
--- a/tests/simulator_wire/main.rs
+++ b/tests/simulator_wire/main.rs
@@ -1,5 +1,5 @@
-//! The adapter: what it reads, what it writes, and how it ends on what cannot be read.
+//! The simulator adapter: what it reads and writes, and its errors for malformed input.
 
 mod hostile;
+mod lines;
 mod messages;
-mod play;
--- a/tests/simulator_wire/messages.rs
+++ b/tests/simulator_wire/messages.rs
@@ -1,9 +1,9 @@
-//! What is read and what is written.
+//! Messages that are read and written.
 
-use crate::play::*;
+use crate::lines::*;
 
 #[test]
-fn empty_batches_get_their_number_back_and_blank_lines_between_them_are_nothing() {
+fn empty_batches_are_acknowledged_and_blank_lines_between_them_ignored() {
     assert_eq!(
         run("mark WallUs=1 batch=1\ngo\n\nmark batch=7 WallUs=5\ngo\n").as_deref(),
         Ok("next batch=1\nnext batch=7\n")
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_demand_is_handed_off_and_an_answer_ends_it() {
+fn a_request_is_dispatched_and_an_answer_ends_it() {
     let input = batch(1, &(start(0) + &demand(0, 593372770898372)));
     let reply = run(&input).expect("readable");
     assert!(
