--- a/crates/coordinator/src/actions.rs
+++ b/crates/coordinator/src/actions.rs
@@ -6,7 +6,7 @@
 use crate::fetch::fetch;
 use crate::poller::Poller;
 use load_balancer_coordinator::core::{Input, Order};
-use load_balancer_maintenance::{Action, Answer, Step, Unclear};
+use load_balancer_maintenance::{Action, Answer, DrainCheck, Step};
 use serde::Deserialize;
 use serde_json::{Value, json};
 use std::cell::RefCell;
@@ -32,7 +32,7 @@
     poller: Rc<Poller>,
     permits: Rc<Semaphore>,
     /// Processes whose departure sidecars were notified of, by server, until that is revoked.
-    leaving: Rc<RefCell<BTreeMap<String, Unclear>>>,
+    leaving: Rc<RefCell<BTreeMap<String, DrainCheck>>>,
 }
 
 impl ActionRunner {
@@ -73,7 +73,7 @@
     }
 
     /// Starts a check whether a server is drained and reports the result to the log thread.
-    pub fn check_drained(&self, order: Order<Unclear>) {
+    pub fn check_drained(&self, order: Order<DrainCheck>) {
         let runner = self.clone();
         spawn_local(async move {
             let mut is_clear = runner
--- a/crates/coordinator/src/affinity_drain.rs
+++ b/crates/coordinator/src/affinity_drain.rs
@@ -2,7 +2,7 @@
 
 use crate::fetch::fetch;
 use crate::poller::Poller;
-use load_balancer_maintenance::Unclear;
+use load_balancer_maintenance::DrainCheck;
 use serde::Deserialize;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -19,7 +19,7 @@
     /// Notifies sidecars of all zones that a process is leaving. Returns whether it is drained of
     /// affinity: in each zone enough members confirm it for this epoch, and no member denies it. A
     /// zone with too few answers counts as not drained.
-    pub async fn is_drained_of_affinity(&self, process: &Unclear) -> bool {
+    pub async fn is_drained_of_affinity(&self, process: &DrainCheck) -> bool {
         let body = json!({"server": process.server, "started_ms": process.started, "epoch": process.epoch});
         // Ask the same sidecars again, because each measures the time since the departure by its
         // own clock.
@@ -88,7 +88,7 @@
 
     /// Notifies sidecars of all zones that a process stays, because its window was cancelled or
     /// another process took its place.
-    pub async fn announce_stay(&self, process: &Unclear) {
+    pub async fn announce_stay(&self, process: &DrainCheck) {
         let body: Value = json!({"server": process.server, "started_ms": process.started, "epoch": process.epoch});
         let mut requests = JoinSet::new();
         for (_, address) in self.sample_sidecars() {
--- a/crates/coordinator/src/core/interface.rs
+++ b/crates/coordinator/src/core/interface.rs
@@ -2,7 +2,7 @@
 
 use crate::replicated_log::{Admission, Message, ReplicaStatus};
 use load_balancer_maintenance::{
-    Action, Answer, CapacityView, DisruptionBudget, Event, Outcome, Server, Unclear,
+    Action, Answer, CapacityView, DisruptionBudget, DrainCheck, Event, Outcome, Server,
 };
 use load_balancer_maintenance::{ServerObservation, WindowView};
 use serde::Serialize;
@@ -51,7 +51,7 @@
     /// The result of an action; `None` without an answer.
     ActionResult(Action, Option<Answer>),
     /// Whether a server is drained.
-    DrainResult(Unclear, bool),
+    DrainResult(DrainCheck, bool),
     /// Leadership is to be transferred.
     StepDown,
 }
@@ -75,7 +75,7 @@
     /// Actions on servers. Each ends with [`Input::ActionResult`].
     pub actions: Vec<Order<Action>>,
     /// Processes to check for being drained. Each check ends with [`Input::DrainResult`].
-    pub drain_checks: Vec<Order<Unclear>>,
+    pub drain_checks: Vec<Order<DrainCheck>>,
     /// Log lines for on-call engineers.
     pub notes: Vec<String>,
 }
--- a/crates/coordinator/src/core/leadership.rs
+++ b/crates/coordinator/src/core/leadership.rs
@@ -7,7 +7,7 @@
 use super::coordinator::CoordinatorCore;
 use super::interface::{Input, Now, Order};
 use super::leadership_state::{ActionKey, LeaderProposal, Leadership, Proposer};
-use load_balancer_maintenance::{Action, Answer, Event, Outcome, Server, Unclear};
+use load_balancer_maintenance::{Action, Answer, DrainCheck, Event, Outcome, Server};
 
 impl CoordinatorCore {
     /// Returns whether it may propose events. Resets the state of the leadership in a new term.
@@ -70,7 +70,7 @@
             .due(now.unix_ms)
             .into_iter()
             .map(|action| (ActionKey::of(&action), Input::ActionResult(action, None)));
-        let drain_checks = machine.unclear().into_iter();
+        let drain_checks = machine.drain_checks().into_iter();
         let questions = drain_checks.map(|check| {
             (
                 ActionKey::of_drain_check(&check),
@@ -158,7 +158,7 @@
     }
 
     /// Handles the result of a drain check.
-    pub(super) fn handle_drain_result(&mut self, now: Now, check: Unclear, is_clear: bool) {
+    pub(super) fn handle_drain_result(&mut self, now: Now, check: DrainCheck, is_clear: bool) {
         if !self.is_leading() {
             return;
         }
@@ -167,7 +167,7 @@
             .in_progress
             .insert(key.clone(), now.mono_ms + self.settings.retry_delay_ms);
         if is_clear {
-            let Unclear {
+            let DrainCheck {
                 window,
                 server,
                 epoch,
--- a/crates/coordinator/src/core/leadership_state.rs
+++ b/crates/coordinator/src/core/leadership_state.rs
@@ -1,6 +1,6 @@
 //! State of a leader within its term: its proposals, and the actions in progress.
 
-use load_balancer_maintenance::{Action, Server, Step, Unclear};
+use load_balancer_maintenance::{Action, DrainCheck, Server, Step};
 use std::collections::BTreeMap;
 
 /// The origin of a proposal.
@@ -43,7 +43,7 @@
         }
     }
 
-    pub(super) fn of_drain_check(check: &Unclear) -> Self {
+    pub(super) fn of_drain_check(check: &DrainCheck) -> Self {
         Self {
             window: check.window,
             server: check.server.clone(),
--- a/crates/coordinator/tests/core/platform.rs
+++ b/crates/coordinator/tests/core/platform.rs
@@ -1,7 +1,7 @@
 //! A simulated platform that checks the invariants of every action it accepts.
 
 use load_balancer_maintenance::{
-    Action, Answer, DisruptionBudget, Health, Server, ServerObservation, Step, Unclear,
+    Action, Answer, DisruptionBudget, DrainCheck, Health, Server, ServerObservation, Step,
 };
 use std::collections::BTreeMap;
 
@@ -114,7 +114,7 @@
     }
 
     /// Returns whether a draining server is idle.
-    pub fn check_clear(&mut self, process: &Unclear) -> bool {
+    pub fn check_clear(&mut self, process: &DrainCheck) -> bool {
         let now = self.now;
         let Some(h) = self.servers.iter_mut().find(|h| h.name == process.server) else {
             return false;
--- a/crates/coordinator/tests/core/transit.rs
+++ b/crates/coordinator/tests/core/transit.rs
@@ -2,7 +2,7 @@
 
 use crate::world::{PATIENCE, World};
 use load_balancer_coordinator::core::{Input, Output, Reply};
-use load_balancer_maintenance::{Action, Answer, Outcome, Unclear};
+use load_balancer_maintenance::{Action, Answer, DrainCheck, Outcome};
 
 /// A message in transit.
 pub enum InTransit {
@@ -10,7 +10,7 @@
     Input(usize, Input),
     /// To the platform, from a coordinator.
     Action(usize, Action),
-    DrainCheck(usize, Unclear),
+    DrainCheck(usize, DrainCheck),
 }
 
 impl World {
--- a/crates/leases/src/event.rs
+++ b/crates/leases/src/event.rs
@@ -1,144 +1,145 @@
-//! The events that the lease state machine takes, and its answers.
+//! The events that the lease state machine applies, and their outcomes.
 
 use serde::{Deserialize, Serialize};
 
 /// Longest name of a task, a process or a zone, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Shortest lease, in milliseconds: elections among those who agree would end a shorter one.
+/// Shortest lease, in milliseconds: a coordinator election would outlast a shorter one.
 pub const MIN_LEASE_MS: u64 = 100;
-/// Longest lease, in milliseconds: after a kill its task may stay undone for as long.
+/// Longest lease, in milliseconds: after its holder is killed, a task may have no holder for as
+/// long.
 pub const MAX_LEASE_MS: u64 = 3_600_000;
 
-/// Who wants a task.
+/// A process that claims a task.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Claimant {
-    /// Its name, one of a kind among those who want this task.
+    /// Its name, unique among the claimants of this task.
     pub name: String,
-    /// Grows with each start of a process of that name, and is never reused.
+    /// Grows with each start of a process of that name and is never reused.
     pub incarnation: u64,
-    /// Its zone, for people.
+    /// Its zone; informational only.
     #[serde(default)]
     pub zone: String,
-    /// Who waits with a higher rank goes first; a process in the task's home zone asks with a
-    /// higher one.
+    /// Claimants of a higher rank go first; a process in the task's home zone claims with a higher
+    /// one.
     #[serde(default)]
     pub rank: u32,
-    /// For how long the task is its own after it was last heard, in milliseconds.
+    /// How long a grant lasts after the last renewal, in milliseconds.
     pub lease_ms: u64,
 }
 
-/// One agreed event.
+/// One event of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Event {
-    /// Somebody wants the task and waits for it; asked again it says that it is still there. From
-    /// the holder it is a renewal.
+    /// A process claims the task and waits for it; repeated, it shows that the process is still
+    /// alive. From the holder it is a renewal.
     Ask {
         /// The task's name.
         task: String,
-        /// Who asks.
+        /// The claimant.
         by: Claimant,
     },
-    /// The holder is still there.
+    /// The holder renews its lease.
     Renew {
         /// The task's name.
         task: String,
         /// The holder's name.
         name: String,
-        /// The token that it holds the task by.
+        /// The token of its lease.
         token: u64,
     },
-    /// The holder has stopped, and gives the task back.
+    /// The holder has stopped acting and releases the task.
     Release {
         /// The task's name.
         task: String,
         /// The holder's name.
         name: String,
-        /// The token that it held the task by.
+        /// The token of its lease.
         token: u64,
     },
-    /// The holder has stopped, and hands the task to one who waits for it.
+    /// The holder has stopped acting and transfers the task to a waiting claimant.
     Transfer {
         /// The task's name.
         task: String,
         /// The holder's name.
         name: String,
-        /// The token that it held the task by.
+        /// The token of its lease.
         token: u64,
-        /// Who is to have it.
+        /// The name of the next holder.
         heir: String,
     },
-    /// Who waited wants the task no more.
+    /// A waiting claimant withdraws its claim.
     Withdraw {
         /// The task's name.
         task: String,
-        /// Who waited.
+        /// The claimant's name.
         name: String,
     },
-    /// The leader has not heard the holder for a whole lease. Counts only where it was not heard
-    /// since.
+    /// The leader has not heard from the holder for a whole lease. Ignored if the holder renewed in
+    /// the meantime.
     Expire {
         /// The task's name.
         task: String,
         /// The token of the lease that ends.
         token: u64,
-        /// How often it had been renewed.
+        /// How many renewals it had then.
         renewals: u64,
     },
-    /// The leader has not heard one who waits for a whole lease. Counts only where it was not heard
-    /// since.
+    /// The leader has not heard from a waiting claimant for a whole lease. Ignored if it claimed
+    /// again in the meantime.
     Forget {
         /// The task's name.
         task: String,
-        /// Who waited.
+        /// The claimant's name.
         name: String,
-        /// How often it had asked.
+        /// How many claims it had made then.
         asks: u64,
     },
 }
 
-/// What [`LeaseTable::apply`](crate::LeaseTable::apply) answers.
+/// The result of [`LeaseTable::apply`](crate::LeaseTable::apply).
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// The task is the asker's, for `lease_ms` from the moment in which it *sent* what this
-    /// answers.
+    /// The task belongs to the claimant for `lease_ms`, counted from when it *sent* the message
+    /// that this answers.
     Granted {
-        /// What its acts go with.
+        /// The fencing token that its actions carry.
         token: u64,
-        /// The lease, in milliseconds.
+        /// The length of the lease, in milliseconds.
         lease_ms: u64,
-        /// Somebody of a higher rank waits: the task should be handed over.
+        /// A claimant of a higher rank waits: the task should be transferred to it.
         wanted_by: Option<String>,
     },
-    /// Somebody else holds it.
+    /// Another process holds the task.
     Waits {
-        /// Who holds it.
+        /// The holder's name.
         holder: String,
-        /// How many go first.
+        /// How many claimants go first.
         before: usize,
     },
-    /// The event is taken.
+    /// The event was applied.
     Taken,
-    /// The event says nothing that still counts.
+    /// The event is out of date and changes nothing.
     Ignored,
-    /// The event can't be taken.
+    /// The event was rejected.
     Refused(Refusal),
 }
 
-/// Why an event can't be taken.
+/// Why an event was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Refusal {
-    /// A key of it is wrong, and why.
+    /// One of its fields is invalid: the field's name and the reason.
     Invalid(String, String),
-    /// The task is not the caller's, or no more under that token.
+    /// The caller does not hold the task, or no longer under that token.
     NotYours,
-    /// A later process of that name holds the task or waits for it.
+    /// A later incarnation of that process holds the task or waits for it.
     OldLife,
-    /// The heir does not wait for the task.
+    /// The named next holder does not wait for the task.
     NotWaiting,
-    /// Too many tasks, or too many wait for this one.
+    /// There are too many tasks, or too many claimants wait for this one.
     Full,
 }
--- a/crates/leases/src/fencing_gate.rs
+++ b/crates/leases/src/fencing_gate.rs
@@ -1,59 +1,65 @@
-//! The check of fencing tokens at the thing that is acted on.
+//! The check of fencing tokens at the resource that is acted on.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The highest token seen of each task, at whatever is acted on. Where acts outlive the process, it
-/// is kept on disk.
+/// The highest token seen for each task, kept by the resource that is acted on. If its actions
+/// outlive the process, the gate must be kept on disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FencingGate {
-    seen: BTreeMap<String, u64>,
+    #[serde(rename = "seen")]
+    highest_tokens: BTreeMap<String, u64>,
 }
 
-/// An act may be done.
+/// The action may be performed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Pass {
+pub enum GatePass {
     /// Its token was seen before.
-    Known,
-    /// Its token is the highest so far: where the gate is kept on disk it must be there before the
-    /// act is done.
-    First,
+    Seen,
+    /// Its token is the highest so far: a gate that is kept on disk must be written before the
+    /// action is performed.
+    New,
 }
 
-/// An act may not be done.
+/// The action must not be performed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stale {
+pub enum GateRejection {
     /// A higher token was seen.
-    Seen(u64),
-    /// The gate has as many tasks as it was told to keep.
+    StaleToken(u64),
+    /// The gate already stores its maximum number of tasks.
     Full,
 }
 
 impl FencingGate {
-    /// Whether an act on a task with that token may be done; a higher token than seen is
-    /// remembered. Keeps at most `most` tasks.
+    /// Checks whether an action on a task with that token may be performed, and remembers a token
+    /// that is higher than any before. Stores at most `max_tasks` tasks.
     ///
     /// # Errors
-    /// It may not, with the reason.
-    pub fn pass(&mut self, task: &str, token: u64, most: usize) -> Result<Pass, Stale> {
-        let full = self.seen.len() >= most;
-        match self.seen.get_mut(task) {
-            Some(seen) if token < *seen => Err(Stale::Seen(*seen)),
-            Some(seen) if token == *seen => Ok(Pass::Known),
-            Some(seen) => {
-                *seen = token;
-                Ok(Pass::First)
+    /// The token is stale, or the gate is full.
+    pub fn check(
+        &mut self,
+        task: &str,
+        token: u64,
+        max_tasks: usize,
+    ) -> Result<GatePass, GateRejection> {
+        let full = self.highest_tokens.len() >= max_tasks;
+        match self.highest_tokens.get_mut(task) {
+            Some(seen) if token < *seen => Err(GateRejection::StaleToken(*seen)),
+            Some(highest) if token == *highest => Ok(GatePass::Seen),
+            Some(highest) => {
+                *highest = token;
+                Ok(GatePass::New)
             }
-            None if full => Err(Stale::Full),
+            None if full => Err(GateRejection::Full),
             None => {
-                self.seen.insert(task.to_owned(), token);
-                Ok(Pass::First)
+                self.highest_tokens.insert(task.to_owned(), token);
+                Ok(GatePass::New)
             }
         }
     }
 
-    /// The highest token seen of a task.
-    pub fn seen(&self, task: &str) -> Option<u64> {
-        self.seen.get(task).copied()
+    /// The highest token seen for a task.
+    pub fn highest_token(&self, task: &str) -> Option<u64> {
+        self.highest_tokens.get(task).copied()
     }
 }
--- a/crates/leases/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -1,94 +1,94 @@
-//! A process that claims a singleton task, and when it must stop acting.
+//! A process that claims a singleton task, and the times at which it may act.
 
 use crate::event::{Claimant, Event, Outcome, Refusal};
 use std::collections::VecDeque;
 
-/// Askings in a lease while they are answered, and while they are not: six in a row may be lost
-/// before the task is.
-const ASKS: u64 = 4;
-const ASKS_AGAIN: u64 = 8;
-/// Askings whose answers are still waited for; older ones count as lost.
-const OPEN: usize = 8;
+/// Messages per lease while they are answered, and while they are not: six in a row may be lost
+/// before the lease expires.
+const RENEWALS_PER_LEASE: u64 = 4;
+const RETRIES_PER_LEASE: u64 = 8;
+/// Messages that may be unanswered; older ones count as lost.
+const MAX_UNANSWERED: usize = 8;
 
-/// How a holder keeps time.
+/// The limits that a holder measures time by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTerms {
-    /// By how much the rates of two processes' clocks may differ, in thousandths.
-    pub rate_permille: u64,
-    /// A holder that was not run for that long, in milliseconds, has been stopped: it acts on
-    /// nothing until it has asked again.
-    pub pause_ms: u64,
+    /// The largest difference between the rates of two processes' clocks, in thousandths.
+    pub clock_drift_permille: u64,
+    /// A holder that did not run for longer than this, in milliseconds, was paused: it must not act
+    /// until its lease has been confirmed again.
+    pub max_pause_ms: u64,
 }
 
-/// The right to act, now.
+/// The right to act now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseGrant {
-    /// What each act goes with.
+    /// The fencing token that each action carries.
     pub token: u64,
-    /// The right ends at this moment of the holder's clock, in milliseconds.
-    pub until_ms: u64,
+    /// The end of the right, by the holder's clock, in milliseconds.
+    pub expires_ms: u64,
 }
 
-/// Something to send to those who agree.
+/// A message for the coordinators.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseMessage {
-    /// Its number; [`Holder::receive`] wants it with the answer.
+    /// Its number, to be given to [`Holder::receive`] with the answer.
     pub number: u64,
-    /// What is said.
+    /// The event it carries.
     pub event: Event,
 }
 
-/// One process's side of one task. Times are of the process's own monotonic clock, in milliseconds.
+/// One process's side of one task. Times are by the process's own monotonic clock, in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Holder {
     task: String,
-    by: Claimant,
+    claimant: Claimant,
     terms: LeaseTerms,
-    wants: bool,
-    /// Token, end, and whether it has been said again since this process was last stopped.
-    held: Option<(u64, u64, bool)>,
-    wanted_by: Option<String>,
-    /// A token that is to be given back, and to whom.
-    back: Option<(u64, Option<String>)>,
-    number: u64,
-    /// Askings without an answer yet: number, when it was sent.
-    open: VecDeque<(u64, u64)>,
-    beat_ms: Option<u64>,
-    next_ms: u64,
+    is_claiming: bool,
+    /// Token, end, and whether the lease was confirmed since this process was last paused.
+    lease: Option<(u64, u64, bool)>,
+    requested_by: Option<String>,
+    /// A token to be released, and the next holder if one is named.
+    release: Option<(u64, Option<String>)>,
+    last_number: u64,
+    /// Messages without an answer yet: number and time of sending.
+    unanswered: VecDeque<(u64, u64)>,
+    last_tick_ms: Option<u64>,
+    next_message_ms: u64,
 }
 
 impl Holder {
-    /// One that wants the task.
-    pub fn new(task: &str, by: Claimant, terms: LeaseTerms) -> Self {
-        let (held, wanted_by, back, beat_ms) = (None, None, None, None);
-        let (number, open, next_ms, wants) = (0, VecDeque::new(), 0, true);
+    /// A holder that claims the task.
+    pub fn new(task: &str, claimant: Claimant, terms: LeaseTerms) -> Self {
+        let (lease, requested_by, release, last_tick_ms) = (None, None, None, None);
+        let (last_number, unanswered, next_message_ms, is_claiming) = (0, VecDeque::new(), 0, true);
         Self {
             task: task.to_owned(),
-            by,
+            claimant,
             terms,
-            wants,
-            held,
-            wanted_by,
-            back,
-            number,
-            open,
-            beat_ms,
-            next_ms,
+            is_claiming,
+            lease,
+            requested_by,
+            release,
+            last_number,
+            unanswered,
+            last_tick_ms,
+            next_message_ms,
         }
     }
 
-    /// Is to be called more often than each [`LeaseTerms::pause_ms`]; says what is to be sent now,
-    /// if anything is.
+    /// Returns the message to be sent now, if there is one. Must be called more often than every
+    /// [`LeaseTerms::max_pause_ms`].
     pub fn tick(&mut self, now_ms: u64) -> Option<LeaseMessage> {
-        self.notice_pause(now_ms);
-        if self.held.is_some_and(|(_, end, _)| end <= now_ms) {
-            (self.held, self.wanted_by) = (None, None);
+        self.detect_pause(now_ms);
+        if self.lease.is_some_and(|(_, end, _)| end <= now_ms) {
+            (self.lease, self.requested_by) = (None, None);
         }
-        if now_ms < self.next_ms {
+        if now_ms < self.next_message_ms {
             return None;
         }
-        let (task, name) = (self.task.clone(), self.by.name.clone());
-        let event = match (&self.back, self.held) {
+        let (task, name) = (self.task.clone(), self.claimant.name.clone());
+        let event = match (&self.release, self.lease) {
             (Some((token, None)), _) => Event::Release {
                 task,
                 name,
@@ -100,118 +100,130 @@
                 token: *token,
                 heir: heir.clone(),
             },
-            (None, _) if !self.wants => return None,
+            (None, _) if !self.is_claiming => return None,
             (None, Some((token, ..))) => Event::Renew { task, name, token },
             (None, None) => Event::Ask {
                 task,
-                by: self.by.clone(),
+                by: self.claimant.clone(),
             },
         };
-        self.next_ms = now_ms + (self.by.lease_ms / ASKS_AGAIN).max(1);
-        self.number += 1;
-        if self.open.len() >= OPEN {
-            self.open.pop_front();
+        self.next_message_ms = now_ms + (self.claimant.lease_ms / RETRIES_PER_LEASE).max(1);
+        self.last_number += 1;
+        if self.unanswered.len() >= MAX_UNANSWERED {
+            self.unanswered.pop_front();
         }
-        self.open.push_back((self.number, now_ms));
+        self.unanswered.push_back((self.last_number, now_ms));
         Some(LeaseMessage {
-            number: self.number,
+            number: self.last_number,
             event,
         })
     }
 
-    /// Takes the answer to the message of that number. One that comes late counts from when its
-    /// message was sent; one to a message of before a stop counts for nothing.
+    /// Takes the answer to the message of that number. A late answer counts from when its message
+    /// was sent; an answer to a message from before a pause is ignored.
     pub fn receive(&mut self, now_ms: u64, number: u64, outcome: &Outcome) {
-        self.notice_pause(now_ms);
-        let Some(place) = self.open.iter().position(|(open, _)| *open == number) else {
+        self.detect_pause(now_ms);
+        let Some(position) = self.unanswered.iter().position(|(open, _)| *open == number) else {
             return;
         };
-        let sent_ms = self.open.remove(place).map_or(0, |(_, sent)| sent);
-        self.next_ms = self.next_ms.max(sent_ms + self.by.lease_ms / ASKS);
+        let sent_ms = self.unanswered.remove(position).map_or(0, |(_, sent)| sent);
+        self.next_message_ms = self
+            .next_message_ms
+            .max(sent_ms + self.claimant.lease_ms / RENEWALS_PER_LEASE);
         match outcome {
             Outcome::Granted {
                 token,
                 lease_ms,
                 wanted_by,
-            } if self.back.is_none() && self.wants => {
-                let end = sent_ms + lease_ms * (1000 - self.terms.rate_permille.min(1000)) / 1000;
-                // An older answer that comes last takes nothing back.
-                let last = self
-                    .held
-                    .filter(|(held, last, _)| held == token && *last > end);
-                if last.is_none() && self.held.is_none_or(|(held, ..)| held <= *token) {
-                    self.held = Some((*token, end, true));
-                    self.wanted_by.clone_from(wanted_by);
+            } if self.release.is_none() && self.is_claiming => {
+                let expires_ms =
+                    sent_ms + lease_ms * (1000 - self.terms.clock_drift_permille.min(1000)) / 1000;
+                // A delayed older answer must not shorten the lease.
+                let longer_lease = self
+                    .lease
+                    .filter(|(held, last, _)| held == token && *last > expires_ms);
+                if longer_lease.is_none() && self.lease.is_none_or(|(held, ..)| held <= *token) {
+                    self.lease = Some((*token, expires_ms, true));
+                    self.requested_by.clone_from(wanted_by);
                 }
             }
-            // The task came to somebody who wants it no more.
-            Outcome::Granted { token, .. } => self.back = self.back.take().or(Some((*token, None))),
+            // The task was granted after the claim was given up.
+            Outcome::Granted { token, .. } => {
+                self.release = self.release.take().or(Some((*token, None)))
+            }
             Outcome::Refused(Refusal::NotWaiting) => {
-                // The heir has gone meanwhile: whoever waits may have it.
-                self.back = self.back.take().map(|(token, _)| (token, None));
-                self.next_ms = now_ms;
+                // The next holder has withdrawn: release the task to any claimant.
+                self.release = self.release.take().map(|(token, _)| (token, None));
+                self.next_message_ms = now_ms;
             }
             Outcome::Taken | Outcome::Refused(Refusal::NotYours) => {
-                // What was said before this says nothing of what comes now.
-                (self.held, self.wanted_by, self.back) = (None, None, None);
-                self.open.clear();
-                self.next_ms = now_ms;
+                // Outstanding messages are about the lease that ended.
+                (self.lease, self.requested_by, self.release) = (None, None, None);
+                self.unanswered.clear();
+                self.next_message_ms = now_ms;
             }
             Outcome::Refused(Refusal::OldLife) => {
-                (self.held, self.wanted_by, self.back, self.wants) = (None, None, None, false);
+                (
+                    self.lease,
+                    self.requested_by,
+                    self.release,
+                    self.is_claiming,
+                ) = (None, None, None, false);
             }
             Outcome::Waits { .. } | Outcome::Ignored | Outcome::Refused(_) => {}
         }
     }
 
-    /// The right to act at this moment. An act that takes long is to be ended before
-    /// [`LeaseGrant::until_ms`].
+    /// The right to act now. A long action must end before [`LeaseGrant::expires_ms`].
     pub fn may_act(&self, now_ms: u64) -> Option<LeaseGrant> {
-        let (token, until_ms, fresh) = self.held?;
-        let awake = self
-            .beat_ms
-            .is_some_and(|tick| now_ms.saturating_sub(tick) <= self.terms.pause_ms);
-        (fresh && awake && now_ms < until_ms).then_some(LeaseGrant { token, until_ms })
+        let (token, until_ms, is_confirmed) = self.lease?;
+        let not_paused = self
+            .last_tick_ms
+            .is_some_and(|tick| now_ms.saturating_sub(tick) <= self.terms.max_pause_ms);
+        (is_confirmed && not_paused && now_ms < until_ms).then_some(LeaseGrant {
+            token,
+            expires_ms: until_ms,
+        })
     }
 
-    /// Somebody of a higher rank waits for what this one holds.
-    pub fn wanted_by(&self) -> Option<&str> {
-        self.wanted_by.as_deref()
+    /// The claimant of a higher rank that waits for the task this process holds.
+    pub fn requested_by(&self) -> Option<&str> {
+        self.requested_by.as_deref()
     }
 
-    /// Something was said of the task's holder: ask at once.
-    pub fn hurry(&mut self, now_ms: u64) {
-        self.next_ms = self.next_ms.min(now_ms);
+    /// Sends the next message at once, after a change of the task's holder was reported.
+    pub fn send_now(&mut self, now_ms: u64) {
+        self.next_message_ms = self.next_message_ms.min(now_ms);
     }
 
-    /// Stops acting at once and gives the task back, to the heir if one is named who waits for it.
-    /// It goes on to want the task if `wants`.
-    pub fn release(&mut self, now_ms: u64, heir: Option<&str>, wants: bool) {
-        self.wants = wants;
-        if let Some((token, ..)) = self.held.take() {
-            self.back = Some((token, heir.map(str::to_owned)));
-            // An answer that is still on its way must not bring back what was given away.
-            self.open.clear();
-            (self.wanted_by, self.next_ms) = (None, now_ms);
+    /// Stops acting at once and releases the task, to the successor if one is named and still waits
+    /// for it. The process goes on claiming the task if `keep_claiming` is set.
+    pub fn release(&mut self, now_ms: u64, successor: Option<&str>, keep_claiming: bool) {
+        self.is_claiming = keep_claiming;
+        if let Some((token, ..)) = self.lease.take() {
+            self.release = Some((token, successor.map(str::to_owned)));
+            // An answer in transit must not restore the released lease.
+            self.unanswered.clear();
+            (self.requested_by, self.next_message_ms) = (None, now_ms);
         }
     }
 
-    fn notice_pause(&mut self, now_ms: u64) {
-        let slept = self
-            .beat_ms
-            .is_some_and(|tick| now_ms.saturating_sub(tick) > self.terms.pause_ms);
-        if slept {
-            self.open.clear();
-            self.next_ms = now_ms;
-            self.held = self.held.map(|(token, end, _)| (token, end, false));
+    fn detect_pause(&mut self, now_ms: u64) {
+        let was_paused = self
+            .last_tick_ms
+            .is_some_and(|tick| now_ms.saturating_sub(tick) > self.terms.max_pause_ms);
+        if was_paused {
+            self.unanswered.clear();
+            self.next_message_ms = now_ms;
+            self.lease = self.lease.map(|(token, end, _)| (token, end, false));
         }
-        self.beat_ms = Some(self.beat_ms.map_or(now_ms, |tick| tick.max(now_ms)));
+        self.last_tick_ms = Some(self.last_tick_ms.map_or(now_ms, |tick| tick.max(now_ms)));
     }
 
-    /// As if the message of that number were sent only now: a fault that the model plants.
+    /// Treats the message of that number as sent only now: a fault that the model plants.
     #[cfg(test)]
-    pub(crate) fn sent_now(&mut self, now_ms: u64, number: u64) {
-        self.open
+    pub(crate) fn restamp_message(&mut self, now_ms: u64, number: u64) {
+        self.unanswered
             .iter_mut()
             .filter(|(open, _)| *open == number)
             .for_each(|(_, sent)| *sent = now_ms);
--- a/crates/leases/src/machine.rs
+++ b/crates/leases/src/machine.rs
@@ -1,30 +1,31 @@
-//! The lease state machine: who gets a singleton task, and when a lease ends.
+//! The lease state machine: which process holds a singleton task, and when its lease ends.
 
 use crate::event::{Claimant, Event, MAX_LEASE_MS, MAX_NAME_BYTES, MIN_LEASE_MS, Outcome, Refusal};
 use crate::task::{HeldLease, Task, Waiting};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Most tasks: one for each server group and each limit of a large fleet, and some to spare.
+/// Most tasks: one for each server group and each limit of a large fleet, with headroom.
 pub const MAX_TASKS: usize = 4_096;
-/// Most who wait for one task: a few in each zone.
+/// Most claimants that wait for one task: a few in each zone.
 pub const MAX_WAITING: usize = 16;
 
-/// All tasks. Serialized, it is the snapshot of them.
+/// All tasks. Its serialized form is the snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseTable {
-    /// The last token that was given, of any task.
-    token: u64,
+    /// The last token that was granted, for any task.
+    #[serde(rename = "token")]
+    last_token: u64,
     /// The number of the last change of a holder.
     change: u64,
     tasks: BTreeMap<String, Task>,
 }
 
 impl LeaseTable {
-    /// Takes the next agreed event.
+    /// Applies the next event of the log.
     pub fn apply(&mut self, event: Event) -> Outcome {
         match event {
-            Event::Ask { task, by } => self.ask(&task, by),
+            Event::Ask { task, by } => self.claim(&task, by),
             Event::Renew { task, name, token } => self.renew(&task, &name, token),
             Event::Release { task, name, token } => self.release(&task, &name, token, None),
             Event::Transfer {
@@ -33,8 +34,10 @@
                 token,
                 heir,
             } => self.release(&task, &name, token, Some(&heir)),
-            Event::Withdraw { task, name } => self.leave(&task, &name, |_| true),
-            Event::Forget { task, name, asks } => self.leave(&task, &name, |w| w.asks == asks),
+            Event::Withdraw { task, name } => self.remove_waiting(&task, &name, |_| true),
+            Event::Forget { task, name, asks } => {
+                self.remove_waiting(&task, &name, |w| w.asks == asks)
+            }
             Event::Expire {
                 task,
                 token,
@@ -48,9 +51,9 @@
         &self.tasks
     }
 
-    /// The last token that was given.
+    /// The last token that was granted.
     pub fn last_token(&self) -> u64 {
-        self.token
+        self.last_token
     }
 
     /// The number of the last change of a holder.
@@ -58,60 +61,63 @@
         self.change
     }
 
-    /// Duties whose holder changed after that change.
+    /// Tasks whose holder changed after that change.
     pub fn changed_since(&self, change: u64) -> impl Iterator<Item = (&String, &Task)> {
         self.tasks
             .iter()
             .filter(move |(_, task)| task.changed > change)
     }
 
-    fn ask(&mut self, name: &str, by: Claimant) -> Outcome {
-        if let Err((key, why)) = check(name, &by) {
-            return Outcome::Refused(Refusal::Invalid(key.to_owned(), why));
+    fn claim(&mut self, name: &str, claimant: Claimant) -> Outcome {
+        if let Err((key, reason)) = validate(name, &claimant) {
+            return Outcome::Refused(Refusal::Invalid(key.to_owned(), reason));
         }
-        if !self.tasks.contains_key(name) && self.tasks.len() >= MAX_TASKS && !self.drop_idle() {
+        if !self.tasks.contains_key(name)
+            && self.tasks.len() >= MAX_TASKS
+            && !self.remove_idle_tasks()
+        {
             return Outcome::Refused(Refusal::Full);
         }
         let task = self.tasks.entry(name.to_owned()).or_default();
-        let lives = task
+        let known_claimants = task
             .held
             .iter()
             .map(|h| &h.by)
             .chain(task.waiting.iter().map(|w| &w.by));
-        if lives
+        if known_claimants
             .into_iter()
-            .any(|known| known.name == by.name && known.incarnation > by.incarnation)
+            .any(|known| known.name == claimant.name && known.incarnation > claimant.incarnation)
         {
             return Outcome::Refused(Refusal::OldLife);
         }
-        if let Some(held) = task
+        if let Some(lease) = task
             .held
             .as_mut()
-            .filter(|h| (&h.by.name, h.by.incarnation) == (&by.name, by.incarnation))
+            .filter(|h| (&h.by.name, h.by.incarnation) == (&claimant.name, claimant.incarnation))
         {
-            // It counts the lease from this very asking, so who watches must do so too.
-            held.renewals += 1;
-            (held.by.rank, held.by.zone) = (by.rank, by.zone);
-            return self.granted(name);
+            // The holder counts its lease from this message, so the holder monitor must as well.
+            lease.renewals += 1;
+            (lease.by.rank, lease.by.zone) = (claimant.rank, claimant.zone);
+            return self.grant_outcome(name);
         }
-        // Whoever asks with a new rank stands at the end of that rank.
-        let asker = by.name.clone();
+        // A claimant whose rank changed goes to the end of its new rank.
+        let asker = claimant.name.clone();
         match task
             .waiting
             .iter_mut()
-            .find(|w| w.by.name == asker && w.by.rank == by.rank)
+            .find(|w| w.by.name == asker && w.by.rank == claimant.rank)
         {
-            Some(known) => (known.by, known.asks) = (by, known.asks + 1),
+            Some(waiting) => (waiting.by, waiting.asks) = (claimant, waiting.asks + 1),
             None => {
-                let asks = task.take(&asker).map_or(0, |known| known.asks) + 1;
+                let asks = task.remove_waiting(&asker).map_or(0, |known| known.asks) + 1;
                 if task.waiting.len() >= MAX_WAITING {
                     return Outcome::Refused(Refusal::Full);
                 }
-                task.wait(Waiting { by, asks });
+                task.insert_waiting(Waiting { by: claimant, asks });
             }
         }
-        self.fill(name);
-        self.answer(name, &asker)
+        self.grant_next(name);
+        self.claim_outcome(name, &asker)
     }
 
     fn renew(&mut self, name: &str, holder: &str, token: u64) -> Outcome {
@@ -125,11 +131,17 @@
             }) => held.renewals += 1,
             _ => return Outcome::Refused(Refusal::NotYours),
         }
-        self.granted(name)
+        self.grant_outcome(name)
     }
 
-    /// Gives a task back, to the heir if one is named.
-    fn release(&mut self, name: &str, holder: &str, token: u64, heir: Option<&str>) -> Outcome {
+    /// Releases a task, to the successor if one is named.
+    fn release(
+        &mut self,
+        name: &str,
+        holder: &str,
+        token: u64,
+        successor: Option<&str>,
+    ) -> Outcome {
         let Some(task) = self
             .tasks
             .get_mut(name)
@@ -137,73 +149,79 @@
         else {
             return Outcome::Refused(Refusal::NotYours);
         };
-        if let Some(heir) = heir {
-            let Some(next) = task.take(heir) else {
+        if let Some(heir) = successor {
+            let Some(next) = task.remove_waiting(heir) else {
                 return Outcome::Refused(Refusal::NotWaiting);
             };
-            // However many of a higher rank wait: this one was named.
+            // The named successor goes ahead of claimants of a higher rank.
             task.waiting.insert(0, next);
         }
         task.held = None;
-        self.fill(name);
+        self.grant_next(name);
         Outcome::Taken
     }
 
     fn expire(&mut self, name: &str, token: u64, renewals: u64) -> Outcome {
-        let ended = |held: &HeldLease| (held.token, held.renewals) == (token, renewals);
+        let matches = |held: &HeldLease| (held.token, held.renewals) == (token, renewals);
         let Some(task) = self
             .tasks
             .get_mut(name)
-            .filter(|d| d.held.as_ref().is_some_and(ended))
+            .filter(|d| d.held.as_ref().is_some_and(matches))
         else {
             return Outcome::Ignored;
         };
         task.held = None;
-        self.fill(name);
+        self.grant_next(name);
         Outcome::Taken
     }
 
-    fn leave(&mut self, name: &str, who: &str, is: impl Fn(&Waiting) -> bool) -> Outcome {
+    fn remove_waiting(
+        &mut self,
+        name: &str,
+        waiting_name: &str,
+        matches: impl Fn(&Waiting) -> bool,
+    ) -> Outcome {
         let Some(task) = self.tasks.get_mut(name) else {
             return Outcome::Ignored;
         };
-        let before = task.waiting.len();
-        task.waiting.retain(|w| w.by.name != who || !is(w));
-        if task.waiting.len() < before {
+        let previous_length = task.waiting.len();
+        task.waiting
+            .retain(|w| w.by.name != waiting_name || !matches(w));
+        if task.waiting.len() < previous_length {
             Outcome::Taken
         } else {
             Outcome::Ignored
         }
     }
 
-    /// Gives a task that nobody holds to the first who waits.
-    fn fill(&mut self, name: &str) {
+    /// Grants a task without a holder to the first waiting claimant.
+    fn grant_next(&mut self, name: &str) {
         let Some(task) = self.tasks.get_mut(name).filter(|task| task.held.is_none()) else {
             return;
         };
         self.change += 1;
         task.changed = self.change;
         if !task.waiting.is_empty() {
-            self.token += 1;
+            self.last_token += 1;
             let Waiting { by, .. } = task.waiting.remove(0);
             task.held = Some(HeldLease {
                 by,
-                token: self.token,
+                token: self.last_token,
                 renewals: 0,
             });
         }
     }
 
-    /// Makes room where nobody holds a task and nobody waits for it. The token is common to all, so
-    /// nothing is lost.
-    fn drop_idle(&mut self) -> bool {
-        let before = self.tasks.len();
+    /// Removes the tasks that have neither a holder nor a claimant. Tokens are numbered across all
+    /// tasks, so no token is ever granted again.
+    fn remove_idle_tasks(&mut self) -> bool {
+        let previous_length = self.tasks.len();
         self.tasks
             .retain(|_, task| task.held.is_some() || !task.waiting.is_empty());
-        self.tasks.len() < before
+        self.tasks.len() < previous_length
     }
 
-    fn granted(&self, name: &str) -> Outcome {
+    fn grant_outcome(&self, name: &str) -> Outcome {
         let Some((task, held)) = self
             .tasks
             .get(name)
@@ -215,11 +233,11 @@
         Outcome::Granted {
             token,
             lease_ms,
-            wanted_by: task.wanted_by(),
+            wanted_by: task.requested_by(),
         }
     }
 
-    fn answer(&self, name: &str, asker: &str) -> Outcome {
+    fn claim_outcome(&self, name: &str, asker: &str) -> Outcome {
         let Some(Task {
             held: Some(held),
             waiting,
@@ -229,7 +247,7 @@
             return Outcome::Ignored;
         };
         if held.by.name == asker && !waiting.iter().any(|w| w.by.name == asker) {
-            return self.granted(name);
+            return self.grant_outcome(name);
         }
         let before = waiting
             .iter()
@@ -242,25 +260,25 @@
     }
 }
 
-/// Whether names and lease are within bounds; else the key and why.
-fn check(task: &str, by: &Claimant) -> Result<(), (&'static str, String)> {
-    let fits =
+/// Checks the names and the length of the lease; an error names the field and the reason.
+fn validate(task: &str, claimant: &Claimant) -> Result<(), (&'static str, String)> {
+    let is_valid_name =
         |name: &str| (1..=MAX_NAME_BYTES).contains(&name.len()) && !name.contains(char::is_control);
-    for (key, name) in [("duty", task), ("name", &by.name)] {
-        if !fits(name) {
+    for (key, name) in [("duty", task), ("name", &claimant.name)] {
+        if !is_valid_name(name) {
             return Err((
                 key,
                 format!("must have 1 to {MAX_NAME_BYTES} bytes and no control characters"),
             ));
         }
     }
-    if !by.zone.is_empty() && !fits(&by.zone) {
+    if !claimant.zone.is_empty() && !is_valid_name(&claimant.zone) {
         return Err((
             "zone",
             format!("must have at most {MAX_NAME_BYTES} bytes and no control characters"),
         ));
     }
-    if !(MIN_LEASE_MS..=MAX_LEASE_MS).contains(&by.lease_ms) {
+    if !(MIN_LEASE_MS..=MAX_LEASE_MS).contains(&claimant.lease_ms) {
         return Err((
             "lease_ms",
             format!("must be {MIN_LEASE_MS} to {MAX_LEASE_MS}"),
--- a/crates/leases/src/model.rs
+++ b/crates/leases/src/model.rs
@@ -1,5 +1,5 @@
-//! An exhaustive model: two processes that want one task, leaders that change, and messages that
-//! may arrive at any time, any number of times, or never.
+//! An exhaustive model: two processes claim one task, leaders change, and messages arrive at any
+//! time, any number of times, or never.
 
 mod explore;
 mod scope;
@@ -14,58 +14,58 @@
 
 const NAMES: [&str; 2] = ["a", "b"];
 const TASK: &str = "d";
-/// A lease, in milliseconds, and how much time passes in a step.
+/// The length of a lease, in milliseconds, and the time that passes in one step.
 const LEASE_MS: u64 = 300;
 const STEP_MS: u64 = 100;
-/// A third of a lease: one step that a holder's clock may fall behind.
+/// A third of a lease: the one step by which a holder's clock may fall behind.
 const RATE_PERMILLE: u64 = 334;
 
 struct Lease(PlantedFault, Scope);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Moment {
+struct ModelState {
     tasks: LeaseTable,
-    /// What a crash of those who agree goes back to, where they forget.
-    last: Option<LeaseTable>,
+    /// The state that coordinators fall back to if they lose their last event in a crash.
+    before_last_event: Option<LeaseTable>,
     holder_monitor: HolderMonitor,
     now: u64,
-    /// Steps by which each holder's clock is behind, and whether it is stopped.
-    behind: [u64; 2],
-    stopped: [bool; 2],
+    /// Steps by which each holder's clock is behind, and whether the holder is suspended.
+    clock_lag_steps: [u64; 2],
+    suspended: [bool; 2],
     holders: [Holder; 2],
-    lives: [u64; 2],
-    /// Who said it in which incarnation, its number.
+    incarnations: [u64; 2],
+    /// Sender, its incarnation and the message's number.
     messages: BTreeSet<(usize, u64, u64, Event)>,
     answers: BTreeSet<(usize, u64, Outcome)>,
-    /// Acts on their way: token and who.
-    acts: BTreeSet<(u64, usize)>,
+    /// Actions in transit: token and sender.
+    actions_in_transit: BTreeSet<(u64, usize)>,
     fencing_gate: FencingGate,
-    /// The highest token by which something was done, and by whom.
-    done: (u64, usize),
-    /// Something was done by an older token than before, or by one token of two processes.
-    broken: bool,
+    /// The highest token by which an action took effect, and its sender.
+    last_effect: (u64, usize),
+    /// An action took effect by a lower token than before, or by the same token of another process.
+    order_violated: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Move {
-    Pass,
-    /// Time passes, and this one's clock does not see it.
-    PassSlow(usize),
-    Beat(usize),
-    Stop(usize),
+enum Step {
+    AdvanceTime,
+    /// Time passes, but not by this holder's clock.
+    AdvanceTimeSlowClock(usize),
+    Tick(usize),
+    ToggleSuspended(usize),
     Crash(usize),
-    GiveBack(usize),
+    Release(usize),
     Act(usize),
     LeaseMessage(usize, u64, u64, Event),
     Answer(usize, u64, Outcome),
     Effect(u64, usize),
     HolderMonitor,
-    NewLeader,
-    Forget,
+    ChangeLeader,
+    LoseLastEvent,
 }
 
-fn claimant(who: usize, incarnation: u64) -> Claimant {
-    let (name, zone) = (NAMES[who].to_owned(), String::new());
+fn claimant(index: usize, incarnation: u64) -> Claimant {
+    let (name, zone) = (NAMES[index].to_owned(), String::new());
     Claimant {
         name,
         incarnation,
@@ -75,88 +75,88 @@
     }
 }
 
-fn holder(who: usize, incarnation: u64) -> Holder {
-    // A stop ends a holder's right in the model only by its clock and the gate, so that these are
-    // what is tried.
+fn holder(index: usize, incarnation: u64) -> Holder {
+    // Pauses are effectively unlimited, so that in the model only the clock and the fencing gate
+    // end a holder's right to act.
     Holder::new(
         TASK,
-        claimant(who, incarnation),
+        claimant(index, incarnation),
         LeaseTerms {
-            rate_permille: RATE_PERMILLE,
-            pause_ms: 100 * LEASE_MS,
+            clock_drift_permille: RATE_PERMILLE,
+            max_pause_ms: 100 * LEASE_MS,
         },
     )
 }
 
-impl Moment {
-    fn clock(&self, who: usize) -> u64 {
-        self.now - self.behind[who] * STEP_MS
+impl ModelState {
+    fn clock(&self, index: usize) -> u64 {
+        self.now - self.clock_lag_steps[index] * STEP_MS
     }
 
-    fn may_act(&self, who: usize) -> Option<u64> {
-        let right = self.holders[who]
-            .may_act(self.clock(who))
-            .filter(|_| !self.stopped[who])?;
-        Some(right.token)
+    fn may_act(&self, index: usize) -> Option<u64> {
+        let grant = self.holders[index]
+            .may_act(self.clock(index))
+            .filter(|_| !self.suspended[index])?;
+        Some(grant.token)
     }
 
-    fn agree(&mut self, planted: PlantedFault, event: Event) -> Outcome {
-        self.last = planted.forgets.then(|| self.tasks.clone());
+    fn apply(&mut self, fault: PlantedFault, event: Event) -> Outcome {
+        self.before_last_event = fault.loses_events.then(|| self.tasks.clone());
         self.tasks.apply(event)
     }
 }
 
 impl Model for Lease {
-    type State = Moment;
-    type Action = Move;
+    type State = ModelState;
+    type Action = Step;
 
-    fn init_states(&self) -> Vec<Moment> {
-        let mut moment = Moment {
+    fn init_states(&self) -> Vec<ModelState> {
+        let mut moment = ModelState {
             tasks: LeaseTable::default(),
-            last: None,
+            before_last_event: None,
             holder_monitor: HolderMonitor::default(),
             now: STEP_MS,
-            behind: [0; 2],
-            stopped: [false; 2],
+            clock_lag_steps: [0; 2],
+            suspended: [false; 2],
             holders: [holder(0, 1), holder(1, 1)],
-            lives: [1; 2],
+            incarnations: [1; 2],
             messages: BTreeSet::new(),
             answers: BTreeSet::new(),
-            acts: BTreeSet::new(),
+            actions_in_transit: BTreeSet::new(),
             fencing_gate: FencingGate::default(),
-            done: (0, 0),
-            broken: false,
+            last_effect: (0, 0),
+            order_violated: false,
         };
-        for who in (0..2).filter(|_| self.1.held) {
+        for who in (0..2).filter(|_| self.1.starts_held) {
             if let Some(LeaseMessage { number, event }) = moment.holders[who].tick(moment.now) {
-                let outcome = moment.agree(self.0, event);
-                if self.1.receive {
+                let outcome = moment.apply(self.0, event);
+                if self.1.grant_received {
                     moment.holders[who].receive(moment.now, number, &outcome);
                 } else {
                     moment.answers.insert((who, number, outcome));
                 }
             }
         }
-        if self.1.held {
+        if self.1.starts_held {
             moment.holder_monitor.due(moment.now, &moment.tasks, 0);
         }
         vec![moment]
     }
 
-    fn actions(&self, moment: &Moment, actions: &mut Vec<Move>) {
-        actions.extend([Move::Pass, Move::HolderMonitor, Move::NewLeader]);
+    fn actions(&self, moment: &ModelState, actions: &mut Vec<Step>) {
+        actions.extend([Step::AdvanceTime, Step::HolderMonitor, Step::ChangeLeader]);
         for who in 0..2 {
-            if self.1.faults && moment.behind[who] == 0 {
-                actions.push(Move::PassSlow(who));
+            if self.1.faults && moment.clock_lag_steps[who] == 0 {
+                actions.push(Step::AdvanceTimeSlowClock(who));
             }
-            if !moment.stopped[who] {
-                actions.extend([Move::Beat(who), Move::GiveBack(who)]);
+            if !moment.suspended[who] {
+                actions.extend([Step::Tick(who), Step::Release(who)]);
             }
             if self.1.faults {
-                actions.extend([Move::Stop(who), Move::Crash(who)]);
+                actions.extend([Step::ToggleSuspended(who), Step::Crash(who)]);
             }
             if moment.may_act(who).is_some() {
-                actions.push(Move::Act(who));
+                actions.push(Step::Act(who));
             }
         }
         actions.extend(
@@ -165,111 +165,117 @@
                 .iter()
                 .cloned()
                 .map(|(who, incarnation, number, event)| {
-                    Move::LeaseMessage(who, incarnation, number, event)
+                    Step::LeaseMessage(who, incarnation, number, event)
                 }),
         );
         let receive = moment
             .answers
             .iter()
-            .filter(|(who, ..)| !moment.stopped[*who])
+            .filter(|(who, ..)| !moment.suspended[*who])
             .cloned();
-        actions.extend(receive.map(|(who, number, outcome)| Move::Answer(who, number, outcome)));
+        actions.extend(receive.map(|(who, number, outcome)| Step::Answer(who, number, outcome)));
         actions.extend(
             moment
-                .acts
+                .actions_in_transit
                 .iter()
-                .map(|(token, who)| Move::Effect(*token, *who)),
+                .map(|(token, who)| Step::Effect(*token, *who)),
         );
-        if self.0.forgets {
-            actions.push(Move::Forget);
+        if self.0.loses_events {
+            actions.push(Step::LoseLastEvent);
         }
     }
 
-    fn next_state(&self, before: &Moment, action: Move) -> Option<Moment> {
+    fn next_state(&self, before: &ModelState, action: Step) -> Option<ModelState> {
         let mut moment = before.clone();
         match action {
-            Move::Pass => moment.now += STEP_MS,
-            Move::PassSlow(who) => {
+            Step::AdvanceTime => moment.now += STEP_MS,
+            Step::AdvanceTimeSlowClock(who) => {
                 moment.now += STEP_MS;
-                moment.behind[who] += 1;
+                moment.clock_lag_steps[who] += 1;
             }
-            Move::Beat(who) => {
+            Step::Tick(who) => {
                 let LeaseMessage { number, event } = moment.holders[who].tick(before.clock(who))?;
                 moment
                     .messages
-                    .insert((who, before.lives[who], number, event));
+                    .insert((who, before.incarnations[who], number, event));
             }
-            Move::Stop(who) => moment.stopped[who] = !moment.stopped[who],
-            Move::Crash(who) => {
-                moment.lives[who] += 1;
-                moment.holders[who] = holder(who, moment.lives[who]);
-                moment.stopped[who] = false;
-                // The answers of the last incarnation find nobody.
+            Step::ToggleSuspended(who) => moment.suspended[who] = !moment.suspended[who],
+            Step::Crash(who) => {
+                moment.incarnations[who] += 1;
+                moment.holders[who] = holder(who, moment.incarnations[who]);
+                moment.suspended[who] = false;
+                // Answers to the previous incarnation reach no one.
                 moment.answers.retain(|(to, ..)| *to != who);
             }
-            Move::GiveBack(who) => moment.holders[who].release(before.clock(who), None, true),
-            Move::Act(who) => {
-                moment.acts.insert((before.may_act(who)?, who));
+            Step::Release(who) => moment.holders[who].release(before.clock(who), None, true),
+            Step::Act(who) => {
+                moment
+                    .actions_in_transit
+                    .insert((before.may_act(who)?, who));
             }
-            Move::LeaseMessage(who, incarnation, number, event) => {
-                if self.1.once {
+            Step::LeaseMessage(who, incarnation, number, event) => {
+                if self.1.deliver_once {
                     moment
                         .messages
                         .remove(&(who, incarnation, number, event.clone()));
                 }
-                let outcome = moment.agree(self.0, event);
-                if incarnation == moment.lives[who] {
+                let outcome = moment.apply(self.0, event);
+                if incarnation == moment.incarnations[who] {
                     moment.answers.insert((who, number, outcome));
                 }
             }
-            Move::Answer(who, number, outcome) => {
+            Step::Answer(who, number, outcome) => {
                 let now = before.clock(who);
-                if self.0.from_answer && matches!(outcome, Outcome::Granted { .. }) {
+                if self.0.counts_from_answer && matches!(outcome, Outcome::Granted { .. }) {
                     // As if its message had been sent only now.
-                    moment.holders[who].sent_now(now, number);
+                    moment.holders[who].restamp_message(now, number);
                 }
                 moment.holders[who].receive(now, number, &outcome);
-                if self.1.once {
+                if self.1.deliver_once {
                     moment.answers.remove(&(who, number, outcome));
                 }
             }
-            Move::Effect(token, who) => {
-                moment.acts.remove(&(token, who));
-                if self.0.no_gate || moment.fencing_gate.pass(TASK, token, 1).is_ok() {
-                    moment.broken |=
-                        token < moment.done.0 || (token == moment.done.0 && who != moment.done.1);
-                    moment.done = moment.done.max((token, who));
+            Step::Effect(token, who) => {
+                moment.actions_in_transit.remove(&(token, who));
+                if self.0.no_fencing_gate || moment.fencing_gate.check(TASK, token, 1).is_ok() {
+                    moment.order_violated |= token < moment.last_effect.0
+                        || (token == moment.last_effect.0 && who != moment.last_effect.1);
+                    moment.last_effect = moment.last_effect.max((token, who));
                 }
             }
-            Move::HolderMonitor => {
-                let now = if self.0.no_wait { u64::MAX } else { moment.now };
+            Step::HolderMonitor => {
+                let now = if self.0.no_observation_period {
+                    u64::MAX
+                } else {
+                    moment.now
+                };
                 for event in moment.holder_monitor.due(now, &before.tasks, 1) {
-                    moment.agree(self.0, event);
+                    moment.apply(self.0, event);
                 }
-                if self.0.no_wait {
+                if self.0.no_observation_period {
                     moment.holder_monitor = HolderMonitor::default();
                     moment.holder_monitor.due(0, &moment.tasks, 0);
                 }
             }
-            Move::NewLeader => moment.holder_monitor = HolderMonitor::default(),
-            Move::Forget => moment.tasks = moment.last.take()?,
+            Step::ChangeLeader => moment.holder_monitor = HolderMonitor::default(),
+            Step::LoseLastEvent => moment.tasks = moment.before_last_event.take()?,
         }
         (moment != *before).then_some(moment)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one holder", |_, m: &Moment| {
+            Property::always("one holder", |_, m: &ModelState| {
                 m.may_act(0).is_none() || m.may_act(1).is_none()
             }),
-            Property::always("in order", |_, m: &Moment| !m.broken),
-            Property::always("tokens grow", |_, m: &Moment| {
+            Property::always("in order", |_, m: &ModelState| !m.order_violated),
+            Property::always("tokens grow", |_, m: &ModelState| {
                 m.fencing_gate
-                    .seen(TASK)
-                    .is_none_or(|seen| seen >= m.done.0)
+                    .highest_token(TASK)
+                    .is_none_or(|seen| seen >= m.last_effect.0)
             }),
-            Property::sometimes("taken again", |_, m: &Moment| m.done.0 >= 2),
-            Property::sometimes("refused", |_, m: &Moment| {
+            Property::sometimes("taken again", |_, m: &ModelState| m.last_effect.0 >= 2),
+            Property::sometimes("refused", |_, m: &ModelState| {
                 let refused = |(.., outcome): &(usize, u64, Outcome)| {
                     *outcome == Outcome::Refused(Refusal::NotYours)
                 };
--- a/crates/leases/src/model/explore.rs
+++ b/crates/leases/src/model/explore.rs
@@ -1,16 +1,16 @@
-//! Explores the model to a stated depth, also with rules removed, whose faults must be found.
+//! Explores the model to a given depth, also with planted faults that must be found.
 
 use super::{Lease, PlantedFault, Scope};
 use stateright::{Checker, HasDiscoveries, Model};
 
-/// Steps in a row that CI explores.
+/// Depth that CI explores.
 const DEPTH: usize = 6;
-/// The rules.
+/// The rules that must hold in every state.
 const RULES: [&str; 3] = ["one holder", "in order", "tokens grow"];
 
-/// Which rules were seen broken within that many steps, and how many states there are.
-fn explore(planted: PlantedFault, scope: Scope, depth: usize) -> (Vec<&'static str>, usize) {
-    let checker = Lease(planted, scope)
+/// The rules violated within that many steps, and the number of states.
+fn explore(fault: PlantedFault, scope: Scope, depth: usize) -> (Vec<&'static str>, usize) {
+    let checker = Lease(fault, scope)
         .checker()
         .threads(4)
         .target_max_depth(depth);
@@ -18,28 +18,28 @@
         .finish_when(HasDiscoveries::AnyFailures)
         .spawn_bfs()
         .join();
-    let broken = RULES
+    let violated = RULES
         .into_iter()
         .filter(|name| checker.discovery(name).is_some())
         .collect();
-    (broken, checker.unique_state_count())
+    (violated, checker.unique_state_count())
 }
 
-fn holds(scope: Scope, depth: usize, least: usize) {
+fn assert_rules_hold(scope: Scope, depth: usize, min_states: usize) {
     let (broken, states) = explore(PlantedFault::default(), scope, depth);
     println!("{scope:?}, depth {depth}: {states} states");
     assert!(broken.is_empty(), "{broken:?}");
-    assert!(states > least, "{states} states are no exploration");
+    assert!(states > min_states, "{states} states are too few");
 }
 
 #[test]
 fn no_order_of_messages_breaks_a_rule_from_nothing() {
-    holds(Scope::ALL, DEPTH, 1_000);
+    assert_rules_hold(Scope::ALL, DEPTH, 1_000);
 }
 
 #[test]
 fn no_order_of_messages_breaks_a_rule_while_the_lease_is_held() {
-    holds(Scope::HELD, DEPTH, 1_000);
+    assert_rules_hold(Scope::HELD, DEPTH, 1_000);
 }
 
 #[test]
@@ -49,26 +49,26 @@
         .ok()
         .and_then(|text| text.parse().ok())
         .unwrap_or(8);
-    holds(Scope::ALL, depth, 1_000);
-    holds(Scope::HELD, depth, 1_000);
-    holds(Scope::NARROW, depth + 3, 1_000);
+    assert_rules_hold(Scope::ALL, depth, 1_000);
+    assert_rules_hold(Scope::HELD, depth, 1_000);
+    assert_rules_hold(Scope::NARROW, depth + 3, 1_000);
 }
 
-/// Explores until the rule is seen broken, at most to that depth.
-fn breaks(planted: PlantedFault, scope: Scope, rule: &str, depth: usize) {
-    let (broken, states) = explore(planted, scope, depth);
+/// Explores until the rule is violated, at most to that depth.
+fn assert_rule_is_violated(fault: PlantedFault, scope: Scope, rule: &str, depth: usize) {
+    let (broken, states) = explore(fault, scope, depth);
     println!("{states} states");
     assert!(
         broken.contains(&rule),
-        "{rule:?} holds without what it rests on: {broken:?}"
+        "{rule:?} holds in spite of the planted fault: {broken:?}"
     );
 }
 
 #[test]
 fn without_the_check_of_tokens_a_late_act_is_done() {
-    breaks(
+    assert_rule_is_violated(
         PlantedFault {
-            no_gate: true,
+            no_fencing_gate: true,
             ..PlantedFault::default()
         },
         Scope::NARROW,
@@ -79,12 +79,12 @@
 
 #[test]
 fn where_those_who_agree_forget_one_token_is_given_twice() {
-    breaks(
+    assert_rule_is_violated(
         PlantedFault {
-            forgets: true,
+            loses_events: true,
             ..PlantedFault::default()
         },
-        Scope::EARLY,
+        Scope::FROM_START,
         "one holder",
         10,
     );
@@ -92,9 +92,9 @@
 
 #[test]
 fn where_a_leader_does_not_wait_itself_there_are_two_holders() {
-    breaks(
+    assert_rule_is_violated(
         PlantedFault {
-            no_wait: true,
+            no_observation_period: true,
             ..PlantedFault::default()
         },
         Scope::NARROW,
@@ -105,12 +105,12 @@
 
 #[test]
 fn a_lease_counted_from_its_answer_outlives_the_grant() {
-    breaks(
+    assert_rule_is_violated(
         PlantedFault {
-            from_answer: true,
+            counts_from_answer: true,
             ..PlantedFault::default()
         },
-        Scope::UNHEARD,
+        Scope::GRANT_UNRECEIVED,
         "one holder",
         11,
     );
--- a/crates/leases/src/task.rs
+++ b/crates/leases/src/task.rs
@@ -3,47 +3,47 @@
 use crate::event::Claimant;
 use serde::{Deserialize, Serialize};
 
-/// One task.
+/// One singleton task.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Task {
-    /// Who has it.
+    /// Its holder.
     pub held: Option<HeldLease>,
-    /// Who wants it, first those who go first.
+    /// Its claimants, in the order in which they are granted the task.
     pub waiting: Vec<Waiting>,
     /// Number of the change by which its holder last changed.
     pub changed: u64,
 }
 
-/// A lease that is given.
+/// A granted lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HeldLease {
-    /// Who holds the task.
+    /// The holder.
     pub by: Claimant,
-    /// The token: no other grant has it, later ones have higher ones.
+    /// The fencing token: unique to this grant and higher than that of any earlier one.
     pub token: u64,
-    /// How often the holder was heard since the grant.
+    /// How many renewals were received since the grant.
     pub renewals: u64,
 }
 
-/// One who waits.
+/// A waiting claimant.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Waiting {
-    /// Who.
+    /// The claimant.
     pub by: Claimant,
-    /// How often it was heard.
+    /// How many claims were received from it.
     pub asks: u64,
 }
 
 impl Task {
-    /// Whether the holder is of that name and token.
+    /// The lease, if it has that holder and token.
     pub(crate) fn held_by(&self, name: &str, token: u64) -> Option<&HeldLease> {
         self.held
             .as_ref()
             .filter(|held| held.by.name == name && held.token == token)
     }
 
-    /// The first who waits with a higher rank than the holder's.
-    pub(crate) fn wanted_by(&self) -> Option<String> {
+    /// The first waiting claimant with a higher rank than the holder's.
+    pub(crate) fn requested_by(&self) -> Option<String> {
         let held = self.held.as_ref()?;
         self.waiting
             .first()
@@ -51,15 +51,17 @@
             .map(|w| w.by.name.clone())
     }
 
-    /// Takes one who waits out of the row.
-    pub(crate) fn take(&mut self, name: &str) -> Option<Waiting> {
-        let place = self.waiting.iter().position(|w| w.by.name == name)?;
-        Some(self.waiting.remove(place))
+    /// Removes a claimant from the waiting list.
+    pub(crate) fn remove_waiting(&mut self, name: &str) -> Option<Waiting> {
+        let position = self.waiting.iter().position(|w| w.by.name == name)?;
+        Some(self.waiting.remove(position))
     }
 
-    /// Puts one into the row: behind all of its rank or a higher one.
-    pub(crate) fn wait(&mut self, new: Waiting) {
-        let place = self.waiting.partition_point(|w| w.by.rank >= new.by.rank);
-        self.waiting.insert(place, new);
+    /// Inserts a claimant behind all of the same or a higher rank.
+    pub(crate) fn insert_waiting(&mut self, waiting: Waiting) {
+        let position = self
+            .waiting
+            .partition_point(|w| w.by.rank >= waiting.by.rank);
+        self.waiting.insert(position, waiting);
     }
 }
--- a/crates/leases/tests/histories.rs
+++ b/crates/leases/tests/histories.rs
@@ -1,25 +1,26 @@
-//! Random histories of leases: never two holders, never an action with an old token, and released
-//! tasks are taken again.
+//! Random histories of leases: there are never two holders, no action with an old token takes
+//! effect, and a released task gets a new holder.
 
 mod world;
 
 use world::{LEASE_MS, World};
 
-/// One history: troubles for 20 leases, then none but losses for six, after which every task has a
+/// One history: faults for 20 leases, then only message loss for six, after which every task has a
 /// holder.
-fn history(seed: u64, check: bool) -> Result<World, String> {
-    let mut world = World::new(seed, check);
-    world.play(20 * LEASE_MS, 15)?;
-    world.play(6 * LEASE_MS, 0)?;
-    let mut held = vec![false; world.tasks()];
+fn history(seed: u64, check_tokens: bool) -> Result<World, String> {
+    let mut world = World::new(seed, check_tokens);
+    world.run(20 * LEASE_MS, 15)?;
+    world.run(6 * LEASE_MS, 0)?;
+    let mut has_holder = vec![false; world.tasks()];
     for _ in 0..20 {
-        world.play(LEASE_MS / 10, 0)?;
-        held.iter_mut()
+        world.run(LEASE_MS / 10, 0)?;
+        has_holder
+            .iter_mut()
             .enumerate()
             .for_each(|(task, held)| *held |= !world.holders_of(task).is_empty());
     }
-    if let Some(task) = held.iter().position(|held| !held) {
-        return Err(format!("nobody holds duty {task} at the end"));
+    if let Some(task) = has_holder.iter().position(|held| !held) {
+        return Err(format!("task {task} has no holder at the end"));
     }
     Ok(world)
 }
@@ -36,9 +37,9 @@
     let (mut acts, mut refused, mut faults) = (0, 0, 0);
     for seed in 0..seeds() {
         let world = history(seed, true).unwrap_or_else(|broken| panic!("seed {seed}: {broken}"));
-        acts += world.seen.acts;
-        refused += world.seen.refused;
-        faults += world.seen.faults;
+        acts += world.counts.acts;
+        refused += world.counts.refused;
+        faults += world.counts.faults;
     }
     println!("{acts} acts, {refused} refused, {faults} faults");
     assert!(acts > 10_000 && refused > 100, "too little happened");
@@ -49,21 +50,24 @@
     let mut times = Vec::new();
     for seed in 0..seeds() {
         let mut world = World::new(seed, true);
-        world.late = false;
+        world.late_messages = false;
         for _ in 0..4 {
-            world.play(4 * LEASE_MS, 0).expect("no rule is broken");
-            times.extend(world.take_over(0).expect("no rule is broken"));
+            world.run(4 * LEASE_MS, 0).expect("no rule is broken");
+            times.extend(world.kill_holder(0).expect("no rule is broken"));
         }
     }
     times.sort_unstable();
-    let late = times[times.len() * 99 / 100];
+    let slowest_percentile = times[times.len() * 99 / 100];
     println!(
-        "{} kills: half within {} ms, 99 in 100 within {late} ms",
+        "{} kills: half within {} ms, 99 in 100 within {slowest_percentile} ms",
         times.len(),
         times[times.len() / 2]
     );
     assert!(times.len() > 1_000, "{} kills are too few", times.len());
-    assert!(late <= 3 * LEASE_MS / 2, "one in a hundred takes {late} ms");
+    assert!(
+        slowest_percentile <= 3 * LEASE_MS / 2,
+        "one in a hundred takes {slowest_percentile} ms"
+    );
 }
 
 #[test]
--- a/crates/leases/tests/world/mod.rs
+++ b/crates/leases/tests/world/mod.rs
@@ -1,5 +1,6 @@
-//! A fleet in simulated time that wants singleton tasks, with message loss, duplication and delay,
-//! stops, kills, leader changes, lost majorities, and clocks one in a hundred apart.
+//! A simulated fleet that claims singleton tasks, with message loss, duplication and delay,
+//! suspended and killed processes, leader changes, lost majorities, and clock rates that differ by
+//! 1%.
 
 mod faults;
 
@@ -10,12 +11,12 @@
 
 /// A lease, in milliseconds.
 pub const LEASE_MS: u64 = 1_000;
-/// How often everybody looks, in milliseconds.
+/// Time that passes in one step, in milliseconds.
 const STEP_MS: u64 = 10;
-/// Clocks' rates differ by one in a hundred at most, counted in whole milliseconds.
+/// Clock rates differ by at most 1%; the rest allows for rounding to whole milliseconds.
 const TERMS: LeaseTerms = LeaseTerms {
-    rate_permille: 12,
-    pause_ms: 200,
+    clock_drift_permille: 12,
+    max_pause_ms: 200,
 };
 
 /// One process and its clock.
@@ -28,7 +29,7 @@
     pub holders: Vec<Holder>,
 }
 
-enum Wire {
+enum InTransit {
     LeaseMessage {
         from: usize,
         incarnation: u64,
@@ -50,9 +51,9 @@
     },
 }
 
-/// What was seen over a history.
+/// What happened over a history.
 #[derive(Default)]
-pub struct Seen {
+pub struct Counts {
     pub acts: usize,
     pub refused: usize,
     pub faults: usize,
@@ -61,22 +62,22 @@
 pub struct World {
     rng: fastrand::Rng,
     now: u64,
-    machine: LeaseTable,
+    table: LeaseTable,
     holder_monitor: HolderMonitor,
     leader_rate: f64,
-    /// Nobody agrees on anything until then.
+    /// No event is applied until then.
     no_leader_until: u64,
     pub processes: Vec<Process>,
-    wire: BTreeMap<(u64, u64), Wire>,
+    in_transit: BTreeMap<(u64, u64), InTransit>,
     sent: u64,
     gates: Vec<FencingGate>,
-    /// By task: the highest token that something was done by, and whose it was.
-    done: Vec<(u64, (usize, u64))>,
-    check: bool,
-    /// Whether one word in twenty comes up to two leases late. Late words of a dead holder are
-    /// words of the holder.
-    pub late: bool,
-    pub seen: Seen,
+    /// By task: the highest token by which an action took effect, and its sender.
+    last_effects: Vec<(u64, (usize, u64))>,
+    check_tokens: bool,
+    /// Whether one message in twenty is delayed by up to two leases. A delayed message of a dead
+    /// holder still renews its lease.
+    pub late_messages: bool,
+    pub counts: Counts,
 }
 
 fn task(number: usize) -> String {
@@ -99,8 +100,8 @@
 }
 
 impl World {
-    /// One by a seed; without `check` what is acted on takes any token.
-    pub fn new(seed: u64, check: bool) -> Self {
+    /// A fleet generated from a seed; without `check_tokens` the resource accepts any token.
+    pub fn new(seed: u64, check_tokens: bool) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let (count, tasks) = (rng.usize(2..=4), rng.usize(1..=2));
         let rate = |rng: &mut fastrand::Rng| 0.995 + 0.01 * rng.f64();
@@ -117,17 +118,17 @@
             leader_rate: rate(&mut rng),
             rng,
             now: 0,
-            machine: LeaseTable::default(),
+            table: LeaseTable::default(),
             holder_monitor: HolderMonitor::default(),
             no_leader_until: 0,
             processes,
-            wire: BTreeMap::new(),
+            in_transit: BTreeMap::new(),
             sent: 0,
             gates: vec![FencingGate::default(); tasks],
-            done: vec![(0, (0, 0)); tasks],
-            check,
-            late: true,
-            seen: Seen::default(),
+            last_effects: vec![(0, (0, 0)); tasks],
+            check_tokens,
+            late_messages: true,
+            counts: Counts::default(),
         }
     }
 
@@ -135,38 +136,40 @@
         (self.now as f64 * self.processes[process].rate) as u64
     }
 
-    fn runs(&self, process: usize) -> bool {
+    fn is_running(&self, process: usize) -> bool {
         let p = &self.processes[process];
         p.stopped_until <= self.now && p.dead_until <= self.now
     }
 
-    fn send(&mut self, wire: impl Fn() -> Wire, acts: bool) {
+    fn send(&mut self, message: impl Fn() -> InTransit, is_action: bool) {
         let copies = [0, 1, 1, 1, 1, 1, 1, 1, 1, 2][self.rng.usize(0..10)];
         for _ in 0..copies {
-            // An act is as late as a process that is stopped between its look at the right and the
-            // act.
-            let most = if acts || self.late && self.rng.u8(0..20) == 0 {
+            // An action may be as late as if its process had been suspended between checking its
+            // right and acting.
+            let max_delay = if is_action || self.late_messages && self.rng.u8(0..20) == 0 {
                 2 * LEASE_MS
             } else {
                 60
             };
             self.sent += 1;
-            self.wire
-                .insert((self.now + self.rng.u64(1..=most), self.sent), wire());
+            self.in_transit.insert(
+                (self.now + self.rng.u64(1..=max_delay), self.sent),
+                message(),
+            );
         }
     }
 
-    fn deliver(&mut self, wire: Wire) -> Result<(), String> {
-        match wire {
-            Wire::LeaseMessage {
+    fn deliver(&mut self, message: InTransit) -> Result<(), String> {
+        match message {
+            InTransit::LeaseMessage {
                 from,
                 incarnation,
                 task,
                 number,
                 event,
             } if self.no_leader_until <= self.now => {
-                let outcome = self.machine.apply(event);
-                let answer = || Wire::Answer {
+                let outcome = self.table.apply(event);
+                let answer = || InTransit::Answer {
                     to: from,
                     incarnation,
                     task,
@@ -175,51 +178,51 @@
                 };
                 self.send(answer, false);
             }
-            Wire::LeaseMessage { .. } => {}
-            Wire::Answer {
+            InTransit::LeaseMessage { .. } => {}
+            InTransit::Answer {
                 to,
                 incarnation,
                 task,
                 number,
                 outcome,
             } => {
-                if self.processes[to].incarnation == incarnation && self.runs(to) {
+                if self.processes[to].incarnation == incarnation && self.is_running(to) {
                     let now = self.clock(to);
                     self.processes[to].holders[task].receive(now, number, &outcome);
                 }
             }
-            Wire::Act {
+            InTransit::Act {
                 from,
                 task: n,
                 token,
             } => {
-                if self.check && self.gates[n].pass(&task(n), token, 1).is_err() {
-                    self.seen.refused += 1;
+                if self.check_tokens && self.gates[n].check(&task(n), token, 1).is_err() {
+                    self.counts.refused += 1;
                     return Ok(());
                 }
-                let (last, by) = self.done[n];
-                if token < last || (token == last && by != from) {
+                let (last_token, last_holder) = self.last_effects[n];
+                if token < last_token || (token == last_token && last_holder != from) {
                     return Err(format!(
-                        "{from:?} acts by token {token} after {by:?} by {last}"
+                        "{from:?} acts by token {token} after {last_holder:?} by {last_token}"
                     ));
                 }
-                self.done[n] = (token, from);
-                self.seen.acts += 1;
+                self.last_effects[n] = (token, from);
+                self.counts.acts += 1;
             }
         }
         Ok(())
     }
 
-    /// Plays for so long, with that many troubles in a thousand steps.
+    /// Runs the fleet for that long, with that many faults in a thousand steps.
     ///
     /// # Errors
-    /// A rule is broken.
-    pub fn play(&mut self, lasts_ms: u64, faults: u32) -> Result<(), String> {
-        let end = self.now + lasts_ms;
+    /// A rule is violated.
+    pub fn run(&mut self, duration_ms: u64, faults: u32) -> Result<(), String> {
+        let end = self.now + duration_ms;
         while self.now < end {
             self.now += STEP_MS;
             while let Some(entry) = self
-                .wire
+                .in_transit
                 .first_entry()
                 .filter(|entry| entry.key().0 <= self.now)
             {
@@ -228,52 +231,52 @@
             }
             if self.no_leader_until <= self.now {
                 let now = (self.now as f64 * self.leader_rate) as u64;
-                for event in self.holder_monitor.due(now, &self.machine, 8) {
-                    self.machine.apply(event);
+                for event in self.holder_monitor.due(now, &self.table, 8) {
+                    self.table.apply(event);
                 }
             }
-            for who in 0..self.processes.len() {
-                if self.runs(who) {
-                    self.run(who);
+            for process in 0..self.processes.len() {
+                if self.is_running(process) {
+                    self.tick_process(process);
                 }
             }
-            self.one_holder()?;
+            self.check_one_holder()?;
             if self.rng.u32(0..1000) < faults {
-                self.trouble();
+                self.inject_fault();
             }
         }
         Ok(())
     }
 
-    fn run(&mut self, who: usize) {
-        let (now, incarnation) = (self.clock(who), self.processes[who].incarnation);
+    fn tick_process(&mut self, process: usize) {
+        let (now, incarnation) = (self.clock(process), self.processes[process].incarnation);
         for task in 0..self.gates.len() {
-            if let Some(message) = self.processes[who].holders[task].tick(now) {
-                let say = || Wire::LeaseMessage {
-                    from: who,
+            if let Some(message) = self.processes[process].holders[task].tick(now) {
+                let message_in_transit = || InTransit::LeaseMessage {
+                    from: process,
                     incarnation,
                     task,
                     number: message.number,
                     event: message.event.clone(),
                 };
-                self.send(say, false);
+                self.send(message_in_transit, false);
             }
-            // Home it goes, where somebody of a higher rank waits.
-            if let Some(heir) = self.processes[who].holders[task]
-                .wanted_by()
+            // Transfers the task to a claimant of a higher rank, as a process in its home zone has.
+            if let Some(successor) = self.processes[process].holders[task]
+                .requested_by()
                 .map(str::to_owned)
                 && self.rng.u8(0..50) == 0
             {
-                self.processes[who].holders[task].release(now, Some(&heir), true);
+                self.processes[process].holders[task].release(now, Some(&successor), true);
             }
-            if let Some(right) = self.processes[who].holders[task].may_act(now)
+            if let Some(grant) = self.processes[process].holders[task].may_act(now)
                 && self.rng.u8(0..8) == 0
             {
                 self.send(
-                    || Wire::Act {
-                        from: (who, incarnation),
+                    || InTransit::Act {
+                        from: (process, incarnation),
                         task,
-                        token: right.token,
+                        token: grant.token,
                     },
                     true,
                 );
@@ -281,16 +284,16 @@
         }
     }
 
-    /// Who may act on a task, of all that run.
+    /// The running processes that may act on a task.
     pub fn holders_of(&self, task: usize) -> Vec<usize> {
-        let may = |who: &usize| {
+        let may_act = |who: &usize| {
             self.processes[*who].holders[task]
                 .may_act(self.clock(*who))
                 .is_some()
         };
         (0..self.processes.len())
-            .filter(|who| self.runs(*who))
-            .filter(may)
+            .filter(|who| self.is_running(*who))
+            .filter(may_act)
             .collect()
     }
 
@@ -298,11 +301,11 @@
         self.gates.len()
     }
 
-    fn one_holder(&self) -> Result<(), String> {
+    fn check_one_holder(&self) -> Result<(), String> {
         for n in 0..self.tasks() {
-            let all = self.holders_of(n);
-            if all.len() > 1 {
-                return Err(format!("{all:?} hold duty {n} at {} ms", self.now));
+            let holders = self.holders_of(n);
+            if holders.len() > 1 {
+                return Err(format!("{holders:?} hold task {n} at {} ms", self.now));
             }
         }
         Ok(())
--- a/crates/maintenance/src/action_results.rs
+++ b/crates/maintenance/src/action_results.rs
@@ -1,32 +1,32 @@
-//! What follows from the results of actions.
+//! Applies the results of actions.
 
 use crate::event::{Answer, Outcome, Refusal, Step};
 use crate::machine::Machine;
 use crate::window::State;
 
-/// How far the tokens may be set forward at once by a token that was seen elsewhere: more is a wild
-/// answer, and must not use the numbers up.
-const MAX_SKIPPED: u64 = 1 << 32;
+/// How far a token seen elsewhere may advance ours at once: a larger gap comes from a faulty answer
+/// and must not exhaust the numbers.
+const MAX_TOKEN_GAP: u64 = 1 << 32;
 
 impl Machine {
-    /// The window's and the slot's place.
-    fn slot(&self, window: u64, server: &str) -> Result<usize, Outcome> {
-        let found = self
+    /// The index of a server's slot within its window.
+    fn slot_index(&self, window: u64, server: &str) -> Result<usize, Outcome> {
+        let index = self
             .windows
             .get(&window)
             .and_then(|w| w.slots.iter().position(|s| s.server == server));
-        found.ok_or_else(|| {
+        index.ok_or_else(|| {
             Outcome::Refused(Refusal::Unknown(format!(
                 "window {window} with server {server:?}"
             )))
         })
     }
 
-    /// Takes a window back.
+    /// Cancels a window.
     pub(crate) fn cancel(&mut self, window: u64) -> Outcome {
         match self.windows.get_mut(&window) {
             None => Outcome::Refused(Refusal::Unknown(format!("window {window}"))),
-            Some(found) if found.cancelled || found.closed() => Outcome::Ignored,
+            Some(found) if found.cancelled || found.is_closed() => Outcome::Ignored,
             Some(found) => {
                 found.cancelled = true;
                 Outcome::Taken
@@ -34,11 +34,12 @@
         }
     }
 
-    /// A clear counts for the drain whose token it names, once that drain is confirmed.
-    pub(crate) fn clear(&mut self, window: u64, server: &str, epoch: u64) -> Outcome {
-        let index = match self.slot(window, server) {
+    /// Records that a server is clear: valid only for the drain whose token it names, once that
+    /// drain is confirmed.
+    pub(crate) fn record_clear(&mut self, window: u64, server: &str, epoch: u64) -> Outcome {
+        let index = match self.slot_index(window, server) {
             Ok(index) => index,
-            Err(refused) => return refused,
+            Err(refusal) => return refusal,
         };
         match self.windows.get_mut(&window).map(|w| &mut w.slots[index]) {
             Some(slot) if slot.state == State::Draining && slot.drained && slot.token == epoch => {
@@ -49,11 +50,11 @@
         }
     }
 
-    /// The work on a server is finished.
-    pub(crate) fn finished(&mut self, window: u64, server: &str) -> Outcome {
-        let index = match self.slot(window, server) {
+    /// Records that the work on a server is finished.
+    pub(crate) fn record_finished(&mut self, window: u64, server: &str) -> Outcome {
+        let index = match self.slot_index(window, server) {
             Ok(index) => index,
-            Err(refused) => return refused,
+            Err(refusal) => return refusal,
         };
         if self
             .windows
@@ -66,8 +67,8 @@
         Outcome::Taken
     }
 
-    /// Takes the answer to an act. One that belongs to another token or step than the slot's own
-    /// changes nothing.
+    /// Applies the answer to an action. An answer for another token or step than the slot's current
+    /// ones changes nothing.
     pub(crate) fn record_result(
         &mut self,
         window: u64,
@@ -76,19 +77,19 @@
         token: u64,
         answer: Answer,
     ) -> Outcome {
-        let index = match self.slot(window, server) {
+        let index = match self.slot_index(window, server) {
             Ok(index) => index,
-            Err(refused) => return refused,
+            Err(refusal) => return refusal,
         };
         let (at_ms, waits_for_clear) = (self.at_ms, self.waits_for_clear());
         let Some(slot) = self.windows.get_mut(&window).map(|w| &mut w.slots[index]) else {
             return Outcome::Ignored;
         };
-        let takeable =
+        let can_be_taken =
             slot.state == State::Clear || (!waits_for_clear && slot.state == State::Draining);
         let expected = match step {
             Step::Drain => slot.state == State::Draining && !slot.drained,
-            Step::Take => takeable,
+            Step::Take => can_be_taken,
             Step::Return => slot.state == State::Returning && slot.returned_ms.is_none(),
             Step::CallBack => slot.state == State::CalledBack && slot.returned_ms.is_none(),
         };
@@ -96,7 +97,9 @@
             return Outcome::Ignored;
         }
         match (step, answer) {
-            (_, Answer::Refused { seen }) => return self.overtaken(window, index, step, seen),
+            (_, Answer::Refused { seen }) => {
+                return self.record_overtaken(window, index, step, seen);
+            }
             (Step::Drain, Answer::Done { .. }) => slot.drained = true,
             (Step::Take, Answer::Done { .. }) => {
                 slot.state = State::Away;
@@ -110,9 +113,10 @@
             (Step::Return, Answer::Done { started }) => {
                 slot.returned_ms = Some(at_ms);
                 // The platform knows whether the process is a new one; it can't be older than the
-                // one that went.
-                let before = slot.least_start.saturating_sub(1);
-                slot.least_start = started.map_or(slot.least_start, |started| started.max(before));
+                // one that was taken.
+                let previous_start = slot.least_start.saturating_sub(1);
+                slot.least_start =
+                    started.map_or(slot.least_start, |started| started.max(previous_start));
             }
             (Step::CallBack, Answer::Done { .. }) => slot.returned_ms = Some(at_ms),
             (_, Answer::Failed | Answer::Taken) => return Outcome::Ignored,
@@ -120,11 +124,11 @@
         Outcome::Taken
     }
 
-    /// Somebody with a higher token has acted on the server. The slot goes on under one above that;
-    /// but a clear of before says nothing of what the other did, so a server that was to be taken
-    /// is given back first.
-    fn overtaken(&mut self, window: u64, index: usize, step: Step, seen: u64) -> Outcome {
-        if seen > self.token.saturating_add(MAX_SKIPPED) {
+    /// Handles an action rejected because someone else acted on the server under a higher token.
+    /// The slot goes on under a token above that one. An earlier clear says nothing about what the
+    /// other one did, so a server that was to be taken is cancelled first.
+    fn record_overtaken(&mut self, window: u64, index: usize, step: Step, seen: u64) -> Outcome {
+        if seen > self.token.saturating_add(MAX_TOKEN_GAP) {
             return Outcome::Ignored;
         }
         self.token = self.token.max(seen);
--- a/crates/maintenance/src/booking.rs
+++ b/crates/maintenance/src/booking.rs
@@ -1,4 +1,4 @@
-//! Books requested windows, and plans booked ones anew.
+//! Books requested windows, and replans booked ones.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,18 +6,18 @@
 use crate::event::{Booking, Outcome, Refusal};
 use crate::invalid::Invalid;
 use crate::machine::Machine;
-use crate::plan::{OPEN_END_MS, Times, end_of};
+use crate::plan::{OPEN_END_MS, StartTimes, slot_end_ms};
 use crate::request::{MAX_NAMED_SERVERS, Request, Target};
 use crate::timeline::Placement;
 use crate::window::{ServerSlot, State, Window};
 
-/// Most slots of open windows together: every server in one window, by the longest list.
+/// Most slots of open windows together: every server of the longest list in one window.
 pub(crate) const MAX_SLOTS: usize = 4_096;
 
 impl Machine {
-    /// Answers a request. It is accepted only with a plan in which no window that had a time loses
-    /// it.
-    pub(crate) fn ask(&mut self, request: Request) -> Outcome {
+    /// Handles a request. It is accepted only with a plan in which every window that had a time
+    /// keeps one.
+    pub(crate) fn request_window(&mut self, request: Request) -> Outcome {
         let Some(budget) = self.budget.clone() else {
             return Outcome::Refused(Refusal::NoAgreement);
         };
@@ -27,7 +27,7 @@
             .find(|w| w.request.name == request.name)
         {
             if window.request == request {
-                return booked(window);
+                return booked_outcome(window);
             }
             let reason = "is the name of another request";
             return Outcome::Refused(Refusal::Invalid(Invalid::new("name", reason)));
@@ -35,11 +35,11 @@
         if let Err(invalid) = request.check(&budget, self.at_ms) {
             return Outcome::Refused(Refusal::Invalid(invalid));
         }
-        let names = match self.resolve(&request.target) {
+        let names = match self.resolve_target(&request.target) {
             Ok(names) => names,
             Err(refusal) => return Outcome::Refused(refusal),
         };
-        let open = self.windows.values().filter(|w| !w.closed());
+        let open = self.windows.values().filter(|w| !w.is_closed());
         let (count, slots) = open.fold((0u32, 0usize), |(n, s), w| (n + 1, s + w.slots.len()));
         if count >= budget.most_open {
             let reason = format!("{} requests are open (most_open)", budget.most_open);
@@ -59,10 +59,12 @@
             cancelled: false,
         };
         self.windows.insert(id, window);
-        match self.fit(&budget, id) {
+        match self.plan_with(&budget, id) {
             Ok(()) => {
                 self.last_window = id;
-                self.windows.get(&id).map_or(Outcome::Ignored, booked)
+                self.windows
+                    .get(&id)
+                    .map_or(Outcome::Ignored, booked_outcome)
             }
             Err(infeasible) => {
                 self.windows.remove(&id);
@@ -71,9 +73,9 @@
         }
     }
 
-    /// The servers of a target, by name.
-    fn resolve(&self, target: &Target) -> Result<Vec<String>, Refusal> {
-        let taken: BTreeSet<&str> = self
+    /// Resolves a target to the names of its servers.
+    fn resolve_target(&self, target: &Target) -> Result<Vec<String>, Refusal> {
+        let already_in_windows: BTreeSet<&str> = self
             .windows
             .values()
             .flat_map(|w| &w.slots)
@@ -99,15 +101,15 @@
                 zone,
                 share_permille,
             } => {
-                let mut all: Vec<&String> = self
+                let mut servers: Vec<&String> = self
                     .servers
                     .iter()
                     .filter(|(_, k)| k.zone == *zone)
                     .map(|(name, _)| name)
                     .collect();
-                let share = (all.len() * *share_permille as usize).div_ceil(1_000);
-                all.sort_by_key(|name| (taken.contains(name.as_str()), *name));
-                all.into_iter().take(share).cloned().collect()
+                let count = (servers.len() * *share_permille as usize).div_ceil(1_000);
+                servers.sort_by_key(|name| (already_in_windows.contains(name.as_str()), *name));
+                servers.into_iter().take(count).cloned().collect()
             }
         };
         match names.len() {
@@ -119,64 +121,66 @@
         }
     }
 
-    /// Finds a plan with a new window in it: all planned anew, or else the new one around the times
-    /// that were given.
-    fn fit(&mut self, budget: &DisruptionBudget, id: u64) -> Result<(), Outcome> {
-        let ledger = self.ledger(budget, self.at_ms);
-        let base = self.timeline(budget, &ledger);
+    /// Finds a plan that includes a new window: replans everything, or else places the new window
+    /// around the times already given.
+    fn plan_with(&mut self, budget: &DisruptionBudget, id: u64) -> Result<(), Outcome> {
+        let ledger = self.capacity_ledger(budget, self.at_ms);
+        let timeline = self.current_timeline(budget, &ledger);
         let placements: Vec<Placement> = self
             .windows
             .values()
             .flat_map(|w| self.placements(budget, &ledger, w))
             .collect();
-        let had: Times = placements
+        let previous: StartTimes = placements
             .iter()
-            .map(|placement| self.start_of(placement))
+            .map(|placement| self.kept_start(placement))
             .collect();
-        let times = self.best(&base, budget, &placements, &had);
-        let kept = |(index, placement): (usize, &Placement)| {
-            times[index].is_some() || (placement.window != id && had[index].is_none())
+        let times = self.best_times(&timeline, budget, &placements, &previous);
+        let is_kept = |(index, placement): (usize, &Placement)| {
+            times[index].is_some() || (placement.window != id && previous[index].is_none())
         };
-        if placements.iter().enumerate().all(kept) {
-            self.book(&placements, &times);
+        if placements.iter().enumerate().all(is_kept) {
+            self.set_times(&placements, &times);
             return Ok(());
         }
-        let mut around = base.clone();
-        for (placement, start) in placements.iter().zip(&had) {
+        let mut with_previous = timeline.clone();
+        for (placement, start) in placements.iter().zip(&previous) {
             if let Some(start) = start {
-                around.put(placement, *start);
+                with_previous.add_placement(placement, *start);
             }
         }
-        let (mut fits, mut block) = (true, None);
+        let (mut fits, mut blocker) = (true, None);
         let (mut start_ms, mut end_ms) = (Some(i64::MAX), Some(i64::MIN));
-        let mut times = had.clone();
+        let mut times = previous.clone();
         for (index, placement) in placements
             .iter()
             .enumerate()
             .filter(|(_, placement)| placement.window == id)
         {
-            let found = around.place(placement, OPEN_END_MS);
-            let too_late = found.map_or(true, |start| start > placement.upper_ms);
-            if too_late && block.is_none() {
-                let tried = around.place(placement, placement.upper_ms).err();
-                block = tried.map(|block| self.against(&ledger, block, placement));
+            let start = with_previous.earliest_start(placement, OPEN_END_MS);
+            let too_late = start.map_or(true, |start| start > placement.latest_start_ms);
+            if too_late && blocker.is_none() {
+                let blocked = with_previous
+                    .earliest_start(placement, placement.latest_start_ms)
+                    .err();
+                blocker = blocked.map(|block| self.blocker_text(&ledger, block, placement));
             }
             fits &= !too_late;
-            times[index] = found.ok();
-            match found {
+            times[index] = start.ok();
+            match start {
                 Ok(start) => {
                     start_ms = start_ms.map(|least| least.min(start));
                     end_ms = end_ms.map(|most| most.max(start.saturating_add(placement.span_ms)));
-                    around.put(placement, start);
+                    with_previous.add_placement(placement, start);
                 }
                 Err(_) => (start_ms, end_ms) = (None, None),
             }
         }
         if fits {
-            self.book(&placements, &times);
+            self.set_times(&placements, &times);
             return Ok(());
         }
-        let reason = block.unwrap_or_default();
+        let reason = blocker.unwrap_or_default();
         Err(Outcome::Infeasible {
             reason,
             earliest_ms: start_ms,
@@ -184,18 +188,18 @@
         })
     }
 
-    fn start_of(&self, placement: &Placement) -> Option<i64> {
+    fn kept_start(&self, placement: &Placement) -> Option<i64> {
         let window = self.windows.get(&placement.window)?;
         let starts = placement
             .slots
             .iter()
             .map(|index| window.slots.get(*index).and_then(|slot| slot.start_ms));
         let start = starts.max().flatten()?;
-        // A time that has passed is not kept for ever: whoever could not go then is planned anew.
+        // A time in the past is not kept: a window that could not start then is planned again.
         (start >= self.at_ms).then_some(start)
     }
 
-    fn book(&mut self, placements: &[Placement], times: &Times) {
+    fn set_times(&mut self, placements: &[Placement], times: &StartTimes) {
         for (placement, time) in placements.iter().zip(times) {
             let Some(window) = self.windows.get_mut(&placement.window) else {
                 continue;
@@ -212,9 +216,9 @@
         }
     }
 
-    /// Plans all that waits anew.
+    /// Replans every window that waits.
     pub(crate) fn replan(&mut self, budget: &DisruptionBudget) {
-        let ledger = self.ledger(budget, self.at_ms);
+        let ledger = self.capacity_ledger(budget, self.at_ms);
         let placements: Vec<Placement> = self
             .windows
             .values()
@@ -223,26 +227,31 @@
         if placements.is_empty() {
             return;
         }
-        let had: Times = placements
+        let previous: StartTimes = placements
             .iter()
-            .map(|placement| self.start_of(placement))
+            .map(|placement| self.kept_start(placement))
             .collect();
-        let times = self.best(&self.timeline(budget, &ledger), budget, &placements, &had);
-        self.book(&placements, &times);
+        let times = self.best_times(
+            &self.current_timeline(budget, &ledger),
+            budget,
+            &placements,
+            &previous,
+        );
+        self.set_times(&placements, &times);
     }
 }
 
-/// The answer for an accepted window.
-fn booked(window: &Window) -> Outcome {
-    let waves = waves(window);
+/// The outcome of an accepted request.
+fn booked_outcome(window: &Window) -> Outcome {
+    let waves_by_start = waves_by_start(window);
     let times = window.slots.iter().map(|slot| Booking {
         server: slot.server.clone(),
         wave: slot
             .start_ms
-            .and_then(|start| waves.get(&start).copied())
+            .and_then(|start| waves_by_start.get(&start).copied())
             .unwrap_or(0),
         start_ms: slot.start_ms,
-        end_ms: end_of(window, slot),
+        end_ms: slot_end_ms(window, slot),
     });
     Outcome::Booked {
         window: window.id,
@@ -250,8 +259,8 @@
     }
 }
 
-/// Numbers of a window's waves, by their start.
-fn waves(window: &Window) -> BTreeMap<i64, u32> {
+/// The wave numbers of a window, by start time.
+fn waves_by_start(window: &Window) -> BTreeMap<i64, u32> {
     let starts: BTreeSet<i64> = window
         .slots
         .iter()
--- a/crates/maintenance/src/calendar.rs
+++ b/crates/maintenance/src/calendar.rs
@@ -1,4 +1,4 @@
-//! Blackouts: how they are written, and how they become times.
+//! Blackouts: their configured form, and their conversion to time spans.
 
 use jiff::civil::DateTime;
 use jiff::tz::TimeZone;
@@ -7,36 +7,36 @@
 
 use crate::invalid::Invalid;
 
-/// A time in which nothing may be away by grant, in the clocks of one time zone.
+/// A time during which no server may be away for maintenance, in local time of one time zone.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Blackout {
-    /// Name for people, such as "week before the VAT return".
+    /// Display name, such as "week before the VAT return".
     pub name: String,
     /// Name in the IANA time zone database, such as "Europe/Ljubljana".
     pub time_zone: String,
-    /// First moment, in that zone's clocks: 2026-01-13T00:00.
+    /// Start, in local time of that zone: 2026-01-13T00:00.
     pub from: DateTime,
-    /// First moment after it.
+    /// End (exclusive), in local time of that zone.
     pub until: DateTime,
-    /// How it comes again.
+    /// How it recurs.
     #[serde(default)]
     pub every: Every,
 }
 
-/// How a blackout comes again: on the same day and time of the clock, or the month's last day where
-/// it lacks that day.
+/// How a blackout recurs: on the same day at the same local time, or on the last day of a month
+/// that lacks that day.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Every {
-    /// It doesn't.
+    /// It does not recur.
     #[default]
     Once,
-    /// Each month.
+    /// Every month.
     Month,
-    /// Each third month.
+    /// Every third month.
     Quarter,
-    /// Each year.
+    /// Every year.
     Year,
 }
 
@@ -51,21 +51,21 @@
     }
 }
 
-/// A time from its first moment to the first moment after it, in milliseconds of Unix time.
+/// A half-open time span, in milliseconds of Unix time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Span {
-    /// First moment.
+    /// Start.
     pub from_ms: i64,
-    /// First moment after it.
+    /// End (exclusive).
     pub until_ms: i64,
 }
 
 impl Blackout {
-    /// Checks every key.
+    /// Validates every setting.
     ///
     /// # Errors
     ///
-    /// The first key that can't be taken, with the reason.
+    /// The first invalid setting, with the reason.
     pub fn check(&self) -> Result<(), Invalid> {
         if self.name.is_empty() {
             return Err(Invalid::new("name", "is empty"));
@@ -80,24 +80,24 @@
             return Err(Invalid::new("until", "is not after from"));
         }
         if let Some(months) = self.every.months() {
-            let again = self.from.checked_add(Delta::new().months(months));
-            if again.is_ok_and(|again| self.until > again) {
+            let next_start = self.from.checked_add(Delta::new().months(months));
+            if next_start.is_ok_and(|again| self.until > again) {
                 return Err(Invalid::new("until", "is after the next one begins"));
             }
         }
         Ok(())
     }
 
-    /// Its times that touch the given one. A time of the clock that a change of summer time skips
-    /// or repeats is taken as jiff's "compatible" rule takes it.
-    pub(crate) fn spans(&self, within: Span) -> Vec<Span> {
+    /// Its occurrences that overlap the given span. A local time that is skipped or repeated by a
+    /// change to or from summer time is resolved by jiff's "compatible" rule.
+    pub(crate) fn spans(&self, range: Span) -> Vec<Span> {
         let Ok(zone) = TimeZone::get(&self.time_zone) else {
-            return vec![within];
+            return vec![range];
         };
-        let moment = |at: DateTime| zone.to_timestamp(at).ok().map(|t| t.as_millisecond());
+        let timestamp_ms = |at: DateTime| zone.to_timestamp(at).ok().map(|t| t.as_millisecond());
         let mut spans = Vec::new();
         let mut count = 0i64;
-        // Years from the first one to the last that anybody may ask for, by months.
+        // Limits the search to 200 years of monthly occurrences, beyond any permitted request.
         const MAX_REPEATS: i64 = 12 * 200;
         while count <= MAX_REPEATS {
             let delta = (count * self.every.months().unwrap_or(0)).months();
@@ -106,13 +106,13 @@
             else {
                 break;
             };
-            let (Some(from_ms), Some(until_ms)) = (moment(from), moment(until)) else {
+            let (Some(from_ms), Some(until_ms)) = (timestamp_ms(from), timestamp_ms(until)) else {
                 break;
             };
-            if from_ms >= within.until_ms {
+            if from_ms >= range.until_ms {
                 break;
             }
-            if until_ms > within.from_ms && until_ms > from_ms {
+            if until_ms > range.from_ms && until_ms > from_ms {
                 spans.push(Span { from_ms, until_ms });
             }
             if self.every == Every::Once {
@@ -124,12 +124,13 @@
     }
 }
 
-/// All blackouts' times that touch the given one, in order, with overlapping ones made one.
-pub(crate) fn merged(blackouts: &[Blackout], within: Span) -> Vec<Span> {
-    let mut all: Vec<Span> = blackouts.iter().flat_map(|b| b.spans(within)).collect();
-    all.sort_unstable();
-    let mut merged: Vec<Span> = Vec::with_capacity(all.len());
-    for span in all {
+/// The occurrences of all blackouts that overlap the given span, in order, with overlapping ones
+/// merged.
+pub(crate) fn merged_spans(blackouts: &[Blackout], range: Span) -> Vec<Span> {
+    let mut spans: Vec<Span> = blackouts.iter().flat_map(|b| b.spans(range)).collect();
+    spans.sort_unstable();
+    let mut merged: Vec<Span> = Vec::with_capacity(spans.len());
+    for span in spans {
         match merged.last_mut() {
             Some(last) if span.from_ms <= last.until_ms => {
                 last.until_ms = last.until_ms.max(span.until_ms)
--- a/crates/maintenance/src/cancellation.rs
+++ b/crates/maintenance/src/cancellation.rs
@@ -1,4 +1,5 @@
-//! Cancellation: which windows end early when a failure has used up the slack, and in which order.
+//! Cancellation: which windows end early, and in which order, if a failure has left too little
+//! capacity.
 
 use crate::capacity::DebitReason;
 use crate::disruption_budget::DisruptionBudget;
@@ -6,48 +7,53 @@
 use crate::window::State;
 
 impl Machine {
-    /// Calls back what drains and was not taken, one after another, until the limits would hold
-    /// with what was called back: lowest class first; of those a server that drains before one that
-    /// is clear; then the latest grant. Of a window that can't be split all go with the first.
-    /// Whose return would help no broken limit, as it is known to be dead or counts under none,
-    /// stays as it is; one that is not heard of is called, and not counted on.
+    /// Cancels draining servers that were not yet taken, one after another, until the limits would
+    /// hold once they are back: lowest effective priority first; among those, draining servers
+    /// before clear ones; then the latest admission. A window that can't be split is cancelled as a
+    /// whole. A server whose return would help no violated limit, because it is known to be
+    /// unhealthy or counts toward none, is left alone; one without recent observations is
+    /// cancelled, but its capacity is not counted on.
     pub(crate) fn cancel_for_capacity(&mut self, budget: &DisruptionBudget) {
-        let meets = |(id, index): &(u64, usize)| {
+        let touches_blackout = |(id, index): &(u64, usize)| {
             let window = self.windows.get(id);
             window.is_some_and(|window| self.meets_blackout(budget, window, &window.slots[*index]))
         };
-        let met: Vec<(u64, usize)> = self.not_taken(|_| true).into_iter().filter(meets).collect();
-        for (id, index) in met {
+        let near_blackout: Vec<(u64, usize)> = self
+            .draining_slots(|_| true)
+            .into_iter()
+            .filter(touches_blackout)
+            .collect();
+        for (id, index) in near_blackout {
             self.send_back(id, index, State::CalledBack, "a blackout is too near");
         }
-        let mut calls: Vec<(u64, usize)> = Vec::new();
-        let mut ledger = self.ledger(budget, self.at_ms);
-        let serves = |name: &str| {
-            let known = self.servers.get(name)?;
-            known
+        let mut cancelled: Vec<(u64, usize)> = Vec::new();
+        let mut ledger = self.capacity_ledger(budget, self.at_ms);
+        let serving = |name: &str| {
+            let server_state = self.servers.get(name)?;
+            server_state
                 .missing(self.at_ms, budget.evidence_bound_ms)
                 .is_none()
-                .then_some(known)
+                .then_some(server_state)
         };
-        // What is on its way back already counts as if it were there, if it serves.
+        // A server that is already being cancelled counts as in service if it is healthy.
         for window in self.windows.values() {
             for slot in window
                 .slots
                 .iter()
                 .filter(|slot| slot.state == State::CalledBack && !slot.late)
             {
-                if let Some(known) = serves(&slot.server) {
-                    ledger.credit(&slot.server, known);
+                if let Some(server_state) = serving(&slot.server) {
+                    ledger.credit(&slot.server, server_state);
                 }
             }
         }
         let mut candidates: Vec<(i64, State, std::cmp::Reverse<u64>, u64, usize)> = Vec::new();
-        for (id, index) in self.not_taken(|_| true) {
+        for (id, index) in self.draining_slots(|_| true) {
             let Some(window) = self.windows.get(&id) else {
                 continue;
             };
             let slot = &window.slots[index];
-            let class = self.class(budget, window);
+            let class = self.effective_priority(budget, window);
             candidates.push((class, slot.state, std::cmp::Reverse(slot.token), id, index));
         }
         candidates.sort();
@@ -55,40 +61,44 @@
             let Some(window) = self
                 .windows
                 .get(&id)
-                .filter(|_| !calls.contains(&(id, index)))
+                .filter(|_| !cancelled.contains(&(id, index)))
             else {
                 continue;
             };
             let server = window.slots[index].server.as_str();
-            // A list may drop what drains; nobody knows then which limits the server would help.
-            let helps = self.servers.get(server).map_or(!ledger.holds(), |known| {
-                let dead = known.missing(self.at_ms, budget.evidence_bound_ms)
-                    == Some(DebitReason::Unhealthy);
-                let touched: Vec<usize> = ledger.shape.of(known).collect();
-                !dead
-                    && (ledger.crowded() || ledger.broken().any(|number| touched.contains(&number)))
-            });
-            if !helps {
+            // A list may omit a draining server; which limits it would help is then unknown.
+            let would_help = self
+                .servers
+                .get(server)
+                .map_or(!ledger.holds(), |server_state| {
+                    let is_unhealthy = server_state.missing(self.at_ms, budget.evidence_bound_ms)
+                        == Some(DebitReason::Unhealthy);
+                    let limits: Vec<usize> = ledger.limits.limits_of(server_state).collect();
+                    !is_unhealthy
+                        && (ledger.too_many_away()
+                            || ledger.violated().any(|number| limits.contains(&number)))
+                });
+            if !would_help {
                 continue;
             }
             for (other, slot) in window.slots.iter().enumerate() {
-                let together = other == index || !window.request.split;
-                if !together || !matches!(slot.state, State::Draining | State::Clear) {
+                let is_cancelled_too = other == index || !window.request.split;
+                if !is_cancelled_too || !matches!(slot.state, State::Draining | State::Clear) {
                     continue;
                 }
-                calls.push((id, other));
-                if let Some(known) = serves(&slot.server) {
-                    ledger.credit(&slot.server, known);
+                cancelled.push((id, other));
+                if let Some(server_state) = serving(&slot.server) {
+                    ledger.credit(&slot.server, server_state);
                 }
             }
         }
-        for (id, index) in calls {
+        for (id, index) in cancelled {
             self.send_back(id, index, State::CalledBack, "too little capacity was left");
         }
     }
 
-    /// Slots that drain or are clear, of the windows that match.
-    pub(crate) fn not_taken(
+    /// The draining and clear slots of the windows that match.
+    pub(crate) fn draining_slots(
         &self,
         matches: impl Fn(&crate::window::Window) -> bool,
     ) -> Vec<(u64, usize)> {
@@ -96,8 +106,9 @@
         windows
             .flat_map(|window| {
                 let slots = window.slots.iter().enumerate();
-                let out = slots.filter(|(_, s)| matches!(s.state, State::Draining | State::Clear));
-                out.map(|(index, _)| (window.id, index))
+                let draining =
+                    slots.filter(|(_, s)| matches!(s.state, State::Draining | State::Clear));
+                draining.map(|(index, _)| (window.id, index))
             })
             .collect()
     }
--- a/crates/maintenance/src/capacity.rs
+++ b/crates/maintenance/src/capacity.rs
@@ -1,61 +1,61 @@
-//! The figures of capacity at one moment.
+//! Capacity at one time.
 
 use serde::{Deserialize, Serialize};
 
-/// Capacity at a moment.
+/// Capacity at one time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CapacityView {
-    /// For all, then by each zone and group that the disruption budget names.
-    pub rooms: Vec<Room>,
-    /// Servers away, by grant, dead or unheard of.
+    /// All servers together, then each zone and group that the disruption budget names.
+    pub rooms: Vec<LimitUsage>,
+    /// Number of servers away, whether admitted, unhealthy or without recent observations.
     pub away: u32,
-    /// Most that may be.
+    /// Most servers that may be away.
     pub most_away: u32,
     /// Whether every limit holds.
     pub holds: bool,
-    /// What is debited, and why.
+    /// The debited servers, with reasons.
     pub debits: Vec<Debit>,
 }
 
-/// Capacity under one limit, in weights.
+/// Capacity under one limit, as the sum of weights.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Room {
+pub struct LimitUsage {
     /// `all`, `zone NAME` or `group NAME`.
     pub name: String,
-    /// What the list names.
+    /// Weight of the listed servers.
     pub listed: u64,
-    /// What is there.
+    /// Weight of the servers in service.
     pub present: u64,
-    /// What must stay.
+    /// Weight that must remain in service.
     pub keep: u64,
 }
 
-/// One server that does not count as there.
+/// A server that does not count as in service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Debit {
     /// The server's name.
     pub server: String,
     /// Its weight.
     pub weight: u32,
-    /// Why.
+    /// The reason.
     pub why: DebitReason,
-    /// The window that has it, if one does.
+    /// The number of the window it is in, if any.
     pub window: Option<u64>,
 }
 
-/// Why a server is debited.
+/// Why a server does not count as in service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DebitReason {
-    /// A grant is open for it.
+    /// It is admitted to a window.
     Granted,
-    /// A grant is open for it, and it is over its time.
+    /// It is admitted to a window and late.
     Late,
-    /// Observations says that it doesn't serve.
+    /// It was observed not to serve.
     #[serde(rename = "sick")]
     Unhealthy,
-    /// There is no observation, or it is too old, or of too few members.
+    /// It has no observation, or an outdated one, or one by too few members.
     Unheard,
-    /// It serves and was not yet seen warm.
+    /// It serves but was not yet observed to be warm.
     Cold,
 }
--- a/crates/maintenance/src/due.rs
+++ b/crates/maintenance/src/due.rs
@@ -1,23 +1,23 @@
-//! The actions that are due, and when the leader has to look again.
+//! The actions that are due, and the time of the leader's next wake-up.
 
-use crate::action::{Action, Unclear};
-use crate::admission::hard_end;
+use crate::action::{Action, DrainCheck};
+use crate::admission::blackout_free_end_ms;
 use crate::event::Step;
 use crate::machine::Machine;
 use crate::window::State;
 
 impl Machine {
-    /// What the leader is to do now, ways back first, then by window and server. `now_ms` is its
-    /// own clock: a drain or take is named only while observations of that moment holds the
-    /// disruption budget and no blackout is on, so a leader that was deposed unknowing, or stopped,
-    /// does neither for longer than observations live.
+    /// The actions that the leader should perform now: returns and cancellations first, then by
+    /// window and server. `now_ms` is the leader's own clock: a drain or take is due only while
+    /// observations recent by that clock satisfy the disruption budget and there is no blackout, so
+    /// that a deposed or paused leader performs neither for longer than observations count.
     pub fn due(&self, now_ms: i64) -> Vec<Action> {
         let Some(budget) = &self.budget else {
             return Vec::new();
         };
         let now_ms = now_ms.max(self.at_ms);
-        let ledger = self.ledger(budget, now_ms);
-        let mut acts = Vec::new();
+        let ledger = self.capacity_ledger(budget, now_ms);
+        let mut actions = Vec::new();
         for window in self.windows.values() {
             for slot in &window.slots {
                 let step = match slot.state {
@@ -28,18 +28,21 @@
                     State::Draining if !self.waits_for_clear() => Step::Take,
                     _ => continue,
                 };
-                let bears = match step {
+                let is_permitted = match step {
                     Step::Drain => ledger.holds(),
-                    Step::Take => self.holds_for(&ledger, &slot.server),
+                    Step::Take => self.limits_hold_for(&ledger, &slot.server),
                     Step::Return | Step::CallBack => true,
                 };
-                let until_ms = hard_end(budget, window, slot).max(now_ms.saturating_add(1));
-                let out = matches!(step, Step::Drain | Step::Take);
-                if !bears || out && (window.cancelled || self.blacked_out(budget, now_ms, until_ms))
+                let until_ms =
+                    blackout_free_end_ms(budget, window, slot).max(now_ms.saturating_add(1));
+                let leaves_service = matches!(step, Step::Drain | Step::Take);
+                if !is_permitted
+                    || leaves_service
+                        && (window.cancelled || self.touches_blackout(budget, now_ms, until_ms))
                 {
                     continue;
                 }
-                acts.push(Action {
+                actions.push(Action {
                     window: window.id,
                     server: slot.server.clone(),
                     step,
@@ -47,19 +50,20 @@
                 });
             }
         }
-        acts.sort_by_key(|act| (std::cmp::Reverse(act.step), act.window));
-        acts
+        actions.sort_by_key(|act| (std::cmp::Reverse(act.step), act.window));
+        actions
     }
 
-    /// Servers whose drain is confirmed and of which a clear is waited for, by window.
-    pub fn unclear(&self) -> Vec<Unclear> {
+    /// Servers whose drain is confirmed and that are not yet confirmed clear, by window.
+    pub fn drain_checks(&self) -> Vec<DrainCheck> {
         let slots = self
             .windows
             .values()
             .flat_map(|w| w.slots.iter().map(move |slot| (w, slot)));
-        let waits = slots.filter(|(w, s)| s.state == State::Draining && s.drained && !w.cancelled);
-        waits
-            .map(|(w, s)| Unclear {
+        let waiting =
+            slots.filter(|(w, s)| s.state == State::Draining && s.drained && !w.cancelled);
+        waiting
+            .map(|(w, s)| DrainCheck {
                 window: w.id,
                 server: s.server.clone(),
                 started: s.least_start,
@@ -68,22 +72,22 @@
             .collect()
     }
 
-    /// When the leader should propose [`Event::Tick`](crate::Event::Tick) at the latest, in
-    /// milliseconds of Unix time; none if nothing waits for time to pass. Acts that are due are no
-    /// reason to wake: they are repeated by whoever performs them.
+    /// The latest time at which the leader should propose [`Event::Tick`](crate::Event::Tick), in
+    /// milliseconds of Unix time; none if nothing depends on time. Due actions do not count, as
+    /// they are repeated by whoever performs them.
     pub fn next_wake(&self, now_ms: i64) -> Option<i64> {
         let budget = self.budget.as_ref()?;
         let now_ms = now_ms.max(self.at_ms);
-        let mut moments: Vec<i64> = Vec::new();
-        let mut open = false;
-        for window in self.windows.values().filter(|w| !w.closed()) {
+        let mut wake_times: Vec<i64> = Vec::new();
+        let mut has_draining = false;
+        for window in self.windows.values().filter(|w| !w.is_closed()) {
             let (length, span) = (window.request.length_ms, window.request.span_ms());
             for slot in &window.slots {
                 let start = slot.start_ms.unwrap_or(now_ms);
                 match slot.state {
                     State::Asked | State::Booked => {
-                        moments.extend(slot.start_ms);
-                        moments.push(
+                        wake_times.extend(slot.start_ms);
+                        wake_times.push(
                             window
                                 .request
                                 .latest_ms
@@ -92,21 +96,20 @@
                         );
                     }
                     State::Draining | State::Clear => {
-                        open = true;
-                        moments.push(start.saturating_add(budget.clear_most_ms.min(length)));
+                        has_draining = true;
+                        wake_times.push(start.saturating_add(budget.clear_most_ms.min(length)));
                     }
-                    State::Away => moments.push(start.saturating_add(length)),
+                    State::Away => wake_times.push(start.saturating_add(length)),
                     State::Returning | State::CalledBack | State::Closed => {}
                 }
                 if slot.state.is_admitted() {
-                    moments.push(start.saturating_add(span));
+                    wake_times.push(start.saturating_add(span));
                 }
             }
         }
-        if open {
-            // The next blackout, and the moments at which observations runs out, cancel what
-            // drains.
-            moments.extend(
+        if has_draining {
+            // Draining servers are cancelled by the next blackout and by observations that expire.
+            wake_times.extend(
                 self.calendar
                     .spans
                     .iter()
@@ -114,9 +117,9 @@
                     .find(|from| *from > now_ms),
             );
             let seen = self.servers.values().filter_map(|known| known.seen);
-            moments.extend(seen.map(|s| s.seen_ms.saturating_add(budget.evidence_bound_ms)));
+            wake_times.extend(seen.map(|s| s.seen_ms.saturating_add(budget.evidence_bound_ms)));
         }
-        moments
+        wake_times
             .into_iter()
             .filter(|moment| *moment > self.at_ms)
             .min()
--- a/crates/maintenance/src/event.rs
+++ b/crates/maintenance/src/event.rs
@@ -1,4 +1,4 @@
-//! The events of the state machine in their agreed order, and its answers.
+//! The events of the state machine, and their outcomes.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,78 +7,78 @@
 use crate::invalid::Invalid;
 use crate::request::Request;
 
-/// One agreed event. The time it happened is given beside it, by the leader that proposed it.
+/// One event of the replicated log. The leader that proposes it adds the time at which it happened.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Event {
-    /// Somebody asks for a window.
+    /// A request for a window.
     Ask(Request),
-    /// The asker takes a window back: what waits is closed, what drains is cancelled, what is away
+    /// The requester cancels a window: what waits is closed, what drains is cancelled, what is away
     /// runs to its end.
     Cancel {
         /// The window's number.
         window: u64,
     },
-    /// What the list or platform names now: all servers, in place of the last list.
+    /// The servers that the list or platform names now; replaces the last list.
     Servers(Vec<Server>),
-    /// What the fleet knows of servers; of those not named the last observation stays, and ages.
+    /// Health observations of servers; servers not named keep their last observation, which ages.
     #[serde(rename = "evidence")]
     Observations(Vec<ServerObservation>),
-    /// No replica picks by an affinity entry to this server any more, and none will before it has
-    /// started anew.
+    /// No sidecar routes to this server by an affinity entry any more, and none will until it is
+    /// restarted.
     Clear {
         /// The window's number.
         window: u64,
         /// The server's name.
         server: String,
-        /// The token of the drain that the clear answers, so that an earlier drain's clear is not
-        /// taken for it.
+        /// The token of the drain that was checked, so that a clear for an earlier drain does not
+        /// count.
         epoch: u64,
     },
-    /// The work on a server that is away is finished before the window's end; it may return.
+    /// The work on a taken server is finished before the window's end; the server may return.
     Finished {
         /// The window's number.
         window: u64,
         /// The server's name.
         server: String,
     },
-    /// What the thing acted on answered to an [`Action`](crate::Action).
+    /// The answer to an [`Action`](crate::Action).
     Acted {
         /// The window's number.
         window: u64,
         /// The server's name.
         server: String,
-        /// The step that was tried.
+        /// The step that was performed.
         step: Step,
-        /// The token that went with it.
+        /// The token of the action.
         token: u64,
         /// The answer.
         result: Answer,
     },
-    /// Time passed.
+    /// Time has passed.
     Tick,
-    /// A new disruption budget takes the place of the last. Blackouts count once a
-    /// [`Event::Calendar`] gives their times; until then everything is blacked out.
+    /// A new disruption budget replaces the last. Its blackouts take effect with the next
+    /// [`Event::Calendar`]; until then all times count as blackouts.
     #[serde(rename = "agreement")]
     DisruptionBudget(DisruptionBudget),
-    /// The disruption budget's blackouts as times, worked out by the leader (see
-    /// [`Machine::calendar_due`]): replicas with another time zone database decide the same.
+    /// The disruption budget's blackouts as time spans, computed by the leader (see
+    /// [`Machine::calendar_due`]) so that replicas with another time zone database agree on them.
     ///
     /// [`Machine::calendar_due`]: crate::Machine::calendar_due
     Calendar {
-        /// The disruption budget that they belong to, counted from the first one: for another one
-        /// they say nothing.
+        /// The number of the disruption budget they belong to; ignored if that is not the current
+        /// one.
         #[serde(rename = "agreement")]
         budget: u64,
-        /// The time to which the spans are known, in milliseconds of Unix time. What lies beyond is
-        /// blacked out.
+        /// The time up to which the spans are known, in milliseconds of Unix time. Later times
+        /// count as blackouts.
         until_ms: i64,
-        /// The blackouts' times, in order.
+        /// The blackouts' spans, in order.
         spans: Vec<Span>,
     },
 }
 
-/// A server as the list or platform names it.
+/// A server of the list.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Server {
@@ -88,131 +88,130 @@
     pub zone: String,
     /// Its group.
     pub group: String,
-    /// Its part of the capacity.
+    /// Its share of the capacity.
     pub weight: u32,
-    /// When its process started, in the list's own unit; grows with each start.
+    /// When its process started, in the list's own unit; increases with each start.
     pub started: u64,
 }
 
-/// What the fleet knows of one server.
+/// A health observation of one server.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServerObservation {
-    /// The server's name.
+    /// Its health.
     pub server: String,
     /// Whether it serves.
     pub state: Health,
-    /// Whether it is warm. Once seen warm, a process (name and start) counts as warm.
+    /// Whether it is warm. A process (name and start) once observed warm counts as warm.
     pub warm: bool,
-    /// The start of the process that was seen, in the list's unit.
+    /// The start of the observed process, in the list's unit.
     pub started: u64,
-    /// How long ago it was seen, in milliseconds before the event.
+    /// The age of the observation, in milliseconds before the event.
     pub age_ms: u64,
-    /// Whether enough members with full connectivity say so. If not, the observation counts as
-    /// none.
+    /// Whether enough members with full connectivity report it. Otherwise the observation does not
+    /// count.
     pub enough: bool,
 }
 
-/// Whether a server serves.
+/// The health of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Health {
     /// It serves.
     #[serde(rename = "well")]
     Healthy,
-    /// It is dead, or fails what it is asked.
+    /// It is dead, or its requests fail.
     #[serde(rename = "sick")]
     Unhealthy,
     /// The members can't tell.
     Unknown,
 }
 
-/// A step that the thing acted on is asked for.
+/// A step of maintenance on a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Step {
-    /// Give it no new work.
+    /// Assign it no new requests.
     Drain,
-    /// Take it away.
+    /// Take it out of service.
     Take,
-    /// Bring it back from away.
+    /// Bring it back after it was taken.
     Return,
-    /// Give it work again; it was not taken.
+    /// Assign it requests again; it was not taken.
     CallBack,
 }
 
-/// What the thing acted on answered.
+/// The answer to an action.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Answer {
-    /// It is so; also if it was so already.
+    /// The step is done, or was already.
     Done {
-        /// The start of the process that a return brought up, where the platform tells it.
+        /// The start of the process that a return started, if the platform reports it.
         started: Option<u64>,
     },
-    /// A cancellation came too late: the server was taken already.
+    /// A cancellation came too late: the server was already taken.
     Taken,
-    /// The token is lower than one seen.
+    /// The token is lower than one seen before.
     Refused {
         /// The highest token seen.
         seen: u64,
     },
-    /// It could not be done now; it is tried again.
+    /// It could not be done now and will be tried again.
     Failed,
 }
 
-/// What [`Machine::apply`](crate::Machine::apply) answers.
+/// The result of [`Machine::apply`](crate::Machine::apply).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// The request is accepted; the same name asked again gets the same answer.
+    /// The request is accepted; a repeated request gets the same answer.
     Booked {
         /// The window's number.
         window: u64,
-        /// When each server goes, in milliseconds of Unix time, by the plan of this moment.
+        /// The currently planned times of the servers.
         times: Vec<Booking>,
     },
-    /// The request can't be met as asked.
+    /// The request can't be satisfied.
     Infeasible {
-        /// The limit that stands against it, in words.
+        /// The limit that prevents it, as text.
         reason: String,
-        /// The earliest start that would be feasible if the latest end were later, in milliseconds
-        /// of Unix time.
+        /// The earliest possible start if the latest end were later, in milliseconds of Unix time.
         earliest_ms: Option<i64>,
-        /// The end of its last wave with overrun then, in milliseconds of Unix time.
+        /// The end of its last wave, with overrun, in that case, in milliseconds of Unix time.
         end_ms: Option<i64>,
     },
-    /// The event is taken.
+    /// The event was applied.
     Taken,
-    /// The event says nothing new: repeated, late, or of another token.
+    /// The event changes nothing: it is repeated, late, or for another token.
     Ignored,
-    /// The event can't be taken.
+    /// The event was rejected.
     Refused(Refusal),
 }
 
-/// When one server goes.
+/// The planned time of one server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Booking {
     /// The server's name.
     pub server: String,
     /// Number of the wave within the window, from 0.
     pub wave: u32,
-    /// Start of the drain, in milliseconds of Unix time; none while no time is found.
+    /// Start of the drain, in milliseconds of Unix time; none if no time was found.
     pub start_ms: Option<i64>,
     /// End with overrun, in milliseconds of Unix time.
     pub end_ms: Option<i64>,
 }
 
-/// Why an event can't be taken.
+/// Why an event was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Refusal {
-    /// A key of it is wrong.
+    /// One of its fields is invalid.
     Invalid(Invalid),
-    /// There is no such window or server in it.
+    /// There is no such window or server.
     Unknown(String),
-    /// A bound is reached.
+    /// A limit is reached.
     Full(String),
-    /// No disruption budget was made yet.
+    /// No disruption budget has been set yet.
     NoAgreement,
 }
--- a/crates/maintenance/src/invalid.rs
+++ b/crates/maintenance/src/invalid.rs
@@ -1,13 +1,13 @@
-//! What makes a request or a setting unusable, by its key.
+//! Validation errors of requests and settings.
 
 use serde::{Deserialize, Serialize};
 
-/// A setting that can't be taken, by the name of its key.
+/// An invalid field of a request or setting.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Invalid {
-    /// The key, as in the configuration or request, with its index where it is one of several.
+    /// The field's name in the configuration or request, with its index if it is an array element.
     pub key: String,
-    /// Why it can't be taken, as text for the operator.
+    /// Why it is invalid, as text for the operator.
     pub reason: String,
 }
 
--- a/crates/maintenance/src/ledger.rs
+++ b/crates/maintenance/src/ledger.rs
@@ -1,25 +1,25 @@
-//! The capacity account at one moment: what is listed, what is in service, what is debited.
+//! The capacity ledger at one time: what is listed, in service, and debited.
 
 use std::collections::BTreeMap;
 
-use crate::capacity::{CapacityView, Debit, DebitReason, Room};
+use crate::capacity::{CapacityView, Debit, DebitReason, LimitUsage};
 use crate::disruption_budget::DisruptionBudget;
-use crate::known_server::Known;
+use crate::known_server::ServerState;
 use crate::machine::Machine;
 use crate::window::ServerSlot;
 
-/// The limits in weights, each under a number: all servers together first, then zones and groups
-/// that have one.
-pub(crate) struct Shape<'a> {
+/// The limits on capacity, each with a number: all servers together first, then zones and groups
+/// that have a limit of their own.
+pub(crate) struct Limits<'a> {
     pub(crate) keep: Vec<u64>,
     names: Vec<String>,
     zones: BTreeMap<&'a str, usize>,
     groups: BTreeMap<&'a str, usize>,
 }
 
-impl<'a> Shape<'a> {
+impl<'a> Limits<'a> {
     pub(crate) fn new(budget: &'a DisruptionBudget) -> Self {
-        let mut shape = Shape {
+        let mut shape = Limits {
             keep: vec![budget.keep],
             names: vec!["all".into()],
             zones: BTreeMap::new(),
@@ -38,8 +38,8 @@
         shape
     }
 
-    /// Numbers of the limits that a server counts under.
-    pub(crate) fn of(&self, known: &Known) -> impl Iterator<Item = usize> {
+    /// Numbers of the limits that a server counts toward.
+    pub(crate) fn limits_of(&self, known: &ServerState) -> impl Iterator<Item = usize> {
         let zone = self.zones.get(known.zone.as_str()).copied();
         let group = self.groups.get(known.group.as_str()).copied();
         [Some(0), zone, group].into_iter().flatten()
@@ -50,9 +50,9 @@
     }
 }
 
-/// Capacity at one moment.
-pub(crate) struct Ledger<'a> {
-    pub(crate) shape: Shape<'a>,
+/// Capacity at one time.
+pub(crate) struct CapacityLedger<'a> {
+    pub(crate) limits: Limits<'a>,
     pub(crate) listed: Vec<u64>,
     pub(crate) present: Vec<u64>,
     pub(crate) away: u32,
@@ -60,63 +60,63 @@
     pub(crate) debits: BTreeMap<&'a str, (u32, DebitReason, Option<u64>)>,
 }
 
-impl<'a> Ledger<'a> {
+impl<'a> CapacityLedger<'a> {
     /// Whether every limit holds.
     pub(crate) fn holds(&self) -> bool {
-        self.away <= self.most_away && self.broken().next().is_none()
+        self.away <= self.most_away && self.violated().next().is_none()
     }
 
-    /// Numbers of the limits in weights that do not hold.
-    pub(crate) fn broken(&self) -> impl Iterator<Item = usize> {
-        let pairs = self.present.iter().zip(&self.shape.keep).enumerate();
+    /// Numbers of the violated weight limits.
+    pub(crate) fn violated(&self) -> impl Iterator<Item = usize> {
+        let pairs = self.present.iter().zip(&self.limits.keep).enumerate();
         pairs
             .filter(|(_, (present, keep))| present < keep)
             .map(|(number, _)| number)
     }
 
-    /// Whether too many are away.
-    pub(crate) fn crowded(&self) -> bool {
+    /// Whether too many servers are away.
+    pub(crate) fn too_many_away(&self) -> bool {
         self.away > self.most_away
     }
 
-    /// Counts a server as away that counted as there.
-    pub(crate) fn debit(&mut self, name: &'a str, known: &Known, window: u64) {
+    /// Debits a server that counted as in service.
+    pub(crate) fn debit(&mut self, name: &'a str, known: &ServerState, window: u64) {
         if self
             .debits
             .insert(name, (known.weight, DebitReason::Granted, Some(window)))
             .is_none()
         {
             self.away += 1;
-            for number in self.shape.of(known) {
+            for number in self.limits.limits_of(known) {
                 self.present[number] -= u64::from(known.weight);
             }
         }
     }
 
-    /// Counts a server as there that counted as away by grant.
-    pub(crate) fn credit(&mut self, name: &str, known: &Known) {
+    /// Credits a server that was debited as admitted.
+    pub(crate) fn credit(&mut self, name: &str, known: &ServerState) {
         if self.debits.remove(name).is_some() {
             self.away -= 1;
-            for number in self.shape.of(known) {
+            for number in self.limits.limits_of(known) {
                 self.present[number] += u64::from(known.weight);
             }
         }
     }
 
     pub(crate) fn view(&self) -> CapacityView {
-        let rooms = (0..self.shape.keep.len()).map(|number| Room {
-            name: self.shape.name(number).into(),
+        let rooms = (0..self.limits.keep.len()).map(|number| LimitUsage {
+            name: self.limits.name(number).into(),
             listed: self.listed[number],
             present: self.present[number],
-            keep: self.shape.keep[number],
+            keep: self.limits.keep[number],
         });
         let debits = self
             .debits
             .iter()
-            .map(|(server, (weight, why, window))| Debit {
+            .map(|(server, (weight, reason, window))| Debit {
                 server: (*server).into(),
                 weight: *weight,
-                why: *why,
+                why: *reason,
                 window: *window,
             });
         CapacityView {
@@ -130,7 +130,7 @@
 }
 
 impl Machine {
-    /// Slots with an open grant, by server, with their window's number.
+    /// Admitted slots by server, with their window's number.
     pub(crate) fn admissions(&self) -> BTreeMap<&str, (u64, &ServerSlot)> {
         let slots = self
             .windows
@@ -142,43 +142,47 @@
             .collect()
     }
 
-    /// Capacity at `now_ms`, from observations of that age and the grants that are open.
-    pub(crate) fn ledger<'a>(&'a self, budget: &'a DisruptionBudget, now_ms: i64) -> Ledger<'a> {
-        let shape = Shape::new(budget);
+    /// Capacity at `now_ms`, by the observations still recent then and the open admissions.
+    pub(crate) fn capacity_ledger<'a>(
+        &'a self,
+        budget: &'a DisruptionBudget,
+        now_ms: i64,
+    ) -> CapacityLedger<'a> {
+        let shape = Limits::new(budget);
         let zero = vec![0u64; shape.keep.len()];
-        let mut ledger = Ledger {
+        let mut ledger = CapacityLedger {
             listed: zero.clone(),
             present: zero,
             away: 0,
             most_away: budget.most_away,
             debits: BTreeMap::new(),
-            shape,
+            limits: shape,
         };
         let admissions = self.admissions();
         for (name, (window, slot)) in &admissions {
             if self.debits_admissions() {
                 let weight = self.servers.get(*name).map_or(0, |known| known.weight);
-                let why = if slot.late {
+                let reason = if slot.late {
                     DebitReason::Late
                 } else {
                     DebitReason::Granted
                 };
-                ledger.debits.insert(name, (weight, why, Some(*window)));
+                ledger.debits.insert(name, (weight, reason, Some(*window)));
             }
         }
         for (name, known) in &self.servers {
-            for number in ledger.shape.of(known) {
+            for number in ledger.limits.limits_of(known) {
                 ledger.listed[number] += u64::from(known.weight);
             }
             if ledger.debits.contains_key(name.as_str()) {
                 continue;
             }
             match known.missing(now_ms, budget.evidence_bound_ms) {
-                Some(why) => {
-                    ledger.debits.insert(name, (known.weight, why, None));
+                Some(reason) => {
+                    ledger.debits.insert(name, (known.weight, reason, None));
                 }
                 None => {
-                    for number in ledger.shape.of(known) {
+                    for number in ledger.limits.limits_of(known) {
                         ledger.present[number] += u64::from(known.weight);
                     }
                 }
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -1,9 +1,9 @@
-//! Maintenance windows that never breach the capacity floor.
+//! Maintenance windows that never violate the disruption budget.
 //!
-//! A [`Machine`] takes [`Event`]s in an order that others agreed on, each with the time that its
-//! proposer read; it knows nothing of how consensus is reached, does no I/O and reads no clock.
-//! What the leader has to do follows from the state alone ([`Machine::due`]), so a successor goes
-//! on at the very step.
+//! A [`Machine`] applies [`Event`]s in the order of a replicated log, each with the time that its
+//! proposer read; it does not know how consensus is reached, does no I/O and reads no clock. What
+//! the leader has to do follows from the state alone ([`Machine::due`]), so a successor continues
+//! at the same step.
 
 #![forbid(unsafe_code)]
 #![warn(missing_docs, clippy::too_many_lines, clippy::cognitive_complexity)]
@@ -34,9 +34,9 @@
 mod view;
 mod window;
 
-pub use action::{Action, Unclear};
+pub use action::{Action, DrainCheck};
 pub use calendar::{Blackout, Every, Span};
-pub use capacity::{CapacityView, Debit, DebitReason, Room};
+pub use capacity::{CapacityView, Debit, DebitReason, LimitUsage};
 pub use disruption_budget::{DisruptionBudget, MAX_RULES};
 pub use event::{
     Answer, Booking, Event, Health, Outcome, Refusal, Server, ServerObservation, Step,
--- a/crates/maintenance/src/machine.rs
+++ b/crates/maintenance/src/machine.rs
@@ -1,24 +1,23 @@
-//! The maintenance state machine: its state, and which part handles which event.
+//! The maintenance state machine: its state, and the dispatch of events.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
 
-use crate::calendar::{Span, merged};
+use crate::calendar::{Span, merged_spans};
 use crate::disruption_budget::{DisruptionBudget, MAX_RULES};
 use crate::event::{Event, Outcome, Refusal};
 use crate::invalid::Invalid;
-use crate::known_server::Known;
+use crate::known_server::ServerState;
 use crate::request::MAX_HORIZON_MS;
 use crate::window::Window;
 
-/// The windows, what is known of the servers, and the last token. Serialized, it is the snapshot of
-/// all that.
+/// Windows, servers and the last token. Its serialized form is the snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Machine {
-    /// Time of the last event; never goes back.
+    /// Time of the last event; never decreases.
     pub(crate) at_ms: i64,
-    /// The last token that was given.
+    /// The last token that was issued.
     pub(crate) token: u64,
     /// The last window's number.
     pub(crate) last_window: u64,
@@ -28,19 +27,19 @@
     #[serde(rename = "agreements")]
     pub(crate) budgets: u64,
     pub(crate) calendar: Calendar,
-    pub(crate) servers: BTreeMap<String, Known>,
+    pub(crate) servers: BTreeMap<String, ServerState>,
     pub(crate) windows: BTreeMap<u64, Window>,
-    /// The token of each zone's last grant.
+    /// The token of each zone's last admission.
     pub(crate) turns: BTreeMap<String, u64>,
-    /// Listed servers that observations did not hold for there after the last event.
+    /// Listed servers that observations did not show in service after the last event.
     pub(crate) down: BTreeSet<String>,
-    /// Whether something happened since the last plan that may change it.
+    /// Whether anything that may change the plan has happened since the last one.
     pub(crate) changed: bool,
     #[cfg(test)]
     pub(crate) planted: crate::planted_faults::PlantedFault,
 }
 
-/// The blackouts' times, as far as they are known.
+/// The blackouts' spans, as far as they are known.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct Calendar {
     pub(crate) until_ms: i64,
@@ -48,21 +47,21 @@
 }
 
 impl Machine {
-    /// A machine that knows nothing and grants nothing.
+    /// An empty machine, which admits nothing.
     pub fn new() -> Self {
         Machine::default()
     }
 
-    /// Takes the next agreed event. `at_ms` is its proposer's clock, in milliseconds of Unix time;
-    /// one that lies before the last event's counts as that. If it lies before it by more than
-    /// observations live, one of the two clocks was wrong, and no observations are believed before
-    /// time goes on.
+    /// Applies the next event of the log. `at_ms` is its proposer's clock, in milliseconds of Unix
+    /// time; a time before the last event's counts as that. If it is earlier by more than
+    /// observations remain valid, one of the two clocks was wrong, and all observations are dropped
+    /// until time advances.
     pub fn apply(&mut self, at_ms: i64, event: Event) -> Outcome {
-        let bound_ms = self
+        let max_staleness_ms = self
             .budget
             .as_ref()
             .map_or(i64::MAX, |budget| budget.evidence_bound_ms);
-        let event = if self.at_ms.saturating_sub(at_ms) > bound_ms {
+        let event = if self.at_ms.saturating_sub(at_ms) > max_staleness_ms {
             self.servers
                 .values_mut()
                 .for_each(|known| known.seen = None);
@@ -74,18 +73,18 @@
         } else {
             event
         };
-        self.at_ms = self.at_ms.max(at_ms.clamp(0, LAST_MS));
+        self.at_ms = self.at_ms.max(at_ms.clamp(0, MAX_TIME_MS));
         let outcome = match event {
-            Event::Ask(request) => self.ask(request),
+            Event::Ask(request) => self.request_window(request),
             Event::Cancel { window } => self.cancel(window),
-            Event::Servers(list) => self.list(list),
-            Event::Observations(observations) => self.observe(observations),
+            Event::Servers(list) => self.set_servers(list),
+            Event::Observations(observations) => self.record_observations(observations),
             Event::Clear {
                 window,
                 server,
                 epoch,
-            } => self.clear(window, &server, epoch),
-            Event::Finished { window, server } => self.finished(window, &server),
+            } => self.record_clear(window, &server, epoch),
+            Event::Finished { window, server } => self.record_finished(window, &server),
             Event::Acted {
                 window,
                 server,
@@ -94,18 +93,18 @@
                 result,
             } => self.record_result(window, &server, step, token, result),
             Event::Tick => Outcome::Taken,
-            Event::DisruptionBudget(budget) => self.agree(budget),
+            Event::DisruptionBudget(budget) => self.set_budget(budget),
             Event::Calendar {
                 budget,
                 until_ms,
                 spans,
-            } => self.dates(budget, until_ms, spans),
+            } => self.set_calendar(budget, until_ms, spans),
         };
         self.advance();
         outcome
     }
 
-    fn agree(&mut self, budget: DisruptionBudget) -> Outcome {
+    fn set_budget(&mut self, budget: DisruptionBudget) -> Outcome {
         if let Err(invalid) = budget.check() {
             return Outcome::Refused(Refusal::Invalid(invalid));
         }
@@ -125,16 +124,16 @@
         Outcome::Taken
     }
 
-    fn dates(&mut self, budget: u64, until_ms: i64, spans: Vec<Span>) -> Outcome {
-        // Proposed before another disruption budget was agreed on.
+    fn set_calendar(&mut self, budget: u64, until_ms: i64, spans: Vec<Span>) -> Outcome {
+        // Proposed before a later disruption budget was committed.
         if budget != self.budgets {
             return Outcome::Ignored;
         }
-        let ordered = spans
+        let is_ordered = spans
             .windows(2)
             .all(|pair| pair[0].until_ms <= pair[1].from_ms);
         if spans.len() > MAX_SPANS
-            || !ordered
+            || !is_ordered
             || spans.iter().any(|span| span.until_ms <= span.from_ms)
         {
             let reason = format!("must be in order, apart, and at most {MAX_SPANS}");
@@ -145,7 +144,7 @@
         Outcome::Taken
     }
 
-    /// The calendar that the leader should propose, if the one it has ends too soon.
+    /// The calendar that the leader should propose if the current one ends too soon.
     pub fn calendar_due(&self, now_ms: i64) -> Option<Event> {
         let budget = self
             .budget
@@ -155,8 +154,10 @@
         if self.calendar.until_ms >= now.saturating_add(MAX_HORIZON_MS) {
             return None;
         }
-        let until_ms = now.saturating_add(MAX_HORIZON_MS).saturating_add(RENEW_MS);
-        let spans = merged(
+        let until_ms = now
+            .saturating_add(MAX_HORIZON_MS)
+            .saturating_add(CALENDAR_RENEWAL_MS);
+        let spans = merged_spans(
             &budget.blackouts,
             Span {
                 from_ms: now,
@@ -171,11 +172,11 @@
     }
 }
 
-/// How far a new calendar reaches beyond the farthest request, in milliseconds: one is proposed
-/// each 30 days.
-const RENEW_MS: i64 = 30 * 86_400_000;
-/// The last moment that an event may have, in milliseconds of Unix time: the end of the year 9999.
-const LAST_MS: i64 = 253_402_300_799_999;
-/// Most times in a calendar: each blackout of a disruption budget once a month, in the time that a
-/// calendar reaches.
+/// How far a new calendar extends beyond the latest possible request, in milliseconds: one is
+/// proposed every 30 days.
+const CALENDAR_RENEWAL_MS: i64 = 30 * 86_400_000;
+/// The latest time that an event may have, in milliseconds of Unix time: the end of the year 9999.
+const MAX_TIME_MS: i64 = 253_402_300_799_999;
+/// Most spans in a calendar: each blackout of a disruption budget once a month, over the time that
+/// a calendar covers.
 const MAX_SPANS: usize = 16 * MAX_RULES;
--- a/crates/maintenance/src/model.rs
+++ b/crates/maintenance/src/model.rs
@@ -1,5 +1,5 @@
-//! An exhaustive model: the state machine, two servers, and actions that may be delivered at any
-//! time, any number of times, or never, as old leaders and networks do.
+//! An exhaustive model: the state machine, two servers, and actions that are delivered at any time,
+//! any number of times, or never, as former leaders and networks may cause.
 
 mod explore;
 
@@ -15,17 +15,18 @@
 };
 
 const NAMES: [&str; 2] = ["s0", "s1"];
-/// Time that one passing takes, in milliseconds; observations live two of them, a window four.
+/// Time that passes in one step, in milliseconds; an observation is valid for two, a window lasts
+/// four.
 const STEP_MS: i64 = 1_000;
 
 struct Maintenance {
     planted: PlantedFault,
-    /// Whether the thing acted on checks tokens.
-    checks: bool,
+    /// Whether the target of the actions checks tokens.
+    checks_tokens: bool,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-struct Real {
+struct ModelServer {
     dead: bool,
     drained: bool,
     taken: bool,
@@ -36,25 +37,25 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Moment {
+struct ModelState {
     machine: Machine,
     now: i64,
-    real: [Real; 2],
-    soup: BTreeSet<(usize, Step, u64, u64)>,
-    /// A server was taken that was not clear.
-    unclear: bool,
+    servers: [ModelServer; 2],
+    in_transit: BTreeSet<(usize, Step, u64, u64)>,
+    /// A server was taken before it was clear.
+    taken_before_clear: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Move {
-    /// The leader, whichever, sends what is due.
+enum ModelAction {
+    /// A leader, current or former, sends the actions that are due.
     Send,
-    /// A message on its way arrives; its answer is agreed on, or lost.
+    /// A message in transit is delivered; its answer is committed, or lost.
     Deliver(usize, Step, u64, u64, bool),
-    /// Time passes, with observations or without.
-    Pass(bool),
-    Die(usize),
-    /// No affinity entry points to the server any more.
+    /// Time passes, with or without observations.
+    AdvanceTime(bool),
+    Fail(usize),
+    /// No affinity entry refers to the server any more.
     Clear(usize),
     Finish(usize),
 }
@@ -63,7 +64,7 @@
     usize::from(name == NAMES[1])
 }
 
-impl Moment {
+impl ModelState {
     fn apply(&mut self, event: Event) {
         self.machine.apply(self.now, event);
     }
@@ -71,7 +72,7 @@
     fn observe(&mut self) {
         let observations = NAMES
             .iter()
-            .zip(self.real)
+            .zip(self.servers)
             .map(|(name, real)| ServerObservation {
                 server: (*name).into(),
                 state: if real.dead || real.taken {
@@ -88,7 +89,7 @@
         self.apply(Event::Observations(observations));
     }
 
-    fn window_of(&self, server: usize, state: Where) -> Option<(u64, u64)> {
+    fn slot_in_state(&self, server: usize, state: Where) -> Option<(u64, u64)> {
         let slots = self
             .machine
             .windows
@@ -98,9 +99,9 @@
         found.next().map(|(id, slot)| (id, slot.token))
     }
 
-    fn deliver(&mut self, server: usize, step: Step, token: u64, checks: bool) -> Answer {
-        let real = &mut self.real[server];
-        if checks && token < real.seen {
+    fn deliver(&mut self, server: usize, step: Step, token: u64, checks_tokens: bool) -> Answer {
+        let real = &mut self.servers[server];
+        if checks_tokens && token < real.seen {
             return Answer::Refused { seen: real.seen };
         }
         real.seen = real.seen.max(token);
@@ -111,7 +112,7 @@
             Step::Drain => {}
             Step::Take => {
                 let clear = real.drained && real.cleared && real.drain == token;
-                self.unclear |= !(real.taken || clear);
+                self.taken_before_clear |= !(real.taken || clear);
                 real.taken = true;
             }
             Step::CallBack if real.taken => return Answer::Taken,
@@ -129,22 +130,22 @@
 }
 
 impl Model for Maintenance {
-    type State = Moment;
-    type Action = Move;
+    type State = ModelState;
+    type Action = ModelAction;
 
-    fn init_states(&self) -> Vec<Moment> {
+    fn init_states(&self) -> Vec<ModelState> {
         let mut machine = Machine::new();
         machine.planted = self.planted;
-        let real = [Real {
+        let real = [ModelServer {
             started: 1,
-            ..Real::default()
+            ..ModelServer::default()
         }; 2];
-        let mut moment = Moment {
+        let mut moment = ModelState {
             machine,
             now: STEP_MS,
-            real,
-            soup: BTreeSet::new(),
-            unclear: false,
+            servers: real,
+            in_transit: BTreeSet::new(),
+            taken_before_clear: false,
         };
         let budget: DisruptionBudget = serde_json::from_str(
             r#"{"keep": 1, "most_away": 1, "evidence_bound_ms": 2000, "clear_most_ms": 3000, "repair_ms": 3000}"#,
@@ -175,32 +176,37 @@
         vec![moment]
     }
 
-    fn actions(&self, moment: &Moment, actions: &mut Vec<Move>) {
-        actions.push(Move::Send);
-        for (server, step, window, token) in &moment.soup {
+    fn actions(&self, moment: &ModelState, actions: &mut Vec<ModelAction>) {
+        actions.push(ModelAction::Send);
+        for (server, step, window, token) in &moment.in_transit {
             for answered in [true, false] {
-                actions.push(Move::Deliver(*server, *step, *window, *token, answered));
+                actions.push(ModelAction::Deliver(
+                    *server, *step, *window, *token, answered,
+                ));
             }
         }
-        actions.extend([Move::Pass(true), Move::Pass(false)]);
+        actions.extend([
+            ModelAction::AdvanceTime(true),
+            ModelAction::AdvanceTime(false),
+        ]);
         for server in 0..2 {
-            let real = moment.real[server];
-            if !moment.real[0].dead && !moment.real[1].dead {
-                actions.push(Move::Die(server));
+            let real = moment.servers[server];
+            if !moment.servers[0].dead && !moment.servers[1].dead {
+                actions.push(ModelAction::Fail(server));
             }
             if real.drained && !real.cleared {
-                actions.push(Move::Clear(server));
+                actions.push(ModelAction::Clear(server));
             }
-            if moment.window_of(server, Where::Away).is_some() {
-                actions.push(Move::Finish(server));
+            if moment.slot_in_state(server, Where::Away).is_some() {
+                actions.push(ModelAction::Finish(server));
             }
         }
     }
 
-    fn next_state(&self, last: &Moment, action: Move) -> Option<Moment> {
+    fn next_state(&self, last: &ModelState, action: ModelAction) -> Option<ModelState> {
         let mut moment = last.clone();
         match action {
-            Move::Send => {
+            ModelAction::Send => {
                 for Action {
                     window,
                     server,
@@ -208,11 +214,13 @@
                     token,
                 } in last.machine.due(last.now)
                 {
-                    moment.soup.insert((index(&server), step, window, token));
+                    moment
+                        .in_transit
+                        .insert((index(&server), step, window, token));
                 }
             }
-            Move::Deliver(server, step, window, token, answered) => {
-                let result = moment.deliver(server, step, token, self.checks);
+            ModelAction::Deliver(server, step, window, token, answered) => {
+                let result = moment.deliver(server, step, token, self.checks_tokens);
                 if answered {
                     moment.apply(Event::Acted {
                         window,
@@ -223,18 +231,18 @@
                     });
                 }
             }
-            Move::Pass(heard) => {
+            ModelAction::AdvanceTime(with_observations) => {
                 moment.now += STEP_MS;
                 moment.apply(Event::Tick);
-                if heard {
+                if with_observations {
                     moment.observe();
                 }
             }
-            Move::Die(server) => moment.real[server].dead = true,
-            Move::Clear(server) => {
-                moment.real[server].cleared = true;
-                if let Some((window, _)) = moment.window_of(server, Where::Draining) {
-                    let epoch = moment.real[server].drain;
+            ModelAction::Fail(server) => moment.servers[server].dead = true,
+            ModelAction::Clear(server) => {
+                moment.servers[server].cleared = true;
+                if let Some((window, _)) = moment.slot_in_state(server, Where::Draining) {
+                    let epoch = moment.servers[server].drain;
                     moment.apply(Event::Clear {
                         window,
                         server: NAMES[server].into(),
@@ -242,8 +250,8 @@
                     });
                 }
             }
-            Move::Finish(server) => {
-                let (window, _) = moment.window_of(server, Where::Away)?;
+            ModelAction::Finish(server) => {
+                let (window, _) = moment.slot_in_state(server, Where::Away)?;
                 moment.apply(Event::Finished {
                     window,
                     server: NAMES[server].into(),
@@ -255,25 +263,27 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("capacity", |_, m: &Moment| {
-                !m.real.iter().all(|r| r.drained || r.taken)
+            Property::always("capacity", |_, m: &ModelState| {
+                !m.servers.iter().all(|r| r.drained || r.taken)
             }),
-            Property::always("granted", |_, m: &Moment| {
+            Property::always("granted", |_, m: &ModelState| {
                 let open = m.machine.admissions();
-                let away = (0..2).filter(|i| m.real[*i].drained || m.real[*i].taken);
+                let away = (0..2).filter(|i| m.servers[*i].drained || m.servers[*i].taken);
                 away.into_iter().all(|i| open.contains_key(NAMES[i]))
             }),
-            Property::always("clear", |_, m: &Moment| !m.unclear),
-            Property::sometimes("called back", |_, m: &Moment| {
+            Property::always("clear", |_, m: &ModelState| !m.taken_before_clear),
+            Property::sometimes("called back", |_, m: &ModelState| {
                 m.machine
                     .windows
                     .values()
                     .any(|w| w.slots[0].called_back > 0)
             }),
-            Property::sometimes("taken", |_, m: &Moment| m.real.iter().any(|r| r.taken)),
-            Property::sometimes("second granted", |_, m: &Moment| {
+            Property::sometimes("taken", |_, m: &ModelState| {
+                m.servers.iter().any(|r| r.taken)
+            }),
+            Property::sometimes("second granted", |_, m: &ModelState| {
                 let mut windows = m.machine.windows.values();
-                windows.any(Window::closed) && !m.machine.admissions().is_empty()
+                windows.any(Window::is_closed) && !m.machine.admissions().is_empty()
             }),
         ]
     }
--- a/crates/maintenance/src/model/explore.rs
+++ b/crates/maintenance/src/model/explore.rs
@@ -1,33 +1,36 @@
-//! Explores the model to a stated depth, also with planted faults, which must be found.
+//! Explores the model to a given depth, also with planted faults that must be found.
 
 use stateright::{Checker, Model};
 
 use super::Maintenance;
 use crate::planted_faults::PlantedFault;
 
-/// Actions in a row that each run explores: one window comes and goes in ten, and the next is
-/// granted in the eleventh.
+/// Depth of an exploration: a window takes ten steps from start to end, and the next is admitted in
+/// the eleventh.
 const DEPTH: usize = 13;
 
-/// The properties that were seen broken to that depth, and how many states there are.
-fn explore(planted: PlantedFault, checks: bool, depth: usize) -> (Vec<&'static str>, usize) {
-    let checker = Maintenance { planted, checks }
-        .checker()
-        .threads(4)
-        .target_max_depth(depth)
-        .spawn_bfs()
-        .join();
+/// The properties violated within that depth, and the number of states.
+fn explore(fault: PlantedFault, checks_tokens: bool, depth: usize) -> (Vec<&'static str>, usize) {
+    let checker = Maintenance {
+        planted: fault,
+        checks_tokens,
+    }
+    .checker()
+    .threads(4)
+    .target_max_depth(depth)
+    .spawn_bfs()
+    .join();
     for name in ["called back", "taken", "second granted"] {
-        let seen = checker.discovery(name).is_some();
+        let reached = checker.discovery(name).is_some();
         assert!(
-            seen || planted != PlantedFault::default() || !checks || depth < DEPTH,
+            reached || fault != PlantedFault::default() || !checks_tokens || depth < DEPTH,
             "{name:?} is never reached"
         );
     }
-    let broken = ["capacity", "granted", "clear"]
+    let violated = ["capacity", "granted", "clear"]
         .into_iter()
         .filter(|name| checker.discovery(name).is_some());
-    (broken.collect(), checker.unique_state_count())
+    (violated.collect(), checker.unique_state_count())
 }
 
 #[test]
@@ -35,7 +38,7 @@
     let (broken, states) = explore(PlantedFault::default(), true, DEPTH);
     println!("{states} states");
     assert!(broken.is_empty(), "{broken:?}");
-    assert!(states > 50_000, "{states} states are no exploration");
+    assert!(states > 50_000, "{states} states are too few");
 }
 
 #[test]
@@ -54,7 +57,7 @@
 fn without_the_debit_the_capacity_breaks() {
     let (broken, _) = explore(
         PlantedFault {
-            no_debit: true,
+            no_debits: true,
             ..PlantedFault::default()
         },
         true,
@@ -73,7 +76,7 @@
 fn without_the_wait_for_the_clear_a_server_is_taken_too_soon() {
     let (broken, _) = explore(
         PlantedFault {
-            no_clear: true,
+            no_drain_check: true,
             ..PlantedFault::default()
         },
         true,
--- a/crates/maintenance/src/request.rs
+++ b/crates/maintenance/src/request.rs
@@ -1,4 +1,4 @@
-//! The request of a window.
+//! Requests for maintenance windows.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,74 +7,75 @@
 
 /// Most servers that one request may name.
 pub const MAX_NAMED_SERVERS: usize = 1_024;
-/// Longest name of anything, in bytes.
+/// Longest name, in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
-/// Longest length, and farthest latest end, in milliseconds: 400 days, a year and a month.
+/// Longest length and latest end from now, in milliseconds: 400 days.
 pub const MAX_HORIZON_MS: i64 = 400 * 86_400_000;
 
-/// A wish for a window.
+/// A request for a maintenance window.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Request {
-    /// Name that the asker chose. Asked again under the same name, the answer is that of the first.
+    /// Name chosen by the requester. A repeated request with the same name gets the first answer.
     pub name: String,
-    /// Which servers.
+    /// The servers.
     pub target: Target,
-    /// Earliest start of a drain, in milliseconds of Unix time.
+    /// Earliest start of the drain, in milliseconds of Unix time.
     pub earliest_ms: i64,
     /// Latest end with overrun, in milliseconds of Unix time.
     pub latest_ms: i64,
-    /// How long one server is away, from the drain's start until it serves warm, in milliseconds.
+    /// How long one server is away, from the start of its drain until it is warm again, in
+    /// milliseconds.
     pub length_ms: i64,
     /// How much longer it may take, in milliseconds.
     #[serde(default)]
     pub overrun_ms: i64,
-    /// Higher goes first.
+    /// Requests of a higher priority are placed first.
     #[serde(default)]
     pub priority: u8,
-    /// Whether servers may go in waves; if not, all go at once.
+    /// Whether the servers may be split into waves; otherwise all go at once.
     #[serde(default)]
     pub split: bool,
 }
 
-/// The servers that a request is for. Groups and zones are resolved once, when the request is
-/// accepted.
+/// The servers of a request. Groups and zones are resolved once, when the request is accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Target {
-    /// These, by name.
+    /// The servers of these names.
     Servers(Vec<String>),
-    /// All of a group.
+    /// All servers of a group.
     Group(String),
-    /// A part of a zone.
+    /// A share of a zone's servers.
     Zone {
         /// The zone's name.
         zone: String,
-        /// The part, in thousandths of its servers, rounded up; those not yet in a window go first.
+        /// The share, in thousandths, rounded up; servers that are not yet in a window are chosen
+        /// first.
         share_permille: u32,
     },
 }
 
 impl Request {
-    /// Time that the plan keeps for one server: length and overrun, in milliseconds.
+    /// The time reserved for one server: length and overrun, in milliseconds.
     pub fn span_ms(&self) -> i64 {
         self.length_ms + self.overrun_ms
     }
 
-    /// Checks every key against its bounds and the disruption budget.
+    /// Validates every field against its bounds and the disruption budget.
     ///
     /// # Errors
     ///
-    /// The first key that can't be taken, with the reason.
+    /// The first invalid field, with the reason.
     pub fn check(&self, budget: &DisruptionBudget, now_ms: i64) -> Result<(), Invalid> {
-        let named = |key: &str, name: &str| match name.len() {
+        let check_name = |key: &str, name: &str| match name.len() {
             1..=MAX_NAME_BYTES => Ok(()),
             _ => Err(Invalid::new(
                 key,
                 format!("must have from 1 to {MAX_NAME_BYTES} bytes"),
             )),
         };
-        named("name", &self.name)?;
+        check_name("name", &self.name)?;
         match &self.target {
             Target::Servers(names) => {
                 if names.is_empty() || names.len() > MAX_NAMED_SERVERS {
@@ -85,14 +86,14 @@
                 }
                 names
                     .iter()
-                    .try_for_each(|name| named("target.servers", name))?;
+                    .try_for_each(|name| check_name("target.servers", name))?;
             }
-            Target::Group(name) => named("target.group", name)?,
+            Target::Group(name) => check_name("target.group", name)?,
             Target::Zone {
                 zone,
                 share_permille,
             } => {
-                named("target.zone.zone", zone)?;
+                check_name("target.zone.zone", zone)?;
                 if !(1..=1_000).contains(share_permille) {
                     return Err(Invalid::new(
                         "target.zone.share_permille",
@@ -107,14 +108,14 @@
                 format!("must be from 1 to {MAX_HORIZON_MS}"),
             ));
         }
-        let most = self
+        let max_overrun = self
             .length_ms
             .saturating_mul(i64::from(budget.overrun_most_permille))
             / 1_000;
-        if !(0..=most).contains(&self.overrun_ms) {
+        if !(0..=max_overrun).contains(&self.overrun_ms) {
             return Err(Invalid::new(
                 "overrun_ms",
-                format!("must be from 0 to {most} by the agreement"),
+                format!("must be from 0 to {max_overrun} by the agreement"),
             ));
         }
         if self.latest_ms > now_ms.saturating_add(MAX_HORIZON_MS) {
--- a/crates/maintenance/src/window.rs
+++ b/crates/maintenance/src/window.rs
@@ -4,19 +4,19 @@
 
 use crate::request::Request;
 
-/// A window that was accepted.
+/// An accepted window.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Window {
-    /// Its number; grows with each window.
+    /// Its number; later windows have higher ones.
     pub id: u64,
-    /// What was asked.
+    /// The request.
     pub request: Request,
-    /// When it was asked, in milliseconds of Unix time.
+    /// When it was requested, in milliseconds of Unix time.
     pub asked_ms: i64,
-    /// One slot a server.
+    /// One slot per server.
     #[serde(rename = "seats")]
     pub slots: Vec<ServerSlot>,
-    /// Whether the asker took it back.
+    /// Whether the requester cancelled it.
     pub cancelled: bool,
 }
 
@@ -25,54 +25,54 @@
 pub struct ServerSlot {
     /// The server's name.
     pub server: String,
-    /// Where it is.
+    /// Its state.
     pub state: State,
-    /// Planned start of the drain while it waits, real start once it was granted, in milliseconds
+    /// Planned start of the drain while it waits, actual start once it is admitted, in milliseconds
     /// of Unix time.
     pub start_ms: Option<i64>,
-    /// The token of its acts; 0 before the first grant.
+    /// The token of its actions; 0 before the first admission.
     pub token: u64,
     /// Whether its drain was confirmed.
     pub drained: bool,
-    /// Whether the return or cancellation was confirmed, and when, in milliseconds of Unix time.
+    /// When its return or cancellation was confirmed, in milliseconds of Unix time.
     pub returned_ms: Option<i64>,
-    /// The least start that observations of its return must show.
+    /// The earliest process start that observations must show for it to count as returned.
     pub least_start: u64,
-    /// Whether it is over its length and overrun.
+    /// Whether it has exceeded its length and overrun.
     pub late: bool,
-    /// Since when the list does not name its server, in milliseconds of Unix time; none while it
-    /// does.
+    /// Since when its server is missing from the list, in milliseconds of Unix time; none if it is
+    /// listed.
     pub unlisted_ms: Option<i64>,
     /// How often it was cancelled.
     pub called_back: u32,
-    /// Why it was cancelled or closed before its work, in words; empty if neither.
+    /// Why it was cancelled, or closed before its work was done, as text; empty otherwise.
     pub reason: String,
 }
 
-/// Where a slot, or the window as a whole, is.
+/// The state of a slot, or of a window as a whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// Accepted; no time is found at the moment.
+    /// Accepted, but without a time at the moment.
     Asked,
-    /// Has a time.
+    /// It has a planned time.
     Booked,
-    /// Granted: debited, and given no new work.
+    /// Admitted: debited, and assigned no new requests.
     Draining,
-    /// No replica picks by an affinity entry to it; it may be taken.
+    /// No sidecar routes to it by an affinity entry; it may be taken.
     Clear,
-    /// Taken.
+    /// Taken out of service.
     Away,
-    /// On its way back from away.
+    /// Returning to service after it was taken.
     Returning,
-    /// On its way back without having been taken.
+    /// Returning to service without having been taken.
     CalledBack,
-    /// Over.
+    /// Finished.
     Closed,
 }
 
 impl State {
-    /// Whether a grant is open: the server is debited whatever observations say.
+    /// Whether it is admitted: its server is debited whatever observations say.
     pub fn is_admitted(self) -> bool {
         matches!(
             self,
@@ -80,14 +80,14 @@
         )
     }
 
-    /// Whether it waits for a grant.
-    pub fn waits(self) -> bool {
+    /// Whether it waits for admission.
+    pub fn is_waiting(self) -> bool {
         matches!(self, State::Asked | State::Booked)
     }
 }
 
 impl ServerSlot {
-    /// A slot that waits.
+    /// A slot that waits for a time.
     pub(crate) fn new(server: String) -> Self {
         ServerSlot {
             server,
@@ -107,7 +107,7 @@
 
 impl Window {
     /// Whether every slot is closed.
-    pub fn closed(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         self.slots.iter().all(|slot| slot.state == State::Closed)
     }
 }
--- a/crates/maintenance/tests/histories.rs
+++ b/crates/maintenance/tests/histories.rs
@@ -1,17 +1,17 @@
-//! Properties that every random history must keep.
+//! Random histories, in which every rule must hold at every step.
 
 mod play;
 mod world;
 
-use play::{Figures, Play};
+use play::{Counts, History};
 
 /// Threads of the long run.
 const THREADS: u64 = 5;
 
-fn histories(seeds: std::ops::Range<u64>) -> Figures {
-    let mut sum = Figures::default();
+fn run_histories(seeds: std::ops::Range<u64>) -> Counts {
+    let mut sum = Counts::default();
     for seed in seeds {
-        let run = std::panic::catch_unwind(|| Play::new(seed).run());
+        let run = std::panic::catch_unwind(|| History::new(seed).run());
         let figures = run.unwrap_or_else(|cause| {
             eprintln!("seed {seed}");
             std::panic::resume_unwind(cause)
@@ -30,8 +30,8 @@
 
 #[test]
 fn no_history_breaches_the_disruption_budget() {
-    let sum = histories(0..400);
-    // The histories must reach what they are about.
+    let sum = run_histories(0..400);
+    // The histories must reach the cases they are meant to cover.
     assert!(
         sum.takes > 200 && sum.called_back > 200 && sum.refused > 20 && sum.leaders > 400,
         "{sum:?}"
@@ -45,8 +45,8 @@
 #[test]
 fn the_audit_cries_where_tokens_are_not_checked() {
     let cries = (0..80).filter(|seed| {
-        let mut play = Play::new(*seed);
-        play.checks = false;
+        let mut play = History::new(*seed);
+        play.checks_tokens = false;
         std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| play.run())).is_err()
     });
     assert!(cries.count() > 4);
@@ -65,7 +65,7 @@
     let part = |part: u64| first + part * count / THREADS..first + (part + 1) * count / THREADS;
     let parts: Vec<_> = (0..THREADS)
         .map(part)
-        .map(|seeds| std::thread::spawn(|| histories(seeds)))
+        .map(|seeds| std::thread::spawn(|| run_histories(seeds)))
         .collect();
     for part in parts {
         println!("{:?}", part.join().expect("a history failed"));
