--- a/crates/maintenance/tests/play/mod.rs
+++ b/crates/maintenance/tests/play/mod.rs
@@ -1,4 +1,4 @@
-//! Audits a history independently of the state machine's own accounts.
+//! Checks a history independently of the state machine's own ledger.
 #![allow(dead_code)]
 
 mod moves;
@@ -11,40 +11,40 @@
 
 use crate::world::{World, budget};
 
-/// Delayed words between the leader, the thing acted on, and back.
+/// Delayed messages between the leader and the target of the actions.
 #[derive(Clone)]
-pub enum Wire {
+pub enum Message {
     Action(Action),
     Event(Event),
 }
 
-/// How far leaders' clocks are apart, in milliseconds: observations may be older by that than it
-/// seems.
+/// The largest difference between leaders' clocks, in milliseconds: observations may be older than
+/// they appear by as much.
 pub const SKEW_MS: i64 = 300;
 
-pub struct Play {
+pub struct History {
     pub rng: fastrand::Rng,
     pub world: World,
     pub budget: DisruptionBudget,
     pub machine: Machine,
-    /// Leaders of before that may still act, with what they knew.
-    pub old: Vec<Machine>,
-    pub wires: Vec<(i64, Wire)>,
-    pub asked: u64,
-    /// Length and overrun by a request's name.
+    /// Former leaders that still act on what they knew.
+    pub former_leaders: Vec<Machine>,
+    pub in_transit: Vec<(i64, Message)>,
+    pub request_count: u64,
+    /// Length and overrun by the request's name.
     pub requests: BTreeMap<String, (i64, i64)>,
-    /// Whether the thing acted on checks tokens.
-    pub checks: bool,
-    /// When a server was heard of last, and whether it was well and warm.
-    pub heard: BTreeMap<String, (i64, bool)>,
-    /// The agreement's blackout, as far as the machine was told of its time.
+    /// Whether the target of the actions checks tokens.
+    pub checks_tokens: bool,
+    /// The last observation of each server: its time, and whether the server was healthy and warm.
+    pub last_observations: BTreeMap<String, (i64, bool)>,
+    /// The disruption budget's blackout, as far as its time was given to the machine.
     pub blackout: Option<Span>,
-    pub planned: Option<Span>,
-    pub figures: Figures,
+    pub planned_blackout: Option<Span>,
+    pub counts: Counts,
 }
 
 #[derive(Clone, Copy, Default, Debug)]
-pub struct Figures {
+pub struct Counts {
     pub booked: u64,
     pub closed_after_return: u64,
     pub called_back: u64,
@@ -55,7 +55,7 @@
     pub blackouts: u64,
 }
 
-impl Play {
+impl History {
     pub fn new(seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut world = World {
@@ -92,28 +92,28 @@
                 .sum::<u64>();
             budget.keep_group.insert("g".into(), g / 2);
         }
-        let mut play = Play {
+        let mut play = History {
             rng,
             world,
             budget,
             machine: Machine::new(),
-            old: Vec::new(),
-            wires: Vec::new(),
-            asked: 0,
+            former_leaders: Vec::new(),
+            in_transit: Vec::new(),
+            request_count: 0,
             requests: BTreeMap::new(),
-            checks: true,
-            heard: BTreeMap::new(),
+            checks_tokens: true,
+            last_observations: BTreeMap::new(),
             blackout: None,
-            planned: None,
-            figures: Figures::default(),
+            planned_blackout: None,
+            counts: Counts::default(),
         };
         play.apply(Event::DisruptionBudget(play.budget.clone()));
         play.apply(play.world.list());
         play
     }
 
-    /// Seats with an open grant: server and token of each.
-    pub fn open(&self) -> Vec<(String, u64, State)> {
+    /// Admitted slots: server, token and state of each.
+    pub fn admitted_slots(&self) -> Vec<(String, u64, State)> {
         let slots = self.machine.windows().into_iter().flat_map(|w| w.slots);
         slots
             .filter(|s| s.state.is_admitted())
@@ -121,12 +121,12 @@
             .collect()
     }
 
-    /// Applies an agreed event and audits what it did.
+    /// Applies an event and checks its effects.
     pub fn apply(&mut self, event: Event) -> Outcome {
         if let Event::Observations(observations) = &event {
             for observation in observations.iter().filter(|observation| observation.enough) {
                 let well = observation.state == Health::Healthy && observation.warm;
-                self.heard
+                self.last_observations
                     .insert(observation.server.clone(), (self.world.now, well));
             }
         }
@@ -137,29 +137,32 @@
                 .cloned();
             self.world.unlisted = unlisted.collect();
         }
-        let (before, token) = (self.open(), self.machine.last_token());
-        // Clocks of leaders differ; an event's time may lie before the last one's.
+        let (before, token) = (self.admitted_slots(), self.machine.last_token());
+        // Leaders' clocks differ, so an event may be earlier than the last one.
         let skew = self.rng.i64(-SKEW_MS..=0);
         let outcome = self.machine.apply(self.world.now + skew, event);
-        let after = self.open();
-        assert!(self.machine.last_token() >= token, "a token went back");
-        let is_admitted: Vec<String> = after.iter().map(|(server, _, _)| server.clone()).collect();
+        let after = self.admitted_slots();
+        assert!(self.machine.last_token() >= token, "a token decreased");
+        let admitted: Vec<String> = after.iter().map(|(server, _, _)| server.clone()).collect();
         for (server, new, state) in &after {
-            let had = before.iter().find(|(name, _, _)| name == server);
-            if *state == State::Draining && had.is_none_or(|(_, old, _)| old != new) {
-                assert!(*new > token, "a grant without a token of its own");
-                let fresh = had.is_none();
+            let previous = before.iter().find(|(name, _, _)| name == server);
+            if *state == State::Draining && previous.is_none_or(|(_, old, _)| old != new) {
+                assert!(*new > token, "an admission without a new token");
+                let is_new = previous.is_none();
                 let bound = self.budget.evidence_bound_ms + SKEW_MS;
-                let held = self.world.holds(&self.budget, &is_admitted, bound);
-                assert!(!fresh || held, "a grant of {server} breached the agreement");
+                let capacity_holds = self.world.holds(&self.budget, &admitted, bound);
                 assert!(
-                    !fresh || !self.meets_blackout(server),
-                    "a grant of {server} reaches into a blackout"
+                    !is_new || capacity_holds,
+                    "the admission of {server} violated the disruption budget"
+                );
+                assert!(
+                    !is_new || !self.meets_blackout(server),
+                    "the admission of {server} overlaps a blackout"
                 );
             }
         }
         for (server, _, state) in &before {
-            if !is_admitted.contains(server) {
+            if !admitted.contains(server) {
                 assert!(
                     matches!(state, State::Returning | State::CalledBack),
                     "{server} left from {state:?}"
@@ -167,17 +170,18 @@
                 let real = &self.world.servers[server];
                 let bound = self.budget.evidence_bound_ms + SKEW_MS;
                 assert!(
-                    real.bad_since.is_none_or(|at| self.world.now - at < bound),
-                    "{server} credited, not there"
+                    real.unhealthy_since
+                        .is_none_or(|at| self.world.now - at < bound),
+                    "{server} was credited while not in service"
                 );
                 assert!(
                     !real.drained && !real.taken,
-                    "{server} credited while drained or taken"
+                    "{server} was credited while drained or taken"
                 );
-                self.figures.closed_after_return += u64::from(*state == State::Returning);
+                self.counts.closed_after_return += u64::from(*state == State::Returning);
             }
         }
-        self.figures.called_back += after
+        self.counts.called_back += after
             .iter()
             .filter(|(server, _, state)| {
                 *state == State::CalledBack
@@ -189,83 +193,87 @@
         outcome
     }
 
-    /// Whether the part of a server's window that no blackout may touch does so, from now on.
+    /// Whether the part of a server's window that no blackout may overlap does so, from now on.
     fn meets_blackout(&self, server: &str) -> bool {
         let windows = self.machine.windows();
-        let of = |w: &&WindowView| {
+        let is_admitted_window = |w: &&WindowView| {
             w.slots
                 .iter()
                 .any(|s| s.server == server && s.state.is_admitted())
         };
-        let asked = windows
+        let times = windows
             .iter()
-            .find(of)
+            .find(is_admitted_window)
             .and_then(|w| self.requests.get(&w.name));
-        let Some((blackout, (length, overrun))) = self.blackout.zip(asked) else {
+        let Some((blackout, (length, overrun))) = self.blackout.zip(times) else {
             return false;
         };
-        let hard = length
+        let blackout_free = length
             + if self.budget.overrun_may_enter_blackout {
                 0
             } else {
                 *overrun
             };
         let now = self.world.now;
-        blackout.from_ms < now - SKEW_MS + hard && blackout.until_ms > now
+        blackout.from_ms < now - SKEW_MS + blackout_free && blackout.until_ms > now
     }
 
-    /// Nothing is taken away any more that would be away in a blackout, by whoever leads now.
-    pub fn audit_blackout(&self) {
+    /// No server is due to be taken in a blackout, under any leader.
+    pub fn check_blackout(&self) {
         for act in self.machine.due(self.world.now) {
-            let out = matches!(act.step, Step::Drain | Step::Take);
+            let leaves_service = matches!(act.step, Step::Drain | Step::Take);
             let now = self.world.now;
-            let on = self
+            let in_blackout = self
                 .blackout
                 .is_some_and(|b| b.from_ms <= now && now < b.until_ms);
-            assert!(!out || !on, "{act:?} is due in a blackout");
+            assert!(
+                !leaves_service || !in_blackout,
+                "{act:?} is due in a blackout"
+            );
         }
     }
 
-    /// What is drained or taken must have an open grant, at every moment.
-    pub fn audit(&self) {
+    /// Every drained or taken server must be admitted at that moment.
+    pub fn check_admissions(&self) {
         assert!(self.world.broken.is_empty(), "{:?}", self.world.broken);
-        let open = self.open();
+        let open = self.admitted_slots();
         for (name, real) in &self.world.servers {
             let away = real.drained || real.taken;
             assert!(
                 !away || open.iter().any(|(server, _, _)| server == name),
-                "{name} is away without a grant"
+                "{name} is away without being admitted"
             );
         }
     }
 
-    /// No server that serves drains on while all together are below the floor even with what was
-    /// cancelled.
-    pub fn audit_call_back(&self) {
+    /// No healthy server keeps draining while the total is below the floor even when the cancelled
+    /// servers are counted.
+    pub fn check_cancellations(&self) {
         let Some(capacity) = self.machine.capacity(0) else {
             return;
         };
-        let (all, open) = (&capacity.rooms[0], self.open());
+        let (all, open) = (&capacity.rooms[0], self.admitted_slots());
         let live_ms = self.budget.evidence_bound_ms - 2 * SKEW_MS;
-        let heard = |server: &String| {
-            self.heard
+        let recent_observation = |server: &String| {
+            self.last_observations
                 .get(server)
                 .filter(|(at, _)| self.world.now - at < live_ms)
         };
-        let drains = open.iter().any(|(server, _, state)| {
+        let is_draining = open.iter().any(|(server, _, state)| {
             matches!(state, State::Draining | State::Clear)
-                && heard(server).is_some_and(|(_, well)| *well)
+                && recent_observation(server).is_some_and(|(_, well)| *well)
         });
-        let coming: u64 = open
+        let returning: u64 = open
             .iter()
             .filter(|(server, _, state)| {
-                *state == State::CalledBack && heard(server).is_none_or(|(_, well)| *well)
+                *state == State::CalledBack
+                    && recent_observation(server).is_none_or(|(_, well)| *well)
             })
             .map(|(server, _, _)| u64::from(self.world.servers[server].weight))
             .sum();
         assert!(
-            all.present + coming >= all.keep || !drains,
-            "something drains below the floor"
+            all.present + returning >= all.keep || !is_draining,
+            "a server drains below the floor"
         );
     }
 }
--- a/crates/maintenance/tests/play/moves.rs
+++ b/crates/maintenance/tests/play/moves.rs
@@ -1,4 +1,4 @@
-//! The events of a history: requests, losses, repeats, failures, leader changes.
+//! The steps of a history: requests, message loss and duplication, failures, leader changes.
 
 use jiff::Timestamp;
 use jiff::tz::TimeZone;
@@ -6,33 +6,34 @@
     Action, Answer, Blackout, Event, Every, Machine, Outcome, Request, Span, State, Step, Target,
 };
 
-use super::{Figures, Play, Wire};
+use super::{Counts, History, Message};
 
 const DAY_MS: i64 = 86_400_000;
 
-impl Play {
-    pub fn send(&mut self, wire: Wire) {
+impl History {
+    pub fn send(&mut self, message: Message) {
         for _ in 0..self.rng.usize(0..3) {
             let far = if self.rng.u8(0..8) == 0 { 30_000 } else { 900 };
-            self.wires
-                .push((self.world.now + self.rng.i64(0..far), wire.clone()));
+            self.in_transit
+                .push((self.world.now + self.rng.i64(0..far), message.clone()));
         }
     }
 
     pub fn deliver(&mut self) {
         let now = self.world.now;
-        let (due, rest): (Vec<_>, Vec<_>) = self.wires.drain(..).partition(|(at, _)| *at <= now);
-        self.wires = rest;
-        for (_, wire) in due {
-            match wire {
-                Wire::Event(event) => {
+        let (due, later): (Vec<_>, Vec<_>) =
+            self.in_transit.drain(..).partition(|(at, _)| *at <= now);
+        self.in_transit = later;
+        for (_, message) in due {
+            match message {
+                Message::Event(event) => {
                     self.apply(event);
                 }
-                Wire::Action(act) => {
+                Message::Action(act) => {
                     let warm = self.rng.i64(0..4_000);
                     let result = match self.rng.u8(0..12) {
                         0 => Answer::Failed,
-                        _ => self.world.act(&act, warm, self.checks),
+                        _ => self.world.perform(&act, warm, self.checks_tokens),
                     };
                     let Action {
                         window,
@@ -40,7 +41,7 @@
                         step,
                         token,
                     } = act;
-                    self.send(Wire::Event(Event::Acted {
+                    self.send(Message::Event(Event::Acted {
                         window,
                         server,
                         step,
@@ -50,11 +51,11 @@
                 }
             }
         }
-        self.audit();
+        self.check_admissions();
     }
 
-    pub fn ask(&mut self) {
-        self.asked += 1;
+    pub fn request_window(&mut self) {
+        self.request_count += 1;
         let names: Vec<String> = self.world.servers.keys().cloned().collect();
         let target = match self.rng.u8(0..3) {
             0 => Target::Servers(
@@ -78,7 +79,7 @@
         );
         let overrun_ms = self.rng.i64(0..length_ms / 2);
         let request = Request {
-            name: format!("r{}", self.asked),
+            name: format!("r{}", self.request_count),
             target,
             earliest_ms,
             latest_ms: earliest_ms + length_ms + overrun_ms + self.rng.i64(0..400_000),
@@ -90,18 +91,18 @@
         self.requests
             .insert(request.name.clone(), (length_ms, overrun_ms));
         if let Outcome::Booked { .. } = self.apply(Event::Ask(request)) {
-            self.figures.booked += 1;
+            self.counts.booked += 1;
         }
     }
 
-    pub fn fault(&mut self) {
+    pub fn inject_fault(&mut self) {
         let names: Vec<String> = self.world.servers.keys().cloned().collect();
         let name = self.rng.choice(&names).unwrap().clone();
         match self.rng.u8(0..12) {
-            10 => self.agree_anew(),
+            10 => self.change_budget(),
             11 => {
-                // A list that names nobody, or all but one; the next one is whole, and comes before
-                // a server that is not listed would be given up.
+                // A list with no server, or with all but one; the next one is complete, and arrives
+                // before an unlisted server would be given up.
                 if !self.world.unlisted.is_empty() {
                     return;
                 }
@@ -113,9 +114,10 @@
                     false => list.retain(|server| server.name != name),
                 }
                 self.apply(Event::Servers(list));
-                self.heard.clear();
-                let whole = self.world.now + self.rng.i64(0..20_000);
-                self.wires.push((whole, Wire::Event(self.world.list())));
+                self.last_observations.clear();
+                let restored_at = self.world.now + self.rng.i64(0..20_000);
+                self.in_transit
+                    .push((restored_at, Message::Event(self.world.list())));
             }
             0 => self.world.kill(&name),
             1..=3 => self.world.revive(&name, self.rng.i64(0..6_000)),
@@ -124,16 +126,16 @@
                 self.apply(Event::Cancel { window });
             }
             5 => {
-                // Another leader, from a snapshot; the one of before goes on acting by what it
+                // Another leader starts from a snapshot; the former one goes on acting on what it
                 // knew.
                 let text = serde_json::to_string(&self.machine).unwrap();
                 let successor: Machine = serde_json::from_str(&text).unwrap();
-                assert!(successor == self.machine, "a snapshot lost something");
-                self.old
+                assert!(successor == self.machine, "a snapshot is incomplete");
+                self.former_leaders
                     .push(std::mem::replace(&mut self.machine, successor));
-                self.figures.leaders += 1;
+                self.counts.leaders += 1;
             }
-            6 => drop(self.old.pop()),
+            6 => drop(self.former_leaders.pop()),
             7 => {
                 self.apply(self.world.list());
             }
@@ -150,8 +152,8 @@
         }
     }
 
-    /// Another agreement, with a blackout that may begin at once or in a while, or without.
-    fn agree_anew(&mut self) {
+    /// Sets another disruption budget, with or without a blackout that begins at once or later.
+    fn change_budget(&mut self) {
         let from_ms = self.world.now + self.rng.i64(0..60_000);
         let until_ms = from_ms + self.rng.i64(1_000..30_000);
         let moment =
@@ -171,39 +173,40 @@
         self.budget.overrun_may_enter_blackout = self.rng.bool();
         self.budget.most_away = self.rng.u32(1..5);
         self.blackout = None;
-        // A calendar of before may come after it.
-        let before = self
+        // An earlier calendar may be applied after it.
+        let previous_calendar = self
             .machine
             .calendar_due(self.world.now + self.rng.i64(0..2) * 40 * DAY_MS);
-        before
+        previous_calendar
             .into_iter()
-            .for_each(|event| self.send(Wire::Event(event)));
+            .for_each(|event| self.send(Message::Event(event)));
         self.apply(Event::DisruptionBudget(self.budget.clone()));
-        self.planned = (!self.budget.blackouts.is_empty()).then_some(Span { from_ms, until_ms });
+        self.planned_blackout =
+            (!self.budget.blackouts.is_empty()).then_some(Span { from_ms, until_ms });
     }
 
-    /// The leader tells the blackouts' times, in a while.
-    fn tell_calendar(&mut self) {
+    /// The leader proposes the blackouts' spans, with a delay.
+    fn apply_calendar(&mut self) {
         let due = self
             .machine
             .calendar_due(self.world.now)
             .filter(|_| self.rng.bool());
         if let Some(calendar) = due {
             self.apply(calendar);
-            self.blackout = self.planned;
-            self.figures.blackouts += u64::from(self.blackout.is_some());
+            self.blackout = self.planned_blackout;
+            self.counts.blackouts += u64::from(self.blackout.is_some());
         }
     }
 
     pub fn step(&mut self) {
-        self.world.pass(self.rng.i64(50..1_500));
-        self.tell_calendar();
+        self.world.advance(self.rng.i64(50..1_500));
+        self.apply_calendar();
         self.deliver();
         if self.rng.u8(0..6) == 0 {
-            self.fault();
+            self.inject_fault();
         }
-        if self.asked < 6 && self.rng.u8(0..8) == 0 {
-            self.ask();
+        if self.request_count < 6 && self.rng.u8(0..8) == 0 {
+            self.request_window();
         }
         if self.rng.u8(0..10) > 0 {
             let mut observations = Vec::new();
@@ -214,11 +217,11 @@
                     observations.push(observation);
                 }
             }
-            self.send(Wire::Event(Event::Observations(Vec::new())));
+            self.send(Message::Event(Event::Observations(Vec::new())));
             self.apply(Event::Observations(observations));
         }
         for (name, real) in &self.world.servers {
-            // Every member's affinity entries have run out a while after the drain.
+            // All affinity entries of a drained server expire some time after its drain.
             if real.drained && !real.taken && self.world.now - real.drained_at > 2_000 {
                 self.world.cleared.push(real.drain_token);
                 let windows = self.machine.windows();
@@ -229,9 +232,9 @@
                 });
                 if let Some(window) = window {
                     let (window, server, epoch) = (window.window, name.clone(), real.drain_token);
-                    self.wires.push((
+                    self.in_transit.push((
                         self.world.now,
-                        Wire::Event(Event::Clear {
+                        Message::Event(Event::Clear {
                             window,
                             server,
                             epoch,
@@ -241,23 +244,24 @@
             }
         }
         let mut acts = self.machine.due(self.world.now);
-        for old in &self.old {
+        for old in &self.former_leaders {
             if self.rng.bool() {
                 acts.extend(old.due(self.world.now));
             }
         }
         acts.into_iter()
-            .for_each(|act| self.send(Wire::Action(act)));
+            .for_each(|act| self.send(Message::Action(act)));
         self.apply(Event::Tick);
-        self.audit();
-        self.audit_call_back();
-        self.audit_blackout();
+        self.check_admissions();
+        self.check_cancellations();
+        self.check_blackout();
     }
 
-    /// Quiet days at the end: whatever was granted comes back, and nothing stays open for ever.
-    pub fn settle(&mut self) {
-        self.old.clear();
-        self.wires.clear();
+    /// Ends a history with days without faults: every admitted server returns, and no window stays
+    /// open.
+    pub fn finish(&mut self) {
+        self.former_leaders.clear();
+        self.in_transit.clear();
         for name in self.world.servers.keys().cloned().collect::<Vec<_>>() {
             self.world.revive(&name, 0);
         }
@@ -270,7 +274,7 @@
             {
                 return;
             }
-            self.world.pass(1_000);
+            self.world.advance(1_000);
             self.machine
                 .calendar_due(self.world.now)
                 .into_iter()
@@ -284,7 +288,7 @@
                 .collect();
             self.apply(Event::Observations(observations));
             for act in self.machine.due(self.world.now) {
-                let result = self.world.act(&act, 500, self.checks);
+                let result = self.world.perform(&act, 500, self.checks_tokens);
                 let Action {
                     window,
                     server,
@@ -307,22 +311,22 @@
                     epoch: token,
                 });
             }
-            self.audit();
+            self.check_admissions();
         }
         panic!(
-            "windows are open after all is well: {:#?}",
+            "windows are open after all servers are healthy: {:#?}",
             self.machine.windows()
         );
     }
 
-    pub fn run(mut self) -> Figures {
+    pub fn run(mut self) -> Counts {
         for _ in 0..self.rng.usize(40..160) {
             self.step();
         }
-        self.settle();
-        self.figures.drains = self.world.drains;
-        self.figures.takes = self.world.takes;
-        self.figures.refused = self.world.tokens_refused;
-        self.figures
+        self.finish();
+        self.counts.drains = self.world.drains;
+        self.counts.takes = self.world.takes;
+        self.counts.refused = self.world.tokens_refused;
+        self.counts
     }
 }
--- a/crates/maintenance/tests/promises.rs
+++ b/crates/maintenance/tests/promises.rs
@@ -1,13 +1,12 @@
-//! What an accepted request may count on.
+//! Guarantees of an accepted request.
 
 mod world;
 
 use load_balancer_maintenance::{Event, Machine, Outcome, Request, State, Target};
 use world::{World, budget};
 
-/// Requests far ahead that all fit only just; a plan that is made anew for no cause must not lose
-/// any of them.
-fn lost(seed: u64) -> usize {
+/// Requests far ahead that only just fit; replanning without a cause must not lose any of them.
+fn windows_lost(seed: u64) -> usize {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut world = World {
         now: 1_800_000_000_000,
@@ -21,9 +20,9 @@
         .values()
         .map(|real| u64::from(real.weight))
         .sum();
-    let mut agreed = budget(total * rng.u64(40..70) / 100, &[], rng.u32(1..4));
+    let mut budget = budget(total * rng.u64(40..70) / 100, &[], rng.u32(1..4));
     let mut machine = Machine::new();
-    machine.apply(world.now, Event::DisruptionBudget(agreed.clone()));
+    machine.apply(world.now, Event::DisruptionBudget(budget.clone()));
     machine.apply(world.now, world.list());
     let names: Vec<String> = world.servers.keys().cloned().collect();
     machine.apply(
@@ -62,9 +61,9 @@
             .count()
     };
     let before = waiting(&machine);
-    agreed.repair_ms += 1;
+    budget.repair_ms += 1;
     assert_eq!(
-        machine.apply(world.now, Event::DisruptionBudget(agreed)),
+        machine.apply(world.now, Event::DisruptionBudget(budget)),
         Outcome::Taken
     );
     before - waiting(&machine).min(before)
@@ -72,11 +71,11 @@
 
 #[test]
 fn a_plan_that_is_made_anew_for_no_cause_loses_no_window() {
-    let losers: Vec<u64> = (0..1_000).filter(|seed| lost(*seed) > 0).collect();
+    let seeds_with_losses: Vec<u64> = (0..1_000).filter(|seed| windows_lost(*seed) > 0).collect();
     assert_eq!(
-        losers.len(),
+        seeds_with_losses.len(),
         0,
         "the first seeds: {:?}",
-        &losers[..losers.len().min(5)]
+        &seeds_with_losses[..seeds_with_losses.len().min(5)]
     );
 }
--- a/crates/maintenance/tests/size.rs
+++ b/crates/maintenance/tests/size.rs
@@ -5,7 +5,7 @@
 use load_balancer_maintenance::{Event, Machine, Outcome, Request, State, Target};
 use world::{World, budget};
 
-/// A fleet in three zones of which an eighth may be away, and what it hears.
+/// A fleet in three zones, an eighth of which may be away, with its observations.
 fn fleet(servers: usize) -> (World, Machine) {
     let mut world = World {
         now: 1_800_000_000_000,
@@ -51,7 +51,7 @@
     }
 }
 
-fn ask_fifty(servers: usize, world: &World, machine: &mut Machine) {
+fn request_fifty(servers: usize, world: &World, machine: &mut Machine) {
     for number in 0..50 {
         let names =
             (0..servers / 50).map(|index| format!("s{:04}", number * (servers / 50) + index));
@@ -66,7 +66,7 @@
 #[test]
 fn fifty_windows_at_once_alternate_between_zones() {
     let (world, mut machine) = fleet(200);
-    ask_fifty(200, &world, &mut machine);
+    request_fifty(200, &world, &mut machine);
     let open: Vec<String> = machine
         .windows()
         .into_iter()
@@ -74,7 +74,7 @@
         .filter(|slot| slot.state == State::Draining)
         .map(|slot| slot.server)
         .collect();
-    // As many as may be away drain at once, and every zone has its part of them.
+    // As many as may be away drain at once, some of them in every zone.
     assert_eq!(open.len(), 25);
     for zone in ["a", "b", "c"] {
         let of_zone = open
@@ -83,7 +83,7 @@
             .count();
         assert!((6..=12).contains(&of_zone), "{of_zone} of zone {zone}");
     }
-    // Repeated, a request gets its first answer, and nothing new happens.
+    // A repeated request gets its first answer, and no new window is created.
     let token = machine.last_token();
     let names = (0..4).map(|index| format!("s{index:04}"));
     let again = machine.apply(
@@ -100,7 +100,7 @@
 #[test]
 fn requests_beyond_the_bound_are_refused() {
     let (world, mut machine) = fleet(200);
-    ask_fifty(200, &world, &mut machine);
+    request_fifty(200, &world, &mut machine);
     for number in 50..64 {
         let target = Target::Servers(vec!["s0000".into()]);
         assert!(matches!(
@@ -117,15 +117,15 @@
 
 #[test]
 #[ignore = "times, for docs/maintenance.md"]
-fn times() {
+fn measure_times() {
     for servers in [200, 1_000] {
         let (mut world, mut machine) = fleet(servers);
         let start = std::time::Instant::now();
-        ask_fifty(servers, &world, &mut machine);
+        request_fifty(servers, &world, &mut machine);
         println!("{servers} servers: {:?} for an ask", start.elapsed() / 50);
         let start = std::time::Instant::now();
         for _ in 0..10 {
-            world.pass(1_000);
+            world.advance(1_000);
             machine.apply(world.now, observe(&world));
         }
         println!(
--- a/crates/maintenance/tests/solver.rs
+++ b/crates/maintenance/tests/solver.rs
@@ -1,4 +1,4 @@
-//! Compares planned waves with the optimum of an exact solver that knows everything in advance.
+//! Compares planned waves with the optimum found by an exact solver with full knowledge.
 
 mod world;
 
@@ -10,10 +10,10 @@
 const MINUTE_MS: i64 = 60_000;
 /// Instances that are compared.
 const INSTANCES: u64 = 200;
-/// Most servers of an instance, so that the solver looks at all orders.
+/// Most servers of an instance, so that the solver can try all orders.
 const MAX_SERVERS: usize = 8;
 
-/// One server's work: what was asked for, and how long it really takes.
+/// One server's work: the requested times, and its actual duration.
 struct Job {
     server: usize,
     real_ms: i64,
@@ -28,16 +28,16 @@
     names: Vec<String>,
 }
 
-/// Real time of the work on a server: from the length on to all of the overrun in one of five,
-/// below it else.
-fn real(rng: &mut fastrand::Rng, length_ms: i64, overrun_ms: i64) -> i64 {
+/// The actual duration of the work on a server: in one of five cases between the length and the end
+/// of the overrun, otherwise shorter than the length.
+fn real_duration(rng: &mut fastrand::Rng, length_ms: i64, overrun_ms: i64) -> i64 {
     match rng.u8(0..5) {
         0 => length_ms + rng.i64(0..=overrun_ms),
         _ => length_ms * rng.i64(60..=100) / 100,
     }
 }
 
-fn instance(seed: u64) -> Instance {
+fn random_instance(seed: u64) -> Instance {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut world = World {
         now: 1_800_000_000_000,
@@ -92,7 +92,7 @@
                 .iter()
                 .position(|other| other == name)
                 .expect("a name of the list");
-            let real_ms = real(&mut rng, length_ms, overrun_ms);
+            let real_ms = real_duration(&mut rng, length_ms, overrun_ms);
             jobs.push(Job {
                 server,
                 real_ms,
@@ -120,28 +120,28 @@
 }
 
 impl Instance {
-    /// Which servers may be away together, by the bits of their indexes.
-    fn table(&self) -> Vec<bool> {
-        let bears = |bits: usize| {
+    /// Which sets of servers may be away together, indexed by bit mask.
+    fn feasible_sets(&self) -> Vec<bool> {
+        let is_feasible = |bits: usize| {
             let away = self
                 .names
                 .iter()
                 .enumerate()
                 .filter(|(index, _)| bits >> index & 1 == 1);
-            let gone: Vec<String> = away.map(|(_, name)| name.clone()).collect();
-            self.world.holds(&self.budget, &gone, i64::MAX)
+            let away_names: Vec<String> = away.map(|(_, name)| name.clone()).collect();
+            self.world.holds(&self.budget, &away_names, i64::MAX)
         };
-        (0..1 << self.names.len()).map(bears).collect()
+        (0..1 << self.names.len()).map(is_feasible).collect()
     }
 
-    /// The least total time: every order of jobs, each placed at its earliest, branches cut that
-    /// can't be better. Some such order is optimal for the end of all (Kolisch, 1996: serial
-    /// generation yields active schedules).
-    fn best(&self) -> i64 {
+    /// The shortest total time: tries every order of the jobs, each placed at its earliest start,
+    /// and prunes branches that can't be better. One of these orders is optimal (Kolisch, 1996:
+    /// serial schedule generation yields active schedules).
+    fn shortest_duration(&self) -> i64 {
         let mut bound = i64::MAX;
         let mut left: Vec<usize> = (0..self.jobs.len()).collect();
         self.branch(
-            &self.table(),
+            &self.feasible_sets(),
             &mut Vec::new(),
             &mut left,
             self.world.now,
@@ -158,11 +158,11 @@
         end: i64,
         bound: &mut i64,
     ) {
-        let least = left
+        let earliest_end = left
             .iter()
             .map(|job| self.jobs[*job].earliest_ms + self.jobs[*job].real_ms)
             .max();
-        if end.max(least.unwrap_or(end)) >= *bound {
+        if end.max(earliest_end.unwrap_or(end)) >= *bound {
             return;
         }
         if left.is_empty() {
@@ -223,8 +223,8 @@
             .expect("after all others it fits")
     }
 
-    /// Whether the work on a server that is away is done.
-    fn done(&self, machine: &Machine, server: &str, now: i64) -> bool {
+    /// Whether the work on a taken server is done.
+    fn is_done(&self, machine: &Machine, server: &str, now: i64) -> bool {
         let job = self
             .jobs
             .iter()
@@ -238,15 +238,15 @@
         now - began.expect("away has a start") >= job.real_ms
     }
 
-    /// The total time of our waves, with the machine deciding and each step done at once.
-    fn ours(&self) -> i64 {
+    /// The total time of the machine's waves, with each due step done at once.
+    fn machine_duration(&self) -> i64 {
         const STEP_MS: i64 = 5_000;
         let mut world = self.world.clone();
         let mut machine = Machine::new();
         let start = world.now;
         machine.apply(world.now, Event::DisruptionBudget(self.budget.clone()));
         machine.apply(world.now, world.list());
-        let all = |world: &World| {
+        let observe_all = |world: &World| {
             Event::Observations(
                 world
                     .servers
@@ -255,7 +255,7 @@
                     .collect(),
             )
         };
-        machine.apply(world.now, all(&world));
+        machine.apply(world.now, observe_all(&world));
         for request in &self.requests {
             let outcome = machine.apply(world.now, Event::Ask(request.clone()));
             assert!(matches!(outcome, Outcome::Booked { .. }), "{outcome:?}");
@@ -265,20 +265,20 @@
             .iter()
             .any(|window| window.state != State::Closed)
         {
-            machine.apply(world.now, all(&world));
-            // What is due is done at once, and what follows from it.
+            machine.apply(world.now, observe_all(&world));
+            // Performs what is due, and what becomes due by that.
             loop {
                 let mut acts = machine.due(world.now);
-                // A return that is asked for at the length's end takes hold only when the work is
+                // A return that is due at the end of the length takes effect only when the work is
                 // done.
                 acts.retain(|act| {
-                    act.step != Step::Return || self.done(&machine, &act.server, world.now)
+                    act.step != Step::Return || self.is_done(&machine, &act.server, world.now)
                 });
                 if acts.is_empty() {
                     break;
                 }
                 for act in acts {
-                    let result = world.act(&act, 0, true);
+                    let result = world.perform(&act, 0, true);
                     let Action {
                         window,
                         server,
@@ -306,13 +306,13 @@
                         },
                     );
                 }
-                world.pass(0);
-                machine.apply(world.now, all(&world));
+                world.advance(0);
+                machine.apply(world.now, observe_all(&world));
             }
-            world.pass(STEP_MS);
+            world.advance(STEP_MS);
             for view in machine.windows() {
                 for slot in view.slots.iter().filter(|slot| slot.state == State::Away) {
-                    if self.done(&machine, &slot.server, world.now) {
+                    if self.is_done(&machine, &slot.server, world.now) {
                         let (window, server) = (view.window, slot.server.clone());
                         machine.apply(world.now, Event::Finished { window, server });
                     }
@@ -332,8 +332,8 @@
             std::thread::spawn(move || {
                 let seeds = (0..INSTANCES).filter(move |seed| seed % 4 == part);
                 seeds
-                    .map(instance)
-                    .map(|i| (i.ours() as f64) / (i.best() as f64))
+                    .map(random_instance)
+                    .map(|i| (i.machine_duration() as f64) / (i.shortest_duration() as f64))
                     .collect::<Vec<_>>()
             })
         })
@@ -348,7 +348,7 @@
         "{} instances: mean {mean:.3}, worst {worst:.3}",
         ratios.len()
     );
-    // The solver would not be exact if we were ever sooner.
+    // A ratio below 1 would mean that the solver is not exact.
     assert!(ratios.iter().all(|ratio| *ratio >= 1.0));
     assert_eq!(ratios.len(), INSTANCES as usize);
     assert!(worst <= 1.5, "mean {mean:.3}, worst {worst:.3}");
--- a/crates/maintenance/tests/stored_form.rs
+++ b/crates/maintenance/tests/stored_form.rs
@@ -1,9 +1,9 @@
-//! The JSON form of events, answers, views and the machine's state: replicas store and send it, so
-//! a build must read and write what earlier builds did.
+//! The JSON form of events, outcomes, views and the machine's state. Replicas store and exchange
+//! it, so a build must read what earlier builds wrote, and write the same form.
 //!
-//! `fixtures/history.jsonl` was written by the build before the types were renamed, one event a
-//! line. Every line holds the event, the time it was agreed at, the answer and what was due after
-//! it; some hold the machine's whole state and its views.
+//! `fixtures/history.jsonl` was written by the build before the types were renamed, one event per
+//! line, with its time, its outcome and the actions due after it; some lines also hold the
+//! machine's whole state and its views.
 
 use load_balancer_maintenance::{Event, Machine};
 use serde::Serialize;
@@ -20,11 +20,11 @@
 /// Reads a value in its stored form, and checks that it is written in the same form.
 fn read<T: Serialize + DeserializeOwned>(stored: &Value) -> T {
     let value: T = serde_json::from_value(stored.clone()).expect("a value in its stored form");
-    assert_eq!(&written(&value), stored);
+    assert_eq!(&to_json(&value), stored);
     value
 }
 
-fn written(value: &impl Serialize) -> Value {
+fn to_json(value: &impl Serialize) -> Value {
     serde_json::to_value(value).expect("a value that has a JSON form")
 }
 
@@ -38,12 +38,12 @@
     for line in history() {
         let now_ms = time_of(&line);
         let outcome = machine.apply(now_ms, read::<Event>(&line["event"]));
-        assert_eq!(written(&outcome), line["outcome"]);
-        assert_eq!(written(&machine.due(now_ms)), line["due"]);
+        assert_eq!(to_json(&outcome), line["outcome"]);
+        assert_eq!(to_json(&machine.due(now_ms)), line["due"]);
         if !line["machine"].is_null() {
-            assert_eq!(written(&machine), line["machine"]);
-            assert_eq!(written(&machine.windows()), line["windows"]);
-            assert_eq!(written(&machine.capacity(now_ms)), line["capacity"]);
+            assert_eq!(to_json(&machine), line["machine"]);
+            assert_eq!(to_json(&machine.windows()), line["windows"]);
+            assert_eq!(to_json(&machine.capacity(now_ms)), line["capacity"]);
         }
     }
 }
@@ -58,8 +58,8 @@
     let mut machine: Machine = read(&history[snapshot]["machine"]);
     for line in &history[snapshot + 1..] {
         let outcome = machine.apply(time_of(line), read(&line["event"]));
-        assert_eq!(written(&outcome), line["outcome"]);
+        assert_eq!(to_json(&outcome), line["outcome"]);
     }
     let last = history.last().expect("a history of some lines");
-    assert_eq!(written(&machine), last["machine"]);
+    assert_eq!(to_json(&machine), last["machine"]);
 }
--- a/crates/maintenance/tests/world/mod.rs
+++ b/crates/maintenance/tests/world/mod.rs
@@ -1,7 +1,8 @@
-//! The simulated world of the tests: servers, a platform, and a network that loses and repeats.
+//! The simulated environment of the tests: servers, a platform, and a network that loses and
+//! repeats messages.
 #![allow(dead_code)]
 
-pub mod stage;
+pub mod scenario;
 
 use std::collections::BTreeMap;
 
@@ -9,9 +10,9 @@
     Action, Answer, DisruptionBudget, Event, Health, Server, ServerObservation, Step,
 };
 
-/// A server as it really is.
+/// The actual state of a server.
 #[derive(Clone, Debug)]
-pub struct Real {
+pub struct SimulatedServer {
     pub zone: String,
     pub group: String,
     pub weight: u32,
@@ -19,31 +20,29 @@
     pub alive: bool,
     pub drained: bool,
     pub taken: bool,
-    /// Since when it is what observations would not call well and warm; none while it is well and
-    /// warm.
-    pub bad_since: Option<i64>,
+    /// Since when it is not both healthy and warm; none while it is.
+    pub unhealthy_since: Option<i64>,
     pub warm_at: i64,
-    /// Highest token that the thing acted on has seen of it.
-    pub seen: u64,
-    /// The token of the drain that is on.
+    /// The highest token that the target of the actions has seen for it.
+    pub highest_token: u64,
+    /// The token of the current drain.
     pub drain_token: u64,
     pub drained_at: i64,
-    /// Tokens under which a drain took hold.
+    /// Tokens of drains that took effect.
     pub drains: Vec<u64>,
     pub taken_at: i64,
 }
 
-/// All servers, and the thing acted on.
+/// All servers, and the target of the actions.
 #[derive(Clone, Debug, Default)]
 pub struct World {
     pub now: i64,
-    pub servers: BTreeMap<String, Real>,
-    /// Servers that the last list did not name: the dead among them are nobody's, as far as servers
-    /// are counted.
+    pub servers: BTreeMap<String, SimulatedServer>,
+    /// Servers missing from the last list: the unhealthy ones among them are not counted.
     pub unlisted: Vec<String>,
-    /// Tokens of drains whose clear was given.
+    /// Tokens of drains that were confirmed clear.
     pub cleared: Vec<u64>,
-    /// Rules that were broken, in words.
+    /// Violated rules, as text.
     pub broken: Vec<String>,
     pub tokens_refused: u64,
     pub drains: u64,
@@ -52,7 +51,7 @@
 
 impl World {
     pub fn add(&mut self, name: &str, zone: &str, group: &str, weight: u32) {
-        let real = Real {
+        let real = SimulatedServer {
             zone: zone.into(),
             group: group.into(),
             weight,
@@ -60,9 +59,9 @@
             alive: true,
             drained: false,
             taken: false,
-            bad_since: None,
+            unhealthy_since: None,
             warm_at: i64::MIN,
-            seen: 0,
+            highest_token: 0,
             drain_token: 0,
             drained_at: 0,
             drains: Vec::new(),
@@ -82,15 +81,15 @@
         Event::Servers(servers.collect())
     }
 
-    /// Moves the clock, and what follows from it.
-    pub fn pass(&mut self, ms: i64) {
+    /// Advances the clock, with what follows from that.
+    pub fn advance(&mut self, ms: i64) {
         self.now += ms;
         for real in self.servers.values_mut() {
-            let good = real.alive && !real.taken && self.now >= real.warm_at;
-            real.bad_since = if good {
+            let is_healthy = real.alive && !real.taken && self.now >= real.warm_at;
+            real.unhealthy_since = if is_healthy {
                 None
             } else {
-                real.bad_since.or(Some(self.now))
+                real.unhealthy_since.or(Some(self.now))
             };
         }
     }
@@ -115,7 +114,7 @@
         let now = self.now;
         let real = self.servers.get_mut(name).expect("a server of this world");
         real.alive = false;
-        real.bad_since = real.bad_since.or(Some(now));
+        real.unhealthy_since = real.unhealthy_since.or(Some(now));
     }
 
     pub fn revive(&mut self, name: &str, warm_ms: i64) {
@@ -125,21 +124,24 @@
             real.alive = true;
             real.started += 1;
             real.warm_at = now + warm_ms;
-            real.bad_since = real.bad_since.or(Some(now));
+            real.unhealthy_since = real.unhealthy_since.or(Some(now));
         }
     }
 
-    /// What the thing acted on does, as the crate's page asks of it. `checks` tokens or not.
-    pub fn act(&mut self, act: &Action, warm_ms: i64, checks: bool) -> Answer {
+    /// Performs an action as the documentation of `Action` requires; with or without checking
+    /// tokens.
+    pub fn perform(&mut self, act: &Action, warm_ms: i64, checks_tokens: bool) -> Answer {
         let now = self.now;
         let Some(real) = self.servers.get_mut(&act.server) else {
             return Answer::Failed;
         };
-        if checks && act.token < real.seen {
+        if checks_tokens && act.token < real.highest_token {
             self.tokens_refused += 1;
-            return Answer::Refused { seen: real.seen };
+            return Answer::Refused {
+                seen: real.highest_token,
+            };
         }
-        real.seen = real.seen.max(act.token);
+        real.highest_token = real.highest_token.max(act.token);
         match act.step {
             Step::Drain => {
                 if !real.drained && !real.taken {
@@ -166,7 +168,7 @@
                     }
                     real.taken = true;
                     real.taken_at = now;
-                    real.bad_since = real.bad_since.or(Some(now));
+                    real.unhealthy_since = real.unhealthy_since.or(Some(now));
                     self.takes += 1;
                 }
                 Answer::Done { started: None }
@@ -176,7 +178,7 @@
                     real.taken = false;
                     real.started += 1;
                     real.warm_at = now + warm_ms;
-                    real.bad_since = Some(now);
+                    real.unhealthy_since = Some(now);
                 }
                 real.drained = false;
                 Answer::Done {
@@ -191,42 +193,43 @@
         }
     }
 
-    /// Whether every limit holds with the given servers away by grant, counting as away what has
-    /// been bad for `bound_ms`.
+    /// Whether every limit holds with the given servers admitted, counting as away the servers that
+    /// were unhealthy for `bound_ms`.
     pub fn holds(&self, budget: &DisruptionBudget, is_admitted: &[String], bound_ms: i64) -> bool {
-        let there = |name: &String, real: &Real| {
+        let serves = |name: &String, real: &SimulatedServer| {
             !is_admitted.contains(name)
                 && real
-                    .bad_since
+                    .unhealthy_since
                     .is_none_or(|since| self.now - since < bound_ms)
         };
-        let sum = |pick: &dyn Fn(&Real) -> bool| -> u64 {
+        let serving_weight = |matches: &dyn Fn(&SimulatedServer) -> bool| -> u64 {
             let all = self
                 .servers
                 .iter()
-                .filter(|(name, real)| there(name, real) && pick(real));
+                .filter(|(name, real)| serves(name, real) && matches(real));
             all.map(|(_, real)| u64::from(real.weight)).sum()
         };
-        let counts = |name: &String| is_admitted.contains(name) || !self.unlisted.contains(name);
+        let is_counted =
+            |name: &String| is_admitted.contains(name) || !self.unlisted.contains(name);
         let away = self
             .servers
             .iter()
-            .filter(|(name, real)| !there(name, real) && counts(name))
+            .filter(|(name, real)| !serves(name, real) && is_counted(name))
             .count();
-        sum(&|_| true) >= budget.keep
+        serving_weight(&|_| true) >= budget.keep
             && budget
                 .keep_zone
                 .iter()
-                .all(|(zone, keep)| sum(&|r| r.zone == *zone) >= *keep)
+                .all(|(zone, keep)| serving_weight(&|r| r.zone == *zone) >= *keep)
             && budget
                 .keep_group
                 .iter()
-                .all(|(group, keep)| sum(&|r| r.group == *group) >= *keep)
+                .all(|(group, keep)| serving_weight(&|r| r.group == *group) >= *keep)
             && away <= budget.most_away as usize
     }
 }
 
-/// An agreement with the given limits, and short times.
+/// A disruption budget with the given limits, and short times.
 pub fn budget(keep: u64, keep_zone: &[(&str, u64)], most_away: u32) -> DisruptionBudget {
     DisruptionBudget {
         keep,
--- a/crates/maintenance/tests/world/stage.rs
+++ b/crates/maintenance/tests/world/scenario.rs
@@ -1,4 +1,4 @@
-//! A few servers that a test drives by hand.
+//! A few servers that a test drives step by step.
 
 use load_balancer_maintenance::{
     Action, DisruptionBudget, Event, Machine, Outcome, Request, ServerSlotView, Step, Target,
@@ -9,12 +9,12 @@
 /// 2027-01-15T08:00Z, 09:00 in Ljubljana.
 pub const START_MS: i64 = 1_800_000_000_000;
 
-pub struct Stage {
+pub struct Scenario {
     pub world: World,
     pub machine: Machine,
 }
 
-impl Stage {
+impl Scenario {
     /// Four servers of weight 1 in zones a and b.
     pub fn new(budget: DisruptionBudget) -> Self {
         let mut world = World {
@@ -24,7 +24,7 @@
         for (name, zone) in [("s0", "a"), ("s1", "b"), ("s2", "a"), ("s3", "b")] {
             world.add(name, zone, "g", 1);
         }
-        let mut stage = Stage {
+        let mut stage = Scenario {
             machine: Machine::new(),
             world,
         };
@@ -51,12 +51,12 @@
         self.apply(Event::Observations(observations));
     }
 
-    pub fn pass(&mut self, ms: i64) {
-        self.world.pass(ms);
+    pub fn advance(&mut self, ms: i64) {
+        self.world.advance(ms);
         self.observe();
     }
 
-    pub fn ask(
+    pub fn request_window(
         &mut self,
         name: &str,
         servers: &[&str],
@@ -80,16 +80,16 @@
         let mut slots = self.machine.windows().into_iter().flat_map(|w| w.slots);
         slots
             .rfind(|slot| slot.server == server)
-            .expect("a seat of that server")
+            .expect("a slot of that server")
     }
 
-    /// Does what is due, except for what `stop` names.
-    pub fn act(&mut self, stop: &[Step]) {
+    /// Performs the actions that are due, except those of the steps in `stop`.
+    pub fn perform_due(&mut self, except: &[Step]) {
         for act in self.machine.due(self.world.now) {
-            if stop.contains(&act.step) {
+            if except.contains(&act.step) {
                 continue;
             }
-            let result = self.world.act(&act, 0, true);
+            let result = self.world.perform(&act, 0, true);
             let Action {
                 window,
                 server,
@@ -109,7 +109,7 @@
         }
     }
 
-    pub fn clear(&mut self, server: &str) {
+    pub fn clear_drain(&mut self, server: &str) {
         let (window, epoch) = (self.machine.windows()[0].window, self.slot(server).token);
         self.apply(Event::Clear {
             window,
--- a/src/bin/sidecar/affinity.rs
+++ b/src/bin/sidecar/affinity.rs
@@ -1,9 +1,9 @@
-//! Hosts the affinity table of this sidecar: uses, the list and other members' messages go in;
+//! Hosts this sidecar's affinity table: uses, the endpoint list and other members' messages go in,
 //! affinity entries come out.
 
 pub mod reports;
 
-use crate::affinity_list::List;
+use crate::affinity_list::ProcessList;
 use crate::clock::Clock;
 use load_balancer::{EndpointId, Micros};
 use load_balancer_affinity::exchange::TICK;
@@ -20,38 +20,38 @@
 use tokio::time::sleep;
 
 /// The kind of message fragments that carry affinity messages.
-const FRAGMENT_KIND: u8 = 128;
-/// Members that a periodic message goes to.
+const AFFINITY_FRAGMENT_KIND: u8 = 128;
+/// Members that each periodic message is sent to.
 const FANOUT: usize = 4;
-/// Ticks from one look at who is there to the next.
+/// Ticks from one refresh of members and list to the next.
 const TICKS_PER_REFRESH: u64 = 10;
 
 /// The affinity table of this sidecar.
 #[derive(Clone)]
-pub struct Host(Rc<Inner>);
+pub struct AffinityHost(Rc<Inner>);
 
 struct Inner {
     member: udp::GossipHandle,
     clock: Clock,
     offset: Micros,
     core: RefCell<AffinityMember>,
-    list: RefCell<List>,
-    /// What the own connectivity state allows.
-    may: Cell<Permission>,
-    running: RefCell<Vec<u64>>,
-    /// Picks by an entry: how many, and when the last one was.
+    list: RefCell<ProcessList>,
+    /// Which use of affinity entries this member's connectivity permits.
+    permission: Cell<Permission>,
+    running_members: RefCell<Vec<u64>>,
+    /// Picks by affinity entries, by process: how many, and when the last one was.
     picks: RefCell<BTreeMap<Process, (u64, Micros)>>,
 }
 
-/// A pick by affinity entries; while it exists its request is in flight.
-pub struct Pick {
-    host: Host,
+/// A pick by affinity entries; its request counts as in flight until this is dropped.
+pub struct AffinityPick {
+    host: AffinityHost,
     processes: Vec<Process>,
-    /// Where it is to go, the best first.
+    /// The endpoints to try, best first.
     pub endpoints: Vec<EndpointId>,
 }
 
-impl Drop for Pick {
+impl Drop for AffinityPick {
     fn drop(&mut self) {
         let mut core = self.host.0.core.borrow_mut();
         self.processes
@@ -60,33 +60,33 @@
     }
 }
 
-impl Host {
-    /// Begins with no entry, as a member of that fleet.
+impl AffinityHost {
+    /// Starts with an empty table, as a member of that fleet.
     pub fn start(section: &FleetSection, member: &udp::GossipHandle, clock: Clock) -> Self {
-        let (entries, offset) = (&section.affinity_entries, section.clock_offset_micros());
-        let times = entries.times_with(micros(section.skew));
-        let rates = entries.rates(section.members);
+        let (settings, offset) = (&section.affinity_entries, section.clock_offset_micros());
+        let times = settings.times_with(micros(section.skew));
+        let rates = settings.rates(section.members);
         let now = clock.now() + offset;
-        let core = AffinityMember::new(now, times, entries.keys, rates, member.origin(), false);
+        let core = AffinityMember::new(now, times, settings.keys, rates, member.origin(), false);
         let inner = Inner {
             member: member.clone(),
             clock,
             offset,
             core: RefCell::new(core),
             list: RefCell::default(),
-            may: Cell::new(Permission::Unused),
-            running: RefCell::default(),
+            permission: Cell::new(Permission::Unused),
+            running_members: RefCell::default(),
             picks: RefCell::default(),
         };
         let host = Self(Rc::new(inner));
-        let receiver = host.clone();
-        member.set_fragment_handler(Rc::new(move |fragments| receiver.receive(&fragments)));
-        spawn_local(host.clone().run());
+        let handler = host.clone();
+        member.set_fragment_handler(Rc::new(move |fragments| handler.receive(&fragments)));
+        spawn_local(host.clone().run_ticks());
         host
     }
 
-    /// Now, on the clock of slots and on the monotonic one: the module's clock never steps, and
-    /// runs on while the process is stopped.
+    /// The current time, by the clock of slots and by the monotonic one. The latter never steps,
+    /// and continues while the process is suspended.
     fn now(&self) -> (Micros, Micros) {
         let mono = self.0.clock.now();
         (mono + self.0.offset, mono)
@@ -96,9 +96,9 @@
         let (now, _) = self.now();
         for fragment in fragments
             .iter()
-            .filter(|fragment| fragment.kind == FRAGMENT_KIND)
+            .filter(|fragment| fragment.kind == AFFINITY_FRAGMENT_KIND)
         {
-            // What is refused is counted there.
+            // The table counts rejected messages.
             let _ = self
                 .0
                 .core
@@ -107,42 +107,48 @@
         }
     }
 
-    async fn run(self) {
+    async fn run_ticks(self) {
         let every = Duration::from_micros(TICK.unsigned_abs());
         for tick in 0_u64.. {
             if tick.is_multiple_of(TICKS_PER_REFRESH) {
-                self.look();
+                self.refresh_members();
             }
             let (now, mono) = self.now();
             let outgoing = self.0.core.borrow_mut().tick(now, mono);
-            // Pieces may be lost, so one that the fleet does not take now is.
-            if let Some(pulse) = outgoing.nearby {
+            // Fragments may be lost, so one that can't be sent now is dropped.
+            if let Some(message) = outgoing.nearby {
                 for to in self.0.member.random_members(FANOUT) {
-                    let _ = self.0.member.send_fragment(to, FRAGMENT_KIND, &pulse);
+                    let _ = self
+                        .0
+                        .member
+                        .send_fragment(to, AFFINITY_FRAGMENT_KIND, &message);
                 }
             }
-            for (to, piece) in outgoing.direct {
-                let _ = self.0.member.send_fragment(to, FRAGMENT_KIND, &piece);
+            for (to, message) in outgoing.direct {
+                let _ = self
+                    .0
+                    .member
+                    .send_fragment(to, AFFINITY_FRAGMENT_KIND, &message);
             }
             sleep(every).await;
         }
     }
 
-    /// Looks who is there, and what is listed.
-    fn look(&self) {
+    /// Refreshes the members and the listed processes.
+    fn refresh_members(&self) {
         let peers = self.0.member.peers();
         let (now, _) = self.now();
-        self.0.may.set(peers.affinity_entries);
+        self.0.permission.set(peers.affinity_entries);
         let mut core = self.0.core.borrow_mut();
         core.members(&peers.known);
         let list = self.0.list.borrow();
         core.forget(now, |process| list.names.contains_key(&process));
-        *self.0.running.borrow_mut() = peers.running;
+        *self.0.running_members.borrow_mut() = peers.running;
     }
 
-    /// The list has changed.
-    pub fn listed<'a>(&self, list: impl Iterator<Item = &'a ObservedEndpoint>) {
-        let closed = self.0.list.borrow_mut().follow(list);
+    /// Applies a new endpoint list.
+    pub fn set_endpoints<'a>(&self, list: impl Iterator<Item = &'a ObservedEndpoint>) {
+        let closed = self.0.list.borrow_mut().update(list);
         let names = &self.0.list.borrow().names;
         self.0
             .picks
@@ -151,9 +157,9 @@
         self.0.core.borrow_mut().closes(closed);
     }
 
-    /// Where a key is cached by its entries, if they may be used.
-    pub fn pick(&self, key: u64) -> Option<Pick> {
-        if self.0.may.get() == Permission::Unused {
+    /// The endpoints of a key by its affinity entries, if these may be used.
+    pub fn pick(&self, key: u64) -> Option<AffinityPick> {
+        if self.0.permission.get() == Permission::Unused {
             return None;
         }
         let ((now, mono), list) = (self.now(), self.0.list.borrow());
@@ -174,16 +180,16 @@
             .iter()
             .filter_map(|process| list.endpoints.get(process).copied())
             .collect();
-        Some(Pick {
+        Some(AffinityPick {
             host: self.clone(),
             processes,
             endpoints,
         })
     }
 
-    /// A request about a key was served there.
+    /// Records that an endpoint served a request about a key.
     pub fn record_use(&self, key: u64, endpoint: EndpointId) {
-        if self.0.may.get() == Permission::Used
+        if self.0.permission.get() == Permission::Used
             && let Some(process) = self.0.list.borrow().processes.get(&endpoint).copied()
         {
             let (now, _) = self.now();
--- a/src/bin/sidecar/affinity/reports.rs
+++ b/src/bin/sidecar/affinity/reports.rs
@@ -1,6 +1,6 @@
-//! What the pages on affinity show, and what coordinators ask and say.
+//! The data of the pages on affinity, and the coordinators' requests.
 
-use super::Host;
+use super::AffinityHost;
 use load_balancer::Micros;
 use load_balancer_affinity::Process;
 use load_balancer_affinity::drain_phase::{EpochRefused, Phase};
@@ -8,43 +8,47 @@
 use load_balancer_affinity::report::{AffinitySummary, DrainStatus};
 use load_balancer_gossip::connectivity::AffinityEntries as Permission;
 
-/// A process that drains, or has come back, as the page has it.
+/// A process that drains or has returned, as the page shows it.
 pub struct Draining {
-    /// Its name, where it is listed.
+    /// Its name, if it is listed.
     pub name: Option<String>,
-    /// It.
+    /// The process.
     pub process: Process,
-    /// In which epoch.
+    /// The epoch of its drain.
     pub epoch: u64,
-    /// That epoch has ended.
+    /// Whether it drains.
     pub leaves: bool,
-    /// Members that are drained of affinity to it.
+    /// Number of members that reported to be drained of affinity to it.
     pub reported: usize,
 }
 
-impl Host {
-    /// That process drains, in that epoch; gives how far it is drained of affinity.
+impl AffinityHost {
+    /// Starts a process's drain in that epoch; returns how far it is drained of affinity.
     pub fn begin_drain(&self, process: Process, epoch: u64) -> Result<DrainStatus, EpochRefused> {
         let (now, mono) = self.now();
         let mut core = self.0.core.borrow_mut();
         core.begin_drain(now, process, epoch)?;
-        Ok(core.clear(now, mono, process, epoch, &self.0.running.borrow()))
+        Ok(core.clear(now, mono, process, epoch, &self.0.running_members.borrow()))
     }
 
-    /// It stays after all, or is back, in that epoch.
+    /// Cancels a process's drain in that epoch, or records its return.
     pub fn cancel_drain(&self, process: Process, epoch: u64) -> Result<(), EpochRefused> {
         let (now, _) = self.now();
         self.0.core.borrow_mut().cancel_drain(now, process, epoch)
     }
 
-    /// Figures, what the connectivity state allows, and the slot of now.
+    /// The summary, the use of entries that the connectivity permits, and the current slot.
     pub fn summary(&self) -> (AffinitySummary, Permission, i64) {
         let (now, mono) = self.now();
         let core = self.0.core.borrow();
-        (core.summary(mono), self.0.may.get(), core.slot_of(now))
+        (
+            core.summary(mono),
+            self.0.permission.get(),
+            core.slot_of(now),
+        )
     }
 
-    /// Processes that drain or have come back.
+    /// Processes that drain or have returned.
     pub fn draining(&self) -> Vec<Draining> {
         let (core, list) = (self.0.core.borrow(), self.0.list.borrow());
         let draining = |(process, phase, reported): (Process, Phase, usize)| Draining {
@@ -57,7 +61,7 @@
         core.phases().map(draining).collect()
     }
 
-    /// Affinity entries, at most so many: key, name of the endpoint where it is listed, process,
+    /// Affinity entries, at most that many: key, the endpoint's name if it is listed, process,
     /// entry.
     pub fn dump(&self, most: usize) -> Vec<(u64, Option<String>, Process, AffinityEntry)> {
         let (core, list) = (self.0.core.borrow(), self.0.list.borrow());
@@ -66,7 +70,7 @@
         core.dump().take(most).map(named).collect()
     }
 
-    /// Picks by an entry since the start, for processes that are listed: how many, and how long ago
+    /// Picks by affinity entries since the start, of listed processes: how many, and how long ago
     /// the last one was.
     pub fn picks(&self) -> Vec<(String, Process, u64, Micros)> {
         let ((_, mono), list) = (self.now(), self.0.list.borrow());
--- a/src/bin/sidecar/affinity_list.rs
+++ b/src/bin/sidecar/affinity_list.rs
@@ -1,59 +1,60 @@
-//! The listed endpoints as processes.
+//! The listed endpoints as affinity processes.
 
 use load_balancer::EndpointId;
 use load_balancer_affinity::{Process, hash};
 use load_balancer_gossip::core::ObservedEndpoint;
 use std::collections::{HashMap, HashSet, VecDeque};
 
-/// Processes that are remembered to have been listed: more than entries on them may be on their
-/// way.
-const MAX_GONE: usize = 1024;
+/// Removed processes that are remembered: messages with entries for more of them may still be in
+/// transit.
+const MAX_REMOVED: usize = 1024;
 
 /// The listed processes.
 #[derive(Default)]
-pub struct List {
-    /// Those of endpoints by their numbers.
+pub struct ProcessList {
+    /// Processes by endpoint id.
     pub processes: HashMap<EndpointId, Process>,
-    /// Those that are ready.
+    /// Endpoint ids of the processes that are ready.
     pub endpoints: HashMap<Process, EndpointId>,
-    /// All, by name.
+    /// Names of all listed processes.
     pub names: HashMap<Process, String>,
-    /// Those that were listed and are no more, the last ones.
-    gone: VecDeque<Process>,
+    /// Processes that were listed and no longer are, the latest last.
+    removed: VecDeque<Process>,
 }
 
-impl List {
-    /// Follows the whole list; gives the processes that take nothing any more.
-    pub fn follow<'a>(
+impl ProcessList {
+    /// Replaces the list; returns the processes that accept no more requests.
+    pub fn update<'a>(
         &mut self,
         list: impl Iterator<Item = &'a ObservedEndpoint>,
     ) -> HashSet<Process> {
-        let before: Vec<Process> = self.names.keys().copied().collect();
+        let previous: Vec<Process> = self.names.keys().copied().collect();
         (self.processes, self.endpoints, self.names) = Default::default();
-        for l in list {
-            let name = hash(l.name.as_bytes());
-            // Who drains is listed without its start.
-            let known = before
+        for listed in list {
+            let name = hash(listed.name.as_bytes());
+            // A draining endpoint is listed without its start.
+            let known = previous
                 .iter()
-                .find(|p| p.name == name && !l.ready && l.started.is_none());
+                .find(|p| p.name == name && !listed.ready && listed.started.is_none());
             let process = known.copied().unwrap_or(Process {
                 name,
-                started: l.started.unwrap_or(0) / 1000,
+                started: listed.started.unwrap_or(0) / 1000,
             });
-            self.processes.insert(l.endpoint, process);
-            self.names.insert(process, l.name.clone());
-            if l.ready {
-                self.endpoints.insert(process, l.endpoint);
+            self.processes.insert(listed.endpoint, process);
+            self.names.insert(process, listed.name.clone());
+            if listed.ready {
+                self.endpoints.insert(process, listed.endpoint);
             }
         }
-        self.gone.extend(before);
-        self.gone
+        self.removed.extend(previous);
+        self.removed
             .retain(|process| !self.names.contains_key(process));
-        self.gone.drain(..self.gone.len().saturating_sub(MAX_GONE));
+        self.removed
+            .drain(..self.removed.len().saturating_sub(MAX_REMOVED));
         let closed = |process: &&Process| !self.endpoints.contains_key(*process);
         self.names
             .keys()
-            .chain(&self.gone)
+            .chain(&self.removed)
             .filter(closed)
             .copied()
             .collect()
--- a/src/bin/sidecar/affinity_list/tests.rs
+++ b/src/bin/sidecar/affinity_list/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `bindings_list.rs`.
+//! Tests of `affinity_list.rs`.
 
 use super::*;
 
@@ -14,17 +14,17 @@
         name: hash(name.as_bytes()),
         started,
     };
-    let mut list = List::default();
+    let mut list = ProcessList::default();
     assert!(
-        list.follow([listed("a", Some(7), true), listed("bb", None, true)].iter())
+        list.update([listed("a", Some(7), true), listed("bb", None, true)].iter())
             .is_empty()
     );
-    let closed = list.follow([listed("a", None, false), listed("bb", Some(9), true)].iter());
+    let closed = list.update([listed("a", None, false), listed("bb", Some(9), true)].iter());
     assert_eq!(closed, HashSet::from([process("a", 7), process("bb", 0)]));
-    let closed = list.follow([listed("bb", Some(9), true)].iter());
+    let closed = list.update([listed("bb", Some(9), true)].iter());
     assert_eq!(closed, HashSet::from([process("a", 7), process("bb", 0)]));
     assert!(
-        list.follow([listed("a", Some(7), true), listed("bb", None, true)].iter())
+        list.update([listed("a", Some(7), true), listed("bb", None, true)].iter())
             .contains(&process("bb", 9))
     );
     assert_eq!(list.endpoints[&process("a", 7)], 1);
--- a/src/bin/sidecar/affinity_pages.rs
+++ b/src/bin/sidecar/affinity_pages.rs
@@ -1,7 +1,7 @@
-//! The pages on affinity: figures and a dump for people and auditors, and the coordinator's
-//! queries.
+//! The HTTP pages on affinity: status and a dump for operators and auditors, and the coordinator's
+//! drain requests.
 
-use crate::affinity::Host;
+use crate::affinity::AffinityHost;
 use hyper::StatusCode;
 use load_balancer_affinity::drain_phase::EpochRefused;
 use load_balancer_affinity::report::AffinitySummary;
@@ -10,37 +10,37 @@
 use load_balancer_gossip::connectivity::AffinityEntries as Permission;
 use serde::{Deserialize, Serialize};
 
-/// Affinity entries in one dump: all of the default table.
-const MAX_DUMPED: usize = 16_384;
+/// Most affinity entries in one dump; the default table holds as many.
+const MAX_DUMPED_ENTRIES: usize = 16_384;
 /// Longest name of a server, in bytes.
 const MAX_NAME_BYTES: usize = 256;
 
-/// What is posted: a process of a server, and the token by which it leaves.
+/// A coordinator's request: a server process, and the token of its drain.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Posted {
+struct DrainRequest {
     server: String,
     started_ms: i64,
     epoch: u64,
 }
 
 #[derive(Serialize)]
-struct Answered {
+struct DrainResponse {
     clear: bool,
     epoch: u64,
 }
 
 #[derive(Serialize)]
-struct Figures {
-    /// What the own connectivity state allows: used, run out, not used.
+struct AffinityStatus {
+    /// Which use of entries the connectivity permits: used, run out, not used.
     bindings: &'static str,
     #[serde(flatten)]
     summary: AffinitySummary,
-    leaving: Vec<Leaves>,
+    leaving: Vec<DrainingProcess>,
 }
 
 #[derive(Serialize)]
-struct Leaves {
+struct DrainingProcess {
     #[serde(skip_serializing_if = "Option::is_none")]
     server: Option<String>,
     started_ms: i64,
@@ -50,15 +50,15 @@
 }
 
 #[derive(Serialize)]
-struct Dump {
+struct AffinityDump {
     slot: i64,
     hears: bool,
-    bindings: Vec<Entry>,
-    picks: Vec<Picks>,
+    bindings: Vec<DumpedEntry>,
+    picks: Vec<PickCount>,
 }
 
 #[derive(Serialize)]
-struct Entry {
+struct DumpedEntry {
     key: u64,
     server: Option<String>,
     started_ms: i64,
@@ -68,27 +68,27 @@
 }
 
 #[derive(Serialize)]
-struct Picks {
+struct PickCount {
     server: String,
     started_ms: i64,
     count: u64,
     last_ms_ago: i64,
 }
 
-/// The page of that path; none where it is no page on affinity entries.
-pub fn page(host: &Host, ask: &Ask) -> Option<Page> {
-    match (ask.path.as_str(), &ask.posted) {
-        ("/fleet/bindings", None) => Page::json(StatusCode::OK, &figures(host)),
-        ("/fleet/bindings/dump", None) => Page::compact(&dump(host)),
-        ("/fleet/leaving", Some(body)) => answer(body, |process, epoch| {
-            host.begin_drain(process, epoch).map(|clear| Answered {
+/// The page at that path; none if it is not a page on affinity.
+pub fn page(host: &AffinityHost, request: &Ask) -> Option<Page> {
+    match (request.path.as_str(), &request.posted) {
+        ("/fleet/bindings", None) => Page::json(StatusCode::OK, &affinity_status(host)),
+        ("/fleet/bindings/dump", None) => Page::compact(&affinity_dump(host)),
+        ("/fleet/leaving", Some(body)) => drain_page(body, |process, epoch| {
+            host.begin_drain(process, epoch).map(|clear| DrainResponse {
                 clear: clear.clear,
                 epoch,
             })
         }),
-        ("/fleet/stays", Some(body)) => answer(body, |process, token| {
+        ("/fleet/stays", Some(body)) => drain_page(body, |process, token| {
             let epoch = token + 1;
-            host.cancel_drain(process, epoch).map(|()| Answered {
+            host.cancel_drain(process, epoch).map(|()| DrainResponse {
                 clear: false,
                 epoch,
             })
@@ -103,37 +103,38 @@
     }
 }
 
-fn read(body: &[u8]) -> Result<(Process, u64), (&'static str, String)> {
-    let posted: Posted = serde_json::from_slice(body).map_err(|e| ("body", e.to_string()))?;
-    if posted.server.is_empty() || posted.server.len() > MAX_NAME_BYTES {
+fn parse_drain_request(body: &[u8]) -> Result<(Process, u64), (&'static str, String)> {
+    let request: DrainRequest =
+        serde_json::from_slice(body).map_err(|e| ("body", e.to_string()))?;
+    if request.server.is_empty() || request.server.len() > MAX_NAME_BYTES {
         return Err(("server", format!("1 to {MAX_NAME_BYTES} bytes")));
     }
-    if posted.started_ms < 0 {
+    if request.started_ms < 0 {
         return Err(("started_ms", "0 or above".to_owned()));
     }
-    // The next one must be there, too.
-    if posted.epoch >= u64::MAX - 1 {
+    // The token that follows must be representable too.
+    if request.epoch >= u64::MAX - 1 {
         return Err(("epoch", "no token is as high".to_owned()));
     }
     Ok((
         Process {
-            name: hash(posted.server.as_bytes()),
-            started: posted.started_ms,
+            name: hash(request.server.as_bytes()),
+            started: request.started_ms,
         },
-        posted.epoch,
+        request.epoch,
     ))
 }
 
-fn answer(
+fn drain_page(
     body: &[u8],
-    does: impl Fn(Process, u64) -> Result<Answered, EpochRefused>,
+    apply: impl Fn(Process, u64) -> Result<DrainResponse, EpochRefused>,
 ) -> Option<Page> {
-    let (process, epoch) = match read(body) {
-        Ok(read) => read,
+    let (process, epoch) = match parse_drain_request(body) {
+        Ok(parsed) => parsed,
         Err((key, reason)) => return Page::refused(StatusCode::BAD_REQUEST, key, &reason),
     };
-    match does(process, epoch) {
-        Ok(answered) => Page::json(StatusCode::OK, &answered),
+    match apply(process, epoch) {
+        Ok(response) => Page::json(StatusCode::OK, &response),
         Err(EpochRefused::Past) => Page::refused(
             StatusCode::CONFLICT,
             "epoch",
@@ -147,36 +148,36 @@
     }
 }
 
-fn figures(host: &Host) -> Figures {
-    let (summary, may, _) = host.summary();
-    let bindings = match may {
+fn affinity_status(host: &AffinityHost) -> AffinityStatus {
+    let (summary, permission, _) = host.summary();
+    let bindings = match permission {
         Permission::Used => "used",
         Permission::Expiring => "run out",
         Permission::Unused => "not used",
     };
-    let leaves = |l: crate::affinity::reports::Draining| Leaves {
-        server: l.name,
-        started_ms: l.process.started,
-        epoch: l.epoch,
-        leaves: l.leaves,
-        reported: l.reported,
+    let leaves = |draining: crate::affinity::reports::Draining| DrainingProcess {
+        server: draining.name,
+        started_ms: draining.process.started,
+        epoch: draining.epoch,
+        leaves: draining.leaves,
+        reported: draining.reported,
     };
-    Figures {
+    AffinityStatus {
         bindings,
         summary,
         leaving: host.draining().into_iter().map(leaves).collect(),
     }
 }
 
-fn dump(host: &Host) -> Dump {
+fn affinity_dump(host: &AffinityHost) -> AffinityDump {
     let (summary, _, slot) = host.summary();
-    let entry = |(key, server, process, entry): (
+    let to_dumped = |(key, server, process, entry): (
         u64,
         _,
         Process,
         load_balancer_affinity::entry::AffinityEntry,
     )| {
-        Entry {
+        DumpedEntry {
             key,
             server,
             started_ms: process.started,
@@ -185,17 +186,21 @@
             held: entry.held,
         }
     };
-    let picks = |(server, process, count, ago): (String, Process, u64, i64)| Picks {
+    let to_count = |(server, process, count, ago): (String, Process, u64, i64)| PickCount {
         server,
         started_ms: process.started,
         count,
         last_ms_ago: ago / 1000,
     };
-    Dump {
+    AffinityDump {
         slot,
         hears: summary.in_contact,
-        bindings: host.dump(MAX_DUMPED).into_iter().map(entry).collect(),
-        picks: host.picks().into_iter().map(picks).collect(),
+        bindings: host
+            .dump(MAX_DUMPED_ENTRIES)
+            .into_iter()
+            .map(to_dumped)
+            .collect(),
+        picks: host.picks().into_iter().map(to_count).collect(),
     }
 }
 
--- a/src/bin/sidecar/affinity_pages/tests.rs
+++ b/src/bin/sidecar/affinity_pages/tests.rs
@@ -1,11 +1,15 @@
-//! Tests of `bindings_pages.rs`.
+//! Tests of `affinity_pages.rs`.
 
 use super::*;
 
 #[test]
 fn what_cannot_be_used_is_named_with_its_key() {
-    let key = |body: &str| read(body.as_bytes()).expect_err("it is wrong").0;
-    assert!(read(br#"{"server": "a", "started_ms": 0, "epoch": 7}"#).is_ok());
+    let key = |body: &str| {
+        parse_drain_request(body.as_bytes())
+            .expect_err("it is wrong")
+            .0
+    };
+    assert!(parse_drain_request(br#"{"server": "a", "started_ms": 0, "epoch": 7}"#).is_ok());
     assert_eq!(key("{"), "body");
     assert_eq!(
         key(r#"{"server": "", "started_ms": 0, "epoch": 7}"#),
--- a/src/bin/sidecar/attempt.rs
+++ b/src/bin/sidecar/attempt.rs
@@ -1,6 +1,6 @@
-//! One attempt at an endpoint: where it goes, until when, what must not begin any more, and how it ended.
+//! One attempt at an endpoint: its destination, its time limits, and its result.
 
-use crate::messages::{Outgoing, Served, TIME_LEFT};
+use crate::messages::{OutgoingRequest, ServedAnswer, TIME_LEFT};
 use crate::pool::{Endpoint, Target};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -10,19 +10,19 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// How an attempt ended.
-pub struct Reply {
+/// The result of an attempt.
+pub struct AttemptResult {
     /// The outcome.
     pub outcome: Outcome,
-    /// The answer to pass on.
-    pub served: Option<Served>,
-    /// The load report that came along.
+    /// The answer to forward.
+    pub served: Option<ServedAnswer>,
+    /// The load report that came with the answer.
     pub load: LoadReport,
 }
 
-impl Reply {
-    /// One without an answer to pass on.
-    pub fn of(outcome: Outcome, load: LoadReport) -> Self {
+impl AttemptResult {
+    /// A result without an answer to forward.
+    pub fn without_answer(outcome: Outcome, load: LoadReport) -> Self {
         Self {
             outcome,
             served: None,
@@ -31,24 +31,24 @@
     }
 }
 
-impl From<Outcome> for Reply {
+impl From<Outcome> for AttemptResult {
     fn from(outcome: Outcome) -> Self {
-        Self::of(outcome, LoadReport::default())
+        Self::without_answer(outcome, LoadReport::default())
     }
 }
 
-/// Where an attempt goes: the process that it is meant for, and its endpoint, which may move or
-/// drain meanwhile.
+/// The destination of an attempt: the process it was decided for, and the endpoint, which may move
+/// or start draining in the meantime.
 pub struct Destination {
-    /// The process; none where nothing may be sent.
+    /// The process; none if nothing may be sent.
     pub target: Option<Target>,
     /// The endpoint.
     pub endpoint: Rc<Endpoint>,
 }
 
 impl Destination {
-    /// The process that is at an endpoint now.
-    pub fn of(endpoint: Rc<Endpoint>) -> Self {
+    /// The process that is currently at an endpoint.
+    pub fn current(endpoint: Rc<Endpoint>) -> Self {
         Self {
             target: endpoint.target(),
             endpoint,
@@ -56,48 +56,53 @@
     }
 }
 
-/// A process at an endpoint.
+/// A process and its endpoint.
 #[derive(Clone, Copy)]
-pub struct To<'a> {
+pub struct AttemptTarget<'a> {
     /// The process.
     pub target: Target,
-    /// Its endpoint as it is now.
+    /// The endpoint in its current state.
     pub endpoint: &'a Endpoint,
 }
 
-/// Until when an attempt may do what.
+/// Time limits of an attempt.
 #[derive(Clone, Copy)]
-pub struct Times {
-    /// Its last byte is out by then, or never goes out.
+pub struct AttemptTimes {
+    /// The request must be written completely by then; later nothing is written.
     pub write_by: Instant,
-    /// Then it is given up.
-    pub until: Instant,
+    /// The attempt is given up then.
+    pub deadline: Instant,
 }
 
-/// How an attempt ends that must not begin any more: its request has its answer, the process that
-/// it was meant for has been told to leave, has moved or been replaced, or its time is over.
-pub fn barred(to: To<'_>, out: &Outgoing, times: Times) -> Option<Outcome> {
-    if out.settled.get() || to.endpoint.target() != Some(to.target) {
+/// The outcome of an attempt that must not start any more, because its request was answered, the
+/// process it was decided for drains, moved or was replaced, or its time is over.
+pub fn prevented_outcome(
+    to: AttemptTarget<'_>,
+    outgoing: &OutgoingRequest,
+    times: AttemptTimes,
+) -> Option<Outcome> {
+    if outgoing.is_answered.get() || to.endpoint.target() != Some(to.target) {
         return Some(Outcome::NotSent);
     }
     (Instant::now() >= times.write_by).then_some(Outcome::ConnectFailed)
 }
 
-impl Outgoing {
-    /// The request as an endpoint gets it, with the time that is left until then.
-    pub fn request(&self, until: Instant) -> Option<Request<Full<Bytes>>> {
+impl OutgoingRequest {
+    /// The request to an endpoint, with the time left until the deadline.
+    pub fn request(&self, deadline: Instant) -> Option<Request<Full<Bytes>>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         *request.headers_mut() = self.headers.clone();
-        // No time at all is no figure that an endpoint could keep to.
-        let left = until
+        // At least 1: endpoints do not accept a time of zero.
+        let time_left = deadline
             .saturating_duration_since(Instant::now())
             .as_micros()
             .max(1);
-        request
-            .headers_mut()
-            .insert(TIME_LEFT, HeaderValue::from_str(&format!("{left}u")).ok()?);
+        request.headers_mut().insert(
+            TIME_LEFT,
+            HeaderValue::from_str(&format!("{time_left}u")).ok()?,
+        );
         Some(request)
     }
 }
--- a/src/bin/sidecar/client.rs
+++ b/src/bin/sidecar/client.rs
@@ -1,4 +1,4 @@
-//! A client's connection as seen from beside the task that reads it.
+//! A client connection's state, shared between the task that reads it and others.
 
 use socket2::SockRef;
 use std::cell::Cell;
@@ -9,28 +9,28 @@
 use tokio::io::Interest;
 use tokio::net::TcpStream;
 
-/// A client's socket.
+/// A client connection.
 pub struct Client {
     stream: TcpStream,
-    /// Nothing has come yet.
-    silent: Cell<bool>,
-    /// Bytes have come that belong to no request that has begun.
-    in_hand: Cell<bool>,
-    /// A request has begun and has no answer yet.
-    answering: Cell<bool>,
+    /// No bytes have been received.
+    received_nothing: Cell<bool>,
+    /// Bytes have been received for a request that has not begun.
+    has_partial_request: Cell<bool>,
+    /// A request has begun and is not answered yet.
+    is_answering: Cell<bool>,
 }
 
-/// While it is kept, a request of the client is being answered.
-pub struct Answering(Rc<Client>);
+/// Marks that a request of the client is being answered, until it is dropped.
+pub struct AnsweringGuard(Rc<Client>);
 
 impl Client {
-    /// Over a connection that was accepted.
+    /// Wraps an accepted connection.
     pub fn new(stream: TcpStream) -> Self {
         Self {
             stream,
-            silent: Cell::new(true),
-            in_hand: Cell::default(),
-            answering: Cell::default(),
+            received_nothing: Cell::new(true),
+            has_partial_request: Cell::default(),
+            is_answering: Cell::default(),
         }
     }
 
@@ -39,70 +39,70 @@
         &self.stream
     }
 
-    /// Whether something has come that was not read.
-    pub fn unread(&self) -> bool {
+    /// Whether received bytes have not been read yet.
+    pub fn has_unread_bytes(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         SockRef::from(&self.stream)
             .peek(&mut byte)
             .is_ok_and(|length| length > 0)
     }
 
-    /// Waits until the client has closed its sending side or reset the connection. A connection
-    /// hears of that by reading, but it reads no further than it holds bytes that it can't use yet,
-    /// such as those of a second request.
-    pub async fn left(&self) {
-        // Of what is urgent nothing is ever told, as nobody asked for it: this waits for the end
-        // alone.
+    /// Waits until the client has closed its sending side or reset the connection. Reading would
+    /// detect that as well, but reading pauses while the connection holds bytes that it can't
+    /// process yet, such as a second request.
+    pub async fn wait_until_closed(&self) {
+        // Nobody asks for out-of-band data, so the only event of this kind is the close.
         if self.stream.ready(Interest::PRIORITY).await.is_err() {
-            // Then only reading tells.
+            // Only reading can detect the close then.
             std::future::pending().await
         }
     }
 
-    /// Whether it has done so by now.
-    pub fn has_left(&self) -> bool {
-        pin!(self.left())
+    /// Whether the client has closed or reset the connection.
+    pub fn is_closed(&self) -> bool {
+        pin!(self.wait_until_closed())
             .poll(&mut Context::from_waker(Waker::noop()))
             .is_ready()
     }
 
-    /// Its connection asks for bytes. During a request it does so only once it holds none.
-    pub fn reads(&self) {
-        if self.answering.get() {
-            self.in_hand.set(false);
+    /// Records that the HTTP connection asks for bytes; during a request it does so only once it
+    /// holds none.
+    pub fn note_read_start(&self) {
+        if self.is_answering.get() {
+            self.has_partial_request.set(false);
         }
     }
 
-    /// Its connection got some.
-    pub fn has_read(&self) {
-        self.silent.set(false);
-        self.in_hand.set(true);
+    /// Records that the HTTP connection has received bytes.
+    pub fn note_bytes_read(&self) {
+        self.received_nothing.set(false);
+        self.has_partial_request.set(true);
     }
 
-    /// A request begins.
-    pub fn begin(self: &Rc<Self>) -> Answering {
-        self.answering.set(true);
-        Answering(Rc::clone(self))
+    /// Records that a request has begun.
+    pub fn begin_request(self: &Rc<Self>) -> AnsweringGuard {
+        self.is_answering.set(true);
+        AnsweringGuard(Rc::clone(self))
     }
 
     /// Whether a request is being answered.
-    pub fn answering(&self) -> bool {
-        self.answering.get()
+    pub fn is_answering(&self) -> bool {
+        self.is_answering.get()
     }
 
-    /// Whether some of a request has come that has not begun.
-    pub fn in_hand(&self) -> bool {
-        self.in_hand.get()
+    /// Whether part of a request has been received that has not begun.
+    pub fn has_partial_request(&self) -> bool {
+        self.has_partial_request.get()
     }
 
-    /// Whether it has said nothing at all.
-    pub fn silent(&self) -> bool {
-        self.silent.get()
+    /// Whether the client has sent nothing at all.
+    pub fn received_nothing(&self) -> bool {
+        self.received_nothing.get()
     }
 }
 
-impl Drop for Answering {
+impl Drop for AnsweringGuard {
     fn drop(&mut self) {
-        self.0.answering.set(false);
+        self.0.is_answering.set(false);
     }
 }
--- a/src/bin/sidecar/client_socket.rs
+++ b/src/bin/sidecar/client_socket.rs
@@ -1,4 +1,4 @@
-//! A client's socket as its connection reads it.
+//! The socket of a client as its HTTP connection reads and writes it.
 
 use crate::client::Client;
 use socket2::SockRef;
@@ -12,31 +12,31 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, Sleep, sleep};
 
-/// Looks at the socket itself before a connection counts as idle: the runtime may not have heard
-/// yet of what has come, as when the process was stopped and goes on, and its timers fire first.
+/// Checks the socket itself before a connection counts as idle: after the process was suspended,
+/// the runtime's timers fire before it has noticed bytes that arrived in the meantime.
 pub struct ClientSocket {
     client: Rc<Client>,
-    /// Since when nothing was read.
-    quiet: Instant,
-    /// How long that may be before a timer could be about to end the connection.
-    sure: Duration,
-    /// How long a client may take to make room for an answer.
-    slowest: Duration,
-    /// Runs while there is no room for one.
-    overdue: Option<Pin<Box<Sleep>>>,
+    /// When bytes were last read.
+    last_read_at: Instant,
+    /// Time without reads after which a timer may be about to close the connection.
+    recheck_after: Duration,
+    /// How long the client may leave an answer unread.
+    stall_timeout: Duration,
+    /// Runs while the socket is not writable.
+    stall_timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl ClientSocket {
-    /// Over a connection that may be ended once it was quiet for longer than `sure`, and that ends
-    /// once its client has left an answer unread for longer than `slowest` after its system had no
-    /// more room.
-    pub fn new(client: Rc<Client>, sure: Duration, slowest: Duration) -> Self {
+    /// Wraps a connection that may be closed after more than `recheck_after` without reads, and
+    /// that fails once its client has left an answer unread for longer than `stall_timeout` after
+    /// the socket's buffer was full.
+    pub fn new(client: Rc<Client>, recheck_after: Duration, stall_timeout: Duration) -> Self {
         Self {
             client,
-            quiet: Instant::now(),
-            sure,
-            slowest,
-            overdue: None,
+            last_read_at: Instant::now(),
+            recheck_after,
+            stall_timeout,
+            stall_timer: None,
         }
     }
 
@@ -44,14 +44,16 @@
         self.client.stream()
     }
 
-    /// Waits for room for an answer, but not for ever.
-    fn poll_room(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if let Poll::Ready(room) = self.stream().poll_write_ready(cx) {
-            return Poll::Ready(room);
+    /// Waits until the socket is writable, up to the time limit.
+    fn poll_writable(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        if let Poll::Ready(writable) = self.stream().poll_write_ready(cx) {
+            return Poll::Ready(writable);
         }
-        let slowest = self.slowest;
-        let overdue = self.overdue.get_or_insert_with(|| Box::pin(sleep(slowest)));
-        ready!(overdue.as_mut().poll(cx));
+        let stall_timeout = self.stall_timeout;
+        let stall_timer = self
+            .stall_timer
+            .get_or_insert_with(|| Box::pin(sleep(stall_timeout)));
+        ready!(stall_timer.as_mut().poll(cx));
         Poll::Ready(Err(io::ErrorKind::TimedOut.into()))
     }
 }
@@ -62,21 +64,23 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        self.client.reads();
+        self.client.note_read_start();
         loop {
             match self.stream().poll_read_ready(cx) {
                 Poll::Ready(ready) => ready?,
-                Poll::Pending if self.quiet.elapsed() < self.sure => return Poll::Pending,
+                Poll::Pending if self.last_read_at.elapsed() < self.recheck_after => {
+                    return Poll::Pending;
+                }
                 Poll::Pending => {}
             }
-            let room = buf.initialize_unfilled();
-            let read = match self.stream().try_read(room) {
-                // What the runtime takes for not readable may be so all the same.
+            let unfilled = buf.initialize_unfilled();
+            let read = match self.stream().try_read(unfilled) {
+                // The runtime may not yet know that the socket is readable.
                 Err(e)
                     if e.kind() == io::ErrorKind::WouldBlock
-                        && self.quiet.elapsed() >= self.sure =>
+                        && self.last_read_at.elapsed() >= self.recheck_after =>
                 {
-                    io::Read::read(&mut &*SockRef::from(self.stream()), room)
+                    io::Read::read(&mut &*SockRef::from(self.stream()), unfilled)
                 }
                 read => read,
             };
@@ -84,9 +88,9 @@
                 Ok(length) => {
                     buf.advance(length);
                     if length > 0 {
-                        self.client.has_read();
+                        self.client.note_bytes_read();
                     }
-                    self.quiet = Instant::now();
+                    self.last_read_at = Instant::now();
                     return Poll::Ready(Ok(()));
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {
@@ -105,7 +109,7 @@
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         loop {
-            ready!(self.poll_room(cx))?;
+            ready!(self.poll_writable(cx))?;
             match self.stream().try_write(buf) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
                 written => return Poll::Ready(written),
@@ -119,7 +123,7 @@
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         loop {
-            ready!(self.poll_room(cx))?;
+            ready!(self.poll_writable(cx))?;
             match self.stream().try_write_vectored(bufs) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
                 written => return Poll::Ready(written),
@@ -132,8 +136,8 @@
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // Asked for once all of an answer is written.
-        self.overdue = None;
+        // Called once a whole answer is written.
+        self.stall_timer = None;
         Poll::Ready(Ok(()))
     }
 
--- a/src/bin/sidecar/clock.rs
+++ b/src/bin/sidecar/clock.rs
@@ -4,9 +4,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// The module's clock: Unix time as it was at the start, and from there on the monotonic clock, so
-/// that setting the system's clock moves nothing. Unix times from outside need no further
-/// conversion.
+/// The clock of the decision module: the Unix time of the start, advanced by the monotonic clock,
+/// so that setting the system's clock changes nothing and external Unix times need no conversion.
 #[derive(Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -14,7 +13,7 @@
 }
 
 impl Clock {
-    /// Starts it.
+    /// Starts the clock.
     pub fn new() -> Self {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -25,14 +24,14 @@
         }
     }
 
-    /// Now, on the module's clock.
+    /// The current time on this clock.
     pub fn now(&self) -> Micros {
         self.start_us.saturating_add(
             Micros::try_from(self.start.elapsed().as_micros()).unwrap_or(Micros::MAX),
         )
     }
 
-    /// The instant of a time on this clock.
+    /// The runtime's instant for a time on this clock.
     pub fn instant(&self, at: Micros) -> Instant {
         self.start
             + Duration::from_micros(u64::try_from(at.saturating_sub(self.start_us)).unwrap_or(0))
--- a/src/bin/sidecar/config.rs
+++ b/src/bin/sidecar/config.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration: the file that `LB_CONFIG` names, and the variables beside it.
+//! The platform's configuration: the file named by `LB_CONFIG`, and further environment variables.
 
 use crate::config_error::{ConfigError, ContentError};
 use crate::host_list::HostList;
@@ -9,37 +9,37 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-type Address = Option<SocketAddr>;
+type OptionalAddress = Option<SocketAddr>;
 
-/// Everything that a sidecar is told.
+/// The platform's configuration of a sidecar.
 pub struct Config {
-    /// Its name; empty where it has none.
+    /// Its name; empty if it has none.
     #[cfg(feature = "product")]
     pub name: String,
-    /// Where the application connects.
+    /// The address that the application connects to.
     pub listen: SocketAddr,
-    /// Discovery.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// Seed for random numbers, new with each start.
+    /// Seed for random numbers, different at each start.
     pub seed: u64,
-    /// File descriptors that the process may hold.
-    pub sockets: usize,
-    /// Where peers' datagrams arrive.
+    /// Most file descriptors that the process may use.
+    pub max_descriptors: usize,
+    /// The address that receives peers' datagrams.
     pub peer_listen: Option<SocketAddr>,
-    /// One address for each sidecar of the tier, in the order of their numbers.
+    /// One address for each sidecar of the tier, by index.
     pub peers: Vec<SocketAddr>,
-    /// The address that reaches all of them.
-    pub peers_all: Option<SocketAddr>,
-    /// The endpoints as last known.
-    pub known: Option<HostList>,
-    /// The settings object.
+    /// The address that reaches all peers.
+    pub peer_broadcast: Option<SocketAddr>,
+    /// The endpoint list as last known to the platform.
+    pub cached_list: Option<HostList>,
+    /// The decoded settings object.
     pub decoded: DecodedSettings,
-    /// What only a start takes in: the file less discovery's address, the known list and the seed.
-    pub fixed: serde_json::Value,
+    /// What can't be reloaded: the file without discovery's address, the cached list and the seed.
+    pub startup_only: serde_json::Value,
 }
 
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     #[cfg(feature = "product")]
     #[serde(default)]
     name: String,
@@ -48,7 +48,7 @@
     #[serde(default)]
     seed: String,
     #[serde(default)]
-    limits: LimitsPart,
+    limits: LimitsSection,
     peer_listen: Option<SocketAddr>,
     #[serde(default)]
     peers: Vec<SocketAddr>,
@@ -59,77 +59,82 @@
 
 #[derive(Deserialize)]
 #[serde(default)]
-struct LimitsPart {
+struct LimitsSection {
     sockets: usize,
 }
 
-impl Default for LimitsPart {
+impl Default for LimitsSection {
     fn default() -> Self {
         Self { sockets: 1024 }
     }
 }
 
-/// Fewest descriptors with which requests can be served at all.
-const MIN_SOCKETS: usize = 32;
+/// Fewest descriptors with which requests can be served.
+const MIN_DESCRIPTORS: usize = 32;
 
 impl Config {
-    /// Reads the configuration.
+    /// Loads the configuration.
     pub fn from_env() -> Result<Self, ConfigError> {
         Self::load(|given, file| given.or(file))
     }
 
-    /// Reads it once more. Discovery is where the file says now: a variable still says where it was
-    /// at the start.
+    /// Loads it again. The file's address of discovery takes precedence, as the variable still has
+    /// the one of the start.
     pub fn reload() -> Result<Self, ConfigError> {
         Self::load(|given, file| file.or(given))
     }
 
-    /// `which` picks discovery's address from that of the variable and that of the file.
-    fn load(which: fn(Address, Address) -> Address) -> Result<Self, ConfigError> {
+    /// `choose` selects discovery's address from those of the variable and the file.
+    fn load(
+        choose: fn(OptionalAddress, OptionalAddress) -> OptionalAddress,
+    ) -> Result<Self, ConfigError> {
         let path = std::env::var_os("LB_CONFIG").ok_or(ConfigError::NotSet)?;
         let path = PathBuf::from(path);
         let text = match std::fs::read_to_string(&path) {
             Ok(text) => text,
             Err(error) => return Err(ConfigError::Unreadable { path, error }),
         };
-        let (listen, discovery) = (address("LB_LISTEN")?, address("LB_DISCOVERY")?);
-        Self::read(&text, listen, |file| which(discovery, file))
+        let (listen, discovery) = (
+            address_variable("LB_LISTEN")?,
+            address_variable("LB_DISCOVERY")?,
+        );
+        Self::parse(&text, listen, |file| choose(discovery, file))
             .map_err(|error| ConfigError::Content { path, error })
     }
 
-    /// Reads the text of the file; an address to listen on that is given beside it holds.
-    fn read(
+    /// Parses the text of the file; a listen address given by the environment takes precedence.
+    fn parse(
         text: &str,
         listen: Option<SocketAddr>,
-        discovery: impl Fn(Address) -> Address,
+        discovery: impl Fn(OptionalAddress) -> OptionalAddress,
     ) -> Result<Self, ContentError> {
-        let file: File = serde_json::from_str(text)?;
-        let mut fixed: serde_json::Value = serde_json::from_str(text)?;
-        if let Some(fields) = fixed.as_object_mut() {
+        let file: ConfigFile = serde_json::from_str(text)?;
+        let mut startup_only: serde_json::Value = serde_json::from_str(text)?;
+        if let Some(fields) = startup_only.as_object_mut() {
             fields.retain(|name, _| !matches!(name.as_str(), "discovery" | "known" | "seed"));
         }
         let decoded = settings::decode(file.settings.get())?;
         decoded.settings.check()?;
-        if file.limits.sockets < MIN_SOCKETS {
-            return Err(ContentError::TooFewSockets(MIN_SOCKETS));
+        if file.limits.sockets < MIN_DESCRIPTORS {
+            return Err(ContentError::TooFewDescriptors(MIN_DESCRIPTORS));
         }
         Ok(Self {
             #[cfg(feature = "product")]
             name: std::env::var("LB_NAME").unwrap_or(file.name),
             listen: listen.or(file.listen).ok_or(ContentError::NoListen)?,
             discovery: discovery(file.discovery).ok_or(ContentError::NoDiscovery)?,
-            seed: seed(&file.seed),
-            sockets: file.limits.sockets,
+            seed: parse_seed(&file.seed),
+            max_descriptors: file.limits.sockets,
             peer_listen: file.peer_listen,
             peers: file.peers,
-            peers_all: file.peers_all,
-            known: file.known,
+            peer_broadcast: file.peers_all,
+            cached_list: file.known,
             decoded,
-            fixed,
+            startup_only,
         })
     }
 
-    /// The longest that a client waits.
+    /// The longest deadline of any class.
     pub fn longest_deadline(&self) -> Duration {
         let longest = self
             .decoded
@@ -143,8 +148,8 @@
     }
 }
 
-/// The address in a variable, where that is set.
-fn address(variable: &'static str) -> Result<Address, ConfigError> {
+/// The address in an environment variable, if it is set.
+fn address_variable(variable: &'static str) -> Result<OptionalAddress, ConfigError> {
     let Ok(value) = std::env::var(variable) else {
         return Ok(None);
     };
@@ -154,8 +159,8 @@
     }
 }
 
-/// The seed is 16 hexadecimal digits; any other text is a seed as well.
-fn seed(text: &str) -> u64 {
+/// Parses a seed of 16 hexadecimal digits; any other text is hashed.
+fn parse_seed(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or_else(|_| {
         text.bytes()
             .fold(0, |sum, byte| sum.rotate_left(8) ^ u64::from(byte))
--- a/src/bin/sidecar/config_error.rs
+++ b/src/bin/sidecar/config_error.rs
@@ -1,4 +1,4 @@
-//! Why the platform's configuration cannot be used; each is one plain line.
+//! Errors of the platform's configuration, each with a one-line message.
 
 use load_balancer::SettingsError;
 use load_balancer::settings::DecodeError;
@@ -6,21 +6,21 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why the platform's configuration cannot be used.
+/// Why the platform's configuration can't be used.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// Nothing says where it is.
+    /// `LB_CONFIG` is not set.
     #[error("LB_CONFIG is not set")]
     NotSet,
-    /// The file cannot be read.
+    /// The file can't be read.
     #[error("cannot read LB_CONFIG {}: {error}", path.display())]
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The reason.
         error: io::Error,
     },
-    /// A variable beside the file is no address.
+    /// The value of an environment variable is not an address.
     #[error("{variable} is not an address and port: {value}")]
     NoAddress {
         /// The variable.
@@ -28,35 +28,35 @@
         /// Its value.
         value: String,
     },
-    /// The file's content cannot be used.
+    /// The file's content can't be used.
     #[error("LB_CONFIG {}: {error}", path.display())]
     Content {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The reason.
         error: ContentError,
     },
 }
 
-/// Why the content of the platform's file cannot be used.
+/// Why the content of the platform's file can't be used.
 #[derive(Debug, Error)]
 pub enum ContentError {
-    /// It is no JSON, or not of the form.
+    /// It is not JSON of the expected form.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The settings object cannot be read.
+    /// The settings object can't be decoded.
     #[error("settings: {0}")]
     Settings(#[from] DecodeError),
-    /// No request could be decided under the settings.
+    /// The settings are invalid.
     #[error(transparent)]
     UnusableSettings(#[from] SettingsError),
-    /// Too few descriptors to serve requests at all.
+    /// There are too few descriptors to serve requests.
     #[error("limits: sockets must be {0} or more")]
-    TooFewSockets(usize),
-    /// Neither file nor variable says where to listen.
+    TooFewDescriptors(usize),
+    /// Neither file nor environment gives an address to listen on.
     #[error("no address to listen on")]
     NoListen,
-    /// Neither file nor variable says where discovery is.
+    /// Neither file nor environment gives the address of discovery.
     #[error("no address of discovery")]
     NoDiscovery,
 }
--- a/src/bin/sidecar/connection.rs
+++ b/src/bin/sidecar/connection.rs
@@ -1,8 +1,7 @@
 //! One HTTP/1.1 connection to an endpoint.
 //!
-//! A connection carries one request at a time and is driven by whoever uses it, so that giving up
-//! an attempt (dropping its future) closes the connection, and nothing is written behind an
-//! attempt's back.
+//! A connection carries one request at a time and is driven by its user, so that dropping an
+//! attempt's future closes the connection, and nothing is written without its attempt.
 
 pub use crate::write_progress::WriteProgress;
 use bytes::Bytes;
@@ -24,14 +23,14 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Longest head of an answer.
+/// Longest response head, in bytes.
 const MAX_HEAD_BYTES: usize = 64 << 10;
 
-/// A socket that tells a meter what is written, and that can be looked at while a connection holds
+/// A socket that records what is written, and that can be inspected while the HTTP connection owns
 /// it.
 struct MeteredStream {
     stream: Rc<TcpStream>,
-    meter: Rc<RefCell<WriteProgress>>,
+    progress: Rc<RefCell<WriteProgress>>,
 }
 
 impl AsyncRead for MeteredStream {
@@ -45,7 +44,7 @@
             match self.stream.try_read(buf.initialize_unfilled()) {
                 Ok(length) => {
                     buf.advance(length);
-                    self.meter.borrow().heard();
+                    self.progress.borrow().record_read();
                     return Poll::Ready(Ok(()));
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
@@ -65,7 +64,7 @@
             ready!(self.stream.poll_write_ready(cx))?;
             match self.stream.try_write(buf) {
                 Ok(length) => {
-                    self.meter.borrow().count(&buf[..length]);
+                    self.progress.borrow().record_written(&buf[..length]);
                     return Poll::Ready(Ok(length));
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
@@ -89,19 +88,19 @@
     driver: http1::Connection<TokioIo<MeteredStream>, Full<Bytes>>,
     ended: bool,
     stream: Rc<TcpStream>,
-    meter: Rc<RefCell<WriteProgress>>,
-    made: SystemTime,
+    progress: Rc<RefCell<WriteProgress>>,
+    created_at: SystemTime,
 }
 
 impl Connection {
-    /// Connects; the caller bounds the time.
-    pub async fn open(at: SocketAddr) -> io::Result<Self> {
-        let stream = Rc::new(TcpStream::connect(at).await?);
+    /// Connects; the caller limits the time.
+    pub async fn open(address: SocketAddr) -> io::Result<Self> {
+        let stream = Rc::new(TcpStream::connect(address).await?);
         stream.set_nodelay(true)?;
-        let meter = Rc::new(RefCell::new(WriteProgress::default()));
+        let progress = Rc::new(RefCell::new(WriteProgress::default()));
         let metered = MeteredStream {
             stream: Rc::clone(&stream),
-            meter: Rc::clone(&meter),
+            progress: Rc::clone(&progress),
         };
         let handshake = http1::Builder::new()
             .max_buf_size(MAX_HEAD_BYTES)
@@ -112,33 +111,34 @@
             driver,
             ended: false,
             stream,
-            meter,
-            made: SystemTime::now(),
+            progress,
+            created_at: SystemTime::now(),
         })
     }
 
-    /// When it came up, on the clock that lists go by.
-    pub fn made(&self) -> SystemTime {
-        self.made
+    /// When it was established, by the clock that lists refer to.
+    pub fn created_at(&self) -> SystemTime {
+        self.created_at
     }
 
-    /// Whether a request may be written: the peer has neither closed it nor said anything unasked.
-    /// Asks the socket itself, as news of its closing may not have been polled yet.
-    pub fn usable(&self) -> bool {
+    /// Whether a request may be written: the peer has neither closed the connection nor sent
+    /// anything unrequested. Checks the socket itself, as the runtime may not have noticed a close
+    /// yet.
+    pub fn is_usable(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
-        let quiet = SockRef::from(&*self.stream).peek(&mut byte);
-        !self.ended && quiet.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
+        let peeked = SockRef::from(&*self.stream).peek(&mut byte);
+        !self.ended && peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Sends a request and waits for the head of its answer. What the peer says before the request
-    /// is wholly written can be no answer to it: the connection is not to be used on, and what is
-    /// left of the request not to go out.
+    /// Sends a request and waits for the response head. Bytes that the peer sends before the
+    /// request is completely written can't be a response to it: the connection is then not used
+    /// again, and the rest of the request is not written.
     pub async fn request(
         &mut self,
         request: Request<Full<Bytes>>,
-        meter: WriteProgress,
+        progress: WriteProgress,
     ) -> Result<Response<Incoming>, &'static str> {
-        *self.meter.borrow_mut() = meter.clone();
+        *self.progress.borrow_mut() = progress.clone();
         let Self {
             sender,
             driver,
@@ -150,14 +150,14 @@
             sender.send_request(request).await
         };
         match drive(driver, ended, answer).await {
-            Some(Ok(response)) if !meter.interrupted() => Ok(response),
+            Some(Ok(response)) if !progress.was_interrupted() => Ok(response),
             _ => Err("connection lost"),
         }
     }
 
-    /// One turn of the driver, in which it sees whether the last answer asked for the connection to
-    /// be closed.
-    pub async fn turn(&mut self) {
+    /// Polls the driver once, so that it notices whether the last response asked for the connection
+    /// to be closed.
+    pub async fn poll_driver_once(&mut self) {
         poll_fn(|cx| {
             self.ended = self.ended || Pin::new(&mut self.driver).poll(cx).is_ready();
             Poll::Ready(())
@@ -165,29 +165,28 @@
         .await;
     }
 
-    /// Waits for something that this connection brings; `None` once it has ended without bringing
-    /// it.
-    pub async fn drive<T>(&mut self, what: impl Future<Output = T>) -> Option<T> {
-        drive(&mut self.driver, &mut self.ended, what).await
+    /// Waits for a future that this connection must drive; `None` if the connection ends first.
+    pub async fn drive<T>(&mut self, future: impl Future<Output = T>) -> Option<T> {
+        drive(&mut self.driver, &mut self.ended, future).await
     }
 }
 
 async fn drive<T>(
     driver: &mut http1::Connection<TokioIo<MeteredStream>, Full<Bytes>>,
     ended: &mut bool,
-    what: impl Future<Output = T>,
+    future: impl Future<Output = T>,
 ) -> Option<T> {
-    let mut what = pin!(what);
+    let mut future = pin!(future);
     poll_fn(|cx| {
-        // What is asked for is looked at between two turns of the driver: it hands the request over
-        // first, and an answer that came with the end of the connection still counts.
-        if let Poll::Ready(value) = what.as_mut().poll(cx) {
+        // The future is polled before and after the driver: before, it hands the request over, and
+        // after, a response that arrived together with the close still counts.
+        if let Poll::Ready(value) = future.as_mut().poll(cx) {
             return Poll::Ready(Some(value));
         }
         if !*ended {
             *ended = Pin::new(&mut *driver).poll(cx).is_ready();
         }
-        match what.as_mut().poll(cx) {
+        match future.as_mut().poll(cx) {
             Poll::Ready(value) => Poll::Ready(Some(value)),
             Poll::Pending if *ended => Poll::Ready(None),
             Poll::Pending => Poll::Pending,
--- a/src/bin/sidecar/descriptors.rs
+++ b/src/bin/sidecar/descriptors.rs
@@ -4,37 +4,37 @@
 
 use tokio::sync::Semaphore;
 
-/// How many each side may hold.
+/// Most connections on each side.
 #[derive(Clone, Copy)]
-pub struct Limits {
-    /// Connections of clients.
+pub struct ConnectionLimits {
+    /// Client connections.
     pub clients: usize,
     /// Connections to endpoints.
     pub upstream: usize,
 }
 
-impl Limits {
-    /// Of so many descriptors some stay in reserve for discovery, peers, signals and accepting; of
-    /// the rest both sides get half, as a request takes one on each.
-    pub fn of(sockets: usize) -> Self {
-        let each =
-            ((sockets - sockets / 8).saturating_sub(16).max(2) / 2).min(Semaphore::MAX_PERMITS);
+impl ConnectionLimits {
+    /// Reserves some descriptors for discovery, peers, signals and accepting, and splits the rest
+    /// evenly, as a request takes one on each side.
+    pub fn from_descriptors(descriptors: usize) -> Self {
+        let per_side = ((descriptors - descriptors / 8).saturating_sub(16).max(2) / 2)
+            .min(Semaphore::MAX_PERMITS);
         Self {
-            clients: each,
-            upstream: each,
+            clients: per_side,
+            upstream: per_side,
         }
     }
 }
 
-/// What Linux says where the process or the machine has no room for a socket: ENOMEM, ENFILE,
+/// Linux error codes of a process or machine without resources for a socket: ENOMEM, ENFILE,
 /// EMFILE, ENOBUFS.
-const NO_ROOM: [i32; 4] = [12, 23, 24, 105];
+const EXHAUSTION_CODES: [i32; 4] = [12, 23, 24, 105];
 
-/// Whether the process or its machine lacked something, which says nothing of the peer.
-pub fn lacked(error: &io::Error) -> bool {
+/// Whether an error means that local resources are exhausted, which says nothing about the peer.
+pub fn is_exhausted(error: &io::Error) -> bool {
     error
         .raw_os_error()
-        .is_some_and(|code| NO_ROOM.contains(&code))
+        .is_some_and(|code| EXHAUSTION_CODES.contains(&code))
 }
 
 #[cfg(test)]
--- a/src/bin/sidecar/discovery.rs
+++ b/src/bin/sidecar/discovery.rs
@@ -1,12 +1,12 @@
-//! Calls discovery for the endpoint list when the decision module says so, and passes on its
+//! Calls discovery for the endpoint list when the decision module requests it, and forwards the
 //! answers.
 
 mod call;
 
 use crate::host_list::HostList;
-use crate::messages::{Input, Inputs};
-use crate::watch_schedule::{Call, PATIENCE, WatchSchedule};
-use call::{Failure, call};
+use crate::messages::{Input, InputSender};
+use crate::watch_schedule::{CALL_TIMEOUT, CallTimes, WatchSchedule};
+use call::{CallFailure, call};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,86 +15,90 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{Instant, sleep_until};
 
-/// Least time from one watch call to the next. A watch is only kept when the next call goes within
-/// 200 ms of the last answer; less than that keeps a discovery that answers at once from being
-/// called in a tight loop.
-const SPACING: Duration = Duration::from_millis(50);
-/// What may be asked of discovery.
+/// Shortest time from one watch call to the next. Discovery keeps a watch only if the next call
+/// comes within 200 ms of the last answer; shorter intervals would call a discovery that answers at
+/// once in a tight loop.
+const MIN_CALL_INTERVAL: Duration = Duration::from_millis(50);
+/// A request of the decision module.
 #[derive(Clone, Copy)]
-pub enum Ask {
-    /// Changes from now on, until a call fails.
+pub enum DiscoveryRequest {
+    /// Watch for changes, until a call fails.
     Watch,
-    /// No more changes.
+    /// Stop watching.
     StopWatch,
-    /// The whole list once.
+    /// Fetch the whole list once.
     Fetch,
 }
 
-/// What follows the list at one address. Where discovery moves, nothing of it is left.
-struct Follower {
-    at: SocketAddr,
-    /// The version that is held, if it is one of this address's.
-    index: Rc<Cell<Option<u64>>>,
-    inputs: Inputs,
-    watching: Option<AbortHandle>,
-    fetching: Option<AbortHandle>,
+/// Follows the list at one address. It is dropped when discovery moves.
+struct ListFollower {
+    address: SocketAddr,
+    /// The version that is held, if it came from this address.
+    held_version: Rc<Cell<Option<u64>>>,
+    inputs: InputSender,
+    watch_task: Option<AbortHandle>,
+    fetch_task: Option<AbortHandle>,
 }
 
-impl Follower {
-    fn new(at: SocketAddr, known: Option<u64>, inputs: Inputs) -> Self {
+impl ListFollower {
+    fn new(address: SocketAddr, held_version: Option<u64>, inputs: InputSender) -> Self {
         Self {
-            at,
-            index: Rc::new(Cell::new(known)),
+            address,
+            held_version: Rc::new(Cell::new(held_version)),
             inputs,
-            watching: None,
-            fetching: None,
+            watch_task: None,
+            fetch_task: None,
         }
     }
 
-    /// Watches. One that runs goes on: a second would only put more load on discovery. One that has
-    /// ended has failed.
+    /// Starts watching, unless a watch is running: a second one would only add load. A watch that
+    /// has ended has failed.
     fn watch(&mut self, rng: fastrand::Rng) {
-        if running(&self.watching) {
+        if is_running(&self.watch_task) {
             return;
         }
-        let watching = WatchSchedule::new(self.watching.is_some());
+        let schedule = WatchSchedule::new(self.watch_task.is_some());
         let task = keep_watching(
-            self.at,
-            watching,
+            self.address,
+            schedule,
             rng,
-            Rc::clone(&self.index),
+            Rc::clone(&self.held_version),
             self.inputs.clone(),
         );
-        self.watching = Some(spawn_local(task).abort_handle());
+        self.watch_task = Some(spawn_local(task).abort_handle());
     }
 
-    fn stop_watch(&mut self) {
-        if let Some(watching) = self.watching.take() {
-            watching.abort();
+    fn stop_watching(&mut self) {
+        if let Some(task) = self.watch_task.take() {
+            task.abort();
         }
     }
 
     fn fetch(&mut self) {
-        if running(&self.fetching) {
+        if is_running(&self.fetch_task) {
             return;
         }
-        let (at, index, inputs) = (self.at, Rc::clone(&self.index), self.inputs.clone());
+        let (address, held_version, inputs) = (
+            self.address,
+            Rc::clone(&self.held_version),
+            self.inputs.clone(),
+        );
         let fetch = async move {
-            let whole = Call {
+            let times = CallTimes {
                 wait: Duration::ZERO,
-                within: PATIENCE,
+                timeout: CALL_TIMEOUT,
             };
-            let answer = call(at, &mut None, None, whole).await;
-            tell(answer, None, &index, &inputs);
+            let answer = call(address, &mut None, None, times).await;
+            report_answer(answer, None, &held_version, &inputs);
         };
-        self.fetching = Some(spawn_local(fetch).abort_handle());
+        self.fetch_task = Some(spawn_local(fetch).abort_handle());
     }
 }
 
-impl Drop for Follower {
-    /// Late answers are no longer heard.
+impl Drop for ListFollower {
+    /// Aborts the calls, so that late answers are ignored.
     fn drop(&mut self) {
-        for task in [self.watching.take(), self.fetching.take()]
+        for task in [self.watch_task.take(), self.fetch_task.take()]
             .into_iter()
             .flatten()
         {
@@ -103,103 +107,104 @@
     }
 }
 
-fn running(task: &Option<AbortHandle>) -> bool {
+fn is_running(task: &Option<AbortHandle>) -> bool {
     task.as_ref().is_some_and(|task| !task.is_finished())
 }
 
-/// Carries out what is asked, one watch at most at a time. Where discovery moves, the watch moves
-/// along at once.
+/// Handles requests, with at most one watch at a time. If discovery moves, a running watch
+/// continues at the new address at once.
 pub async fn run(
-    mut at: watch::Receiver<SocketAddr>,
-    known: Option<u64>,
+    mut address: watch::Receiver<SocketAddr>,
+    cached_version: Option<u64>,
     seed: u64,
-    mut asks: mpsc::UnboundedReceiver<Ask>,
-    inputs: Inputs,
+    mut requests: mpsc::UnboundedReceiver<DiscoveryRequest>,
+    inputs: InputSender,
 ) {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let start = *at.borrow_and_update();
-    let mut follower = Follower::new(start, known, inputs.clone());
+    let start_address = *address.borrow_and_update();
+    let mut follower = ListFollower::new(start_address, cached_version, inputs.clone());
     loop {
         tokio::select! {
             biased;
-            Ok(()) = at.changed() => {
-                let watched = follower.watching.is_some();
-                let moved = *at.borrow_and_update();
-                // Whether versions go on there is not known: the whole list comes first.
-                follower = Follower::new(moved, None, inputs.clone());
-                if watched {
+            Ok(()) = address.changed() => {
+                let was_watching = follower.watch_task.is_some();
+                let new_address = *address.borrow_and_update();
+                // The version numbers there may differ, so the whole list is fetched first.
+                follower = ListFollower::new(new_address, None, inputs.clone());
+                if was_watching {
                     follower.watch(rng.fork());
                 }
             }
-            ask = asks.recv() => match ask {
-                Some(Ask::Watch) => follower.watch(rng.fork()),
-                Some(Ask::StopWatch) => follower.stop_watch(),
-                Some(Ask::Fetch) => follower.fetch(),
+            request = requests.recv() => match request {
+                Some(DiscoveryRequest::Watch) => follower.watch(rng.fork()),
+                Some(DiscoveryRequest::StopWatch) => follower.stop_watching(),
+                Some(DiscoveryRequest::Fetch) => follower.fetch(),
                 None => return,
             },
         }
     }
 }
 
-/// Call after call until one fails; the module then says when to begin anew.
+/// Repeats calls until one fails; the decision module then requests the next watch.
 async fn keep_watching(
-    at: SocketAddr,
-    mut watching: WatchSchedule,
+    address: SocketAddr,
+    mut schedule: WatchSchedule,
     mut rng: fastrand::Rng,
-    index: Rc<Cell<Option<u64>>>,
-    inputs: Inputs,
+    held_version: Rc<Cell<Option<u64>>>,
+    inputs: InputSender,
 ) {
-    let mut link = None;
+    let mut connection = None;
     loop {
-        let next = Instant::now() + SPACING;
-        let after = index.get();
+        let next_call = Instant::now() + MIN_CALL_INTERVAL;
+        let after = held_version.get();
         let answer = call(
-            at,
-            &mut link,
+            address,
+            &mut connection,
             after,
-            watching.call(after.is_some(), rng.f64()),
+            schedule.next_call(after.is_some(), rng.f64()),
         )
         .await;
-        let goes_on = match &answer {
+        let continues = match &answer {
             Ok(_) => {
-                watching.answered();
+                schedule.record_answer();
                 true
             }
-            Err(Failure::Silent) => {
-                watching.silent();
+            Err(CallFailure::TimedOut) => {
+                schedule.record_timeout();
                 true
             }
-            Err(Failure::Said(_)) => false,
+            Err(CallFailure::Error(_)) => false,
         };
-        tell(answer, after, &index, &inputs);
-        if !goes_on {
+        report_answer(answer, after, &held_version, &inputs);
+        if !continues {
             return;
         }
-        sleep_until(next).await;
+        sleep_until(next_call).await;
     }
 }
 
-/// Passes on a failure, or an answer to a call for news after that version.
-fn tell(
-    answer: Result<HostList, Failure>,
-    after: Option<u64>,
-    index: &Cell<Option<u64>>,
-    inputs: &Inputs,
+/// Forwards a failure, or the answer to a call for changes after that version.
+fn report_answer(
+    answer: Result<HostList, CallFailure>,
+    asked_after: Option<u64>,
+    held_version: &Cell<Option<u64>>,
+    inputs: &InputSender,
 ) {
     match answer {
         Ok(list) => {
-            let held = index.get();
-            if held != after && held > Some(list.index) {
-                // Another call was answered meanwhile, with something newer.
+            let current = held_version.get();
+            if current != asked_after && current > Some(list.index) {
+                // Another call has brought a newer version in the meantime.
                 return;
             }
-            // Where changes go back to an earlier version, discovery has begun anew: what they
-            // build on is not held here.
-            let follows = list.snapshot || after.is_none_or(|after| after <= list.index);
-            index.set(follows.then_some(list.index));
+            // Changes up to an earlier version mean that discovery has started over: the versions
+            // they are based on are not held here.
+            let is_continuous =
+                list.snapshot || asked_after.is_none_or(|after| after <= list.index);
+            held_version.set(is_continuous.then_some(list.index));
             inputs.send(Input::EndpointList(list));
         }
-        Err(Failure::Silent) => inputs.send(Input::ListFailed("no answer".to_owned())),
-        Err(Failure::Said(what)) => inputs.send(Input::ListFailed(what)),
+        Err(CallFailure::TimedOut) => inputs.send(Input::ListFailed("no answer".to_owned())),
+        Err(CallFailure::Error(message)) => inputs.send(Input::ListFailed(message)),
     }
 }
--- a/src/bin/sidecar/discovery/call.rs
+++ b/src/bin/sidecar/discovery/call.rs
@@ -2,65 +2,65 @@
 
 use crate::connection::{Connection, WriteProgress};
 use crate::host_list::HostList;
-use crate::watch_schedule::{Call, PATIENCE};
+use crate::watch_schedule::{CALL_TIMEOUT, CallTimes};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::{Request, StatusCode};
 use std::net::SocketAddr;
 use tokio::time::timeout;
 
-/// Longest list taken.
+/// Longest list, in bytes.
 const MAX_LIST_BYTES: usize = 4 << 20;
 
 /// Why a call brought no list.
-pub(super) enum Failure {
-    /// Nothing, or no whole answer, came back in time.
-    Silent,
-    /// Something else did.
-    Said(String),
+pub(super) enum CallFailure {
+    /// No complete answer came back in time.
+    TimedOut,
+    /// It failed in another way.
+    Error(String),
 }
 
-impl From<&str> for Failure {
-    fn from(what: &str) -> Self {
-        Self::Said(what.to_owned())
+impl From<&str> for CallFailure {
+    fn from(message: &str) -> Self {
+        Self::Error(message.to_owned())
     }
 }
 
-/// One call, for news after a version where that is given, over the connection of the last one
-/// where that is still good. Bounded in time and in size: a discovery that is cut off says nothing
-/// at all.
+/// Performs one call, for changes after a version if one is given, over the connection of the last
+/// call if that is still usable. Limited in time and size, as an unreachable discovery sends
+/// nothing at all.
 pub(super) async fn call(
-    at: SocketAddr,
-    link: &mut Option<Connection>,
+    address: SocketAddr,
+    idle_connection: &mut Option<Connection>,
     after: Option<u64>,
-    call: Call,
-) -> Result<HostList, Failure> {
+    times: CallTimes,
+) -> Result<HostList, CallFailure> {
     let path = match after {
         Some(index) => format!(
             "/discovery/hosts?after={index}&wait_ms={}",
-            call.wait.as_millis()
+            times.wait.as_millis()
         ),
         None => "/discovery/hosts".to_owned(),
     };
-    timeout(call.within, exchange(at, link, &path))
+    timeout(times.timeout, exchange(address, idle_connection, &path))
         .await
-        .unwrap_or(Err(Failure::Silent))
+        .unwrap_or(Err(CallFailure::TimedOut))
 }
 
 async fn exchange(
-    at: SocketAddr,
-    link: &mut Option<Connection>,
+    address: SocketAddr,
+    idle_connection: &mut Option<Connection>,
     path: &str,
-) -> Result<HostList, Failure> {
+) -> Result<HostList, CallFailure> {
     let request = Request::get(path)
-        .header(hyper::header::HOST, at.to_string())
+        .header(hyper::header::HOST, address.to_string())
         .body(Full::new(Bytes::new()))
-        .map_err(said)?;
-    let mut connection = match link.take().filter(Connection::usable) {
+        .map_err(call_error)?;
+    let mut connection = match idle_connection.take().filter(Connection::is_usable) {
         Some(connection) => connection,
-        None => match timeout(PATIENCE, Connection::open(at)).await {
-            Ok(opened) => opened.map_err(said)?,
-            Err(_) => return Err(Failure::Silent),
+        None => match timeout(CALL_TIMEOUT, Connection::open(address)).await {
+            Ok(opened) => opened.map_err(call_error)?,
+            Err(_) => return Err(CallFailure::TimedOut),
         },
     };
     let response = connection
@@ -70,20 +70,26 @@
     let body = connection
         .drive(Limited::new(body, MAX_LIST_BYTES).collect())
         .await;
-    let body = body.ok_or("connection lost")?.map_err(said)?.to_bytes();
+    let body = body
+        .ok_or("connection lost")?
+        .map_err(call_error)?
+        .to_bytes();
     if head.status != StatusCode::OK {
-        return Err(Failure::Said(format!("status {}", head.status.as_u16())));
+        return Err(CallFailure::Error(format!(
+            "status {}",
+            head.status.as_u16()
+        )));
     }
-    *link = Some(connection);
+    *idle_connection = Some(connection);
     let list: HostList = serde_json::from_slice(&body)
-        .map_err(|e| Failure::Said(format!("unreadable list: {e}")))?;
-    // To follow it would leave nothing to serve with; more likely discovery has lost what it knew.
+        .map_err(|e| CallFailure::Error(format!("unreadable list: {e}")))?;
+    // Following it would leave no endpoint; more likely discovery has lost its data.
     if list.snapshot && list.endpoints.is_empty() {
         return Err("empty list".into());
     }
     Ok(list)
 }
 
-fn said(why: impl ToString) -> Failure {
-    Failure::Said(why.to_string())
+fn call_error(error: impl ToString) -> CallFailure {
+    CallFailure::Error(error.to_string())
 }
--- a/src/bin/sidecar/endpoint_directory.rs
+++ b/src/bin/sidecar/endpoint_directory.rs
@@ -1,8 +1,8 @@
-//! Endpoints by their listed names: their numbers, and the sockets' view of them.
+//! Endpoint ids by listed name, and the connection pool's view of the list.
 
 use crate::host_list::{HostList, HostStatus};
 #[cfg(feature = "product")]
-use crate::messages::{Exported, NamedEndpoint};
+use crate::messages::{ExportedEndpoints, NamedEndpoint};
 use crate::pool::{Pool, Target};
 use crate::product::{Fleet, SnapshotHost};
 use load_balancer::settings::NameTable;
@@ -12,23 +12,23 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
-/// Names by number, and what follows lists besides the module.
+/// Endpoint ids by name, and the other components that follow the list.
 pub struct EndpointDirectory {
     endpoints: NameTable,
     zones: NameTable,
     kinds: NameTable,
     pool: Rc<Pool>,
     fleet: Option<Fleet>,
-    state: Option<SnapshotHost>,
+    snapshot: Option<SnapshotHost>,
 }
 
 impl EndpointDirectory {
-    /// No endpoint yet; the settings name some zones.
+    /// Starts without endpoints; the settings name some zones.
     pub fn new(
         zones: NameTable,
         pool: Rc<Pool>,
         fleet: Option<Fleet>,
-        state: Option<SnapshotHost>,
+        snapshot: Option<SnapshotHost>,
     ) -> Self {
         Self {
             endpoints: NameTable::default(),
@@ -36,32 +36,32 @@
             kinds: NameTable::default(),
             pool,
             fleet,
-            state,
+            snapshot,
         }
     }
 
-    /// What was known of endpoints, by their numbers; those without one are left out.
+    /// Restored endpoints with their ids; those that are not listed are omitted.
     #[cfg(feature = "product")]
-    pub fn by_number(&self, known: Vec<NamedEndpoint>) -> Vec<RestoredEndpoint> {
-        let numbered = |named: NamedEndpoint| {
+    pub fn restored_endpoints(&self, known: Vec<NamedEndpoint>) -> Vec<RestoredEndpoint> {
+        let to_restored = |named: NamedEndpoint| {
             Some(RestoredEndpoint {
                 endpoint: self.endpoints.lookup(&named.name)?,
                 ..named.known
             })
         };
-        known.into_iter().filter_map(numbered).collect()
+        known.into_iter().filter_map(to_restored).collect()
     }
 
-    /// How many are listed, and what the module knows of them, by their names.
+    /// The number of listed endpoints, and the module's state of each by name.
     #[cfg(feature = "product")]
-    pub fn export(&self, balancer: &Balancer) -> Exported {
-        let named = |known: RestoredEndpoint| NamedEndpoint {
+    pub fn export(&self, balancer: &Balancer) -> ExportedEndpoints {
+        let to_named = |known: RestoredEndpoint| NamedEndpoint {
             name: self.name(known.endpoint).to_owned(),
             known,
         };
-        Exported {
+        ExportedEndpoints {
             listed: balancer.summary().listed,
-            endpoints: balancer.export().into_iter().map(named).collect(),
+            endpoints: balancer.export().into_iter().map(to_named).collect(),
         }
     }
 
@@ -70,76 +70,77 @@
         self.endpoints.name(id)
     }
 
-    /// Discovery has answered; returns what the module, which `knows` some endpoints, is to hear.
-    pub fn answered(&mut self, list: HostList, knows: impl Fn(usize) -> bool) -> ListUpdate {
+    /// Applies an answer of discovery; returns the update for the module. `is_known` tells which
+    /// endpoints the module still holds.
+    pub fn apply_answer(&mut self, list: HostList, is_known: impl Fn(usize) -> bool) -> ListUpdate {
         if let Some(fleet) = &self.fleet {
-            fleet.list_seen();
+            fleet.confirm_list();
         }
-        let full = list.snapshot;
-        let listings = self.apply(list, full, knows);
-        if full {
-            ListUpdate::Full(listings)
+        let is_full = list.snapshot;
+        let endpoints = self.apply_list(list, is_full, is_known);
+        if is_full {
+            ListUpdate::Full(endpoints)
         } else {
-            ListUpdate::Delta(listings)
+            ListUpdate::Delta(endpoints)
         }
     }
 
-    /// Brings the sockets' view of the endpoints up to date, before the module, which `knows` some,
-    /// can send anything more; returns what it is to hear.
-    pub fn apply(
+    /// Updates the pool's view of the endpoints before the module can send anything more; returns
+    /// the list for the module. `is_known` tells which endpoints the module still holds.
+    pub fn apply_list(
         &mut self,
         list: HostList,
-        full: bool,
-        knows: impl Fn(usize) -> bool,
+        is_full: bool,
+        is_known: impl Fn(usize) -> bool,
     ) -> Vec<ListedEndpoint> {
-        if let Some(state) = &self.state {
-            state.listed(&list, full);
+        if let Some(snapshot) = &self.snapshot {
+            snapshot.update_list(&list, is_full);
         }
-        for id in self.endpoints.release(|id| !knows(id)) {
+        for id in self.endpoints.release(|id| !is_known(id)) {
             self.pool.release(id);
         }
-        let mut listings = Vec::with_capacity(list.endpoints.len());
+        let mut listed_endpoints = Vec::with_capacity(list.endpoints.len());
         for host in list.endpoints {
             let id = self.endpoints.id(&host.name);
             let status = match (host.status, host.address) {
                 (HostStatus::Active, Some(_)) => EndpointStatus::Ready,
-                // One that can't be reached takes nothing.
-                (HostStatus::Active, None) | (HostStatus::Leaving, _) => EndpointStatus::Draining,
-                (HostStatus::Left, _) => EndpointStatus::Removed,
+                // An endpoint without an address takes no requests.
+                (HostStatus::Active, None) | (HostStatus::Draining, _) => EndpointStatus::Draining,
+                (HostStatus::Removed, _) => EndpointStatus::Removed,
             };
-            let at = host.address.map(|address| Target {
+            let target = host.address.map(|address| Target {
                 address,
-                since_ms: host.since_ms,
+                started_ms: host.started_ms,
             });
             self.pool
                 .endpoint(id)
-                .set(at, status == EndpointStatus::Ready);
-            listings.push(ListedEndpoint {
+                .update(target, status == EndpointStatus::Ready);
+            listed_endpoints.push(ListedEndpoint {
                 endpoint: id,
                 zone: host.zone.map(|zone| self.zones.id(&zone)),
                 cell: host.group,
                 kind: host.kind.map(|kind| self.kinds.id(&kind)),
                 status,
                 size: host.weight,
-                started: Some(host.since_ms.saturating_mul(1000)).filter(|at| *at != 0),
+                started: Some(host.started_ms.saturating_mul(1000)).filter(|at| *at != 0),
                 alias: self
                     .fleet
                     .as_ref()
                     .map_or(0, |fleet| fleet.alias(&host.name)),
             });
         }
-        if full {
-            let listed: HashSet<usize> = listings.iter().map(|l| l.endpoint).collect();
-            self.pool.keep_only(&listed);
+        if is_full {
+            let listed_ids: HashSet<usize> = listed_endpoints.iter().map(|l| l.endpoint).collect();
+            self.pool.keep_only(&listed_ids);
         }
         if let Some(fleet) = &self.fleet {
-            fleet.listed(
-                full,
-                &listings,
+            fleet.set_endpoints(
+                is_full,
+                &listed_endpoints,
                 |id| self.endpoints.name(id),
                 |zone| self.zones.name(zone),
             );
         }
-        listings
+        listed_endpoints
     }
 }
--- a/src/bin/sidecar/engine.rs
+++ b/src/bin/sidecar/engine.rs
@@ -1,16 +1,16 @@
-//! Owns the decision module: everything that happens on the sockets becomes an event for it, and
-//! its actions are carried out. Nothing is decided here.
+//! Owns the decision module: turns everything that happens on the sockets into events for it, and
+//! performs its actions. Makes no decisions itself.
 
 mod actions;
 mod start;
 
 use crate::clock::Clock;
-use crate::discovery::Ask;
+use crate::discovery::DiscoveryRequest;
 use crate::endpoint_directory::EndpointDirectory;
 use crate::log_throttle::{LogThrottle, suppressed_note};
 #[cfg(feature = "product")]
 use crate::messages::EngineSummary;
-use crate::messages::{Input, Inputs};
+use crate::messages::{Input, InputSender};
 use crate::open_requests::OpenRequests;
 use crate::peers::Peers;
 use crate::pool::Pool;
@@ -27,49 +27,49 @@
 use tokio::task::yield_now;
 use tokio::time::Instant;
 
-/// Log lines about bad input from outside: one in this time.
-const COMPLAINT_SPACING: Duration = Duration::from_secs(5);
+/// Shortest time between log lines about invalid input.
+const INPUT_LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The module and all that it has under way.
+/// The decision module, and the state of everything in progress.
 pub struct Engine {
     balancer: Balancer,
     clock: Clock,
     inputs: mpsc::UnboundedReceiver<Input>,
-    sender: Inputs,
-    open: OpenRequests,
-    listed: EndpointDirectory,
+    input_sender: InputSender,
+    open_requests: OpenRequests,
+    directory: EndpointDirectory,
     pool: Rc<Pool>,
     upstream: Rc<Upstream>,
-    asks: mpsc::UnboundedSender<Ask>,
+    discovery_requests: mpsc::UnboundedSender<DiscoveryRequest>,
     peers: Option<Peers>,
     timers: Timers,
-    /// Events that follow from actions.
+    /// Events caused by actions.
     events: VecDeque<Event>,
-    complaints: LogThrottle,
+    log_throttle: LogThrottle,
     observer: Observer,
     fleet: Option<Fleet>,
 }
 
 impl Engine {
-    /// Runs for good.
+    /// Runs until the input channel is closed.
     pub async fn run(mut self) {
         loop {
             tokio::select! {
                 biased;
                 input = self.inputs.recv() => match input {
-                    Some(input) => self.take(input),
+                    Some(input) => self.handle_input(input),
                     None => return,
                 },
-                // A process that was held up may not have looked yet at what came before the timer
-                // was due.
+                // If the process was suspended, input that arrived before the timer was due may not
+                // have been noticed yet.
                 () = self.timers.wait() => yield_now().await,
             }
-            // Inputs that are there go first, and a stream of them can't hold up the timers.
+            // Queued inputs go first; taking only those queued now keeps timers from starving.
             for _ in 0..self.inputs.len() {
                 let Ok(input) = self.inputs.try_recv() else {
                     break;
                 };
-                self.take(input);
+                self.handle_input(input);
             }
             self.fire_timers();
         }
@@ -77,35 +77,35 @@
 
     fn fire_timers(&mut self) {
         let now = self.clock.now();
-        while let Some(token) = self.timers.due(now) {
+        while let Some(token) = self.timers.take_due(now) {
             self.deliver(Event::Timer(token));
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
             Input::Request {
                 mut request,
                 outgoing,
                 reply,
             } => {
-                self.open.take(&mut request, outgoing, reply);
+                self.open_requests.accept(&mut request, outgoing, reply);
                 self.deliver(Event::Request(request));
             }
             Input::Withdrawn(id) => {
-                if self.open.withdraw(id) {
+                if self.open_requests.withdraw(id) {
                     self.deliver(Event::Abandoned(id));
                 }
             }
-            Input::Ended(ended) => {
-                if let Some(event) = self.open.ended(ended) {
+            Input::AttemptEnded(ended) => {
+                if let Some(event) = self.open_requests.attempt_ended(ended) {
                     self.deliver(event);
                 }
             }
-            Input::Probed {
+            Input::ProbeEnded {
                 endpoint,
                 outcome,
-                took,
+                elapsed: took,
                 load,
             } => self.deliver(Event::ProbeEnded {
                 endpoint,
@@ -114,24 +114,26 @@
                 load,
             }),
             Input::EndpointList(list) => {
-                if list.unread > 0 {
-                    self.complain(&format!(
+                if list.unreadable > 0 {
+                    self.log_throttled(&format!(
                         "discovery: {} entries without a name",
-                        list.unread
+                        list.unreadable
                     ));
                 }
-                self.observer.listed();
-                let update = self.listed.answered(list, |id| self.balancer.is_known(id));
+                self.observer.list_received();
+                let update = self
+                    .directory
+                    .apply_answer(list, |id| self.balancer.is_known(id));
                 self.deliver(Event::Endpoints(update));
             }
             Input::ListFailed(what) => {
-                self.complain(&format!("discovery: {what}"));
+                self.log_throttled(&format!("discovery: {what}"));
                 self.deliver(Event::Endpoints(ListUpdate::Failed));
             }
             #[cfg(feature = "product")]
             Input::Summarize(reply) => {
-                let (open, attempts) = self.open.count();
-                // Whoever asked may have left.
+                let (open, attempts) = self.open_requests.count();
+                // The reader may have disconnected.
                 let _ = reply.send(EngineSummary {
                     summary: self.balancer.summary(),
                     open,
@@ -139,35 +141,37 @@
                 });
             }
             #[cfg(feature = "product")]
-            Input::Restored(known) => self.deliver(Event::Restored(self.listed.by_number(known))),
+            Input::Restored(known) => {
+                self.deliver(Event::Restored(self.directory.restored_endpoints(known)))
+            }
             #[cfg(feature = "product")]
-            Input::Export(reply) => drop(reply.send(self.listed.export(&self.balancer))),
+            Input::Export(reply) => drop(reply.send(self.directory.export(&self.balancer))),
             #[cfg(feature = "product")]
             Input::Ejections(updates) => self.deliver(Event::Ejections(updates)),
-            Input::Peer {
+            Input::PeerDatagram {
                 from,
                 bytes,
                 permit,
             } => {
                 self.deliver(Event::PeerMessage { from, bytes });
-                // Its place is free once it has been taken in.
+                // Releases the datagram's place in the queue only now.
                 drop(permit);
             }
         }
     }
 
-    fn complain(&mut self, what: &str) {
-        if let Some(others) = self.complaints.pass(Instant::now()) {
+    fn log_throttled(&mut self, message: &str) {
+        if let Some(suppressed) = self.log_throttle.allow(Instant::now()) {
             say!(
                 warn,
                 "sidecar::discovery",
-                "{what}{}",
-                suppressed_note(others)
+                "{message}{}",
+                suppressed_note(suppressed)
             );
         }
     }
 
-    /// Tells the module of an event and of those that its actions bring about.
+    /// Passes an event to the module, and the events that its actions cause.
     fn deliver(&mut self, event: Event) {
         self.events.push_back(event);
         let mut actions = Vec::new();
@@ -175,7 +179,7 @@
             let now = self.clock.now();
             self.balancer.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.act(now, action);
+                self.perform(now, action);
             }
         }
     }
--- a/src/bin/sidecar/engine/actions.rs
+++ b/src/bin/sidecar/engine/actions.rs
@@ -1,22 +1,22 @@
-//! Carries out the actions of the decision module.
+//! Performs the actions of the decision module.
 
 use super::Engine;
-use crate::attempt::{Destination, Times};
-use crate::discovery::Ask;
+use crate::attempt::{AttemptTimes, Destination};
+use crate::discovery::DiscoveryRequest;
 use crate::messages::{Answer, AttemptId};
 use crate::report::say;
 use load_balancer::{Action, Micros, RequestId};
 use std::rc::Rc;
 use tokio::task::spawn_local;
 
-/// An attempt is given up this much before its time. Where the time of its request ends with it,
-/// the module hears of the time-out first: otherwise it would call the attempt back, and never
-/// learn that the endpoint hangs.
-const ATTEMPT_FIRST: Micros = 5_000;
+/// How long before its timeout an attempt is given up, in microseconds. If the request's deadline
+/// coincides with the timeout, the module must see the timeout first: otherwise it would cancel the
+/// attempt and never learn that the endpoint hangs.
+const ATTEMPT_TIMEOUT_MARGIN_US: Micros = 5_000;
 
 impl Engine {
-    /// Carries out what the module asked for at `now`.
-    pub(super) fn act(&mut self, now: Micros, action: Action) {
+    /// Performs an action that the module returned at `now`.
+    pub(super) fn perform(&mut self, now: Micros, action: Action) {
         match action {
             Action::Send {
                 request,
@@ -24,28 +24,45 @@
                 timeout,
                 write_by,
             } => {
-                let until = now.saturating_add(timeout - ATTEMPT_FIRST.min(timeout / 2));
-                let [write_by, until] = [write_by.min(until), until].map(|t| self.clock.instant(t));
-                self.send(request, endpoint, Times { write_by, until });
+                let deadline =
+                    now.saturating_add(timeout - ATTEMPT_TIMEOUT_MARGIN_US.min(timeout / 2));
+                let [write_by, until] =
+                    [write_by.min(deadline), deadline].map(|t| self.clock.instant(t));
+                self.start_attempt(
+                    request,
+                    endpoint,
+                    AttemptTimes {
+                        write_by,
+                        deadline: until,
+                    },
+                );
             }
             Action::Reject {
                 request,
                 retry_after,
-            } => self.open.answer(request, Answer::Rejected(retry_after)),
-            Action::Fail(request) => self.open.answer(request, Answer::Failed),
+            } => self
+                .open_requests
+                .answer(request, Answer::Rejected(retry_after)),
+            Action::Fail(request) => self.open_requests.answer(request, Answer::Failed),
             Action::Cancel { request, attempt } => {
                 self.events
-                    .extend(self.open.cancel(AttemptId { request, attempt }));
+                    .extend(self.open_requests.cancel(AttemptId { request, attempt }));
             }
             Action::Probe(endpoint) => {
-                let (upstream, inputs) = (Rc::clone(&self.upstream), self.sender.clone());
+                let (upstream, inputs) = (Rc::clone(&self.upstream), self.input_sender.clone());
                 spawn_local(upstream.probe(endpoint, inputs));
             }
             Action::SetTimer { after, token } => self.timers.set(after, token),
-            // Only the end of the process takes discovery's task away.
-            Action::Subscribe(true) => drop(self.asks.send(Ask::Watch)),
-            Action::Subscribe(false) => drop(self.asks.send(Ask::StopWatch)),
-            Action::FetchList => drop(self.asks.send(Ask::Fetch)),
+            // Sending fails only when discovery's task has ended with the process.
+            Action::Subscribe(true) => {
+                let _ = self.discovery_requests.send(DiscoveryRequest::Watch);
+            }
+            Action::Subscribe(false) => {
+                let _ = self.discovery_requests.send(DiscoveryRequest::StopWatch);
+            }
+            Action::FetchList => {
+                let _ = self.discovery_requests.send(DiscoveryRequest::Fetch);
+            }
             Action::CloseIdle(endpoint) => self.pool.endpoint(endpoint).close_idle(),
             Action::SendToPeer { to, bytes } => {
                 if let Some(peers) = &self.peers {
@@ -61,23 +78,26 @@
         }
     }
 
-    fn send(&mut self, request: RequestId, endpoint: usize, times: Times) {
-        // The module holds no request that is not held here: both learn of every end in the same
-        // turn.
-        let Some((attempt, outgoing)) = self.open.next(request, self.listed.name(endpoint)) else {
+    fn start_attempt(&mut self, request: RequestId, endpoint: usize, times: AttemptTimes) {
+        // The module knows no request that is not open here: both learn of every end at the same
+        // time.
+        let Some((attempt, outgoing)) = self
+            .open_requests
+            .next_attempt(request, self.directory.name(endpoint))
+        else {
             return;
         };
-        let to = self.pool.endpoint(endpoint);
-        // What was decided holds for the process that is there now.
-        let attempting = Rc::clone(&self.upstream).attempt(
+        let attempted = self.pool.endpoint(endpoint);
+        // The decision applies to the process that is at the endpoint now.
+        let attempt_future = Rc::clone(&self.upstream).attempt(
             AttemptId { request, attempt },
-            Destination::of(to),
+            Destination::current(attempted),
             outgoing,
             times,
-            self.sender.clone(),
+            self.input_sender.clone(),
         );
-        let task = spawn_local(attempting).abort_handle();
-        self.open
-            .sent(AttemptId { request, attempt }, endpoint, task);
+        let task = spawn_local(attempt_future).abort_handle();
+        self.open_requests
+            .attempt_sent(AttemptId { request, attempt }, endpoint, task);
     }
 }
--- a/src/bin/sidecar/engine/start.rs
+++ b/src/bin/sidecar/engine/start.rs
@@ -1,15 +1,15 @@
-//! How an engine is put together.
+//! Construction of the engine.
 
-use super::{COMPLAINT_SPACING, Engine};
+use super::{Engine, INPUT_LOG_INTERVAL};
 use crate::clock::Clock;
 use crate::config::Config;
-use crate::descriptors::Limits;
-use crate::discovery::{self, Ask};
+use crate::descriptors::ConnectionLimits;
+use crate::discovery::{self, DiscoveryRequest};
 use crate::endpoint_directory::EndpointDirectory;
 use crate::engine_handle::EngineHandle;
 use crate::host_list::HostList;
 use crate::log_throttle::LogThrottle;
-use crate::messages::{Input, Inputs};
+use crate::messages::{Input, InputSender};
 use crate::open_requests::OpenRequests;
 use crate::peers::Peers;
 use crate::pool::Pool;
@@ -23,94 +23,102 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::spawn_local;
 
-/// What an engine is made of besides its configuration.
+/// The parts of an engine besides its configuration.
 pub struct EngineParts {
-    /// The way to it, for the tasks that it starts.
-    pub inputs: Inputs,
-    /// Its own end of that.
-    pub arriving: mpsc::UnboundedReceiver<Input>,
+    /// The sender of its inputs, for the tasks that it starts.
+    pub inputs: InputSender,
+    /// The receiver of its inputs.
+    pub input_receiver: mpsc::UnboundedReceiver<Input>,
     /// The decision module's clock.
     pub clock: Clock,
-    /// What sees its doings.
+    /// Records its metrics and debug lines.
     pub observer: Observer,
-    /// The datagrams to and from peers, where the platform has any.
+    /// The socket to peers, if the platform configures one.
     pub peers: Option<Peers>,
-    /// Its gossip member, where one is configured.
+    /// Its gossip member, if one is configured.
     pub fleet: Option<Fleet>,
-    /// What it stores, where that is configured.
-    pub state: Option<SnapshotHost>,
+    /// Its stored state, if that is configured.
+    pub snapshot: Option<SnapshotHost>,
 }
 
 impl Engine {
-    /// Starts the module with the list as last known, and the tasks that serve it.
+    /// Starts the module with the cached list, and the tasks that serve it.
     pub fn new(
         config: Config,
         discovery_at: watch::Receiver<SocketAddr>,
         parts: EngineParts,
     ) -> Result<(Self, EngineHandle), SettingsError> {
         let EngineParts {
-            inputs: sender,
-            arriving: inputs,
+            inputs: input_sender,
+            input_receiver: inputs,
             clock,
             observer,
             peers,
             fleet,
-            state,
+            snapshot: state,
         } = parts;
         let decoded = config.decoded;
         let limits = &decoded.settings.limits;
-        let most = Limits::of(config.sockets).upstream;
-        let pool = Rc::new(Pool::new(most, limits.dial_timeout, decoded.idle_close));
+        let max_upstream = ConnectionLimits::from_descriptors(config.max_descriptors).upstream;
+        let pool = Rc::new(Pool::new(
+            max_upstream,
+            limits.dial_timeout,
+            decoded.idle_close,
+        ));
         let pushed = decoded.settings.discovery == Discovery::Pushed;
         let mut balancer = Balancer::new(decoded.settings, config.seed)?;
         if let Some(fleet) = &fleet {
             balancer.set_sharing(fleet.sharing());
         }
-        let (asks, asked) = mpsc::unbounded_channel();
+        let (discovery_requests, request_receiver) = mpsc::unbounded_channel();
         let mut engine = Self {
             balancer,
             clock,
             inputs,
-            sender: sender.clone(),
-            open: OpenRequests::new(clock, observer.clone(), fleet.clone()),
-            listed: EndpointDirectory::new(decoded.zones, Rc::clone(&pool), fleet.clone(), state),
+            input_sender: input_sender.clone(),
+            open_requests: OpenRequests::new(clock, observer.clone(), fleet.clone()),
+            directory: EndpointDirectory::new(
+                decoded.zones,
+                Rc::clone(&pool),
+                fleet.clone(),
+                state,
+            ),
             upstream: Rc::new(Upstream::new(Rc::clone(&pool))),
             pool: Rc::clone(&pool),
-            asks,
+            discovery_requests,
             peers: peers.clone(),
             timers: Timers::new(clock),
             events: VecDeque::new(),
-            complaints: LogThrottle::new(COMPLAINT_SPACING),
+            log_throttle: LogThrottle::new(INPUT_LOG_INTERVAL),
             observer,
             fleet,
         };
         spawn_local(pool.retire_idle());
-        let known = config.known.as_ref().map(|list| list.index);
-        // Where changes are pushed the module never asks for them: a watch is how they come unasked
-        // here.
+        let cached_version = config.cached_list.as_ref().map(|list| list.index);
+        // If changes are pushed, the module never requests them: a watch delivers them unrequested.
         if pushed {
-            let _ = engine.asks.send(Ask::Watch);
+            let _ = engine.discovery_requests.send(DiscoveryRequest::Watch);
         }
         spawn_local(discovery::run(
             discovery_at,
-            known,
+            cached_version,
             config.seed,
-            asked,
-            sender.clone(),
+            request_receiver,
+            input_sender.clone(),
         ));
         if let Some(peers) = peers {
-            spawn_local(peers.pass_on(sender.clone()));
+            spawn_local(peers.forward(input_sender.clone()));
         }
-        let known = config.known.unwrap_or(HostList {
+        let cached_list = config.cached_list.unwrap_or(HostList {
             index: 0,
             snapshot: true,
             endpoints: Vec::new(),
-            unread: 0,
+            unreadable: 0,
         });
-        let listings = engine
-            .listed
-            .apply(known, true, |id| engine.balancer.is_known(id));
-        engine.deliver(Event::Endpoints(ListUpdate::Cached(listings)));
-        Ok((engine, EngineHandle::new(sender, clock)))
+        let cached_endpoints = engine
+            .directory
+            .apply_list(cached_list, true, |id| engine.balancer.is_known(id));
+        engine.deliver(Event::Endpoints(ListUpdate::Cached(cached_endpoints)));
+        Ok((engine, EngineHandle::new(input_sender, clock)))
     }
 }
--- a/src/bin/sidecar/engine_handle.rs
+++ b/src/bin/sidecar/engine_handle.rs
@@ -1,24 +1,24 @@
-//! The client side's handle of the engine: requests are handed over and withdrawn.
+//! The client side's handle of the engine: submits and withdraws requests.
 
 use crate::clock::Clock;
-use crate::messages::{Answer, Input, Inputs, Outgoing};
+use crate::messages::{Answer, Input, InputSender, OutgoingRequest};
 use load_balancer::{Micros, NewRequest, RequestId};
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// The engine as the application's side sees it.
+/// A handle of the engine.
 #[derive(Clone)]
 pub struct EngineHandle {
-    inputs: Inputs,
+    inputs: InputSender,
     clock: Clock,
     last_id: Rc<Cell<RequestId>>,
 }
 
 impl EngineHandle {
-    /// One that hands over to these inputs.
-    pub fn new(inputs: Inputs, clock: Clock) -> Self {
+    /// Creates a handle that sends to these inputs.
+    pub fn new(inputs: InputSender, clock: Clock) -> Self {
         Self {
             inputs,
             clock,
@@ -26,23 +26,23 @@
         }
     }
 
-    /// Where its inputs go.
-    pub fn inputs(&self) -> &Inputs {
+    /// The sender of the engine's inputs.
+    pub fn inputs(&self) -> &InputSender {
         &self.inputs
     }
 
-    /// Now, on the module's clock.
+    /// The current time on the module's clock.
     pub fn now(&self) -> Micros {
         self.clock.now()
     }
 
-    /// The instant of a time on the module's clock.
+    /// The runtime's instant for a time on the module's clock.
     pub fn instant(&self, at: Micros) -> Instant {
         self.clock.instant(at)
     }
 
-    /// Hands over a request, which gets a new id.
-    pub fn submit(&self, request: NewRequest, outgoing: Outgoing) -> PendingAnswer {
+    /// Submits a request under a new id.
+    pub fn submit(&self, request: NewRequest, outgoing: OutgoingRequest) -> PendingAnswer {
         let id = self.last_id.get() + 1;
         self.last_id.set(id);
         let (sender, answer) = oneshot::channel();
@@ -60,12 +60,12 @@
     }
 }
 
-/// An answer that a client is owed. Dropped before it has come, it withdraws the request.
+/// The pending answer to a request. Dropping it before the answer has come withdraws the request.
 pub struct PendingAnswer {
     id: RequestId,
     answer: oneshot::Receiver<Answer>,
     answered: bool,
-    inputs: Inputs,
+    inputs: InputSender,
 }
 
 impl PendingAnswer {
--- a/src/bin/sidecar/exit_error.rs
+++ b/src/bin/sidecar/exit_error.rs
@@ -1,9 +1,9 @@
-//! Why the process ends.
+//! Why the process exits.
 
 use std::fmt;
 use std::process::ExitCode;
 
-/// Why the process ends, in one plain line, and the code that it ends with.
+/// Why the process exits, as a one-line message with an exit code.
 #[derive(Debug)]
 pub struct ExitError {
     message: String,
@@ -11,7 +11,7 @@
 }
 
 impl ExitError {
-    /// Ends with that code.
+    /// An error with that exit code.
     pub fn new(message: impl fmt::Display, code: impl Into<ExitCode>) -> Self {
         Self {
             message: message.to_string(),
@@ -19,12 +19,12 @@
         }
     }
 
-    /// Ends with the code of an ordinary failure.
+    /// An error with the exit code of an ordinary failure.
     pub fn failure(message: impl fmt::Display) -> Self {
         Self::new(message, ExitCode::FAILURE)
     }
 
-    /// The code.
+    /// The exit code.
     pub fn code(&self) -> ExitCode {
         self.code
     }
--- a/src/bin/sidecar/gossip.rs
+++ b/src/bin/sidecar/gossip.rs
@@ -1,8 +1,8 @@
 //! Hosts this sidecar's gossip member: the list and health observations go in, ejections come out.
 
-use crate::affinity::{Host, Pick};
+use crate::affinity::{AffinityHost, AffinityPick};
 use crate::clock::Clock;
-use crate::messages::{Input, Inputs};
+use crate::messages::{Input, InputSender};
 use crate::report::say;
 use load_balancer::{
     EjectionStatus, EjectionUpdate, EndpointId, EndpointStatus, ListedEndpoint, SharingOptions,
@@ -20,30 +20,30 @@
 use std::rc::Rc;
 use tokio::task::spawn_local;
 
-/// The membership.
+/// Membership in the fleet.
 #[derive(Clone)]
 pub struct Fleet {
     member: udp::GossipHandle,
     list: Rc<RefCell<BTreeMap<EndpointId, (ObservedEndpoint, String)>>>,
     sharing: SharingOptions,
-    affinity: Option<Host>,
+    affinity: Option<AffinityHost>,
 }
 
 impl Fleet {
-    /// Becomes a member under that name.
+    /// Joins the fleet under that name.
     pub fn join(
         section: &FleetSection,
         name: &str,
         zone: &str,
-        inputs: &Inputs,
+        inputs: &InputSender,
         clock: Clock,
         incarnation: Option<u64>,
     ) -> io::Result<Self> {
-        let inputs = inputs.clone();
+        let ejection_inputs = inputs.clone();
         let on_ejections = Rc::new(
             move |updates: Vec<load_balancer_gossip::core::EjectionUpdate>| {
-                inputs.send(Input::Ejections(
-                    updates.into_iter().map(ejection).collect(),
+                ejection_inputs.send(Input::Ejections(
+                    updates.into_iter().map(to_ejection).collect(),
                 ));
             },
         );
@@ -56,7 +56,7 @@
             incarnation,
         )?;
         member.set_version(cli::VERSION);
-        member.set_note_handler(Rc::new(|note| note_down(&note)));
+        member.set_note_handler(Rc::new(|note| log_note(&note)));
         spawn_local(member.clone().run());
         let affinity_slack = if section.affinity.enabled {
             section.affinity.max_ahead
@@ -70,7 +70,7 @@
         let affinity = section
             .affinity_entries
             .enabled
-            .then(|| Host::start(section, &member, clock));
+            .then(|| AffinityHost::start(section, &member, clock));
         Ok(Self {
             member,
             list: Rc::default(),
@@ -79,40 +79,40 @@
         })
     }
 
-    /// The affinity entries, where they are hosted.
-    pub fn affinity(&self) -> Option<&Host> {
+    /// The affinity table, if one is hosted.
+    pub fn affinity(&self) -> Option<&AffinityHost> {
         self.affinity.as_ref()
     }
 
-    /// Where a key is bound, if it is and that may be used.
-    pub fn pick(&self, key: Option<u64>) -> Option<Pick> {
+    /// The pick for a key by affinity entries, if there are any that may be used.
+    pub fn affinity_pick(&self, key: Option<u64>) -> Option<AffinityPick> {
         self.affinity.as_ref()?.pick(key?)
     }
 
-    /// A request was served there; it may be about a key.
+    /// Records that an endpoint served a request, possibly about a key.
     pub fn record_use(&self, key: Option<u64>, endpoint: EndpointId) {
         if let Some((host, key)) = self.affinity.as_ref().zip(key) {
             host.record_use(key, endpoint);
         }
     }
 
-    /// What the module is to share.
+    /// What the module is to share with other members.
     pub fn sharing(&self) -> SharingOptions {
         self.sharing
     }
 
-    /// The number of a name, the same at every member.
+    /// The hash of an endpoint's name, the same at every member.
     pub fn alias(&self, name: &str) -> u64 {
         hash(name)
     }
 
-    /// Discovery has answered.
-    pub fn list_seen(&self) {
+    /// Records that discovery has answered.
+    pub fn confirm_list(&self) {
         self.member.confirm_list();
     }
 
-    /// The list, or a part of it that has changed; names of endpoints, and of zones.
-    pub fn listed<'a>(
+    /// Applies a list or changes to one; `name` and `zone` resolve ids.
+    pub fn set_endpoints<'a>(
         &self,
         full: bool,
         listings: &[ListedEndpoint],
@@ -123,15 +123,18 @@
         if full {
             list.clear();
         }
-        for l in listings {
-            let (endpoint, started, ready) =
-                (l.endpoint, l.started, l.status == EndpointStatus::Ready);
-            if l.status == EndpointStatus::Removed {
+        for listed in listings {
+            let (endpoint, started, ready) = (
+                listed.endpoint,
+                listed.started,
+                listed.status == EndpointStatus::Ready,
+            );
+            if listed.status == EndpointStatus::Removed {
                 list.remove(&endpoint);
                 continue;
             }
             let name = name(endpoint).to_owned();
-            let zone = l.zone.map_or("", &zone).to_owned();
+            let zone = listed.zone.map_or("", &zone).to_owned();
             list.insert(
                 endpoint,
                 (
@@ -146,7 +149,7 @@
             );
         }
         if let Some(affinity) = &self.affinity {
-            affinity.listed(list.values().map(|(listed, _)| listed));
+            affinity.set_endpoints(list.values().map(|(listed, _)| listed));
         }
         self.member.set_endpoint_zones(
             list.iter()
@@ -156,7 +159,7 @@
             .set_endpoints(list.values().map(|(listed, _)| listed.clone()).collect());
     }
 
-    /// An attempt was served, or was not.
+    /// Records whether an endpoint served an attempt.
     pub fn report_health(&self, endpoint: EndpointId, served: bool) {
         self.member.observe(
             endpoint,
@@ -168,24 +171,24 @@
         );
     }
 
-    /// Tells the others that this one ends.
+    /// Tells the other members that this one leaves.
     pub fn leave(&self) {
         self.member.leave();
     }
 
-    /// What a coordinator may be told of the servers.
+    /// The server reports for coordinators.
     pub fn servers(&self) -> ServerReports {
         self.member.server_reports()
     }
 
-    /// What on-call wants to see.
+    /// The summary for operators.
     pub fn summary(&self) -> MembershipSummary {
         self.member.summary()
     }
 }
 
-/// What members' observations come to, as the decision module takes it.
-fn ejection(update: load_balancer_gossip::core::EjectionUpdate) -> EjectionUpdate {
+/// Converts an ejection to the decision module's type.
+fn to_ejection(update: load_balancer_gossip::core::EjectionUpdate) -> EjectionUpdate {
     EjectionUpdate {
         endpoint: update.endpoint,
         status: match update.status {
@@ -198,8 +201,8 @@
     }
 }
 
-/// What people should know, in a line.
-fn note_down(note: &Note) {
+/// Logs a note for operators.
+fn log_note(note: &Note) {
     match note {
         Note::Connectivity {
             connectivity,
@@ -210,17 +213,21 @@
                 .iter()
                 .map(|(zone, direction)| format!("{zone} {}", direction.label()))
                 .collect();
-            let side = match connectivity.on_larger_side {
+            let side_note = match connectivity.on_larger_side {
                 Some(true) => ", on the larger side",
                 Some(false) => ", not on the larger side",
                 None => "",
             };
-            let from = if zones.is_empty() {
+            let zones_note = if zones.is_empty() {
                 String::new()
             } else {
                 format!(" from {}", zones.join(", "))
             };
-            say!(info, "sidecar::fleet", "connectivity: {state}{from}{side}");
+            say!(
+                info,
+                "sidecar::fleet",
+                "connectivity: {state}{zones_note}{side_note}"
+            );
         }
         Note::DuplicateName {
             name,
--- a/src/bin/sidecar/headers.rs
+++ b/src/bin/sidecar/headers.rs
@@ -1,4 +1,4 @@
-//! Selects the headers that are forwarded to the other side.
+//! Selects the headers that are forwarded.
 
 use hyper::Uri;
 use hyper::header::{self, HeaderMap, HeaderName};
@@ -14,16 +14,16 @@
     header::UPGRADE,
 ];
 
-/// Path and query, as they go on to endpoints.
+/// Path and query, as forwarded to endpoints.
 pub fn origin_form(uri: &Uri) -> Uri {
     uri.path_and_query()
         .and_then(|p| Uri::try_from(p.as_str()).ok())
         .unwrap_or_default()
 }
 
-/// Headers without those that belong to one connection or frame one message.
+/// Headers without those of one connection or of the framing of one message.
 pub fn end_to_end(mut headers: HeaderMap) -> HeaderMap {
-    let named: Vec<HeaderName> = headers
+    let connection_headers: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|v| v.to_str().ok())
@@ -32,7 +32,7 @@
         .collect();
     for name in HOP_BY_HOP
         .iter()
-        .chain(&named)
+        .chain(&connection_headers)
         .chain([&header::CONTENT_LENGTH, &header::EXPECT])
     {
         headers.remove(name);
--- a/src/bin/sidecar/host_list.rs
+++ b/src/bin/sidecar/host_list.rs
@@ -1,113 +1,117 @@
-//! The endpoint list as discovery writes it.
+//! The endpoint list in discovery's format.
 
 use serde::Deserialize;
 use serde_json::Value;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
 
-/// A list, or the changes to one.
+/// An endpoint list, or changes to one.
 #[derive(Debug, Deserialize)]
-#[serde(try_from = "Form")]
+#[serde(try_from = "HostListForm")]
 pub struct HostList {
     /// Its version.
     pub index: u64,
-    /// The whole list rather than changes.
+    /// Whether this is a whole list rather than changes.
     pub snapshot: bool,
     /// Its entries.
-    pub endpoints: Vec<Host>,
-    /// Entries that could not be read, as they have no name.
-    pub unread: usize,
+    pub endpoints: Vec<ListedHost>,
+    /// Number of entries that could not be read because they have no name.
+    pub unreadable: usize,
 }
 
-/// The list as it is written; each entry is read by itself, so that an odd one costs the others
-/// nothing.
+/// The list as discovery sends it. Each entry is parsed separately, so that an invalid one does not
+/// affect the others.
 #[derive(Deserialize)]
-struct Form {
+struct HostListForm {
     index: u64,
     #[serde(default)]
     snapshot: bool,
     endpoints: Vec<Value>,
 }
 
-impl TryFrom<Form> for HostList {
+impl TryFrom<HostListForm> for HostList {
     type Error = &'static str;
 
-    fn try_from(form: Form) -> Result<Self, Self::Error> {
-        let endpoints: Vec<_> = form.endpoints.iter().filter_map(Host::read).collect();
-        let unread = form.endpoints.len() - endpoints.len();
-        if endpoints.is_empty() && unread > 0 {
+    fn try_from(form: HostListForm) -> Result<Self, Self::Error> {
+        let endpoints: Vec<_> = form
+            .endpoints
+            .iter()
+            .filter_map(ListedHost::parse)
+            .collect();
+        let unreadable = form.endpoints.len() - endpoints.len();
+        if endpoints.is_empty() && unreadable > 0 {
             return Err("no entry can be read");
         }
         Ok(Self {
             index: form.index,
             snapshot: form.snapshot,
             endpoints,
-            unread,
+            unreadable,
         })
     }
 }
 
-/// An entry.
+/// An entry of the list.
 #[derive(Debug)]
-pub struct Host {
+pub struct ListedHost {
     /// The name, the same at every sidecar.
     pub name: String,
-    /// Where this sidecar reaches it.
+    /// The address at which this sidecar reaches it.
     pub address: Option<SocketAddr>,
     /// Its zone.
     pub zone: Option<String>,
-    /// Its kind of machine.
+    /// Its machine type.
     pub kind: Option<String>,
     /// Its cell.
     pub group: u64,
     /// Its state.
     pub status: HostStatus,
-    /// Its size.
+    /// Its capacity weight.
     pub weight: f64,
-    /// Unix time in milliseconds of its last start; 0 is long ago.
-    pub since_ms: i64,
+    /// When its process started, in milliseconds of Unix time; 0 if long ago.
+    pub started_ms: i64,
 }
 
-impl Host {
-    /// Reads an entry; `None` where it names nobody.
-    fn read(entry: &Value) -> Option<Self> {
+impl ListedHost {
+    /// Parses an entry; `None` if it has no name.
+    fn parse(entry: &Value) -> Option<Self> {
         Some(Self {
             name: entry["name"].as_str()?.to_owned(),
             address: entry["address"].as_str().and_then(|at| at.parse().ok()),
-            zone: label(&entry["zone"]),
-            kind: label(&entry["type"]),
-            group: group(&entry["group"]),
-            status: HostStatus::read(&entry["status"]),
+            zone: parse_label(&entry["zone"]),
+            kind: parse_label(&entry["type"]),
+            group: parse_group(&entry["group"]),
+            status: HostStatus::parse(&entry["status"]),
             weight: entry["weight"].as_f64().unwrap_or(1.0),
-            since_ms: milliseconds(&entry["since_ms"]),
+            started_ms: parse_milliseconds(&entry["since_ms"]),
         })
     }
 }
 
-/// State of an entry.
+/// The state of an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostStatus {
-    /// Takes requests.
+    /// Accepts requests.
     Active,
-    /// Finishes what it has.
-    Leaving,
-    /// Gone.
-    Left,
+    /// Completes the requests it has.
+    Draining,
+    /// Removed from the list.
+    Removed,
 }
 
 impl HostStatus {
-    /// One in a state that is not known here gets nothing new, and keeps what it has.
-    fn read(status: &Value) -> Self {
+    /// An unknown state counts as draining: no new requests, but the open ones are kept.
+    fn parse(status: &Value) -> Self {
         match status.as_str() {
             Some("active") => Self::Active,
-            Some("left") => Self::Left,
-            _ => Self::Leaving,
+            Some("left") => Self::Removed,
+            _ => Self::Draining,
         }
     }
 }
 
-/// A label that is no text is told apart from others by how it is written.
-fn label(value: &Value) -> Option<String> {
+/// A label that is not text is represented by its JSON form, so that different ones stay different.
+fn parse_label(value: &Value) -> Option<String> {
     match value {
         Value::Null => None,
         Value::String(text) => Some(text.clone()),
@@ -115,9 +119,9 @@
     }
 }
 
-/// The same for a number: who is in one cell is decided by it, and must be neither guessed nor
-/// thrown together.
-fn group(value: &Value) -> u64 {
+/// Likewise for a number: hosts are assigned to cells by it, so an invalid one must neither be
+/// guessed nor merged with others.
+fn parse_group(value: &Value) -> u64 {
     if value.is_null() {
         return 0;
     }
@@ -128,9 +132,9 @@
     })
 }
 
-/// A time that is no number counts as long ago.
-fn milliseconds(value: &Value) -> i64 {
-    // A fraction is cut off, and what is out of range is taken as its end.
+/// A time that is not a number counts as long ago.
+fn parse_milliseconds(value: &Value) -> i64 {
+    // A fraction is truncated, a value out of range is clamped.
     value
         .as_i64()
         .or_else(|| value.as_f64().map(|ms| ms as i64))
--- a/src/bin/sidecar/inbound.rs
+++ b/src/bin/sidecar/inbound.rs
@@ -1,6 +1,6 @@
-//! Accepts client connections, as many as there is room for.
+//! Accepts client connections, up to the limit.
 
-use crate::descriptors::Limits;
+use crate::descriptors::ConnectionLimits;
 use crate::engine_handle::EngineHandle;
 use crate::log_throttle::{LogThrottle, suppressed_note};
 use crate::report::say;
@@ -18,114 +18,114 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Connections that the system may hold until they are accepted.
+/// Connections that the system queues until they are accepted.
 const BACKLOG: u32 = 1024;
-/// Least time from one line on failed accepts to the next.
-const COMPLAINT_SPACING: Duration = Duration::from_secs(60);
-/// Pause after a failed accept: with no descriptor to be had, the next one would fail as well.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// How much longer than a client waits at the most its answer may still count.
-const OVERDUE: Duration = Duration::from_millis(500);
-/// Time in which the runtime sees what the system holds already.
-const LAST_LOOK: Duration = Duration::from_millis(2);
+/// Shortest time between log lines about failed accepts.
+const ACCEPT_LOG_INTERVAL: Duration = Duration::from_secs(60);
+/// Delay after a failed accept: without a free descriptor the next one would fail as well.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// How long after the longest deadline an answer may still matter to its client.
+const ANSWER_GRACE_PERIOD: Duration = Duration::from_millis(500);
+/// Time in which the runtime notices what the system has already received.
+const FINAL_POLL_TIME: Duration = Duration::from_millis(2);
 
 /// Binds the address that clients connect to.
-pub fn bind(at: SocketAddr) -> io::Result<TcpListener> {
-    let socket = if at.is_ipv4() {
+pub fn bind(address: SocketAddr) -> io::Result<TcpListener> {
+    let socket = if address.is_ipv4() {
         TcpSocket::new_v4()
     } else {
         TcpSocket::new_v6()
     }?;
-    // A restart must not wait for the connections of the process before it.
+    // A restart must not wait for the previous process's connections to time out.
     socket.set_reuseaddr(true)?;
-    socket.bind(at)?;
+    socket.bind(address)?;
     socket.listen(BACKLOG)
 }
 
-/// Places for the connections of clients.
-struct Room {
-    places: Arc<Semaphore>,
-    crowded: watch::Sender<bool>,
+/// The limit on client connections.
+struct ConnectionSlots {
+    permits: Arc<Semaphore>,
+    is_full: watch::Sender<bool>,
 }
 
-impl Room {
-    /// Waits for one. Clients that say nothing must not hold up a request: where there is none,
-    /// idle connections make way. That holds until there is one, as a connection that was just
-    /// accepted may not yet listen for it.
-    async fn place(&self) -> Option<OwnedSemaphorePermit> {
-        if let Ok(place) = Arc::clone(&self.places).try_acquire_owned() {
-            return Some(place);
+impl ConnectionSlots {
+    /// Waits for a permit. Silent clients must not block a request: while there is no permit, idle
+    /// connections are told to close. That stays in effect until there is one, as a connection that
+    /// was just accepted may not yet be listening.
+    async fn acquire(&self) -> Option<OwnedSemaphorePermit> {
+        if let Ok(permit) = Arc::clone(&self.permits).try_acquire_owned() {
+            return Some(permit);
         }
-        self.crowded.send_replace(true);
-        let place = Arc::clone(&self.places).acquire_owned().await.ok();
-        self.crowded.send_replace(false);
-        place
+        self.is_full.send_replace(true);
+        let permit = Arc::clone(&self.permits).acquire_owned().await.ok();
+        self.is_full.send_replace(false);
+        permit
     }
 }
 
-/// Accepts connections until told that no more are to come; `longest` is the longest that a client
-/// waits.
+/// Accepts connections until the shutdown has reached its stage; `longest_deadline` is the longest
+/// time that a client waits.
 pub async fn accept(
     listener: TcpListener,
-    limits: Limits,
-    lanes: Rc<RequestClasses>,
+    limits: ConnectionLimits,
+    request_classes: Rc<RequestClasses>,
     handle: EngineHandle,
-    longest: Duration,
-    stop: watch::Receiver<ShutdownStage>,
+    longest_deadline: Duration,
+    shutdown: watch::Receiver<ShutdownStage>,
 ) {
-    let (crowded, crowding) = watch::channel(false);
-    let room = Room {
-        places: Arc::new(Semaphore::new(limits.clients)),
-        crowded,
+    let (is_full, fullness) = watch::channel(false);
+    let slots = ConnectionSlots {
+        permits: Arc::new(Semaphore::new(limits.clients)),
+        is_full,
     };
-    let mut closed = stop.clone();
-    let mut closed = pin!(async move {
-        closed
-            .wait_for(|s| *s >= ShutdownStage::Closed)
+    let mut shutdown_stage = shutdown.clone();
+    let mut not_accepting = pin!(async move {
+        shutdown_stage
+            .wait_for(|s| *s >= ShutdownStage::NotAccepting)
             .await
             .map(drop)
     });
     let session = Session {
-        lanes,
+        request_classes,
         handle,
-        crowded: crowding,
-        slowest: longest + OVERDUE,
-        stop,
+        is_full: fullness,
+        stall_timeout: longest_deadline + ANSWER_GRACE_PERIOD,
+        shutdown,
     };
     let serve = async |stream| {
-        // At the very end what waits for a place is told so without one: its descriptor is held
-        // already.
-        let place = tokio::select! {
+        // At the last stage a connection without a permit is served too: it already has a
+        // descriptor, and its client is told of the shutdown.
+        let permit = tokio::select! {
             biased;
-            place = room.place() => place,
-            () = session.stopped(ShutdownStage::Now) => None,
+            place = slots.acquire() => place,
+            () = session.wait_for_stage(ShutdownStage::Immediate) => None,
         };
-        spawn_local(session.clone().run(stream, place));
+        spawn_local(session.clone().run(stream, permit));
     };
-    let mut failures = LogThrottle::new(COMPLAINT_SPACING);
+    let mut log_throttle = LogThrottle::new(ACCEPT_LOG_INTERVAL);
     loop {
         let accepted = tokio::select! {
             biased;
             accepted = listener.accept() => accepted,
-            _ = &mut closed => break,
+            _ = &mut not_accepting => break,
         };
         match accepted {
             Ok((stream, _)) => serve(stream).await,
             Err(e) => {
-                if let Some(others) = failures.pass(Instant::now()) {
+                if let Some(suppressed) = log_throttle.allow(Instant::now()) {
                     say!(
                         warn,
                         "sidecar::inbound",
                         "cannot accept: {e}{}",
-                        suppressed_note(others)
+                        suppressed_note(suppressed)
                     );
                 }
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
-    // What the system has accepted counts as taken: it is still served.
-    while let Ok(Ok((stream, _))) = timeout(LAST_LOOK, listener.accept()).await {
+    // Connections that the system has already accepted are still served.
+    while let Ok(Ok((stream, _))) = timeout(FINAL_POLL_TIME, listener.accept()).await {
         serve(stream).await;
     }
 }
--- a/src/bin/sidecar/load_report.rs
+++ b/src/bin/sidecar/load_report.rs
@@ -1,11 +1,11 @@
-//! The load report that comes along with an endpoint's answer.
+//! Parses the load report in an endpoint's response.
 
 use hyper::header::HeaderValue;
 use load_balancer::LoadReport;
 
-/// Reads a load report: `name=value` pairs set apart by commas. What can't be read was not
+/// Parses a load report of comma-separated `name=value` pairs. An invalid value counts as not
 /// reported.
-pub fn read_load(value: &HeaderValue) -> LoadReport {
+pub fn parse_load_report(value: &HeaderValue) -> LoadReport {
     let mut load = LoadReport::default();
     for (name, value) in value
         .to_str()
@@ -13,7 +13,7 @@
         .split(',')
         .filter_map(|pair| pair.split_once('='))
     {
-        let slot = match name.trim() {
+        let field = match name.trim() {
             "inflight" => &mut load.active,
             "queue" => &mut load.waiting,
             "util" => &mut load.cpu,
@@ -22,7 +22,7 @@
             "eps" => &mut load.err_rps,
             _ => continue,
         };
-        *slot = value.trim().parse().ok().filter(|v: &f64| v.is_finite());
+        *field = value.trim().parse().ok().filter(|v: &f64| v.is_finite());
     }
     load
 }
--- a/src/bin/sidecar/log_throttle.rs
+++ b/src/bin/sidecar/log_throttle.rs
@@ -3,40 +3,40 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Lets one through in so much time and counts the others, for lines that input from outside can
-/// bring about.
+/// Permits one log line per interval and counts the others, for lines that external input can
+/// cause.
 #[derive(Debug)]
 pub struct LogThrottle {
-    spacing: Duration,
+    interval: Duration,
     last: Option<Instant>,
-    suppressed_note: u64,
+    suppressed: u64,
 }
 
 impl LogThrottle {
-    /// One in `spacing`.
-    pub const fn new(spacing: Duration) -> Self {
+    /// Permits one line per `interval`.
+    pub const fn new(interval: Duration) -> Self {
         Self {
-            spacing,
+            interval,
             last: None,
-            suppressed_note: 0,
+            suppressed: 0,
         }
     }
 
-    /// Whether a line may be written at `now`, and how many were left out since the last that was.
-    pub fn pass(&mut self, now: Instant) -> Option<u64> {
+    /// Whether a line may be written at `now`; if so, the number suppressed since the last one.
+    pub fn allow(&mut self, now: Instant) -> Option<u64> {
         if self
             .last
-            .is_some_and(|last| now.saturating_duration_since(last) < self.spacing)
+            .is_some_and(|last| now.saturating_duration_since(last) < self.interval)
         {
-            self.suppressed_note += 1;
+            self.suppressed += 1;
             return None;
         }
         self.last = Some(now);
-        Some(std::mem::take(&mut self.suppressed_note))
+        Some(std::mem::take(&mut self.suppressed))
     }
 }
 
-/// What is said behind a line, where others like it were left out since the last one.
+/// The note appended to a line if others like it were suppressed before it.
 pub fn suppressed_note(count: u64) -> String {
     if count == 0 {
         String::new()
