--- a/src/bin/sidecar/main.rs
+++ b/src/bin/sidecar/main.rs
@@ -1,4 +1,4 @@
-//! sidecar: a sidecar load balancer on real sockets. One thread; every task shares it.
+//! sidecar: a sidecar load balancer on real sockets. Single-threaded; all tasks share the thread.
 #![forbid(unsafe_code)]
 #![warn(clippy::too_many_lines, clippy::cognitive_complexity)]
 
@@ -58,10 +58,10 @@
 
 use clock::Clock;
 use config::Config;
-use descriptors::Limits;
+use descriptors::ConnectionLimits;
 use engine::{Engine, EngineParts};
 use exit_error::ExitError;
-use messages::Inputs;
+use messages::InputSender;
 use product::Product;
 use report::say;
 use shutdown::ShutdownStage;
@@ -74,28 +74,28 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// How long new connections are accepted after SIGTERM: clients go on opening them for up to 400
+/// How long new connections are accepted after SIGTERM: clients continue to open them for up to 400
 /// ms.
 const ACCEPT_AFTER_TERM: Duration = Duration::from_millis(500);
-/// SIGKILL comes no sooner than the longest deadline, held to `MAX_GRACE_PERIOD`, and 700 ms more
-/// after SIGTERM: what is unanswered this long after the deadline is failed, so that the answer is
-/// out before that.
+/// After SIGTERM the platform waits at least the longest deadline, at most `MAX_GRACE_PERIOD`, plus
+/// 700 ms before SIGKILL. Requests still open this long after the deadline are failed, so that
+/// their answers are sent before that.
 const ANSWER_AFTER_TERM: Duration = Duration::from_millis(500);
 const MAX_GRACE_PERIOD: Duration = Duration::from_secs(3);
-/// Time for the last answers to leave.
-const LAST_WRITES: Duration = Duration::from_millis(80);
+/// Time to write the last answers.
+const FINAL_WRITE_TIME: Duration = Duration::from_millis(80);
 
 fn main() -> ExitCode {
     let mut product = match Product::begin() {
         Ok(product) => product,
         Err(code) => return code,
     };
-    let ended = start(&mut product);
-    if let Err(error) = &ended {
+    let result = start(&mut product);
+    if let Err(error) = &result {
         say!(error, "sidecar", "{error}");
     }
     product.end();
-    ended.map_or_else(|error| error.code(), |()| ExitCode::SUCCESS)
+    result.map_or_else(|error| error.code(), |()| ExitCode::SUCCESS)
 }
 
 fn start(product: &mut Product) -> Result<(), ExitError> {
@@ -110,7 +110,7 @@
 async fn serve(mut config: Config, product: &mut Product) -> Result<(), ExitError> {
     let listener = inbound::bind(config.listen)
         .map_err(|e| ExitError::failure(format!("cannot listen on {}: {e}", config.listen)))?;
-    // Awaited before anything else: unawaited, this one ends the process.
+    // Installed first: before that, SIGHUP would end the process.
     let mut hup = signal(SignalKind::hangup())
         .map_err(|e| ExitError::failure(format!("cannot await SIGHUP: {e}")))?;
     let mut term = signal(SignalKind::terminate())
@@ -119,35 +119,45 @@
         .map_err(|e| ExitError::failure(format!("cannot await SIGINT: {e}")))?;
     let peers = match config.peer_listen {
         Some(at) => Some(
-            peers::Peers::bind(at, &config.peers, config.peers_all)
+            peers::Peers::bind(at, &config.peers, config.peer_broadcast)
                 .map_err(|e| ExitError::failure(format!("cannot bind {at}: {e}")))?,
         ),
         None => None,
     };
-    let longest = config.longest_deadline();
-    let limits = Limits::of(config.sockets);
-    let lanes = Rc::new(request_headers::RequestClasses::of(&config));
+    let longest_deadline = config.longest_deadline();
+    let limits = ConnectionLimits::from_descriptors(config.max_descriptors);
+    let request_classes = Rc::new(request_headers::RequestClasses::from_config(&config));
     let (discovery, discovery_at) = watch::channel(config.discovery);
-    let fixed = config.fixed.clone();
+    let startup_only = config.startup_only.clone();
     let observer = product.observer(&config.decoded.classes);
-    let ((inputs, arriving), clock) = (Inputs::channel(), Clock::new());
-    let state = product.recover(&mut config, clock)?;
-    let fleet = product.join(&config, &inputs, clock, state.as_ref())?;
+    let ((inputs, input_receiver), clock) = (InputSender::channel(), Clock::new());
+    let snapshot = product.recover(&mut config, clock)?;
+    let fleet = product.join(&config, &inputs, clock, snapshot.as_ref())?;
     let parts = EngineParts {
         inputs: inputs.clone(),
-        arriving,
+        input_receiver,
         clock,
         observer: observer.clone(),
         peers,
         fleet: fleet.clone(),
-        state: state.clone(),
+        snapshot: snapshot.clone(),
     };
     let (engine, handle) = Engine::new(config, discovery_at, parts).map_err(ExitError::failure)?;
-    product.host(&observer, handle.inputs(), fleet.as_ref(), state.as_ref())?;
-    let (stop, stopped) = watch::channel(ShutdownStage::No);
-    let mut running = spawn_local(engine.run());
-    let accepting = spawn_local(inbound::accept(
-        listener, limits, lanes, handle, longest, stopped,
+    product.start_components(
+        &observer,
+        handle.inputs(),
+        fleet.as_ref(),
+        snapshot.as_ref(),
+    )?;
+    let (shutdown, shutdown_stage) = watch::channel(ShutdownStage::Running);
+    let mut engine_task = spawn_local(engine.run());
+    let accept_task = spawn_local(inbound::accept(
+        listener,
+        limits,
+        request_classes,
+        handle,
+        longest_deadline,
+        shutdown_stage,
     ));
 
     loop {
@@ -155,62 +165,70 @@
             _ = term.recv() => break,
             _ = int.recv() => break,
             _ = hup.recv() => {
-                reload(&discovery, &fixed);
+                reload(&discovery, &startup_only);
                 product.reload();
             }
-            // Without its decisions a sidecar only fails requests: better to end, and be started
-            // anew.
-            _ = &mut running => return Err(ExitError::failure("the engine has failed".to_owned())),
+            // Without the engine a sidecar only fails requests, so it exits in order to be
+            // restarted.
+            _ = &mut engine_task => return Err(ExitError::failure("the engine has failed".to_owned())),
         }
     }
     say!(info, "sidecar", "told to stop");
     if let Some(fleet) = &fleet {
         fleet.leave();
     }
-    if let Some(state) = &state {
+    if let Some(state) = &snapshot {
         state.stop(&inputs);
     }
-    let ending = end(stop, accepting, longest.min(MAX_GRACE_PERIOD));
-    tokio::pin!(ending);
-    // What is still held goes by the list, so discovery is followed to the end.
+    let shutdown_task = shut_down(
+        shutdown,
+        accept_task,
+        longest_deadline.min(MAX_GRACE_PERIOD),
+    );
+    tokio::pin!(shutdown_task);
+    // Open requests still depend on the list, so discovery is followed to the end.
     loop {
         tokio::select! {
-            () = &mut ending => return Ok(()),
+            () = &mut shutdown_task => return Ok(()),
             _ = hup.recv() => {
-                reload(&discovery, &fixed);
+                reload(&discovery, &startup_only);
                 product.reload();
             }
         }
     }
 }
 
-/// Takes what still comes, has what is held answered, and fails the rest in time.
-async fn end(stop: watch::Sender<ShutdownStage>, accepting: JoinHandle<()>, longest: Duration) {
-    let told = Instant::now();
-    stop.send_replace(ShutdownStage::Closing);
+/// Accepts late connections, waits for open requests, and fails the rest in time.
+async fn shut_down(
+    shutdown: watch::Sender<ShutdownStage>,
+    accept_task: JoinHandle<()>,
+    longest_deadline: Duration,
+) {
+    let started = Instant::now();
+    shutdown.send_replace(ShutdownStage::Closing);
     sleep(ACCEPT_AFTER_TERM).await;
-    stop.send_replace(ShutdownStage::Closed);
-    // Ends once every connection has.
+    shutdown.send_replace(ShutdownStage::NotAccepting);
+    // Completes once every connection has ended.
     let all_closed = async {
-        if accepting.await.is_ok() {
-            stop.closed().await;
+        if accept_task.await.is_ok() {
+            shutdown.closed().await;
         }
     };
     tokio::pin!(all_closed);
     tokio::select! {
         () = &mut all_closed => return,
-        () = sleep_until(told + longest + ANSWER_AFTER_TERM) => {}
+        () = sleep_until(started + longest_deadline + ANSWER_AFTER_TERM) => {}
     }
-    stop.send_replace(ShutdownStage::Now);
-    let _ = timeout(LAST_WRITES, all_closed).await;
+    shutdown.send_replace(ShutdownStage::Immediate);
+    let _ = timeout(FINAL_WRITE_TIME, all_closed).await;
 }
 
-/// Takes in what may change while the sidecar runs: where discovery is. A file that can't be used
+/// Reloads what may change while the sidecar runs: the address of discovery. An invalid file
 /// changes nothing.
-fn reload(discovery: &watch::Sender<SocketAddr>, fixed: &serde_json::Value) {
+fn reload(discovery: &watch::Sender<SocketAddr>, startup_only: &serde_json::Value) {
     match Config::reload() {
         Ok(config) => {
-            let rest = if config.fixed == *fixed {
+            let note = if config.startup_only == *startup_only {
                 ""
             } else {
                 ", other changes wait for a restart"
@@ -218,16 +236,16 @@
             say!(
                 info,
                 "sidecar",
-                "configuration reloaded: discovery at {}{rest}",
+                "configuration reloaded: discovery at {}{note}",
                 config.discovery
             );
             discovery
                 .send_if_modified(|at| std::mem::replace(at, config.discovery) != config.discovery);
         }
-        Err(what) => say!(
+        Err(error) => say!(
             warn,
             "sidecar",
-            "reload failed, the old configuration stays: {what}"
+            "reload failed, the old configuration stays: {error}"
         ),
     }
 }
--- a/src/bin/sidecar/messages.rs
+++ b/src/bin/sidecar/messages.rs
@@ -1,4 +1,4 @@
-//! The messages between the tasks of the sidecar, as plain data.
+//! The messages between the tasks of the sidecar.
 
 use crate::host_list::HostList;
 use bytes::Bytes;
@@ -9,62 +9,62 @@
 use std::rc::Rc;
 use tokio::sync::{OwnedSemaphorePermit, mpsc, oneshot};
 
-/// Longest body, of requests and of answers.
+/// Longest body of requests and responses, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
-/// What its client calls a request.
+/// The client's id of a request.
 pub const CORRELATION_ID: HeaderName = HeaderName::from_static("x-correlation-id");
 /// How long the sender of a request will wait.
 pub const TIME_LEFT: HeaderName = HeaderName::from_static("x-time-left");
 
-/// What the sockets tell the engine.
+/// An input of the engine.
 pub enum Input {
     /// A client's request.
     Request {
-        /// As the decision module takes it.
+        /// The request for the decision module.
         request: NewRequest,
-        /// What is forwarded to endpoints.
-        outgoing: Rc<Outgoing>,
-        /// Where its answer goes.
+        /// The request to forward to endpoints.
+        outgoing: Rc<OutgoingRequest>,
+        /// Receives its answer.
         reply: oneshot::Sender<Answer>,
     },
-    /// Its client has left, or its answer is overdue.
+    /// The client has disconnected, or the request's deadline has passed.
     Withdrawn(RequestId),
     /// An attempt ended.
-    Ended(Ended),
-    /// A health check of an endpoint ended.
-    Probed {
+    AttemptEnded(EndedAttempt),
+    /// A health probe of an endpoint ended.
+    ProbeEnded {
         /// The endpoint.
         endpoint: EndpointId,
-        /// How it ended.
+        /// The outcome.
         outcome: Outcome,
-        /// Time since it was sent.
-        took: Micros,
-        /// The load report that came along.
+        /// The time since it was sent.
+        elapsed: Micros,
+        /// The load report that came with the response.
         load: LoadReport,
     },
     /// Discovery answered.
     EndpointList(HostList),
-    /// A call to discovery failed, for this reason.
+    /// A call to discovery failed, with the reason.
     ListFailed(String),
-    /// The metrics are read.
+    /// Requests a summary for the metrics.
     #[cfg(feature = "product")]
     Summarize(oneshot::Sender<EngineSummary>),
-    /// What was known of endpoints before a restart.
+    /// The endpoints' state from before a restart.
     #[cfg(feature = "product")]
     Restored(Vec<NamedEndpoint>),
-    /// What is known of endpoints is to be stored.
+    /// Requests the endpoints' state for storing.
     #[cfg(feature = "product")]
-    Export(oneshot::Sender<Exported>),
-    /// What other members' health observations come to has changed.
+    Export(oneshot::Sender<ExportedEndpoints>),
+    /// Ejections have changed by other members' health observations.
     #[cfg(feature = "product")]
     Ejections(Vec<load_balancer::EjectionUpdate>),
     /// A datagram from a peer.
-    Peer {
+    PeerDatagram {
         /// The peer's index.
         from: u32,
         /// Its content.
         bytes: Vec<u8>,
-        /// Its place among the datagrams that wait.
+        /// Its place in the queue of datagrams.
         permit: OwnedSemaphorePermit,
     },
 }
@@ -74,51 +74,51 @@
 pub struct AttemptId {
     /// The request.
     pub request: RequestId,
-    /// Its attempt.
+    /// The index of the attempt.
     pub attempt: AttemptIndex,
 }
 
-/// What is known of an endpoint, by its name; its number is only the engine's.
+/// The module's state of an endpoint, by name; the id is only valid in this process.
 #[cfg(feature = "product")]
 pub struct NamedEndpoint {
     /// Its name.
     pub name: String,
-    /// What is known.
+    /// The module's state.
     pub known: load_balancer::RestoredEndpoint,
 }
 
-/// What is known of endpoints, to be stored.
+/// The endpoints' state for storing.
 #[cfg(feature = "product")]
-pub struct Exported {
-    /// How many are listed.
+pub struct ExportedEndpoints {
+    /// Number of listed endpoints.
     pub listed: usize,
-    /// Those of which anything is known.
+    /// The endpoints for which there is any state.
     pub endpoints: Vec<NamedEndpoint>,
 }
 
-/// The one final answer to a request.
+/// The final answer to a request.
 pub enum Answer {
-    /// An endpoint's answer.
-    Served(Served),
-    /// Trying again is harmless, best after that time.
+    /// An endpoint's response.
+    Served(ServedAnswer),
+    /// The request was not executed and may be retried, preferably after that time.
     Rejected(Micros),
-    /// Nothing is promised.
+    /// The request failed; it may have been executed.
     Failed,
 }
 
-/// Where inputs go. The channel has no bound of its own: bounded are the connections, attempts,
-/// calls and datagrams whose news it carries, and a client's leaving must never be lost.
+/// Sends inputs to the engine. The channel itself is unbounded, as the connections, attempts, calls
+/// and datagrams that cause inputs are bounded, and a client's disconnect must never be lost.
 #[derive(Clone)]
-pub struct Inputs(mpsc::UnboundedSender<Input>);
+pub struct InputSender(mpsc::UnboundedSender<Input>);
 
-impl Inputs {
-    /// A way to the engine, and its end there.
+impl InputSender {
+    /// Creates the channel to the engine.
     pub fn channel() -> (Self, mpsc::UnboundedReceiver<Input>) {
         let (sender, inputs) = mpsc::unbounded_channel();
         (Self(sender), inputs)
     }
 
-    /// What the engine has in hand just now; `None` once it has ended.
+    /// A summary of the engine's state; `None` once it has ended.
     #[cfg(feature = "product")]
     pub async fn summarize(&self) -> Option<EngineSummary> {
         let (reply, summary) = oneshot::channel();
@@ -126,50 +126,50 @@
         summary.await.ok()
     }
 
-    /// How many endpoints are listed, and what the engine knows of them; `None` once it has ended.
+    /// The endpoints' state for storing; `None` once the engine has ended.
     #[cfg(feature = "product")]
-    pub async fn export(&self) -> Option<Exported> {
+    pub async fn export(&self) -> Option<ExportedEndpoints> {
         let (reply, known) = oneshot::channel();
         self.send(Input::Export(reply));
         known.await.ok()
     }
 
-    /// Hands over an input.
+    /// Sends an input.
     pub fn send(&self, input: Input) {
         // The engine ends only with the process.
         let _ = self.0.send(input);
     }
 }
 
-/// What the engine has in hand.
+/// A summary of the engine's state.
 #[cfg(feature = "product")]
 pub struct EngineSummary {
-    /// What the module tells.
+    /// The decision module's summary.
     pub summary: load_balancer::BalancerSummary,
-    /// Requests without their final answer.
+    /// Requests without a final answer.
     pub open: usize,
-    /// Attempts that are out.
+    /// Attempts in flight.
     pub attempts: usize,
 }
 
-/// What is sent to an endpoint, the same at each attempt but for the time left.
-pub struct Outgoing {
+/// The request sent to an endpoint, the same in each attempt except for the time left.
+pub struct OutgoingRequest {
     /// The method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// The headers that go on.
+    /// The forwarded headers.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
-    /// The client has its final answer: nothing more goes out.
-    pub settled: Cell<bool>,
+    /// The client has its final answer: nothing more is sent.
+    pub is_answered: Cell<bool>,
 }
 
 #[cfg(feature = "product")]
-impl Outgoing {
-    /// The correlation id that its client gave it.
-    pub fn id(&self) -> &str {
+impl OutgoingRequest {
+    /// The correlation id given by the client.
+    pub fn correlation_id(&self) -> &str {
         self.headers
             .get(CORRELATION_ID)
             .and_then(|id| id.to_str().ok())
@@ -177,22 +177,22 @@
     }
 }
 
-/// An endpoint's 200 answer.
-pub struct Served {
+/// An endpoint's successful response.
+pub struct ServedAnswer {
     /// Its headers.
     pub headers: HeaderMap,
     /// Its body.
     pub body: Bytes,
 }
 
-/// How an attempt ended, as the engine is told.
-pub struct Ended {
+/// The end of an attempt.
+pub struct EndedAttempt {
     /// The attempt.
     pub id: AttemptId,
     /// The outcome.
     pub outcome: Outcome,
-    /// The answer, where it was served.
-    pub served: Option<Served>,
-    /// The load report that came along.
+    /// The response, if it was successful.
+    pub served: Option<ServedAnswer>,
+    /// The load report that came with the response.
     pub load: LoadReport,
 }
--- a/src/bin/sidecar/observer.rs
+++ b/src/bin/sidecar/observer.rs
@@ -3,18 +3,18 @@
 mod gossip;
 mod series;
 
-use crate::messages::{Answer, EngineSummary, Outgoing};
+use crate::messages::{Answer, EngineSummary, OutgoingRequest};
 use load_balancer::{AttemptIndex, Micros, Outcome};
 use load_balancer_common::metering::Figures;
-use series::{ENDS, Series, outcome_label};
+use series::{ANSWER_LABELS, RequestMetrics, outcome_label};
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Sees what the engine does. Without metrics only lines at debug level come of it.
+/// Records what the engine does. Without metrics it only writes lines at debug level.
 #[derive(Clone)]
-pub struct Observer(Option<Rc<Series>>);
+pub struct Observer(Option<Rc<RequestMetrics>>);
 
-fn end(answer: Option<&Answer>) -> usize {
+fn answer_index(answer: Option<&Answer>) -> usize {
     match answer {
         Some(Answer::Served(_)) => 0,
         Some(Answer::Rejected(_)) => 1,
@@ -28,96 +28,102 @@
 }
 
 impl Observer {
-    /// One that counts nothing.
-    pub fn blind() -> Self {
+    /// An observer without metrics.
+    pub fn disabled() -> Self {
         Self(None)
     }
 
-    /// One that counts into `figures`, by these classes.
-    pub fn counting(figures: Rc<Figures>, classes: &[String]) -> Self {
-        Self(Some(Rc::new(Series::register(figures, classes))))
+    /// An observer that records into `figures`, by class.
+    pub fn enabled(figures: Rc<Figures>, classes: &[String]) -> Self {
+        Self(Some(Rc::new(RequestMetrics::register(figures, classes))))
     }
 
-    /// A request was taken.
-    pub fn taken(&self, class: usize, outgoing: &Outgoing) {
-        tracing::debug!(target: "sidecar::request", id = outgoing.id(), class, "taken");
+    /// Records a new request.
+    pub fn request_accepted(&self, class: usize, outgoing: &OutgoingRequest) {
+        tracing::debug!(target: "sidecar::request", id = outgoing.correlation_id(), class, "taken");
     }
 
-    /// An attempt of it goes out.
-    pub fn sent(&self, outgoing: &Outgoing, attempt: AttemptIndex, endpoint: &str) {
-        tracing::debug!(target: "sidecar::request", id = outgoing.id(), attempt, endpoint, "sent");
-        if let Some(seen) = self.0.as_deref().filter(|_| attempt > 0) {
-            seen.retries.increment(1);
+    /// Records the start of an attempt.
+    pub fn attempt_sent(&self, outgoing: &OutgoingRequest, attempt: AttemptIndex, endpoint: &str) {
+        tracing::debug!(target: "sidecar::request", id = outgoing.correlation_id(), attempt, endpoint, "sent");
+        if let Some(metrics) = self.0.as_deref().filter(|_| attempt > 0) {
+            metrics.retries.increment(1);
         }
     }
 
-    /// An attempt ended; its request may be over already.
-    pub fn ended(&self, outgoing: Option<&Outgoing>, outcome: Outcome, took: Micros) {
-        let (number, label) = outcome_label(outcome);
+    /// Records the end of an attempt; its request may already be answered.
+    pub fn attempt_ended(
+        &self,
+        outgoing: Option<&OutgoingRequest>,
+        outcome: Outcome,
+        elapsed: Micros,
+    ) {
+        let (index, label) = outcome_label(outcome);
         if let Some(outgoing) = outgoing {
-            let id = outgoing.id();
-            tracing::debug!(target: "sidecar::request", id, outcome = label, took_us = took, "attempt ended");
+            let id = outgoing.correlation_id();
+            tracing::debug!(target: "sidecar::request", id, outcome = label, took_us = elapsed, "attempt ended");
         }
-        if let Some(seen) = &self.0 {
-            let attempts = &seen.attempts[number];
+        if let Some(metrics) = &self.0 {
+            let attempts = &metrics.attempts[index];
             attempts.ended.increment(1);
-            attempts.seconds.record(seconds(took));
+            attempts.seconds.record(seconds(elapsed));
         }
     }
 
-    /// A request got its answer, or, without one, its client has left.
-    pub fn answered(
+    /// Records the answer to a request, or, without one, that its client has disconnected.
+    pub fn request_answered(
         &self,
         class: usize,
-        outgoing: &Outgoing,
+        outgoing: &OutgoingRequest,
         answer: Option<&Answer>,
-        took: Micros,
+        elapsed: Micros,
     ) {
-        let end = end(answer);
-        let id = outgoing.id();
-        tracing::debug!(target: "sidecar::request", id, outcome = ENDS[end], took_us = took, "answered");
-        if let Some(of) = self.0.as_ref().and_then(|seen| seen.classes.get(class)) {
-            of.ended[end].increment(1);
-            if end == 0 {
-                of.seconds.record(seconds(took));
+        let index = answer_index(answer);
+        let id = outgoing.correlation_id();
+        tracing::debug!(target: "sidecar::request", id, outcome = ANSWER_LABELS[index], took_us = elapsed, "answered");
+        if let Some(class_metrics) = self.0.as_ref().and_then(|seen| seen.classes.get(class)) {
+            class_metrics.ended[index].increment(1);
+            if index == 0 {
+                class_metrics.seconds.record(seconds(elapsed));
             }
         }
     }
 
-    /// Discovery answered.
-    pub fn listed(&self) {
-        if let Some(seen) = &self.0 {
-            seen.list_at.set(Instant::now());
+    /// Records an answer of discovery.
+    pub fn list_received(&self) {
+        if let Some(metrics) = &self.0 {
+            metrics.list_received_at.set(Instant::now());
         }
     }
 
-    /// Takes in what the engine found when it was asked, and writes all figures.
-    pub fn page(&self, summarize: &EngineSummary, lines_dropped: u64) -> Option<String> {
-        let seen = self.0.as_deref()?;
-        let summary = &summarize.summary;
-        for (counter, total) in seen.given_up.iter().zip(summary.given_up) {
+    /// Updates the metrics from the engine's summary, and renders all of them.
+    pub fn metrics_text(&self, engine: &EngineSummary, dropped_lines: u64) -> Option<String> {
+        let metrics = self.0.as_deref()?;
+        let summary = &engine.summary;
+        for (counter, total) in metrics.given_up.iter().zip(summary.given_up) {
             counter.absolute(total);
         }
         for (gauge, value) in [
-            (&seen.circuits_open, summary.circuits_open),
-            (&seen.queued, summary.queued),
-            (&seen.open, summarize.open),
-            (&seen.attempts_open, summarize.attempts),
-            (&seen.endpoints_ready, summary.ready),
+            (&metrics.circuits_open, summary.circuits_open),
+            (&metrics.queued, summary.queued),
+            (&metrics.open, engine.open),
+            (&metrics.attempts_open, engine.attempts),
+            (&metrics.endpoints_ready, summary.ready),
             (
-                &seen.endpoints_other,
+                &metrics.endpoints_other,
                 summary.listed - summary.ready.min(summary.listed),
             ),
         ] {
             gauge.set(value as f64);
         }
-        seen.list_age
-            .set(seen.list_at.get().elapsed().as_secs_f64());
-        seen.lines_dropped.absolute(lines_dropped);
-        Some(seen.figures.text())
+        metrics
+            .list_age
+            .set(metrics.list_received_at.get().elapsed().as_secs_f64());
+        metrics.lines_dropped.absolute(dropped_lines);
+        Some(metrics.figures.text())
     }
 
-    /// The figures behind it.
+    /// The metrics that it records into.
     pub fn figures(&self) -> Option<Rc<Figures>> {
         self.0.as_ref().map(|seen| Rc::clone(&seen.figures))
     }
--- a/src/bin/sidecar/observer/gossip.rs
+++ b/src/bin/sidecar/observer/gossip.rs
@@ -4,10 +4,10 @@
 use load_balancer_gossip::core::MembershipSummary;
 
 impl Observer {
-    /// Brings the figures of this sidecar's membership up to date.
-    pub fn fleet(&self, members: &MembershipSummary) {
-        let Some(seen) = &self.0 else { return };
-        let f = &seen.figures;
+    /// Updates the metrics of this sidecar's membership.
+    pub fn update_fleet(&self, members: &MembershipSummary) {
+        let Some(metrics) = &self.0 else { return };
+        let f = &metrics.figures;
         f.gauge("sidecar_fleet_members", "Other members that run.", &[])
             .set(members.members.len() as f64);
         f.gauge("sidecar_fleet_resting", "Endpoints that are ejected.", &[])
@@ -48,11 +48,11 @@
         ] {
             f.counter(name, what, &[]).absolute(value);
         }
-        for (why, count) in &members.dropped {
+        for (reason, count) in &members.dropped {
             f.counter(
                 "sidecar_fleet_dropped_total",
                 "What was dropped, by reason.",
-                &[("reason", why)],
+                &[("reason", reason)],
             )
             .absolute(*count);
         }
--- a/src/bin/sidecar/observer/series.rs
+++ b/src/bin/sidecar/observer/series.rs
@@ -1,4 +1,4 @@
-//! The metrics of requests, attempts and lists, registered once.
+//! The metrics of requests, attempts and lists, registered once at the start.
 
 use load_balancer::Outcome;
 use load_balancer_common::cli;
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// How attempts end, as the metrics' labels have it.
+/// Metric labels of the attempts' outcomes.
 const OUTCOMES: [(Outcome, &str); 8] = [
     (Outcome::Ok, "served"),
     (Outcome::Error, "error"),
@@ -19,19 +19,19 @@
     (Outcome::Cancelled, "cancelled"),
     (Outcome::NotSent, "not_sent"),
 ];
-/// How requests end, likewise.
-pub(super) const ENDS: [&str; 4] = ["served", "refused", "failed", "abandoned"];
-/// Why a request is given up, likewise.
-const REASONS: [&str; 3] = ["shed", "waiting", "failing"];
+/// Metric labels of the answers to requests.
+pub(super) const ANSWER_LABELS: [&str; 4] = ["served", "refused", "failed", "abandoned"];
+/// Metric labels of the reasons for which requests are given up.
+const GIVEN_UP_REASONS: [&str; 3] = ["shed", "waiting", "failing"];
 
-/// All metrics but those of gossip.
-pub(super) struct Series {
+/// All metrics except those of gossip.
+pub(super) struct RequestMetrics {
     pub figures: Rc<Figures>,
-    pub classes: Vec<ClassSeries>,
+    pub classes: Vec<ClassMetrics>,
     /// By outcome, in the order of [`outcome_label`].
-    pub attempts: [AttemptSeries; OUTCOMES.len()],
+    pub attempts: [AttemptMetrics; OUTCOMES.len()],
     pub retries: Counter,
-    pub given_up: [Counter; REASONS.len()],
+    pub given_up: [Counter; GIVEN_UP_REASONS.len()],
     pub circuits_open: Gauge,
     pub queued: Gauge,
     pub open: Gauge,
@@ -39,34 +39,34 @@
     pub endpoints_ready: Gauge,
     pub endpoints_other: Gauge,
     pub list_age: Gauge,
-    /// When discovery answered last.
-    pub list_at: Cell<Instant>,
+    /// When discovery last answered.
+    pub list_received_at: Cell<Instant>,
     pub lines_dropped: Counter,
 }
 
-/// Requests of one class, by how they ended, and how long the served ones took.
-pub(super) struct ClassSeries {
-    pub ended: [Counter; ENDS.len()],
+/// Metrics of one class: requests by answer, and durations of the successful ones.
+pub(super) struct ClassMetrics {
+    pub ended: [Counter; ANSWER_LABELS.len()],
     pub seconds: Histogram,
 }
 
-/// Attempts of one outcome, and how long they took.
-pub(super) struct AttemptSeries {
+/// Metrics of attempts with one outcome.
+pub(super) struct AttemptMetrics {
     pub ended: Counter,
     pub seconds: Histogram,
 }
 
-/// An outcome's place among the labels, and its label.
+/// The index of an outcome among the labels, and its label.
 pub(super) fn outcome_label(outcome: Outcome) -> (usize, &'static str) {
-    let found = OUTCOMES
+    let position = OUTCOMES
         .iter()
         .enumerate()
         .find(|(_, (known, _))| *known == outcome);
-    found.map_or((0, "served"), |(place, (_, label))| (place, *label))
+    position.map_or((0, "served"), |(index, (_, label))| (index, *label))
 }
 
-impl Series {
-    /// Registers them in `figures`, with the build's version.
+impl RequestMetrics {
+    /// Registers the metrics in `figures`, and the build's version.
     pub fn register(figures: Rc<Figures>, classes: &[String]) -> Self {
         register_build(&figures);
         let f = &figures;
@@ -89,10 +89,13 @@
             )
         };
         Self {
-            classes: classes.iter().map(|class| of_class(f, class)).collect(),
-            attempts: OUTCOMES.map(|(_, label)| of_outcome(f, label)),
+            classes: classes
+                .iter()
+                .map(|class| class_metrics(f, class))
+                .collect(),
+            attempts: OUTCOMES.map(|(_, label)| attempt_metrics(f, label)),
             retries: counter("sidecar_retries_total", "Attempts after a request's first."),
-            given_up: REASONS.map(given_up),
+            given_up: GIVEN_UP_REASONS.map(given_up),
             circuits_open: gauge("sidecar_circuits_open", "Endpoints whose circuit is open."),
             queued: gauge(
                 "sidecar_queued_requests",
@@ -109,7 +112,7 @@
                 "sidecar_list_age_seconds",
                 "Time since discovery last answered.",
             ),
-            list_at: Cell::new(Instant::now()),
+            list_received_at: Cell::new(Instant::now()),
             lines_dropped: counter(
                 "sidecar_log_lines_dropped_total",
                 "Lines that standard error did not take.",
@@ -132,9 +135,9 @@
     build.set(1.0);
 }
 
-fn of_class(figures: &Figures, class: &str) -> ClassSeries {
-    ClassSeries {
-        ended: ENDS.map(|outcome| {
+fn class_metrics(figures: &Figures, class: &str) -> ClassMetrics {
+    ClassMetrics {
+        ended: ANSWER_LABELS.map(|outcome| {
             let labels = [("class", class), ("outcome", outcome)];
             figures.counter(
                 "sidecar_requests_total",
@@ -150,9 +153,9 @@
     }
 }
 
-fn of_outcome(figures: &Figures, label: &str) -> AttemptSeries {
+fn attempt_metrics(figures: &Figures, label: &str) -> AttemptMetrics {
     let labels = [("outcome", label)];
-    AttemptSeries {
+    AttemptMetrics {
         ended: figures.counter(
             "sidecar_attempts_total",
             "Attempts at endpoints by how they ended.",
--- a/src/bin/sidecar/open_requests.rs
+++ b/src/bin/sidecar/open_requests.rs
@@ -1,8 +1,8 @@
 //! Open requests and attempts in flight.
 
 use crate::clock::Clock;
-use crate::messages::{Answer, AttemptId, Ended, Outgoing};
-use crate::product::{Fleet, Observer, Pick};
+use crate::messages::{Answer, AttemptId, EndedAttempt, OutgoingRequest};
+use crate::product::{AffinityPick, Fleet, Observer};
 use load_balancer::{
     AttemptEnd, AttemptIndex, ClassId, Event, LoadReport, Micros, NewRequest, Outcome, RequestId,
 };
@@ -11,26 +11,26 @@
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
 
-/// A request without its final answer.
+/// A request without a final answer.
 struct OpenRequest {
     reply: oneshot::Sender<Answer>,
-    outgoing: Rc<Outgoing>,
+    outgoing: Rc<OutgoingRequest>,
     attempts: AttemptIndex,
     class: ClassId,
     arrived: Micros,
     key: Option<u64>,
-    /// Where its key was bound; while it is held, the request is under way there.
-    _pick: Option<Pick>,
+    /// The pick for its key; while it is kept, the request counts as in flight there.
+    _pick: Option<AffinityPick>,
 }
 
-/// An attempt that is out; the module is owed one event on its end.
+/// An attempt in flight; the module expects exactly one event for its end.
 struct InFlight {
     endpoint: usize,
     sent: Micros,
     task: AbortHandle,
 }
 
-/// All that is under way.
+/// All open requests and attempts.
 pub struct OpenRequests {
     open: HashMap<RequestId, OpenRequest>,
     in_flight: HashMap<AttemptId, InFlight>,
@@ -40,7 +40,7 @@
 }
 
 impl OpenRequests {
-    /// Nothing yet.
+    /// Starts without requests.
     pub fn new(clock: Clock, observer: Observer, fleet: Option<Fleet>) -> Self {
         Self {
             open: HashMap::new(),
@@ -51,30 +51,30 @@
         }
     }
 
-    /// Requests without their answer, and attempts that are out.
+    /// Numbers of requests without an answer, and of attempts in flight.
     #[cfg(feature = "product")]
     pub fn count(&self) -> (usize, usize) {
         (self.open.len(), self.in_flight.len())
     }
 
-    /// A request was taken; it is told where its key is bound.
-    pub fn take(
+    /// Adds a request, and sets the endpoints of its key.
+    pub fn accept(
         &mut self,
         request: &mut NewRequest,
-        outgoing: Rc<Outgoing>,
+        outgoing: Rc<OutgoingRequest>,
         reply: oneshot::Sender<Answer>,
     ) {
-        self.observer.taken(request.class, &outgoing);
+        self.observer.request_accepted(request.class, &outgoing);
         let pick = self
             .fleet
             .as_ref()
-            .and_then(|fleet| fleet.pick(request.key));
+            .and_then(|fleet| fleet.affinity_pick(request.key));
         request.affinity_endpoints = pick
             .as_ref()
             .map(|pick| pick.endpoints.clone())
             .unwrap_or_default();
         let (class, arrived, key) = (request.class, self.clock.now(), request.key);
-        let held = OpenRequest {
+        let open_request = OpenRequest {
             reply,
             outgoing,
             attempts: 0,
@@ -83,48 +83,57 @@
             key,
             _pick: pick,
         };
-        self.open.insert(request.id, held);
+        self.open.insert(request.id, open_request);
     }
 
-    /// The client of a request has left; whether it was still without its answer, as the two may
-    /// cross.
+    /// Removes a request whose client has disconnected; returns whether it was still unanswered, as
+    /// answer and disconnect may coincide.
     pub fn withdraw(&mut self, id: RequestId) -> bool {
-        let Some(held) = self.open.remove(&id) else {
+        let Some(request) = self.open.remove(&id) else {
             return false;
         };
-        held.outgoing.settled.set(true);
-        self.observer.answered(
-            held.class,
-            &held.outgoing,
+        request.outgoing.is_answered.set(true);
+        self.observer.request_answered(
+            request.class,
+            &request.outgoing,
             None,
-            self.clock.now() - held.arrived,
+            self.clock.now() - request.arrived,
         );
         true
     }
 
-    /// The only place where a request gets its final answer; a second one finds nothing to answer.
+    /// The only place where a request gets its final answer; a second answer has no effect.
     pub fn answer(&mut self, id: RequestId, answer: Answer) {
-        if let Some(held) = self.open.remove(&id) {
-            held.outgoing.settled.set(true);
-            let took = self.clock.now() - held.arrived;
-            self.observer
-                .answered(held.class, &held.outgoing, Some(&answer), took);
-            // A client that has just left needs none.
-            let _ = held.reply.send(answer);
+        if let Some(request) = self.open.remove(&id) {
+            request.outgoing.is_answered.set(true);
+            let elapsed = self.clock.now() - request.arrived;
+            self.observer.request_answered(
+                request.class,
+                &request.outgoing,
+                Some(&answer),
+                elapsed,
+            );
+            // The client may have just disconnected.
+            let _ = request.reply.send(answer);
         }
     }
 
-    /// The next attempt of a request, to an endpoint of that name; `None` where it has its answer.
-    pub fn next(&mut self, request: RequestId, name: &str) -> Option<(AttemptIndex, Rc<Outgoing>)> {
-        let held = self.open.get_mut(&request)?;
-        let attempt = held.attempts;
-        held.attempts += 1;
-        self.observer.sent(&held.outgoing, attempt, name);
-        Some((attempt, Rc::clone(&held.outgoing)))
+    /// The next attempt of a request, at an endpoint of that name; `None` if it is answered.
+    pub fn next_attempt(
+        &mut self,
+        request: RequestId,
+        name: &str,
+    ) -> Option<(AttemptIndex, Rc<OutgoingRequest>)> {
+        let open_request = self.open.get_mut(&request)?;
+        let attempt = open_request.attempts;
+        open_request.attempts += 1;
+        self.observer
+            .attempt_sent(&open_request.outgoing, attempt, name);
+        Some((attempt, Rc::clone(&open_request.outgoing)))
     }
 
-    /// That attempt is out.
-    pub fn sent(&mut self, id: AttemptId, endpoint: usize, task: AbortHandle) {
+    /// Records that an attempt was started.
+    pub fn attempt_sent(&mut self, id: AttemptId, endpoint: usize, task: AbortHandle) {
         self.in_flight.insert(
             id,
             InFlight {
@@ -135,51 +144,52 @@
         );
     }
 
-    /// An attempt ended by itself; what the module is to hear of it. One that was cancelled has
-    /// ended already, whatever it still brings.
-    pub fn ended(&mut self, ended: Ended) -> Option<Event> {
+    /// Records the end of an attempt; returns the event for the module. An attempt that was
+    /// cancelled has already ended, and its result is ignored.
+    pub fn attempt_ended(&mut self, ended: EndedAttempt) -> Option<Event> {
         let id = ended.id;
-        let out = self.in_flight.remove(&id)?;
-        self.note(id, &out, ended.outcome);
+        let in_flight = self.in_flight.remove(&id)?;
+        self.report_end(id, &in_flight, ended.outcome);
         if let Some(served) = ended.served {
-            if let Some((fleet, held)) = self.fleet.as_ref().zip(self.open.get(&id.request)) {
-                fleet.record_use(held.key, out.endpoint);
+            if let Some((fleet, open_request)) = self.fleet.as_ref().zip(self.open.get(&id.request))
+            {
+                fleet.record_use(open_request.key, in_flight.endpoint);
             }
             self.answer(id.request, Answer::Served(served));
         }
-        Some(self.end(id, &out, ended.outcome, ended.load))
+        Some(self.end_event(id, &in_flight, ended.outcome, ended.load))
     }
 
-    /// An attempt is cancelled; what the module is to hear of it.
+    /// Cancels an attempt; returns the event for the module.
     pub fn cancel(&mut self, id: AttemptId) -> Option<Event> {
-        let out = self.in_flight.remove(&id)?;
-        out.task.abort();
-        self.note(id, &out, Outcome::Cancelled);
-        Some(self.end(id, &out, Outcome::Cancelled, LoadReport::default()))
+        let in_flight = self.in_flight.remove(&id)?;
+        in_flight.task.abort();
+        self.report_end(id, &in_flight, Outcome::Cancelled);
+        Some(self.end_event(id, &in_flight, Outcome::Cancelled, LoadReport::default()))
     }
 
-    fn note(&self, id: AttemptId, out: &InFlight, outcome: Outcome) {
+    fn report_end(&self, id: AttemptId, in_flight: &InFlight, outcome: Outcome) {
         let outgoing = self.open.get(&id.request).map(|held| &*held.outgoing);
         self.observer
-            .ended(outgoing, outcome, self.clock.now() - out.sent);
+            .attempt_ended(outgoing, outcome, self.clock.now() - in_flight.sent);
     }
 
-    fn end(
+    fn end_event(
         &self,
         AttemptId { request, attempt }: AttemptId,
-        out: &InFlight,
+        in_flight: &InFlight,
         outcome: Outcome,
         load: LoadReport,
     ) -> Event {
-        let took = self.clock.now() - out.sent;
-        let (endpoint, settled) = (out.endpoint, !self.open.contains_key(&request));
+        let elapsed = self.clock.now() - in_flight.sent;
+        let (endpoint, is_answered) = (in_flight.endpoint, !self.open.contains_key(&request));
         Event::AttemptEnded(AttemptEnd {
             request,
             attempt,
             endpoint,
             outcome,
-            elapsed: took,
-            request_answered: settled,
+            elapsed,
+            request_answered: is_answered,
             load,
         })
     }
--- a/src/bin/sidecar/pages.rs
+++ b/src/bin/sidecar/pages.rs
@@ -1,8 +1,8 @@
-//! The pages at the metrics' address.
+//! The HTTP pages at the metrics address.
 
 use crate::affinity_pages;
 use crate::gossip::Fleet;
-use crate::messages::Inputs;
+use crate::messages::InputSender;
 use crate::observer::Observer;
 use crate::snapshot::SnapshotHost;
 use hyper::StatusCode;
@@ -10,45 +10,45 @@
 use load_balancer_common::pages::{Ask, Page};
 use std::rc::Rc;
 
-/// What the pages are made from.
+/// The sources of the pages.
 #[derive(Clone)]
 pub struct Pages {
-    /// What is counted.
+    /// The metrics.
     pub observer: Observer,
-    /// The way to the engine.
-    pub inputs: Inputs,
+    /// The engine.
+    pub inputs: InputSender,
     /// The log.
     pub log: Rc<Log>,
-    /// The membership, if any.
+    /// The gossip member, if there is one.
     pub fleet: Option<Fleet>,
-    /// What is kept on disk, if anything.
-    pub state: Option<SnapshotHost>,
+    /// The stored state, if there is any.
+    pub snapshot: Option<SnapshotHost>,
 }
 
 impl Pages {
-    /// The page that is asked for; none where there is none.
-    pub async fn page(self, ask: Ask) -> Option<Page> {
+    /// Renders the requested page; none if there is no such page.
+    pub async fn render(self, request: Ask) -> Option<Page> {
         if let Some(host) = self.fleet.as_ref().and_then(Fleet::affinity)
-            && let Some(page) = affinity_pages::page(host, &ask)
+            && let Some(page) = affinity_pages::page(host, &request)
         {
             return Some(page);
         }
-        match ask.path.as_str() {
-            "/fleet" | "/fleet/servers" | "/metrics" if ask.posted.is_some() => {
+        match request.path.as_str() {
+            "/fleet" | "/fleet/servers" | "/metrics" if request.posted.is_some() => {
                 Page::refused(StatusCode::METHOD_NOT_ALLOWED, "method", "this is read")
             }
             "/fleet" => Page::json(StatusCode::OK, &self.fleet?.summary()),
             "/fleet/servers" => Page::compact(&self.fleet?.servers()),
             "/metrics" => {
                 if let Some(fleet) = &self.fleet {
-                    self.observer.fleet(&fleet.summary());
+                    self.observer.update_fleet(&fleet.summary());
                 }
-                if let (Some(state), Some(figures)) = (&self.state, self.observer.figures()) {
-                    state.count(&figures);
+                if let (Some(state), Some(figures)) = (&self.snapshot, self.observer.figures()) {
+                    state.update_metrics(&figures);
                 }
-                let summarize = self.inputs.summarize().await?;
+                let engine = self.inputs.summarize().await?;
                 self.observer
-                    .page(&summarize, self.log.dropped())
+                    .metrics_text(&engine, self.log.dropped())
                     .map(Page::metrics)
             }
             _ => None,
--- a/src/bin/sidecar/peers.rs
+++ b/src/bin/sidecar/peers.rs
@@ -1,6 +1,6 @@
-//! Datagrams between sidecars, at the addresses that the platform hands out.
+//! Datagrams between the sidecars of the tier, at addresses given by the platform.
 
-use crate::messages::{Input, Inputs};
+use crate::messages::{Input, InputSender};
 use std::io;
 use std::net::{SocketAddr, UdpSocket as StdSocket};
 use std::rc::Rc;
@@ -9,11 +9,11 @@
 use tokio::net::UdpSocket;
 use tokio::sync::Semaphore;
 
-/// Pause after a failed receive.
-const PAUSE: Duration = Duration::from_millis(10);
-/// Datagrams that may wait to be looked at; further ones are dropped, as the network may drop any.
-const MAX_WAITING: usize = 64;
-/// Longest datagram.
+/// Delay after a failed receive.
+const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// Datagrams that may wait to be handled; further ones are dropped, as by the network.
+const MAX_QUEUED_DATAGRAMS: usize = 64;
+/// Longest datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 256;
 
 /// The socket to the other sidecars of the tier.
@@ -21,44 +21,43 @@
 pub struct Peers {
     socket: Rc<UdpSocket>,
     addresses: Rc<[SocketAddr]>,
-    all: Option<SocketAddr>,
+    broadcast: Option<SocketAddr>,
 }
 
 impl Peers {
-    /// Binds `at`; `addresses` are the peers' in the order of their numbers, `all` reaches every
-    /// one.
+    /// Binds `address`; `addresses` are the peers' by index, `broadcast` reaches all of them.
     pub fn bind(
-        at: SocketAddr,
+        address: SocketAddr,
         addresses: &[SocketAddr],
-        all: Option<SocketAddr>,
+        broadcast: Option<SocketAddr>,
     ) -> io::Result<Self> {
-        let socket = StdSocket::bind(at)?;
+        let socket = StdSocket::bind(address)?;
         socket.set_nonblocking(true)?;
         Ok(Self {
             socket: Rc::new(UdpSocket::from_std(socket)?),
             addresses: addresses.into(),
-            all,
+            broadcast,
         })
     }
 
-    /// Sends to one peer or to all. Datagrams may be lost, so one that can't leave now is.
+    /// Sends to one peer or to all. A datagram that can't be sent at once is dropped.
     pub fn send(&self, to: Option<u32>, bytes: &[u8]) {
         let to = match to {
             Some(number) => self.addresses.get(number as usize).copied(),
-            None => self.all,
+            None => self.broadcast,
         };
         if let Some(to) = to.filter(|_| bytes.len() <= MAX_DATAGRAM_BYTES) {
             let _ = self.socket.try_send_to(bytes, to);
         }
     }
 
-    /// The next datagram from a known peer, with the peer's number. Others are dropped.
+    /// The next datagram from a known peer, with the peer's index. Others are dropped.
     async fn receive(&self) -> (u32, Vec<u8>) {
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let Ok((length, from)) = self.socket.recv_from(&mut bytes).await else {
-                // An earlier send that was refused shows here; the socket itself stays good.
-                tokio::time::sleep(PAUSE).await;
+                // Reports an earlier send that was refused; the socket is still usable.
+                tokio::time::sleep(RECEIVE_RETRY_DELAY).await;
                 continue;
             };
             let number = self.addresses.iter().position(|a| *a == from);
@@ -67,13 +66,13 @@
             }
         }
     }
-    /// Passes on what is received. Runs for good.
-    pub async fn pass_on(self, inputs: Inputs) {
-        let room = Arc::new(Semaphore::new(MAX_WAITING));
+    /// Forwards received datagrams forever.
+    pub async fn forward(self, inputs: InputSender) {
+        let permits = Arc::new(Semaphore::new(MAX_QUEUED_DATAGRAMS));
         loop {
             let (from, bytes) = self.receive().await;
-            if let Ok(permit) = Arc::clone(&room).try_acquire_owned() {
-                inputs.send(Input::Peer {
+            if let Ok(permit) = Arc::clone(&permits).try_acquire_owned() {
+                inputs.send(Input::PeerDatagram {
                     from,
                     bytes,
                     permit,
--- a/src/bin/sidecar/pool.rs
+++ b/src/bin/sidecar/pool.rs
@@ -3,8 +3,8 @@
 mod endpoint;
 
 use crate::connection::Connection;
-use crate::descriptors::lacked;
-use endpoint::Idle;
+use crate::descriptors::is_exhausted;
+use endpoint::IdleConnection;
 pub use endpoint::{Endpoint, Target};
 use load_balancer::Micros;
 use std::cell::RefCell;
@@ -16,58 +16,58 @@
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// An idle connection is retired this part of its idle time before the endpoint would close it: a
-/// request written later than that would end as a reset.
-const IDLE_MARGIN: u32 = 8;
-/// A connection rests this long after an answer before anything is written on it. Some endpoints
-/// answer a request twice, the second time some milliseconds later, and nothing tells that answer
-/// from one to the next request. What has come by the end of the rest ends the connection. A
-/// request that finds no other waits for the end of the rest: a new connection would take longer,
-/// and cost its endpoint a handshake.
-const REST: Duration = Duration::from_millis(25);
+/// An idle connection is closed this fraction of the endpoint's idle timeout early, because a
+/// request written as the endpoint closes it would be reset.
+const IDLE_MARGIN_DIVISOR: u32 = 8;
+/// A connection is not reused until this long after a response. Some endpoints send a response
+/// twice, the second time some milliseconds later, and such a duplicate looks like the response to
+/// the next request. Bytes received during the delay close the connection. A request that finds no
+/// other connection waits for the end of the delay, as a new one would take longer and cost the
+/// endpoint a handshake.
+const REUSE_DELAY: Duration = Duration::from_millis(25);
 
 /// Why there is no new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DialError {
-    /// There is no room for one here; the endpoint was not asked.
-    NoRoom,
-    /// The endpoint refused it, or it did not come up in time.
+    /// Local resources are exhausted; the endpoint was not contacted.
+    Exhausted,
+    /// The endpoint refused the connection, or it was not established in time.
     Unreachable,
 }
 
-/// All endpoints and the bounds on connections to them.
+/// All endpoints, and the limits on connections to them.
 pub struct Pool {
     endpoints: RefCell<Vec<Rc<Endpoint>>>,
     permits: Arc<Semaphore>,
     dial_timeout: Duration,
-    idle_time: Duration,
-    parked: Notify,
+    max_idle: Duration,
+    connection_parked: Notify,
 }
 
 impl Pool {
-    /// At most `most` connections, made within `dial_timeout`, closed by endpoints after
-    /// `idle_close`.
-    pub fn new(most: usize, dial_timeout: Micros, idle_close: Micros) -> Self {
-        let time = |us: Micros| Duration::from_micros(us.unsigned_abs());
-        let idle_close = time(if idle_close > 0 {
+    /// At most `max_connections` connections, dialled within `dial_timeout`, to endpoints that
+    /// close idle ones after `idle_close`.
+    pub fn new(max_connections: usize, dial_timeout: Micros, idle_close: Micros) -> Self {
+        let to_duration = |us: Micros| Duration::from_micros(us.unsigned_abs());
+        let idle_close = to_duration(if idle_close > 0 {
             idle_close
         } else {
             10_000_000
         });
         Self {
             endpoints: RefCell::default(),
-            permits: Arc::new(Semaphore::new(most)),
-            dial_timeout: time(if dial_timeout > 0 {
+            permits: Arc::new(Semaphore::new(max_connections)),
+            dial_timeout: to_duration(if dial_timeout > 0 {
                 dial_timeout
             } else {
                 250_000
             }),
-            idle_time: idle_close - idle_close / IDLE_MARGIN,
-            parked: Notify::new(),
+            max_idle: idle_close - idle_close / IDLE_MARGIN_DIVISOR,
+            connection_parked: Notify::new(),
         }
     }
 
-    /// The endpoint of that number; those up to it come into being.
+    /// The endpoint of that id; creates those up to it.
     pub fn endpoint(&self, id: usize) -> Rc<Endpoint> {
         let mut endpoints = self.endpoints.borrow_mut();
         while endpoints.len() <= id {
@@ -76,15 +76,15 @@
         Rc::clone(&endpoints[id])
     }
 
-    /// The number goes to another endpoint: nothing of the one before it stays.
+    /// Frees an id for another endpoint.
     pub fn release(&self, id: usize) {
         if let Some(endpoint) = self.endpoints.borrow_mut().get_mut(id) {
-            // Who still holds it keeps no connection for it either.
+            // Other holders of the old endpoint must not keep connections for it either.
             std::mem::take(endpoint).unlist();
         }
     }
 
-    /// Endpoints that are not among these are gone.
+    /// Marks the endpoints that are not listed as removed.
     pub fn keep_only(&self, listed: &HashSet<usize>) {
         for (id, endpoint) in self.endpoints.borrow().iter().enumerate() {
             if !listed.contains(&id) {
@@ -93,54 +93,63 @@
         }
     }
 
-    /// The most recently used idle connection that has rested and is still good, so that the others
-    /// may grow old and close; where none has, the one that will have first, after the rest of its
-    /// rest.
-    pub async fn reuse(&self, endpoint: &Endpoint) -> Option<(Connection, OwnedSemaphorePermit)> {
+    /// The most recently used idle connection whose delay is over and that is still usable, so that
+    /// the others may age and close; otherwise the one whose delay ends first, after that delay.
+    pub async fn take_idle(
+        &self,
+        endpoint: &Endpoint,
+    ) -> Option<(Connection, OwnedSemaphorePermit)> {
         loop {
-            let taken = {
+            let candidate = {
                 let mut idle = endpoint.idle.borrow_mut();
-                let next = next_rested(idle.iter().map(|i| i.since), Instant::now(), REST)?;
-                idle.remove(next)
+                let index = next_reusable(
+                    idle.iter().map(|i| i.last_used),
+                    Instant::now(),
+                    REUSE_DELAY,
+                )?;
+                idle.remove(index)
             };
-            sleep_until(taken.since + REST).await;
-            if taken.since.elapsed() < self.idle_time && taken.connection.usable() {
-                return Some((taken.connection, taken.permit));
+            sleep_until(candidate.last_used + REUSE_DELAY).await;
+            if candidate.last_used.elapsed() < self.max_idle && candidate.connection.is_usable() {
+                return Some((candidate.connection, candidate.permit));
             }
         }
     }
 
-    /// A new connection, where there is room for one.
+    /// Dials a new connection, within the limit.
     pub async fn dial(
         &self,
         address: SocketAddr,
     ) -> Result<(Connection, OwnedSemaphorePermit), DialError> {
         let permit = self.permits.clone().try_acquire_owned().or_else(|full| {
-            self.make_room();
+            self.close_oldest_idle();
             self.permits.clone().try_acquire_owned().map_err(|_| full)
         });
-        // Before the dial: one that has no room must not cost the endpoint a handshake.
-        let permit = permit.map_err(|_| DialError::NoRoom)?;
+        // Checked before dialling, so that a lack of resources costs the endpoint no handshake.
+        let permit = permit.map_err(|_| DialError::Exhausted)?;
         match timeout(self.dial_timeout, Connection::open(address)).await {
             Ok(Ok(connection)) => Ok((connection, permit)),
-            Ok(Err(error)) if lacked(&error) => Err(DialError::NoRoom),
+            Ok(Err(error)) if is_exhausted(&error) => Err(DialError::Exhausted),
             Ok(Err(_)) | Err(_) => Err(DialError::Unreachable),
         }
     }
 
-    /// Idle connections make way: those that their endpoints have closed or spoken on, or else the
-    /// oldest one.
-    fn make_room(&self) {
+    /// Closes idle connections that their endpoints have ended or sent unrequested bytes on, or
+    /// else the oldest one.
+    fn close_oldest_idle(&self) {
         let endpoints = self.endpoints.borrow();
         for endpoint in endpoints.iter() {
-            endpoint.idle.borrow_mut().retain(|i| i.connection.usable());
+            endpoint
+                .idle
+                .borrow_mut()
+                .retain(|i| i.connection.is_usable());
         }
         if self.permits.available_permits() > 0 {
             return;
         }
         let oldest = endpoints
             .iter()
-            .filter_map(|e| Some((e.idle.borrow().first()?.since, e)))
+            .filter_map(|e| Some((e.idle.borrow().first()?.last_used, e)))
             .min_by_key(|o| o.0);
         if let Some((_, endpoint)) = oldest {
             endpoint.idle.borrow_mut().remove(0);
@@ -155,50 +164,50 @@
         mut connection: Connection,
         permit: OwnedSemaphorePermit,
     ) {
-        connection.turn().await;
-        let there = endpoint
+        connection.poll_driver_once().await;
+        let is_same_address = endpoint
             .target()
             .is_some_and(|now| now.address == target.address);
-        if there && endpoint.outlives(&connection) && connection.usable() {
-            endpoint.idle.borrow_mut().push(Idle {
+        if is_same_address && endpoint.is_current(&connection) && connection.is_usable() {
+            endpoint.idle.borrow_mut().push(IdleConnection {
                 connection,
                 permit,
-                since: Instant::now(),
+                last_used: Instant::now(),
             });
-            self.parked.notify_one();
+            self.connection_parked.notify_one();
         }
     }
 
-    /// Closes idle connections as their time comes. Runs for good.
+    /// Closes idle connections whose time is over. Runs forever.
     pub async fn retire_idle(self: Rc<Self>) {
         loop {
-            let first = |e: &Rc<Endpoint>| e.idle.borrow().first().map(|i| i.since);
+            let first = |e: &Rc<Endpoint>| e.idle.borrow().first().map(|i| i.last_used);
             let oldest = self.endpoints.borrow().iter().filter_map(first).min();
             match oldest {
-                None => self.parked.notified().await,
-                Some(since) => sleep_until(since + self.idle_time).await,
+                None => self.connection_parked.notified().await,
+                Some(since) => sleep_until(since + self.max_idle).await,
             }
             for endpoint in self.endpoints.borrow().iter() {
                 endpoint
                     .idle
                     .borrow_mut()
-                    .retain(|i| i.since.elapsed() < self.idle_time);
+                    .retain(|i| i.last_used.elapsed() < self.max_idle);
             }
         }
     }
 }
 
-/// Which of these, that were used last at those times, was used last of all that have rested, or
-/// else rests the shortest from now on; `None` where there are none.
-fn next_rested(
+/// The index of the most recently used of these connections whose delay is over, or else of the one
+/// whose delay ends first; `None` if there are none.
+fn next_reusable(
     since: impl DoubleEndedIterator<Item = Instant> + ExactSizeIterator + Clone,
     now: Instant,
-    rest: Duration,
+    delay: Duration,
 ) -> Option<usize> {
-    let rested = since
+    let reusable = since
         .clone()
-        .rposition(|since| now.duration_since(since) >= rest);
-    rested.or_else(|| {
+        .rposition(|since| now.duration_since(since) >= delay);
+    reusable.or_else(|| {
         (0..since.len())
             .zip(since)
             .min_by_key(|(_, since)| *since)
--- a/src/bin/sidecar/pool/endpoint.rs
+++ b/src/bin/sidecar/pool/endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint as the sockets see it, with its idle connections.
+//! An endpoint as seen by the connection pool, with its idle connections.
 
 use crate::connection::Connection;
 use std::cell::{Cell, RefCell};
@@ -7,63 +7,63 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::Instant;
 
-/// A process and where it is reached: one that is started later at the same address is another.
+/// A server process and its address; a later process at the same address is a different target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// Where it is reached.
+    /// Its address.
     pub address: SocketAddr,
-    /// Unix time in milliseconds of its start as it is listed.
-    pub since_ms: i64,
+    /// When the process started according to the list, in milliseconds of Unix time.
+    pub started_ms: i64,
 }
 
-/// An endpoint as the sockets see it: where it is, whether it may be sent anything, and idle
-/// connections.
+/// An endpoint as seen by the connection pool: its address, whether it accepts requests, and its
+/// idle connections.
 #[derive(Default)]
 pub struct Endpoint {
-    pub(super) at: Cell<Option<Target>>,
+    pub(super) listed_target: Cell<Option<Target>>,
     ready: Cell<bool>,
-    /// Connections from before this time lead to a process that is gone.
+    /// Connections established before this time lead to an earlier process.
     started: Cell<Option<SystemTime>>,
-    /// The most recently used one is last.
-    pub(super) idle: RefCell<Vec<Idle>>,
+    /// Idle connections, the most recently used one last.
+    pub(super) idle: RefCell<Vec<IdleConnection>>,
 }
 
 /// A connection that waits for its next request.
-pub(super) struct Idle {
+pub(super) struct IdleConnection {
     pub(super) connection: Connection,
     pub(super) permit: OwnedSemaphorePermit,
     /// When it was last used.
-    pub(super) since: Instant,
+    pub(super) last_used: Instant,
 }
 
 impl Endpoint {
-    /// Follows the list. Idle connections to an address that is no longer in use, or to a process
-    /// that has made way for another at the same address, are closed: a machine that vanished has
-    /// said nothing on them, and a request would end as a reset.
-    pub fn set(&self, at: Option<Target>, ready: bool) {
-        let before = self.at.replace(at);
-        self.ready.set(ready && at.is_some());
-        if before.map(|b| b.address) != at.map(|a| a.address) || !ready {
+    /// Applies a list entry. Closes idle connections to an address that is no longer in use, or to
+    /// a process that was replaced at the same address: a machine that vanished has not closed
+    /// them, and a request would be reset.
+    pub fn update(&self, target: Option<Target>, ready: bool) {
+        let previous = self.listed_target.replace(target);
+        self.ready.set(ready && target.is_some());
+        if previous.map(|b| b.address) != target.map(|a| a.address) || !ready {
             self.close_idle();
         }
-        if before.map(|b| b.since_ms) != at.map(|a| a.since_ms) {
-            self.started.set(at.map(|a| start_time(a.since_ms)));
+        if previous.map(|b| b.started_ms) != target.map(|a| a.started_ms) {
+            self.started.set(target.map(|a| start_time(a.started_ms)));
             self.idle
                 .borrow_mut()
-                .retain(|idle| self.outlives(&idle.connection));
+                .retain(|idle| self.is_current(&idle.connection));
         }
     }
 
-    /// No more of it is listed.
+    /// Marks the endpoint as removed from the list.
     pub fn unlist(&self) {
-        self.set(None, false);
+        self.update(None, false);
     }
 
     /// Whether a connection was made to the process that is listed now.
-    pub(super) fn outlives(&self, connection: &Connection) -> bool {
+    pub(super) fn is_current(&self, connection: &Connection) -> bool {
         self.started
             .get()
-            .is_none_or(|started| connection.made() >= started)
+            .is_none_or(|started| connection.created_at() >= started)
     }
 
     /// Closes the idle connections.
@@ -71,16 +71,16 @@
         self.idle.borrow_mut().clear();
     }
 
-    /// Whom to send to, if anything may be sent at all.
+    /// The process to send to, if requests may be sent at all.
     pub fn target(&self) -> Option<Target> {
-        self.at.get().filter(|_| self.ready.get())
+        self.listed_target.get().filter(|_| self.ready.get())
     }
 }
 
-/// When a process started that is listed with this Unix time in milliseconds; one that is yet to
-/// come has started now.
-fn start_time(since_ms: i64) -> SystemTime {
-    let since = UNIX_EPOCH.checked_add(Duration::from_millis(since_ms.max(0).unsigned_abs()));
+/// The start time of a process listed with this Unix time in milliseconds; a start in the future
+/// counts as now.
+fn start_time(started_ms: i64) -> SystemTime {
+    let started = UNIX_EPOCH.checked_add(Duration::from_millis(started_ms.max(0).unsigned_abs()));
     let now = SystemTime::now();
-    since.map_or(now, |since| since.min(now))
+    started.map_or(now, |since| since.min(now))
 }
--- a/src/bin/sidecar/product.rs
+++ b/src/bin/sidecar/product.rs
@@ -1,12 +1,12 @@
-//! The product parts of the sidecar: its command line, its product configuration, and what that
-//! switches on. Without a product configuration nothing is hosted and nothing is counted.
+//! The product parts of the sidecar: its command line, its product configuration, and the
+//! components these enable. Without a product configuration none of them is active.
 
-pub use crate::affinity::Pick;
+pub use crate::affinity::AffinityPick;
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::exit_error::ExitError;
 pub use crate::gossip::Fleet;
-use crate::messages::Inputs;
+use crate::messages::InputSender;
 pub use crate::observer::Observer;
 use crate::pages::Pages;
 use crate::product_file::{CONFIG_VARIABLE, EARLIER_CONFIG_VARIABLE};
@@ -31,7 +31,7 @@
 /// it read both again, SIGTERM stops it once what it has taken is answered.
 #[derive(Parser)]
 #[command(name = "sidecar")]
-struct Call {
+struct Arguments {
     /// The product configuration: a TOML file, see docs/configuration.md.
     #[arg(long, value_name = "FILE", env = CONFIG_VARIABLE)]
     config: Option<PathBuf>,
@@ -41,81 +41,81 @@
     check: bool,
 }
 
-/// Longest name of a member and of a zone on the wire, in bytes.
+/// Longest name of a member or a zone on the wire, in bytes.
 const MAX_NAME_BYTES: usize = 32;
 
 /// The product parts of this process.
 pub struct Product {
     file: Option<PathBuf>,
-    /// What holds now.
-    holds: Sections,
+    /// The configuration in effect.
+    sections: Sections,
     log: Rc<Log>,
     bounds: Bounds,
 }
 
 impl Product {
-    /// Reads the command line and the product configuration, and starts the log. Where the process
-    /// is not to go on, the code to end with comes back; what there was to say has been said.
+    /// Parses the command line, loads the product configuration, and starts the log. An error is
+    /// the exit code; its message has already been written.
     pub fn begin() -> Result<Self, ExitCode> {
-        let call: Call = cli::parse()?;
+        let call: Arguments = cli::parse()?;
         let file = call
             .config
             .or_else(|| std::env::var_os(EARLIER_CONFIG_VARIABLE).map(PathBuf::from))
             .filter(|file| !file.as_os_str().is_empty());
-        let plain = |what: &dyn std::fmt::Display, exit: Exit| {
+        let report = |what: &dyn std::fmt::Display, exit: Exit| {
             let _ = writeln!(std::io::stderr(), "sidecar: {what}");
             ExitCode::from(exit)
         };
-        let holds: Sections = match &file {
-            Some(file) => Sections::load(file).map_err(|problem| plain(&problem, Exit::Config))?,
+        let sections: Sections = match &file {
+            Some(file) => Sections::load(file).map_err(|problem| report(&problem, Exit::Config))?,
             None => Sections::default(),
         };
         if call.check {
-            return Err(match product_sections::print(&holds) {
+            return Err(match product_sections::print_effective(&sections) {
                 Ok(()) => Exit::Done.into(),
-                Err(what) => plain(&what, Exit::Config),
+                Err(what) => report(&what, Exit::Config),
             });
         }
-        let log = Rc::new(logging::start(&holds.log, "sidecar"));
+        let log = Rc::new(logging::start(&sections.log, "sidecar"));
         Ok(Self {
             file,
-            bounds: Bounds::of(&holds.metrics),
-            holds,
+            bounds: Bounds::of(&sections.metrics),
+            sections,
             log,
         })
     }
 
-    /// What sees the engine's doings, by these classes.
+    /// The observer of the engine, by class.
     pub fn observer(&self, classes: &[String]) -> Observer {
-        match self.holds.metrics.enabled {
-            true => Observer::counting(Rc::new(Figures::new()), classes),
-            false => Observer::blind(),
+        match self.sections.metrics.enabled {
+            true => Observer::enabled(Rc::new(Figures::new()), classes),
+            false => Observer::disabled(),
         }
     }
 
-    /// Begins an incarnation in the state directory, where one is configured.
+    /// Starts an incarnation in the snapshot directory, if one is configured.
     pub fn recover(
         &self,
         config: &mut Config,
         clock: Clock,
     ) -> Result<Option<SnapshotHost>, ExitError> {
         SnapshotHost::begin(
-            &self.holds.snapshot,
-            &self.holds.fleet.cluster,
+            &self.sections.snapshot,
+            &self.sections.fleet.cluster,
             config,
             clock,
         )
     }
 
-    /// Joins the fleet, where one is configured.
+    /// Joins the fleet, if one is configured.
     pub fn join(
         &self,
         config: &Config,
-        inputs: &Inputs,
+        inputs: &InputSender,
         clock: Clock,
-        state: Option<&SnapshotHost>,
+        snapshot: Option<&SnapshotHost>,
     ) -> Result<Option<Fleet>, ExitError> {
-        let section = &self.holds.fleet;
+        let section = &self.sections.fleet;
         if !section.enabled {
             return Ok(None);
         }
@@ -135,7 +135,7 @@
             zone,
             inputs,
             clock,
-            state.and_then(SnapshotHost::incarnation),
+            snapshot.and_then(SnapshotHost::incarnation),
         ) {
             Ok(fleet) => Ok(Some(fleet)),
             Err(e) => {
@@ -145,31 +145,31 @@
         }
     }
 
-    /// Starts what is configured.
-    pub fn host(
+    /// Starts the configured components.
+    pub fn start_components(
         &self,
         observer: &Observer,
-        inputs: &Inputs,
+        inputs: &InputSender,
         fleet: Option<&Fleet>,
-        state: Option<&SnapshotHost>,
+        snapshot: Option<&SnapshotHost>,
     ) -> Result<(), ExitError> {
-        if let Some(state) = state {
-            state.host(inputs, config::written(&self.holds));
+        if let Some(state) = snapshot {
+            state.start_storing(inputs, config::written(&self.sections));
         }
         let Some(figures) = observer.figures() else {
             return Ok(());
         };
-        let at = self.holds.metrics.address;
-        let listener = std::net::TcpListener::bind(at)
+        let address = self.sections.metrics.address;
+        let listener = std::net::TcpListener::bind(address)
             .and_then(|listener| listener.set_nonblocking(true).map(|()| listener))
             .and_then(TcpListener::from_std)
             .map_err(|e| {
-                let what = format!("cannot listen on metrics.address {at}: {e}");
+                let what = format!("cannot listen on metrics.address {address}: {e}");
                 ExitError::new(what, Exit::Unavailable)
             })?;
-        // Where the system was to pick the port, nobody could know it otherwise.
-        if let Some(at) = listener.local_addr().ok().filter(|_| at.port() == 0) {
-            say!(info, "sidecar", "metrics are read at {at}");
+        // If the system chose the port, nothing else tells which one.
+        if let Some(bound) = listener.local_addr().ok().filter(|_| address.port() == 0) {
+            say!(info, "sidecar", "metrics are read at {bound}");
         }
         spawn_local(Rc::clone(&figures).upkeep());
         let pages = Pages {
@@ -177,19 +177,19 @@
             inputs: inputs.clone(),
             log: Rc::clone(&self.log),
             fleet: fleet.cloned(),
-            state: state.cloned(),
+            snapshot: snapshot.cloned(),
         };
         spawn_local(pages::serve(listener, self.bounds.clone(), move |ask| {
-            pages.clone().page(ask)
+            pages.clone().render(ask)
         }));
         Ok(())
     }
 
-    /// SIGHUP came: takes in what may change, all of it or nothing, and names what waits for a
+    /// Handles SIGHUP: reloads what may change, all of it or nothing, and logs what needs a
     /// restart.
     pub fn reload(&mut self) {
         let Some(file) = &self.file else { return };
-        let new = match Sections::load(file) {
+        let new_sections = match Sections::load(file) {
             Ok(new) => new,
             Err(problem) => {
                 say!(
@@ -200,38 +200,38 @@
                 return;
             }
         };
-        let before = self.holds.clone();
-        self.holds.follow(new.clone());
-        self.log.set_levels(&self.holds.log);
-        self.bounds.set(&self.holds.metrics);
-        let list = |keys: Vec<String>| {
+        let previous = self.sections.clone();
+        self.sections.update_reloadable(new_sections.clone());
+        self.log.set_levels(&self.sections.log);
+        self.bounds.set(&self.sections.metrics);
+        let join_keys = |keys: Vec<String>| {
             if keys.is_empty() {
                 "nothing".to_owned()
             } else {
                 keys.join(", ")
             }
         };
-        let waiting = config::changed(&self.holds, &new);
-        let rest = if waiting.is_empty() {
+        let waiting = config::changed(&self.sections, &new_sections);
+        let note = if waiting.is_empty() {
             String::new()
         } else {
-            format!("; {} for a restart", wait(&waiting))
+            format!("; {} for a restart", waiting_keys(&waiting))
         };
-        let taken = list(config::changed(&before, &self.holds));
+        let taken = join_keys(config::changed(&previous, &self.sections));
         say!(
             info,
             "sidecar",
-            "product configuration reloaded: {taken} changed{rest}"
+            "product configuration reloaded: {taken} changed{note}"
         );
     }
 
-    /// The process ends: writes what still waits.
+    /// Flushes the log at the end of the process.
     pub fn end(&self) {
         self.log.flush();
     }
 }
 
-fn wait(keys: &[String]) -> String {
+fn waiting_keys(keys: &[String]) -> String {
     format!(
         "{} {}",
         keys.join(", "),
--- a/src/bin/sidecar/product_disabled.rs
+++ b/src/bin/sidecar/product_disabled.rs
@@ -1,20 +1,20 @@
-//! Replaces the product parts where they are not built in: nothing is configured, hosted or
+//! Stands in for the product parts in builds without them: nothing is configured, hosted or
 //! counted.
 
 use crate::clock::Clock;
 use crate::config::Config;
 use crate::exit_error::ExitError;
 use crate::host_list::HostList;
-use crate::messages::{Answer, Inputs, Outgoing};
+use crate::messages::{Answer, InputSender, OutgoingRequest};
 use crate::product_file::{CONFIG_VARIABLE, EARLIER_CONFIG_VARIABLE};
 use load_balancer::{AttemptIndex, EndpointId, ListedEndpoint, Micros, Outcome, SharingOptions};
 use std::process::ExitCode;
 
-/// No product parts.
+/// The absent product parts.
 pub struct Product;
 
 impl Product {
-    /// Goes on, unless something is asked for that is not there.
+    /// Continues, unless product parts are requested that this build does not have.
     pub fn begin() -> Result<Self, ExitCode> {
         let configured = [CONFIG_VARIABLE, EARLIER_CONFIG_VARIABLE]
             .iter()
@@ -28,12 +28,12 @@
         Ok(Self)
     }
 
-    /// Counts nothing.
+    /// Records nothing.
     pub fn observer(&self, _: &[String]) -> Observer {
         Observer
     }
 
-    /// Keeps nothing.
+    /// Stores nothing.
     pub fn recover(&self, _: &mut Config, _: Clock) -> Result<Option<SnapshotHost>, ExitError> {
         Ok(None)
     }
@@ -42,32 +42,32 @@
     pub fn join(
         &self,
         _: &Config,
-        _: &Inputs,
+        _: &InputSender,
         _: Clock,
         _: Option<&SnapshotHost>,
     ) -> Result<Option<Fleet>, ExitError> {
         Ok(None)
     }
 
-    /// Hosts nothing.
-    pub fn host(
+    /// Starts nothing.
+    pub fn start_components(
         &self,
         _: &Observer,
-        _: &Inputs,
+        _: &InputSender,
         _: Option<&Fleet>,
         _: Option<&SnapshotHost>,
     ) -> Result<(), ExitError> {
         Ok(())
     }
 
-    /// Has nothing to take in.
+    /// Has nothing to reload.
     pub fn reload(&mut self) {}
 
-    /// Holds nothing back.
+    /// Has nothing to flush.
     pub fn end(&self) {}
 }
 
-/// There is none.
+/// Absent in this build.
 #[derive(Clone)]
 pub enum Fleet {}
 
@@ -81,7 +81,7 @@
         match *self {}
     }
     /// See `gossip.rs`.
-    pub fn listed<'a>(
+    pub fn set_endpoints<'a>(
         &self,
         _: bool,
         _: &[ListedEndpoint],
@@ -91,7 +91,7 @@
         match *self {}
     }
     /// See `gossip.rs`.
-    pub fn list_seen(&self) {
+    pub fn confirm_list(&self) {
         match *self {}
     }
     /// See `gossip.rs`.
@@ -99,7 +99,7 @@
         match *self {}
     }
     /// See `gossip.rs`.
-    pub fn pick(&self, _: Option<u64>) -> Option<Pick> {
+    pub fn affinity_pick(&self, _: Option<u64>) -> Option<AffinityPick> {
         match *self {}
     }
     /// See `gossip.rs`.
@@ -112,40 +112,40 @@
     }
 }
 
-/// A request that was given an affinity entry; there is none.
-pub struct Pick {
-    /// Where it is to go, the best first.
+/// Absent in this build; see `affinity.rs`.
+pub struct AffinityPick {
+    /// The endpoints to try, best first.
     pub endpoints: Vec<EndpointId>,
 }
 
-/// There is none.
+/// Absent in this build.
 #[derive(Clone)]
 pub enum SnapshotHost {}
 
 impl SnapshotHost {
     /// See `snapshot.rs`.
-    pub fn listed(&self, _: &HostList, _: bool) {
+    pub fn update_list(&self, _: &HostList, _: bool) {
         match *self {}
     }
     /// See `snapshot.rs`.
-    pub fn stop(&self, _: &Inputs) {
+    pub fn stop(&self, _: &InputSender) {
         match *self {}
     }
 }
 
-/// Sees nothing.
+/// Records nothing.
 #[derive(Clone)]
 pub struct Observer;
 
 impl Observer {
-    /// A request was taken.
-    pub fn taken(&self, _: usize, _: &Outgoing) {}
-    /// An attempt of it goes out.
-    pub fn sent(&self, _: &Outgoing, _: AttemptIndex, _: &str) {}
-    /// An attempt ended.
-    pub fn ended(&self, _: Option<&Outgoing>, _: Outcome, _: Micros) {}
-    /// A request got its answer, or its client has left.
-    pub fn answered(&self, _: usize, _: &Outgoing, _: Option<&Answer>, _: Micros) {}
-    /// Discovery answered.
-    pub fn listed(&self) {}
+    /// Ignores a new request.
+    pub fn request_accepted(&self, _: usize, _: &OutgoingRequest) {}
+    /// Ignores the start of an attempt.
+    pub fn attempt_sent(&self, _: &OutgoingRequest, _: AttemptIndex, _: &str) {}
+    /// Ignores the end of an attempt.
+    pub fn attempt_ended(&self, _: Option<&OutgoingRequest>, _: Outcome, _: Micros) {}
+    /// Ignores the answer to a request.
+    pub fn request_answered(&self, _: usize, _: &OutgoingRequest, _: Option<&Answer>, _: Micros) {}
+    /// Ignores an answer of discovery.
+    pub fn list_received(&self) {}
 }
--- a/src/bin/sidecar/product_sections.rs
+++ b/src/bin/sidecar/product_sections.rs
@@ -1,4 +1,4 @@
-//! The product configuration: its sections, and which keys may change while the sidecar runs.
+//! The sections of the product configuration, and which of their keys can be reloaded.
 
 use crate::config::Config;
 use crate::config_error::ConfigError;
@@ -11,21 +11,21 @@
 use std::io::Write;
 use std::path::Path;
 
-/// The program's name before it was called `sidecar`, as log targets in older product
-/// configurations have it.
+/// The program's name before it was called `sidecar`, used as a log target in older product
+/// configurations.
 const EARLIER_PROGRAM: &str = "tinflow";
 
 /// The product configuration, section by section.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Sections {
-    /// Logs.
+    /// Logging.
     pub log: LogSection,
     /// Metrics, and the pages at their address.
     pub metrics: MetricsSection,
     /// Membership in a fleet of sidecars.
     pub fleet: FleetSection,
-    /// What is stored over crashes.
+    /// State stored across restarts.
     #[serde(alias = "state")]
     pub snapshot: SnapshotSection,
 }
@@ -40,7 +40,7 @@
 }
 
 impl Sections {
-    /// Reads a product configuration, in which log targets may have the program's earlier name.
+    /// Loads a product configuration; log targets may use the program's earlier name.
     pub fn load(file: &Path) -> Result<Self, Problem> {
         let mut sections: Self = config::load(file)?;
         sections
@@ -49,18 +49,18 @@
         Ok(sections)
     }
 
-    /// Takes over from another configuration what may change while the sidecar runs.
-    pub fn follow(&mut self, new: Self) {
+    /// Takes the reloadable keys from another configuration.
+    pub fn update_reloadable(&mut self, new: Self) {
         (self.log.level, self.log.targets) = (new.log.level, new.log.targets);
         (self.metrics.readers, self.metrics.timeout) = (new.metrics.readers, new.metrics.timeout);
     }
 }
 
-/// Prints what would hold.
-pub fn print(holds: &Sections) -> Result<(), ConfigError> {
+/// Prints the effective configuration.
+pub fn print_effective(sections: &Sections) -> Result<(), ConfigError> {
     let mut text = format!(
         "# The product configuration that would hold.\n{}",
-        config::written(holds)
+        config::written(sections)
     );
     if std::env::var_os("LB_CONFIG").is_some() {
         let platform = Config::from_env()?;
@@ -69,10 +69,10 @@
             platform.listen,
             platform.discovery,
             platform.decoded.classes.len(),
-            platform.sockets
+            platform.max_descriptors
         );
     }
-    // A closed standard output is no fault of the configuration.
+    // A closed standard output is not a fault of the configuration.
     let _ = std::io::stdout().write_all(text.as_bytes());
     Ok(())
 }
--- a/src/bin/sidecar/report.rs
+++ b/src/bin/sidecar/report.rs
@@ -1,7 +1,7 @@
 //! Log lines for on-call engineers.
 
-/// Writes one line to standard error, at once and whole, also where what it quotes from outside
-/// holds line breaks. One that is closed must not end a sidecar that serves.
+/// Writes one line to standard error in a single call, with control characters in quoted input
+/// replaced. A closed standard error must not end a serving sidecar.
 #[cfg(not(feature = "product"))]
 pub fn line(what: std::fmt::Arguments<'_>) {
     use std::io::Write;
@@ -9,8 +9,8 @@
     let _ = std::io::stderr().write_all(line.as_bytes());
 }
 
-/// Writes a line: `say!(info, "target", "words {}", value)`. Level and target count in builds with
-/// the product parts.
+/// Writes a log line: `say!(info, "target", "text {}", value)`. Level and target are used in builds
+/// with the product parts.
 macro_rules! say {
     ($level:ident, $target:literal, $($words:tt)*) => {{
         #[cfg(feature = "product")]
--- a/src/bin/sidecar/request_headers.rs
+++ b/src/bin/sidecar/request_headers.rs
@@ -1,4 +1,4 @@
-//! Reads what a client's headers say of its request.
+//! Parses the headers of a client's request.
 
 use crate::config::Config;
 use crate::messages::{CORRELATION_ID, TIME_LEFT};
@@ -7,8 +7,8 @@
 use load_balancer::{Effect, Micros};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// No client waits longer than this, whatever it says.
-const MAX_WAIT: Micros = 3_600_000_000;
+/// Longest time that a client may wait, in microseconds; longer ones are shortened to this.
+const MAX_TIME_LEFT: Micros = 3_600_000_000;
 
 const SERVICE_CLASS: HeaderName = HeaderName::from_static("x-service-class");
 const ACCOUNT: HeaderName = HeaderName::from_static("x-account");
@@ -16,15 +16,15 @@
 const WEIGHT_HINT: HeaderName = HeaderName::from_static("x-weight-hint");
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// The classes and tenants by name.
+/// The names of the classes and tenants.
 pub struct RequestClasses {
     classes: Vec<(String, Effect)>,
     tenants: Vec<String>,
 }
 
 impl RequestClasses {
-    /// As the configuration has them.
-    pub fn of(config: &Config) -> Self {
+    /// Takes them from the configuration.
+    pub fn from_config(config: &Config) -> Self {
         let decoded = &config.decoded;
         let effects = decoded.settings.classes.iter().map(|c| c.effect);
         Self {
@@ -34,25 +34,29 @@
     }
 }
 
-/// What the headers say of a request.
+/// The parsed headers of a request.
 pub struct RequestHeaders {
-    /// Its class.
+    /// The index of its class.
     pub class: usize,
-    /// Its tenant, where it has one.
+    /// The index of its tenant, if it has one.
     pub tenant: Option<usize>,
-    /// What it is about.
+    /// The key of the object that it is about.
     pub key: Option<u64>,
     /// How long its client waits.
     pub time_left: Micros,
-    /// The work it brings, where it says so.
+    /// The work it causes, if it says so.
     pub work: Option<Micros>,
-    /// It is marked as a client's retry.
-    pub repeat: bool,
+    /// Whether its client marked it as a retry.
+    pub is_retry: bool,
 }
 
 impl RequestHeaders {
-    /// Reads them; `None` where the request can't be served as it is.
-    pub fn read(lanes: &RequestClasses, method: &Method, headers: &HeaderMap) -> Option<Self> {
+    /// Parses the headers; `None` if the request can't be served.
+    pub fn parse(
+        request_classes: &RequestClasses,
+        method: &Method,
+        headers: &HeaderMap,
+    ) -> Option<Self> {
         let text = |name: &HeaderName| {
             headers
                 .get(name)
@@ -60,52 +64,55 @@
                 .map(str::trim)
         };
         let class = text(&SERVICE_CLASS)?;
-        let class = lanes.classes.iter().position(|(name, _)| name == class)?;
-        // The method follows from the class: a request in another form is not what the class
-        // promises.
-        let keyed = headers.contains_key(IDEMPOTENCY_KEY);
-        let fits = match lanes.classes[class].1 {
+        let class = request_classes
+            .classes
+            .iter()
+            .position(|(name, _)| name == class)?;
+        // The method follows from the class: a request of another form does not have the effect
+        // that the class declares.
+        let has_idempotency_key = headers.contains_key(IDEMPOTENCY_KEY);
+        let method_matches = match request_classes.classes[class].1 {
             Effect::Idempotent => method == Method::GET,
-            Effect::IdempotentByKey { .. } => method == Method::POST && keyed,
-            Effect::NonIdempotent => method == Method::POST && !keyed,
+            Effect::IdempotentByKey { .. } => method == Method::POST && has_idempotency_key,
+            Effect::NonIdempotent => method == Method::POST && !has_idempotency_key,
         };
-        // Of two ids an endpoint could take either for one that no client sent.
-        let once = headers.get_all(CORRELATION_ID).iter().count() == 1;
+        // With two ids, an endpoint might use either one.
+        let has_one_id = headers.get_all(CORRELATION_ID).iter().count() == 1;
         headers
             .get(CORRELATION_ID)
-            .filter(|id| fits && once && !id.is_empty())?;
-        let tenant =
-            text(&ACCOUNT).and_then(|account| lanes.tenants.iter().position(|t| t == account));
+            .filter(|id| method_matches && has_one_id && !id.is_empty())?;
+        let tenant = text(&ACCOUNT)
+            .and_then(|account| request_classes.tenants.iter().position(|t| t == account));
         let work = text(&WEIGHT_HINT)
             .and_then(|hint| hint.parse().ok())
             .filter(|us: &Micros| *us > 0);
         Some(Self {
             class,
             tenant,
-            key: object(headers),
-            time_left: time_left(text(&TIME_LEFT)?)?,
+            key: object_key(headers),
+            time_left: parse_time_left(text(&TIME_LEFT)?)?,
             work,
-            repeat: text(&REPEAT) == Some("1"),
+            is_retry: text(&REPEAT) == Some("1"),
         })
     }
 }
 
-/// Reads a time such as `480m` (milliseconds) or `480000u` (microseconds).
-fn time_left(text: &str) -> Option<Micros> {
+/// Parses a time such as `480m` (milliseconds) or `480000u` (microseconds).
+fn parse_time_left(text: &str) -> Option<Micros> {
     let (number, unit) = match text.strip_suffix('m') {
         Some(number) => (number, 1000.0),
         None => (text.strip_suffix('u')?, 1.0),
     };
-    let digits = |b: u8| b.is_ascii_digit() || b == b'.';
+    let is_digit = |b: u8| b.is_ascii_digit() || b == b'.';
     let number: f64 = Some(number)
-        .filter(|n| n.bytes().all(digits))?
+        .filter(|n| n.bytes().all(is_digit))?
         .parse()
         .ok()?;
-    Some(((number * unit).min(MAX_WAIT as f64)) as Micros)
+    Some(((number * unit).min(MAX_TIME_LEFT as f64)) as Micros)
 }
 
-/// What the request is about: the cookie `obj`, a hexadecimal number or any other text.
-fn object(headers: &HeaderMap) -> Option<u64> {
+/// The object of a request: the cookie `obj`, a hexadecimal number or any other text.
+fn object_key(headers: &HeaderMap) -> Option<u64> {
     let cookies = headers
         .get_all(header::COOKIE)
         .iter()
--- a/src/bin/sidecar/request_headers/tests.rs
+++ b/src/bin/sidecar/request_headers/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `facts.rs`.
+//! Tests of `request_headers.rs`.
 
 use super::*;
 
@@ -12,12 +12,15 @@
         ("1e9m", -1),
     ];
     for (text, us) in read {
-        assert_eq!(time_left(text).unwrap_or(-1), us, "{text}");
+        assert_eq!(parse_time_left(text).unwrap_or(-1), us, "{text}");
     }
-    assert_eq!(time_left(&("9".repeat(400) + "m")), Some(MAX_WAIT));
+    assert_eq!(
+        parse_time_left(&("9".repeat(400) + "m")),
+        Some(MAX_TIME_LEFT)
+    );
     for bad in [
         "", "m", "480", "480s", "-1m", "+1m", " 1m", "1 m", "infm", "NaNu", "1.2.3m", ".",
     ] {
-        assert_eq!(time_left(bad), None, "{bad}");
+        assert_eq!(parse_time_left(bad), None, "{bad}");
     }
 }
--- a/src/bin/sidecar/session.rs
+++ b/src/bin/sidecar/session.rs
@@ -1,4 +1,4 @@
-//! One client connection, from its accept to its close.
+//! One client connection, from accept to close.
 
 use crate::client::Client;
 use crate::client_socket::ClientSocket;
@@ -19,102 +19,111 @@
 use tokio::sync::{OwnedSemaphorePermit, watch};
 use tokio::time::{sleep, timeout};
 
-/// Longest head of a request.
+/// Longest request head, in bytes.
 const MAX_HEAD_BYTES: usize = 32 << 10;
-/// A connection that stays without a whole head this long is closed, and sooner once told to stop.
-/// Anyone may connect and say little or nothing, and is owed an error or a close within 3 s;
-/// clients keep theirs for 2 s.
-const IDLE: Duration = Duration::from_millis(2300);
-const IDLE_AT_STOP: Duration = Duration::from_millis(500);
-/// Time in which the runtime sees what the system holds already.
-const LAST_LOOK: Duration = Duration::from_millis(2);
-/// How often it is given that time again, as more keeps coming. A request that is being answered
-/// holds up what came behind it, so this has to end.
-const MAX_LOOKS: usize = 3;
+/// A connection without a complete request head for this long is closed, and sooner during a
+/// shutdown. Silent clients must get an error or a close within 3 s; well-behaved clients keep
+/// their connections for 2 s.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2300);
+const SHUTDOWN_IDLE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time in which the runtime notices what the system has already received.
+const FINAL_POLL_TIME: Duration = Duration::from_millis(2);
+/// How often that time is granted while more bytes keep arriving. Limited, because a request that
+/// is being answered delays those behind it.
+const MAX_FINAL_POLLS: usize = 3;
 
-/// What every connection is served with.
+/// The context shared by all client connections.
 #[derive(Clone)]
 pub struct Session {
     /// The classes and tenants.
-    pub lanes: Rc<RequestClasses>,
+    pub request_classes: Rc<RequestClasses>,
     /// The engine.
     pub handle: EngineHandle,
-    /// Whether connections have to make way for new ones.
-    pub crowded: watch::Receiver<bool>,
-    /// How long a client may take to make room for an answer.
-    pub slowest: Duration,
-    /// How far a planned stop has come.
-    pub stop: watch::Receiver<ShutdownStage>,
+    /// Whether idle connections have to close for new ones.
+    pub is_full: watch::Receiver<bool>,
+    /// How long a client may leave an answer unread.
+    pub stall_timeout: Duration,
+    /// The stage of the shutdown.
+    pub shutdown: watch::Receiver<ShutdownStage>,
 }
 
 impl Session {
-    /// Serves a connection and closes it. The process waits with its end until this has ended.
-    pub async fn run(self, stream: TcpStream, _place: Option<OwnedSemaphorePermit>) {
-        // Without it an answer could wait for an acknowledgement; it is no reason to turn anyone
-        // away.
+    /// Serves a connection and closes it. The process does not exit before this has completed.
+    pub async fn run(self, stream: TcpStream, _permit: Option<OwnedSemaphorePermit>) {
+        // Without it an answer may wait for an acknowledgement, but failing to set it is no reason
+        // to reject the connection.
         let _ = stream.set_nodelay(true);
         let client = Rc::new(Client::new(stream));
-        self.converse(&client).await;
-        linger(client.stream(), self.crowding()).await;
+        self.serve_requests(&client).await;
+        linger(client.stream(), self.wait_until_full()).await;
     }
 
-    /// Answers requests until the connection is to be closed and every answer is out.
-    async fn converse(&self, client: &Rc<Client>) {
-        let idle = if *self.stop.borrow() == ShutdownStage::No {
-            IDLE
+    /// Serves requests until the connection is to be closed and every answer is written.
+    async fn serve_requests(&self, client: &Rc<Client>) {
+        let idle = if *self.shutdown.borrow() == ShutdownStage::Running {
+            IDLE_TIMEOUT
         } else {
-            IDLE_AT_STOP
+            SHUTDOWN_IDLE_TIMEOUT
         };
-        let (this, asking) = (self.clone(), Rc::clone(client));
+        let (session, served_client) = (self.clone(), Rc::clone(client));
         let service = service_fn(move |request| {
-            let answering = asking.begin();
-            let (lanes, handle, stop) = (
-                Rc::clone(&this.lanes),
-                this.handle.clone(),
-                this.stop.clone(),
+            let guard = served_client.begin_request();
+            let (request_classes, handle, shutdown) = (
+                Rc::clone(&session.request_classes),
+                session.handle.clone(),
+                session.shutdown.clone(),
+            );
+            let reply = serve(
+                request_classes,
+                handle,
+                request,
+                Rc::clone(&served_client),
+                shutdown,
             );
-            let reply = serve(lanes, handle, request, Rc::clone(&asking), stop);
             async move {
-                let _answering = answering;
+                let _guard = guard;
                 reply.await
             }
         });
-        let inlet = ClientSocket::new(Rc::clone(client), idle - LAST_LOOK, self.slowest);
+        let socket = ClientSocket::new(
+            Rc::clone(client),
+            idle - FINAL_POLL_TIME,
+            self.stall_timeout,
+        );
         let mut builder = http1::Builder::new();
         builder
             .timer(TokioTimer::new())
             .header_read_timeout(idle)
             .max_buf_size(MAX_HEAD_BYTES);
-        let mut connection = pin!(builder.serve_connection(TokioIo::new(inlet), service));
+        let mut connection = pin!(builder.serve_connection(TokioIo::new(socket), service));
         tokio::select! {
             biased;
-            // What is wrong with a connection concerns its client alone, who has been told 400 or
-            // has left.
+            // Errors of a connection concern only its client, which got a 400 or has disconnected.
             _ = connection.as_mut() => return,
-            () = self.stopped(ShutdownStage::Closing) => {}
-            () = self.crowding() => {}
+            () = self.wait_for_stage(ShutdownStage::Closing) => {}
+            () = self.wait_until_full() => {}
         }
-        // A request that has come in but was not seen yet is still read: closing on it would cost
-        // its client a second one.
-        for _ in 0..MAX_LOOKS {
-            if timeout(LAST_LOOK, connection.as_mut()).await.is_ok() {
+        // A request that has arrived unnoticed is still served: closing now would cost its client a
+        // retry.
+        for _ in 0..MAX_FINAL_POLLS {
+            if timeout(FINAL_POLL_TIME, connection.as_mut()).await.is_ok() {
                 return;
             }
-            if !client.unread() {
+            if !client.has_unread_bytes() {
                 break;
             }
         }
-        let patience = async {
+        let grace = async {
             tokio::select! {
                 biased;
-                () = self.crowding() => {}
-                () = sleep(IDLE_AT_STOP) => {}
+                () = self.wait_until_full() => {}
+                () = sleep(SHUTDOWN_IDLE_TIMEOUT) => {}
             }
         };
         let ended = tokio::select! {
             biased;
-            ended = settle(connection.as_mut(), client, patience) => ended,
-            () = self.stopped(ShutdownStage::Now) => false,
+            ended = finish(connection.as_mut(), client, grace) => ended,
+            () = self.wait_for_stage(ShutdownStage::Immediate) => false,
         };
         if !ended {
             connection.as_mut().graceful_shutdown();
@@ -122,24 +131,24 @@
         }
     }
 
-    /// Waits until connections have to make way for new ones.
-    async fn crowding(&self) {
+    /// Waits until idle connections have to close for new ones.
+    async fn wait_until_full(&self) {
         if self
-            .crowded
+            .is_full
             .clone()
             .wait_for(|crowded| *crowded)
             .await
             .is_err()
         {
-            // No more are accepted.
+            // No more connections are accepted.
             pending().await
         }
     }
 
-    /// Waits until a planned stop has come so far.
-    pub async fn stopped(&self, stage: ShutdownStage) {
+    /// Waits until the shutdown has reached a stage.
+    pub async fn wait_for_stage(&self, stage: ShutdownStage) {
         if self
-            .stop
+            .shutdown
             .clone()
             .wait_for(|stop| *stop >= stage)
             .await
@@ -150,26 +159,25 @@
     }
 }
 
-/// Drives a connection until it has ended, which is told, or holds nothing more that is to be
-/// waited for: a request that has come in part, or that the client of a new connection is about to
-/// send, while there is patience; requests that have come behind the one that is being answered,
-/// for as long as a connection may stay without one.
-async fn settle(
+/// Drives a connection until it has ended, which returns `true`, or until nothing more is waited
+/// for: during the grace period, a request that has partly arrived or that a new client is about to
+/// send; for the idle timeout, requests pipelined behind the one that is being answered.
+async fn finish(
     mut connection: Pin<&mut impl Future>,
     client: &Client,
-    patience: impl Future<Output = ()>,
+    grace: impl Future<Output = ()>,
 ) -> bool {
-    let (mut patience, mut behind) = (pin!(patience), pin!(sleep(IDLE)));
-    let mut impatient = false;
+    let (mut grace, mut pipelined) = (pin!(grace), pin!(sleep(IDLE_TIMEOUT)));
+    let mut grace_over = false;
     poll_fn(|cx| {
         if connection.as_mut().poll(cx).is_ready() {
             return Poll::Ready(true);
         }
-        impatient = impatient || patience.as_mut().poll(cx).is_ready();
-        let expected = if client.answering() {
-            client.in_hand() && behind.as_mut().poll(cx).is_pending()
+        grace_over = grace_over || grace.as_mut().poll(cx).is_ready();
+        let expected = if client.is_answering() {
+            client.has_partial_request() && pipelined.as_mut().poll(cx).is_pending()
         } else {
-            (client.in_hand() || client.silent()) && !impatient
+            (client.has_partial_request() || client.received_nothing()) && !grace_over
         };
         if expected {
             Poll::Pending
--- a/src/bin/sidecar/shutdown.rs
+++ b/src/bin/sidecar/shutdown.rs
@@ -3,12 +3,12 @@
 /// The stages, in their order.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownStage {
-    /// In service.
-    No,
-    /// Connections close once what is open on them is answered.
+    /// Serving normally.
+    Running,
+    /// Connections close once their open requests are answered.
     Closing,
     /// New connections are no longer accepted.
-    Closed,
-    /// What is still open is failed at once.
-    Now,
+    NotAccepting,
+    /// Requests that are still open fail at once.
+    Immediate,
 }
--- a/src/bin/sidecar/snapshot.rs
+++ b/src/bin/sidecar/snapshot.rs
@@ -1,5 +1,5 @@
-//! Hosts the stored state: what was known before a restart goes to the engine, what is known now
-//! goes to the writer.
+//! Hosts the snapshot: passes the stored state to the engine at the start, and the engine's state
+//! to the writer afterwards.
 
 mod metrics;
 
@@ -7,9 +7,9 @@
 use crate::config::Config;
 use crate::exit_error::ExitError;
 use crate::host_list::HostList;
-use crate::messages::{Exported, Input, Inputs};
+use crate::messages::{ExportedEndpoints, Input, InputSender};
 use crate::report::say;
-use crate::stored_form::{Lists, restored, stored};
+use crate::stored_form::{StoredList, to_named, to_process};
 use load_balancer_common::cli::Exit;
 use load_balancer_snapshot::{
     Begun, Changes, Directory, Found, IncarnationRecord, Micros, Process, Processes,
@@ -21,34 +21,34 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Longest name of a sidecar here, in bytes: with its cluster's it is the owner of what is kept.
+/// Longest name of a sidecar, in bytes; with the cluster's name it is the owner of the snapshot.
 const MAX_NAME_BYTES: usize = 200;
-/// How often latency ratios are kept anew while no circuit opens or closes: a twelfth of the time
-/// for which it is believed.
-const LATENCY_STORE_INTERVAL: Micros = 5_000_000;
-/// How soon a disk that failed is tried again.
-const AGAIN: Duration = Duration::from_secs(10);
+/// How often processes are stored while no circuit opens or closes: a twelfth of the time for which
+/// their latency ratios are valid.
+const PROCESS_STORE_INTERVAL_US: Micros = 5_000_000;
+/// Delay before a failed disk is tried again.
+const DISK_RETRY_DELAY: Duration = Duration::from_secs(10);
 
-/// What is kept, of a sidecar that runs.
+/// The snapshot of a running sidecar.
 #[derive(Clone)]
 pub struct SnapshotHost(Rc<Inner>);
 
 struct Inner {
     writer: Writer,
-    every: Duration,
+    interval: Duration,
     clock: Clock,
     incarnation_record: Option<IncarnationRecord>,
-    lists: RefCell<Lists>,
-    known: RefCell<Vec<Process>>,
-    /// Endpoints whose circuits were open as ejections were kept last, and when that was.
-    open: RefCell<Vec<String>>,
-    kept: Cell<Micros>,
+    lists: RefCell<StoredList>,
+    restored_processes: RefCell<Vec<Process>>,
+    /// Endpoints whose circuits were open when processes were last stored, and the time of that.
+    open_circuits: RefCell<Vec<String>>,
+    processes_stored_at: Cell<Micros>,
 }
 
 impl SnapshotHost {
-    /// Begins an incarnation of `name` in the directory of the section, where it names one; a list
-    /// that is newer than the platform's takes its place. Waits for the disk no longer than the
-    /// section says.
+    /// Starts an incarnation of the named sidecar in the section's directory, if it has one. A
+    /// stored list that is newer than the platform's replaces it. Waits for the disk no longer than
+    /// the section permits.
     pub fn begin(
         section: &SnapshotSection,
         cluster: &str,
@@ -63,16 +63,16 @@
             return Err(ExitError::new(what, Exit::Config));
         }
         let owner = format!("{cluster}/{}", config.name);
-        let take = move || Directory::take(&dir);
+        let open_directory = move || Directory::take(&dir);
         let (writer, begun) = Writer::start(
-            take,
+            open_directory,
             owner,
             move || clock.now(),
             section.start_timeout.0,
-            AGAIN,
+            DISK_RETRY_DELAY,
         );
         let now = clock.now();
-        let (incarnation_record, believed) = match begun {
+        let (incarnation_record, valid) = match begun {
             Begun::InUse(what) => {
                 let what = format!("snapshot.dir: {what}");
                 return Err(ExitError::new(what, Exit::Unavailable));
@@ -84,44 +84,44 @@
                     began: now,
                     ended: None,
                 };
-                (Some(incarnation_record), told(*found, now, section))
+                (Some(incarnation_record), log_found(*found, now, section))
             }
         };
-        let lists = Lists::begin(believed.list, config);
+        let lists = StoredList::restore(valid.list, config);
         let state = Self(Rc::new(Inner {
             writer,
-            every: section.interval.0,
+            interval: section.interval.0,
             clock,
             incarnation_record,
             lists: RefCell::new(lists),
-            known: RefCell::new(believed.processes),
-            open: RefCell::default(),
-            kept: Cell::new(Micros::MIN),
+            restored_processes: RefCell::new(valid.processes),
+            open_circuits: RefCell::default(),
+            processes_stored_at: Cell::new(Micros::MIN),
         }));
-        state.say();
+        state.log_writer_lines();
         Ok(Some(state))
     }
 
-    /// This incarnation's number, where one could be reserved.
+    /// This incarnation's number, if one could be reserved.
     pub fn incarnation(&self) -> Option<u64> {
         self.0
             .incarnation_record
             .map(|incarnation_record| incarnation_record.incarnation)
     }
 
-    /// A list, or changes to one.
-    pub fn listed(&self, list: &HostList, full: bool) {
+    /// Applies a list, or changes to one.
+    pub fn update_list(&self, list: &HostList, full: bool) {
         self.0
             .lists
             .borrow_mut()
-            .take(list, full, self.0.clock.now());
+            .update(list, full, self.0.clock.now());
     }
 
-    /// Tells the engine what was known, and from now on keeps what it knows.
-    pub fn host(&self, inputs: &Inputs, configuration: String) {
-        let known = self.0.known.take();
+    /// Passes the restored state to the engine, and from now on stores the engine's state.
+    pub fn start_storing(&self, inputs: &InputSender, configuration: String) {
+        let known = self.0.restored_processes.take();
         if !known.is_empty() {
-            inputs.send(Input::Restored(known.into_iter().map(restored).collect()));
+            inputs.send(Input::Restored(known.into_iter().map(to_named).collect()));
         }
         let first = Changes {
             configuration: Some(configuration),
@@ -132,20 +132,20 @@
         let (this, inputs) = (self.clone(), inputs.clone());
         spawn_local(async move {
             loop {
-                sleep(this.0.every).await;
+                sleep(this.0.interval).await;
                 let Some(exported) = inputs.export().await else {
                     return;
                 };
                 let changes = this.changes(exported, false);
                 this.0.writer.commit(changes);
-                this.say();
+                this.log_writer_lines();
             }
         });
     }
 
-    /// The process is told to stop: hands over what it knows, marked as a clean end. Whether that
-    /// is written in time is not waited for; it has as long as requests are still accepted.
-    pub fn stop(&self, inputs: &Inputs) {
+    /// Handles the shutdown: stores the engine's state, marked as a clean end. Does not wait for
+    /// the disk; the write has as long as requests are still accepted.
+    pub fn stop(&self, inputs: &InputSender) {
         let (this, inputs) = (self.clone(), inputs.clone());
         spawn_local(async move {
             let Some(exported) = inputs.export().await else {
@@ -164,32 +164,34 @@
         });
     }
 
-    /// What is worth keeping anew.
-    fn changes(&self, exported: Exported, last: bool) -> Changes {
-        let Exported {
+    /// The parts of the state that are due to be stored.
+    fn changes(&self, exported: ExportedEndpoints, is_last: bool) -> Changes {
+        let ExportedEndpoints {
             listed,
             endpoints: known,
         } = exported;
         let (now, inner) = (self.0.clock.now(), &self.0);
-        let mut open: Vec<String> = known
+        let mut open_circuits: Vec<String> = known
             .iter()
             .filter(|endpoint| endpoint.known.circuit_open)
             .map(|endpoint| endpoint.name.clone())
             .collect();
-        open.sort_unstable();
-        let due =
-            now.saturating_sub(inner.kept.get()) >= LATENCY_STORE_INTERVAL && !known.is_empty();
-        let list = inner.lists.borrow_mut().due(now, last);
-        let processes = (last || due || *inner.open.borrow() != open).then(|| {
-            inner.kept.set(now);
-            inner.open.replace(open);
-            let all = known.into_iter().map(stored).collect();
-            Processes {
-                seen: now,
-                listed: u32::try_from(listed).unwrap_or(u32::MAX),
-                all,
-            }
-        });
+        open_circuits.sort_unstable();
+        let is_due = now.saturating_sub(inner.processes_stored_at.get())
+            >= PROCESS_STORE_INTERVAL_US
+            && !known.is_empty();
+        let list = inner.lists.borrow_mut().take_due(now, is_last);
+        let processes =
+            (is_last || is_due || *inner.open_circuits.borrow() != open_circuits).then(|| {
+                inner.processes_stored_at.set(now);
+                inner.open_circuits.replace(open_circuits);
+                let stored_processes = known.into_iter().map(to_process).collect();
+                Processes {
+                    seen: now,
+                    listed: u32::try_from(listed).unwrap_or(u32::MAX),
+                    all: stored_processes,
+                }
+            });
         Changes {
             list,
             processes,
@@ -197,28 +199,28 @@
         }
     }
 
-    /// Says what the writer has to say.
-    fn say(&self) {
+    /// Logs the writer's messages.
+    fn log_writer_lines(&self) {
         for line in self.0.writer.lines() {
             say!(warn, "sidecar::state", "{line}");
         }
     }
 }
 
-/// Says what was found; what of it is believed.
-fn told(found: Found, now: Micros, section: &SnapshotSection) -> ValidSnapshot {
+/// Logs what was found; returns the part of it that is still valid.
+fn log_found(found: Found, now: Micros, section: &SnapshotSection) -> ValidSnapshot {
     let Found {
         known, incarnation, ..
     } = found;
-    let end = match known.incarnation_record {
+    let previous_end = match known.incarnation_record {
         None => "nothing was kept",
         Some(IncarnationRecord { ended: Some(_), .. }) => "the last life ended cleanly",
         Some(_) => "the last life ended without a word",
     };
-    let believed = validate(known, now, section.bounds());
-    let endpoints = believed.list.as_ref().map_or(0, |list| list.entries.len());
-    let open = believed.processes.iter().filter(|p| p.open).count();
-    let rest: String = believed
+    let valid = validate(known, now, section.bounds());
+    let endpoints = valid.list.as_ref().map_or(0, |list| list.entries.len());
+    let open = valid.processes.iter().filter(|p| p.open).count();
+    let left_out: String = valid
         .left_out
         .iter()
         .map(|what| format!(", {what}"))
@@ -226,8 +228,8 @@
     say!(
         info,
         "sidecar::state",
-        "{end}: {endpoints} endpoints, pace of {}, {open} open circuits{rest}; incarnation {incarnation}",
-        believed.processes.len()
+        "{previous_end}: {endpoints} endpoints, pace of {}, {open} open circuits{left_out}; incarnation {incarnation}",
+        valid.processes.len()
     );
-    believed
+    valid
 }
--- a/src/bin/sidecar/snapshot/metrics.rs
+++ b/src/bin/sidecar/snapshot/metrics.rs
@@ -1,13 +1,13 @@
-//! The metrics of stored state.
+//! The metrics of the snapshot.
 
 use super::SnapshotHost;
 use load_balancer_common::metering::Figures;
 
 impl SnapshotHost {
-    /// Brings its figures up to date.
-    pub fn count(&self, figures: &Figures) {
+    /// Updates the metrics.
+    pub fn update_metrics(&self, figures: &Figures) {
         let counts = self.0.writer.counts();
-        for (name, what, total) in [
+        for (name, help, total) in [
             (
                 "sidecar_state_commits_total",
                 "Commits of what is kept, each with a sync.",
@@ -34,7 +34,7 @@
                 counts.quarantined,
             ),
         ] {
-            figures.counter(name, what, &[]).absolute(total);
+            figures.counter(name, help, &[]).absolute(total);
         }
         let failing = figures.gauge("sidecar_state_failing", "1 while nothing can be kept.", &[]);
         failing.set(f64::from(u8::from(counts.failing)));
--- a/src/bin/sidecar/stored_form.rs
+++ b/src/bin/sidecar/stored_form.rs
@@ -1,113 +1,117 @@
-//! Converts the endpoint list and what is known of endpoints to and from the stored form.
+//! Converts the endpoint list and the endpoints' state to and from the stored form.
 
 use crate::config::Config;
-use crate::host_list::{Host, HostList, HostStatus};
+use crate::host_list::{HostList, HostStatus, ListedHost};
 use crate::messages::NamedEndpoint;
 use load_balancer::RestoredEndpoint;
 use load_balancer_snapshot::{Entry, List, Micros, Process};
 use std::collections::BTreeMap;
 
-/// How often a list is kept anew that discovery only confirms: a tenth of the time for which it is
-/// believed.
-const CONFIRMED_EVERY: Micros = 60_000_000;
+/// How often a list that discovery merely confirms is stored again: a tenth of the time for which
+/// it is valid.
+const LIST_STORE_INTERVAL_US: Micros = 60_000_000;
 
-/// The list as it is followed, to be kept.
+/// The endpoint list in its stored form, kept up to date.
 #[derive(Default)]
-pub struct Lists {
+pub struct StoredList {
     index: u64,
     entries: BTreeMap<String, Entry>,
-    /// When discovery last said something; before it does there is nothing to keep.
-    seen: Option<Micros>,
-    /// The list of the start has been taken.
-    begun: bool,
+    /// When discovery last answered; before that there is nothing to store.
+    confirmed_at: Option<Micros>,
+    /// Whether the initial list was received.
+    has_initial_list: bool,
     changed: bool,
-    kept: Micros,
+    stored_at: Micros,
 }
 
-impl Lists {
-    /// Begins with what was kept: where it is newer than the platform's it takes that one's place.
-    /// Discovery is asked for what came after the platform's version all the same, so that it need
-    /// not know the kept one.
-    pub fn begin(kept: Option<List>, config: &mut Config) -> Self {
-        let platform = config.known.as_ref().map_or(0, |list| list.index);
-        if let Some(list) = kept.filter(|list| list.index > platform) {
-            let endpoints = list.entries.into_iter().map(host).collect();
-            config.known = Some(HostList {
+impl StoredList {
+    /// Starts with the stored list: if it is newer than the platform's, it replaces that one.
+    /// Discovery is still asked for changes since the platform's version, so that it need not know
+    /// the stored one.
+    pub fn restore(stored: Option<List>, config: &mut Config) -> Self {
+        let platform = config.cached_list.as_ref().map_or(0, |list| list.index);
+        if let Some(list) = stored.filter(|list| list.index > platform) {
+            let endpoints = list.entries.into_iter().map(from_entry).collect();
+            config.cached_list = Some(HostList {
                 index: platform,
                 snapshot: true,
                 endpoints,
-                unread: 0,
+                unreadable: 0,
             });
         }
         Self::default()
     }
 
-    /// Takes in a list or changes; the first is the one that the start began with.
-    pub fn take(&mut self, list: &HostList, full: bool, now: Micros) {
-        if full {
+    /// Applies a list or changes to one; the first call is for the initial list.
+    pub fn update(&mut self, list: &HostList, is_full: bool, now: Micros) {
+        if is_full {
             self.entries.clear();
         }
         for host in &list.endpoints {
             match host.status {
-                HostStatus::Left => drop(self.entries.remove(&host.name)),
-                _ => drop(self.entries.insert(host.name.clone(), entry(host))),
+                HostStatus::Removed => drop(self.entries.remove(&host.name)),
+                _ => drop(self.entries.insert(host.name.clone(), to_entry(host))),
             }
         }
-        if std::mem::replace(&mut self.begun, true) {
-            self.changed |=
-                !list.endpoints.is_empty() || self.index != list.index || self.seen.is_none();
-            self.seen = Some(now);
+        if std::mem::replace(&mut self.has_initial_list, true) {
+            self.changed |= !list.endpoints.is_empty()
+                || self.index != list.index
+                || self.confirmed_at.is_none();
+            self.confirmed_at = Some(now);
         }
         self.index = list.index;
     }
 
-    /// The list, where it is to be kept anew.
-    pub fn due(&mut self, now: Micros, last: bool) -> Option<List> {
-        let seen = self.seen?;
-        if !(self.changed || last || now.saturating_sub(self.kept) >= CONFIRMED_EVERY) {
+    /// The list, if it is due to be stored.
+    pub fn take_due(&mut self, now: Micros, is_last: bool) -> Option<List> {
+        let confirmed_at = self.confirmed_at?;
+        if !(self.changed
+            || is_last
+            || now.saturating_sub(self.stored_at) >= LIST_STORE_INTERVAL_US)
+        {
             return None;
         }
-        (self.changed, self.kept) = (false, now);
+        (self.changed, self.stored_at) = (false, now);
         Some(List {
             index: self.index,
-            seen,
+            seen: confirmed_at,
             entries: self.entries.values().cloned().collect(),
         })
     }
 }
 
-fn entry(host: &Host) -> Entry {
+fn to_entry(host: &ListedHost) -> Entry {
     Entry {
         name: host.name.clone(),
         address: host.address,
         zone: host.zone.clone(),
         kind: host.kind.clone(),
         group: host.group,
-        leaving: host.status == HostStatus::Leaving,
+        leaving: host.status == HostStatus::Draining,
         weight: host.weight,
-        since_ms: host.since_ms,
+        since_ms: host.started_ms,
     }
 }
 
-fn host(entry: Entry) -> Host {
-    Host {
+fn from_entry(entry: Entry) -> ListedHost {
+    ListedHost {
         name: entry.name,
         address: entry.address,
         zone: entry.zone,
         kind: entry.kind,
         group: entry.group,
         status: if entry.leaving {
-            HostStatus::Leaving
+            HostStatus::Draining
         } else {
             HostStatus::Active
         },
         weight: entry.weight,
-        since_ms: entry.since_ms,
+        started_ms: entry.since_ms,
     }
 }
 
-/// What was known of a process, as the engine is told; it knows the endpoint by its name.
-pub fn restored(process: Process) -> NamedEndpoint {
+/// The restored state of a process, for the engine, which identifies endpoints by name.
+pub fn to_named(process: Process) -> NamedEndpoint {
     let endpoint = RestoredEndpoint {
         endpoint: 0,
         started: process.started,
@@ -123,8 +127,8 @@
     }
 }
 
-/// What the engine knows of a process, in the form in which it is stored.
-pub fn stored(NamedEndpoint { name, known }: NamedEndpoint) -> Process {
+/// The state of a process in its stored form.
+pub fn to_process(NamedEndpoint { name, known }: NamedEndpoint) -> Process {
     Process {
         name,
         started: known.started,
--- a/src/bin/sidecar/timers.rs
+++ b/src/bin/sidecar/timers.rs
@@ -1,4 +1,4 @@
-//! The timers that the decision module has set.
+//! The timers set by the decision module.
 
 use crate::clock::Clock;
 use load_balancer::Micros;
@@ -6,37 +6,37 @@
 use std::collections::BinaryHeap;
 use tokio::time::{Instant, sleep_until};
 
-/// Timers by when they are due.
+/// Timers by due time.
 pub struct Timers {
     clock: Clock,
-    all: BinaryHeap<Reverse<(Micros, u64)>>,
+    timers: BinaryHeap<Reverse<(Micros, u64)>>,
 }
 
 impl Timers {
-    /// None yet.
+    /// Starts without timers.
     pub fn new(clock: Clock) -> Self {
         Self {
             clock,
-            all: BinaryHeap::new(),
+            timers: BinaryHeap::new(),
         }
     }
 
-    /// Sets one.
+    /// Sets a timer.
     pub fn set(&mut self, after: Micros, token: u64) {
-        self.all
+        self.timers
             .push(Reverse((self.clock.now().saturating_add(after), token)));
     }
 
-    /// When the next is due.
-    fn next(&self) -> Option<Instant> {
-        self.all
+    /// When the next timer is due.
+    fn next_due(&self) -> Option<Instant> {
+        self.timers
             .peek()
             .map(|Reverse((at, _))| self.clock.instant(*at))
     }
 
-    /// Waits until the next is due, for good where there is none.
+    /// Waits until the next timer is due, forever if there is none.
     pub fn wait(&self) -> impl Future<Output = ()> + use<> {
-        let next = self.next();
+        let next = self.next_due();
         async move {
             match next {
                 Some(at) => sleep_until(at).await,
@@ -45,9 +45,9 @@
         }
     }
 
-    /// Takes one that was due at that time.
-    pub fn due(&mut self, now: Micros) -> Option<u64> {
-        self.all.peek().filter(|Reverse((at, _))| *at <= now)?;
-        self.all.pop().map(|Reverse((_, token))| token)
+    /// Removes and returns a timer that is due at `now`.
+    pub fn take_due(&mut self, now: Micros) -> Option<u64> {
+        self.timers.peek().filter(|Reverse((at, _))| *at <= now)?;
+        self.timers.pop().map(|Reverse((_, token))| token)
     }
 }
--- a/src/bin/sidecar/upstream.rs
+++ b/src/bin/sidecar/upstream.rs
@@ -1,9 +1,11 @@
-//! Attempts at endpoints: how one is made, and how its end is read.
+//! Attempts at endpoints: sends a request and interprets the response.
 
-use crate::attempt::{Destination, Reply, Times, To, barred};
+use crate::attempt::{AttemptResult, AttemptTarget, AttemptTimes, Destination, prevented_outcome};
 use crate::connection::WriteProgress;
-use crate::load_report::read_load;
-use crate::messages::{AttemptId, Ended, Input, Inputs, MAX_BODY_BYTES, Outgoing, Served};
+use crate::load_report::parse_load_report;
+use crate::messages::{
+    AttemptId, EndedAttempt, Input, InputSender, MAX_BODY_BYTES, OutgoingRequest, ServedAnswer,
+};
 use crate::pool::{DialError, Pool};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
@@ -17,41 +19,42 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// How long a probe may take.
-const PROBE_TIME: Duration = Duration::from_secs(1);
+/// Longest time of a probe.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
 const UNPROCESSED: HeaderName = HeaderName::from_static("x-unprocessed");
 const BACKEND_LOAD: HeaderName = HeaderName::from_static("x-backend-load");
 
-/// What makes attempts, over the connections of a pool.
+/// Makes attempts over the connections of a pool.
 pub struct Upstream {
     pool: Rc<Pool>,
 }
 
 impl Upstream {
-    /// Over these connections.
+    /// Uses the connections of that pool.
     pub fn new(pool: Rc<Pool>) -> Self {
         Self { pool }
     }
 
-    /// Makes one attempt and tells how it ended.
+    /// Makes one attempt and reports its end.
     pub async fn attempt(
         self: Rc<Self>,
         id: AttemptId,
         destination: Destination,
-        outgoing: Rc<Outgoing>,
-        times: Times,
-        inputs: Inputs,
+        outgoing: Rc<OutgoingRequest>,
+        times: AttemptTimes,
+        inputs: InputSender,
     ) {
         let endpoint = &*destination.endpoint;
         let reply = match destination.target {
             Some(target) => {
-                let to = To { target, endpoint };
-                self.within(times, to, &outgoing).await
+                let target_endpoint = AttemptTarget { target, endpoint };
+                self.exchange_within(times, target_endpoint, &outgoing)
+                    .await
             }
             None => Outcome::NotSent.into(),
         };
-        inputs.send(Input::Ended(Ended {
+        inputs.send(Input::AttemptEnded(EndedAttempt {
             id,
             outcome: reply.outcome,
             served: reply.served,
@@ -59,72 +62,77 @@
         }));
     }
 
-    /// An exchange inside its times.
-    async fn within(&self, times: Times, to: To<'_>, out: &Outgoing) -> Reply {
-        let progress = WriteProgress::new(out.body.len());
-        let mut exchange = pin!(self.exchange(to, out, &progress, times));
+    /// An exchange within its time limits.
+    async fn exchange_within(
+        &self,
+        times: AttemptTimes,
+        target_endpoint: AttemptTarget<'_>,
+        outgoing: &OutgoingRequest,
+    ) -> AttemptResult {
+        let progress = WriteProgress::new(outgoing.body.len());
+        let mut exchange = pin!(self.exchange(target_endpoint, outgoing, &progress, times));
         tokio::select! {
             biased;
             () = sleep_until(times.write_by) => {}
             reply = exchange.as_mut() => return reply,
         }
-        // What has not wholly been written never began, and is not to begin any more.
-        if !progress.complete() {
+        // A request that was not written completely has not begun, and must not begin any more.
+        if !progress.is_complete() {
             return Outcome::ConnectFailed.into();
         }
         tokio::select! {
             biased;
             reply = exchange.as_mut() => return reply,
-            () = sleep_until(times.until) => {}
+            () = sleep_until(times.deadline) => {}
         }
-        // An answer that has come by then counts, also where a process that was held up has not
-        // looked at it yet.
+        // A response that has arrived by then counts, even if the process was suspended and has not
+        // read it yet.
         yield_now().await;
-        let reply = timeout_at(times.until, exchange).await;
+        let reply = timeout_at(times.deadline, exchange).await;
         reply.unwrap_or(Outcome::TimedOut.into())
     }
 
     async fn exchange(
         &self,
-        to: To<'_>,
-        out: &Outgoing,
+        target_endpoint: AttemptTarget<'_>,
+        outgoing: &OutgoingRequest,
         progress: &WriteProgress,
-        times: Times,
-    ) -> Reply {
-        let To { target, endpoint } = to;
+        times: AttemptTimes,
+    ) -> AttemptResult {
+        let AttemptTarget { target, endpoint } = target_endpoint;
         loop {
-            if let Some(outcome) = barred(to, out, times) {
+            if let Some(outcome) = prevented_outcome(target_endpoint, outgoing, times) {
                 return outcome.into();
             }
-            let (mut connection, permit, reused) = match self.pool.reuse(endpoint).await {
+            let (mut connection, permit, reused) = match self.pool.take_idle(endpoint).await {
                 Some((connection, permit)) => (connection, permit, true),
                 None => match self.pool.dial(target.address).await {
                     Ok((mut connection, permit)) => {
-                        // Made ready to write at once, and then what has come meanwhile is heard
-                        // first: a client's leaving, the list.
-                        connection.turn().await;
+                        // Makes the connection ready to write, and then handles what has happened
+                        // in the meantime, such as a client's disconnect or a new list.
+                        connection.poll_driver_once().await;
                         yield_now().await;
                         (connection, permit, false)
                     }
-                    // For want of room here: no endpoint is to blame.
-                    Err(DialError::NoRoom) => return Outcome::NotSent.into(),
+                    // Local resources are exhausted, which is not the endpoint's fault.
+                    Err(DialError::Exhausted) => return Outcome::NotSent.into(),
                     Err(DialError::Unreachable) => return Outcome::ConnectFailed.into(),
                 },
             };
-            // It may have changed while it was dialled.
-            if let Some(outcome) = barred(to, out, times) {
+            // The destination may have changed while dialling.
+            if let Some(outcome) = prevented_outcome(target_endpoint, outgoing, times) {
                 return outcome.into();
             }
-            let Some(request) = out.request(times.until) else {
+            let Some(request) = outgoing.request(times.deadline) else {
                 return Outcome::NotSent.into();
             };
             let Ok(response) = connection.request(request, progress.clone()).await else {
-                // Closed by the endpoint in the moment it was taken up again, before anything was
+                // The endpoint closed the connection just as it was reused, before anything was
                 // written.
-                if reused && !progress.begun() {
+                if reused && !progress.has_started() {
                     continue;
                 }
-                return if progress.complete() {
+                return if progress.is_complete() {
                     Outcome::Reset.into()
                 } else {
                     Outcome::ConnectFailed.into()
@@ -134,76 +142,77 @@
             let body = connection
                 .drive(Limited::new(body, MAX_BODY_BYTES).collect())
                 .await;
-            let whole = body.as_ref().is_some_and(|b| b.is_ok());
+            let is_complete = body.as_ref().is_some_and(|b| b.is_ok());
             let load = head
                 .headers
                 .get(BACKEND_LOAD)
-                .map(read_load)
+                .map(parse_load_report)
                 .unwrap_or_default();
             let unprocessed = head.headers.get(UNPROCESSED).is_some_and(|v| v == "1");
-            if whole {
+            if is_complete {
                 self.pool.park(endpoint, target, connection, permit).await;
             }
             return match (head.status, body) {
                 (StatusCode::OK, Some(Ok(body))) => {
-                    let served = Served {
+                    let served = ServedAnswer {
                         headers: head.headers,
                         body: body.to_bytes(),
                     };
-                    Reply {
+                    AttemptResult {
                         outcome: Outcome::Ok,
                         served: Some(served),
                         load,
                     }
                 }
                 (StatusCode::OK, Some(Err(e))) if e.is::<http_body_util::LengthLimitError>() => {
-                    Reply::of(Outcome::Error, load)
+                    AttemptResult::without_answer(Outcome::Error, load)
                 }
-                (StatusCode::OK, _) => Reply::of(Outcome::Reset, load),
-                // One that breaks off can't be read as what it promises to be.
+                (StatusCode::OK, _) => AttemptResult::without_answer(Outcome::Reset, load),
+                // An incomplete response does not count as the rejection it claims to be.
                 (StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT, Some(Ok(_)))
                     if unprocessed =>
                 {
-                    Reply::of(Outcome::Rejected, load)
+                    AttemptResult::without_answer(Outcome::Rejected, load)
                 }
-                _ => Reply::of(Outcome::Error, load),
+                _ => AttemptResult::without_answer(Outcome::Error, load),
             };
         }
     }
 
-    /// Probes an endpoint, where the settings allow it, and tells how that ended.
-    pub async fn probe(self: Rc<Self>, id: usize, inputs: Inputs) {
+    /// Probes an endpoint, if the settings permit it, and reports the outcome.
+    pub async fn probe(self: Rc<Self>, id: usize, inputs: InputSender) {
         let (start, endpoint) = (Instant::now(), self.pool.endpoint(id));
         let mut headers = HeaderMap::new();
         headers.insert(hyper::header::HOST, HeaderValue::from_static("endpoint"));
         let uri = Uri::from_static("/alive");
-        let outgoing = Outgoing {
+        let outgoing = OutgoingRequest {
             method: Method::GET,
             uri,
             headers,
             body: Bytes::new(),
-            settled: Cell::new(false),
+            is_answered: Cell::new(false),
         };
-        let until = start + PROBE_TIME;
-        let times = Times {
-            write_by: until,
-            until,
+        let deadline = start + PROBE_TIMEOUT;
+        let times = AttemptTimes {
+            write_by: deadline,
+            deadline,
         };
         let reply = match endpoint.target() {
             Some(target) => {
-                let to = To {
+                let target_endpoint = AttemptTarget {
                     target,
                     endpoint: &endpoint,
                 };
-                self.within(times, to, &outgoing).await
+                self.exchange_within(times, target_endpoint, &outgoing)
+                    .await
             }
             None => Outcome::ConnectFailed.into(),
         };
-        let took = Micros::try_from(start.elapsed().as_micros()).unwrap_or(Micros::MAX);
-        inputs.send(Input::Probed {
+        let elapsed = Micros::try_from(start.elapsed().as_micros()).unwrap_or(Micros::MAX);
+        inputs.send(Input::ProbeEnded {
             endpoint: id,
             outcome: reply.outcome,
-            took,
+            elapsed,
             load: reply.load,
         });
     }
--- a/src/bin/sidecar/watch_schedule.rs
+++ b/src/bin/sidecar/watch_schedule.rs
@@ -1,79 +1,79 @@
-//! Time-outs and waits of calls to discovery, and what follows a silent one. Pure.
+//! Waits and timeouts of the calls to discovery, and the reaction to calls that time out. Pure.
 
 use std::time::Duration;
 
-/// What a silent watch misses counts as told this long after it fell silent, as the protocol has
-/// it.
-const TOLD: Duration = Duration::from_secs(6);
-/// How long a connection, and how much longer than it may wait a call may take: this bounds one to
-/// which nothing comes back at all.
-pub const PATIENCE: Duration = Duration::from_secs(1);
-/// How long a watch lets discovery wait for news at the most. One that falls silent as it begins is
-/// so given up, asked for anew in vain and asked for once more before what it missed counts as
-/// told. Discovery sends no line of the list for a watch that ends without news, so a shorter one
-/// is not dearer to it.
-const WATCH: Duration = TOLD.saturating_sub(PATIENCE.saturating_mul(3));
-/// How long a call for the whole list may take once quick ones were in vain: an agent that is slow
-/// to answer is heard too.
-const SLOW: Duration = WATCH.saturating_add(Duration::from_millis(250));
-/// Least wait, as a part of that: sidecars whose watches were answered at once must not all ask
-/// again at once.
-const MIN_WAIT: f64 = 0.75;
+/// The protocol assumes that a change is known this long after a watch stops answering.
+const CHANGE_DEADLINE: Duration = Duration::from_secs(6);
+/// Timeout of connecting, and of a call beyond the time it may wait; limits calls to an unreachable
+/// discovery.
+pub const CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// Longest time a watch lets discovery wait for changes. With it, a watch that stops answering
+/// right after it began is given up, retried once without success and retried again before
+/// `CHANGE_DEADLINE`. Discovery sends no entries for a watch without changes, so a shorter time
+/// costs it no more.
+const MAX_WATCH_WAIT: Duration = CHANGE_DEADLINE.saturating_sub(CALL_TIMEOUT.saturating_mul(3));
+/// Timeout of a fetch of the whole list after fast ones have failed, for a discovery that answers
+/// slowly.
+const SLOW_FETCH_TIMEOUT: Duration = MAX_WATCH_WAIT.saturating_add(Duration::from_millis(250));
+/// Shortest wait as a fraction of that: sidecars whose watches were answered at the same time must
+/// not all call again at the same time.
+const MIN_WAIT_FRACTION: f64 = 0.75;
 
-/// A call for the list.
+/// The times of one call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Call {
-    /// How long it may wait for news; the whole list is asked for without waiting.
+pub struct CallTimes {
+    /// How long discovery may wait for changes; zero for a fetch of the whole list.
     pub wait: Duration,
-    /// How long it may take.
-    pub within: Duration,
+    /// How long the call may take.
+    pub timeout: Duration,
 }
 
-/// How a watch goes on.
+/// The state of a watch.
 pub struct WatchSchedule {
-    /// Calls in a row that may have missed something.
+    /// Consecutive calls that may have missed a change.
     missed: u32,
 }
 
 impl WatchSchedule {
-    /// One that begins; where a call before it has failed, with what that may have missed.
+    /// Starts a watch; after a failed call a change may have been missed.
     pub fn new(after_failure: bool) -> Self {
         Self {
             missed: u32::from(after_failure),
         }
     }
 
-    /// The next call, for news or, where no version is known, for the whole list; `chance` is from
-    /// 0 to 1.
-    pub fn call(&self, news: bool, chance: f64) -> Call {
-        // What was missed is asked for without a wait, so that a second silence costs little. Every
-        // other call takes long again: an agent that takes long for each answer is heard too.
-        if self.missed % 2 == 1 || (self.missed == 0 && !news) {
-            return Call {
+    /// The next call, for changes or, if no version is held, for the whole list; `random` is from 0
+    /// to 1.
+    pub fn next_call(&self, knows_version: bool, random: f64) -> CallTimes {
+        // After a missed call, changes are requested without a wait, so that a second failure costs
+        // little time. Every other call has a long timeout again, for a discovery that answers
+        // slowly.
+        if self.missed % 2 == 1 || (self.missed == 0 && !knows_version) {
+            return CallTimes {
                 wait: Duration::ZERO,
-                within: PATIENCE,
+                timeout: CALL_TIMEOUT,
             };
         }
-        if !news {
-            return Call {
+        if !knows_version {
+            return CallTimes {
                 wait: Duration::ZERO,
-                within: SLOW,
+                timeout: SLOW_FETCH_TIMEOUT,
             };
         }
-        let wait = WATCH.mul_f64(MIN_WAIT + (1.0 - MIN_WAIT) * chance);
-        Call {
+        let wait = MAX_WATCH_WAIT.mul_f64(MIN_WAIT_FRACTION + (1.0 - MIN_WAIT_FRACTION) * random);
+        CallTimes {
             wait,
-            within: wait + PATIENCE,
+            timeout: wait + CALL_TIMEOUT,
         }
     }
 
-    /// It was answered.
-    pub fn answered(&mut self) {
+    /// Records an answer.
+    pub fn record_answer(&mut self) {
         self.missed = 0;
     }
 
-    /// Nothing came back in time. The next call goes at once: this one has taken time enough.
-    pub fn silent(&mut self) {
+    /// Records a timeout. The next call follows at once, as this one has taken long enough.
+    pub fn record_timeout(&mut self) {
         self.missed = self.missed.saturating_add(1);
     }
 }
--- a/src/bin/sidecar/watch_schedule/tests.rs
+++ b/src/bin/sidecar/watch_schedule/tests.rs
@@ -1,15 +1,15 @@
-//! The times of calls for the list against those after which changes count as told.
+//! Tests that changes are received before the protocol assumes them to be known.
 
 use super::*;
 use load_balancer::{Action, Balancer, Event, ListUpdate, Micros, settings};
 use std::collections::BTreeSet;
 
-/// After a reload what discovery has to tell counts as told in this time.
-const TOLD_AFTER_RELOAD: Duration = Duration::from_secs(4);
-/// What an answer that comes at once may take on its way.
-const ON_ITS_WAY: Duration = Duration::from_millis(150);
-/// Longest times between two questions that settings may allow, in microseconds.
-const ASK_WITHIN: [Micros; 9] = [
+/// The same deadline after a reload.
+const RELOAD_CHANGE_DEADLINE: Duration = Duration::from_secs(4);
+/// Time that an immediate answer takes to arrive.
+const ANSWER_DELAY: Duration = Duration::from_millis(150);
+/// Values of the setting for the longest interval between fetches, in microseconds.
+const MAX_FETCH_INTERVALS: [Micros; 9] = [
     0,
     1,
     1000,
@@ -21,61 +21,67 @@
     (1 << 50) - 1,
 ];
 
-/// How a call ends that brings no list.
+/// How a call without a list ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Lost {
-    /// Nothing comes back.
+enum FailedCall {
+    /// There is no answer.
     Silent,
-    /// The connection never comes up.
+    /// The connection is never established.
     Unconnected,
-    /// It is refused, or answered at once with an error or something that is no list.
+    /// The connection is refused, or the answer is an error or not a list.
     Refused,
-    /// The connection is reset or closed just before the call would be given up.
+    /// The connection is reset or closed just before the call times out.
     ResetLate,
 }
 
-const LOST: [Lost; 4] = [
-    Lost::Silent,
-    Lost::Unconnected,
-    Lost::Refused,
-    Lost::ResetLate,
+const FAILED_CALLS: [FailedCall; 4] = [
+    FailedCall::Silent,
+    FailedCall::Unconnected,
+    FailedCall::Refused,
+    FailedCall::ResetLate,
 ];
 
-/// Follows a list as `discovery` and the engine do: the module says when to begin anew after a call
-/// that failed.
+/// Follows a list as `discovery` and the engine do: after a failed call the module requests the
+/// next watch.
 struct Follower {
     balancer: Balancer,
     timers: BTreeSet<(Micros, u64)>,
-    watching: WatchSchedule,
+    schedule: WatchSchedule,
     now: Micros,
-    news: bool,
-    chance: f64,
+    knows_version: bool,
+    random: f64,
 }
 
 impl Follower {
-    fn new(mode: &str, ask_within: Micros, news: bool, chance: f64, seed: u64) -> Self {
+    fn new(
+        mode: &str,
+        max_fetch_interval: Micros,
+        knows_version: bool,
+        random: f64,
+        seed: u64,
+    ) -> Self {
         let text = format!(
             r#"{{"Balancers":300,"Discovery":"{mode}","Index":0,
             "Lanes":[{{"AimUs":1000000,"DeadlineUs":2000000,"Effect":"pure","Name":"any"}}],
-            "Limits":{{"MaxAttempts":3}},"Rules":{{"AskWithinUs":{ask_within},"ColdShare":0.3,"OverloadFactor":3.0,
+            "Limits":{{"MaxAttempts":3}},"Rules":{{"AskWithinUs":{max_fetch_interval},"ColdShare":0.3,"OverloadFactor":3.0,
             "TipAfterUs":1500000,"WarmWithinUs":8900000}},"TickUs":5000}}"#
         );
         let settings = settings::decode(&text).expect("settings").settings;
         let balancer = Balancer::new(settings, seed).expect("usable settings");
-        let (timers, watching) = (BTreeSet::new(), WatchSchedule::new(false));
+        let (timers, schedule) = (BTreeSet::new(), WatchSchedule::new(false));
         let mut follower = Self {
             balancer,
             timers,
-            watching,
+            schedule,
             now: 1_000_000,
-            news,
-            chance,
+            knows_version,
+            random,
         };
         follower.handle(Event::Endpoints(ListUpdate::Cached(Vec::new())));
         follower
     }
 
-    /// Whether the module asks for a watch.
+    /// Passes an event to the module; returns whether it requests a watch.
     fn handle(&mut self, event: Event) -> bool {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
@@ -87,57 +93,70 @@
         actions.contains(&Action::Subscribe(true))
     }
 
-    /// Lets the next timer go off.
-    fn wake(&mut self) -> bool {
+    /// Fires the next timer.
+    fn fire_next_timer(&mut self) -> bool {
         let (at, token) = self.timers.pop_first().expect("a timer runs");
         self.now = self.now.max(at);
         self.handle(Event::Timer(token))
     }
 
-    /// A call that is lost in this way; returns when it began.
-    fn lose(&mut self, how: Lost) -> Micros {
-        let (begun, call) = (self.now, self.watching.call(self.news, self.chance));
-        let took = match how {
-            Lost::Silent => call.within,
-            Lost::Unconnected => PATIENCE.min(call.within),
-            Lost::Refused => Duration::ZERO,
-            Lost::ResetLate => call.within - Duration::from_millis(1),
+    /// Performs a call that fails in this way; returns when it began.
+    fn fail_call(&mut self, how: FailedCall) -> Micros {
+        let (started, call) = (
+            self.now,
+            self.schedule.next_call(self.knows_version, self.random),
+        );
+        let elapsed = match how {
+            FailedCall::Silent => call.timeout,
+            FailedCall::Unconnected => CALL_TIMEOUT.min(call.timeout),
+            FailedCall::Refused => Duration::ZERO,
+            FailedCall::ResetLate => call.timeout - Duration::from_millis(1),
         };
-        let ended = begun + took.as_micros() as Micros;
-        // What the module asks for while a call is out is not done.
+        let ended = started + elapsed.as_micros() as Micros;
+        // Requests of the module during a call have no effect.
         while self.timers.first().is_some_and(|timer| timer.0 <= ended) {
-            self.wake();
+            self.fire_next_timer();
         }
         self.now = ended;
         self.handle(Event::Endpoints(ListUpdate::Failed));
         match how {
-            Lost::Silent | Lost::Unconnected => self.watching.silent(),
-            Lost::Refused | Lost::ResetLate => {
-                while !self.wake() {}
-                self.watching = WatchSchedule::new(true);
+            FailedCall::Silent | FailedCall::Unconnected => self.schedule.record_timeout(),
+            FailedCall::Refused | FailedCall::ResetLate => {
+                while !self.fire_next_timer() {}
+                self.schedule = WatchSchedule::new(true);
             }
         }
-        begun
+        started
     }
 }
 
-/// Every order of so many lost calls.
-fn orders(calls: u32) -> impl Iterator<Item = Vec<Lost>> {
-    let kinds = LOST.len();
-    (0..kinds.pow(calls)).map(move |n| (0..calls).map(|i| LOST[n / kinds.pow(i) % kinds]).collect())
+/// Every sequence of that many failed calls.
+fn failure_sequences(calls: u32) -> impl Iterator<Item = Vec<FailedCall>> {
+    let kinds = FAILED_CALLS.len();
+    (0..kinds.pow(calls)).map(move |n| {
+        (0..calls)
+            .map(|i| FAILED_CALLS[n / kinds.pow(i) % kinds])
+            .collect()
+    })
 }
 
-/// When each call of every order begins, under all settings.
-fn every_order(calls: u32, check: impl Fn(&[Micros], &str)) {
+/// Checks the start times of the calls in every sequence, under all settings.
+fn check_every_sequence(calls: u32, check: impl Fn(&[Micros], &str)) {
     for mode in ["pushed", "on_request"] {
-        for ask_within in ASK_WITHIN {
-            for (news, chance) in [(false, 1.0), (true, 0.0), (true, 1.0)] {
-                for (seed, order) in orders(calls).enumerate() {
-                    let mut follower = Follower::new(mode, ask_within, news, chance, seed as u64);
-                    let begun: Vec<_> = order.iter().map(|how| follower.lose(*how)).collect();
+        for max_fetch_interval in MAX_FETCH_INTERVALS {
+            for (knows_version, random) in [(false, 1.0), (true, 0.0), (true, 1.0)] {
+                for (seed, sequence) in failure_sequences(calls).enumerate() {
+                    let mut follower =
+                        Follower::new(mode, max_fetch_interval, knows_version, random, seed as u64);
+                    let starts: Vec<_> = sequence
+                        .iter()
+                        .map(|how| follower.fail_call(*how))
+                        .collect();
                     check(
-                        &begun,
-                        &format!("{mode} {ask_within} {news} {order:?} {begun:?}"),
+                        &starts,
+                        &format!(
+                            "{mode} {max_fetch_interval} {knows_version} {sequence:?} {starts:?}"
+                        ),
                     );
                 }
             }
@@ -149,72 +168,78 @@
     time.as_micros() as Micros
 }
 
-// Invariant: a call that a change just missed, and one more, may be lost in whatever way: a third
-// begins in time for its answer before the change counts as told.
+// Invariant: the call that just misses a change and the next one may fail in any way; a third
+// begins in time for its answer to arrive before the deadline of the change.
 #[test]
 fn two_calls_may_be_lost_before_a_change_counts_as_told() {
-    every_order(5, |begun, what| {
-        for three in begun.windows(3) {
+    check_every_sequence(5, |starts, what| {
+        for three in starts.windows(3) {
             assert!(
-                three[2] - three[0] + micros(ON_ITS_WAY) <= micros(TOLD),
+                three[2] - three[0] + micros(ANSWER_DELAY) <= micros(CHANGE_DEADLINE),
                 "{what}"
             );
         }
     });
 }
 
-// Invariant: the same from the signal of a reload on, after which the whole list is asked for, with
-// whatever failures at the old address the module remembers.
+// Invariant: the same holds after a reload, which fetches the whole list, whatever failures at the
+// old address the module remembers.
 #[test]
 fn two_calls_may_be_lost_after_a_reload_before_changes_count_as_told() {
     for mode in ["pushed", "on_request"] {
-        for ask_within in ASK_WITHIN {
-            for (seed, order) in orders(3).enumerate() {
-                let mut follower = Follower::new(mode, ask_within, false, 1.0, seed as u64);
+        for max_fetch_interval in MAX_FETCH_INTERVALS {
+            for (seed, sequence) in failure_sequences(3).enumerate() {
+                let mut follower = Follower::new(mode, max_fetch_interval, false, 1.0, seed as u64);
                 for _ in 0..20 {
-                    follower.lose(Lost::Refused);
+                    follower.fail_call(FailedCall::Refused);
                 }
-                follower.watching = WatchSchedule::new(false);
-                let begun: Vec<_> = order.iter().map(|how| follower.lose(*how)).collect();
-                let last = begun[2] - begun[0] + micros(ON_ITS_WAY);
+                follower.schedule = WatchSchedule::new(false);
+                let starts: Vec<_> = sequence
+                    .iter()
+                    .map(|how| follower.fail_call(*how))
+                    .collect();
+                let last = starts[2] - starts[0] + micros(ANSWER_DELAY);
                 assert!(
-                    last <= micros(TOLD_AFTER_RELOAD),
-                    "{mode} {ask_within} {order:?} {begun:?}"
+                    last <= micros(RELOAD_CHANGE_DEADLINE),
+                    "{mode} {max_fetch_interval} {sequence:?} {starts:?}"
                 );
             }
         }
     }
 }
 
-// Invariant: no settings have a discovery that refuses called in a tight loop, and the waits grow.
+// Invariant: no settings cause a discovery that refuses calls to be called in a tight loop, and the
+// delays grow.
 #[test]
 fn refused_calls_are_spaced_by_waits_that_grow() {
     for mode in ["pushed", "on_request"] {
-        for ask_within in ASK_WITHIN {
-            let mut follower = Follower::new(mode, ask_within, true, 1.0, 7);
-            let begun: Vec<_> = (0..12).map(|_| follower.lose(Lost::Refused)).collect();
-            let waits: Vec<_> = begun.windows(2).map(|two| two[1] - two[0]).collect();
+        for max_fetch_interval in MAX_FETCH_INTERVALS {
+            let mut follower = Follower::new(mode, max_fetch_interval, true, 1.0, 7);
+            let starts: Vec<_> = (0..12)
+                .map(|_| follower.fail_call(FailedCall::Refused))
+                .collect();
+            let waits: Vec<_> = starts.windows(2).map(|two| two[1] - two[0]).collect();
             assert!(
                 waits.iter().all(|wait| *wait >= 10_000),
-                "{mode} {ask_within} {waits:?}"
+                "{mode} {max_fetch_interval} {waits:?}"
             );
             assert!(
                 waits[6..].iter().all(|wait| *wait >= 100_000),
-                "{mode} {ask_within} {waits:?}"
+                "{mode} {max_fetch_interval} {waits:?}"
             );
         }
     }
 }
 
-// Processes whose calls were refused in the same instant must not all call again in one, where they
-// share a discovery.
+// Processes whose calls were refused at the same time must not all call a shared discovery again at
+// the same time.
 #[test]
 fn the_calls_of_many_processes_are_spread() {
     let mut last: Vec<_> = (0..300)
         .map(|seed| {
             let mut follower = Follower::new("on_request", 10_000_000, true, 1.0, seed);
             for _ in 0..8 {
-                follower.lose(Lost::Refused);
+                follower.fail_call(FailedCall::Refused);
             }
             follower.now
         })
@@ -226,46 +251,45 @@
     );
 }
 
-// What the agent gets as discovery returns counts as told at once where lists are pushed: a call
-// must be open then. A silent call is followed at once; it has taken time enough, so that this is
-// no tight loop.
+// If lists are pushed, changes count as known as soon as discovery returns, so a call must be open
+// then. A call that times out is followed at once; as it has taken its time, this is no tight loop.
 #[test]
 fn a_silence_is_never_without_an_open_call_and_no_tight_loop() {
-    for news in [true, false] {
-        let mut watching = WatchSchedule::new(false);
+    for knows_version in [true, false] {
+        let mut schedule = WatchSchedule::new(false);
         for _ in 0..20 {
-            assert!(watching.call(news, 0.0).within >= PATIENCE);
-            watching.silent();
+            assert!(schedule.next_call(knows_version, 0.0).timeout >= CALL_TIMEOUT);
+            schedule.record_timeout();
         }
     }
 }
 
 #[test]
 fn an_agent_that_takes_three_seconds_is_heard_again() {
-    for news in [true, false] {
-        let mut watching = WatchSchedule::new(false);
+    for knows_version in [true, false] {
+        let mut schedule = WatchSchedule::new(false);
         let calls = (0..3).map(|_| {
-            let call = watching.call(news, 0.0);
-            watching.silent();
+            let call = schedule.next_call(knows_version, 0.0);
+            schedule.record_timeout();
             call
         });
         assert!(
             calls
-                .max_by_key(|c| c.within)
-                .is_some_and(|c| c.within > Duration::from_secs(3))
+                .max_by_key(|c| c.timeout)
+                .is_some_and(|c| c.timeout > Duration::from_secs(3))
         );
     }
 }
 
-// The protocol: a watch goes on as long as each call comes within 200 ms of the last answer.
+// Protocol: a watch continues as long as each call comes within 200 ms of the last answer.
 #[test]
 fn a_watch_that_was_answered_waits_again() {
-    let mut watching = WatchSchedule::new(true);
+    let mut schedule = WatchSchedule::new(true);
     assert_eq!(
-        watching.call(true, 1.0).wait,
+        schedule.next_call(true, 1.0).wait,
         Duration::ZERO,
         "what was missed comes first"
     );
-    watching.answered();
-    assert!(watching.call(true, 0.0).wait > Duration::ZERO);
+    schedule.record_answer();
+    assert!(schedule.next_call(true, 0.0).wait > Duration::ZERO);
 }
--- a/src/bin/sidecar/write_progress.rs
+++ b/src/bin/sidecar/write_progress.rs
@@ -1,34 +1,34 @@
-//! Tracks how much of a request a socket has taken.
+//! Tracks how much of a request has been written to a socket.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// How much of a request the socket has taken. An endpoint begins one when its last byte has come,
-/// so until that is written it has surely not run.
+/// How much of a request has been written. An endpoint starts a request after its last byte, so a
+/// request that was not written completely was not executed.
 #[derive(Clone, Default)]
 pub struct WriteProgress(Rc<WriteProgressState>);
 
 #[derive(Default)]
 struct WriteProgressState {
-    /// Bytes of the blank line that ends the head seen so far, 4 once the head is out.
+    /// Bytes of the blank line at the end of the head seen so far; 4 once the head is written.
     head_end: Cell<u8>,
     body_left: Cell<usize>,
-    begun: Cell<bool>,
+    has_started: Cell<bool>,
     interrupted: Cell<bool>,
 }
 
 impl WriteProgress {
-    /// For a request with a body of that length.
+    /// Progress of a request with a body of that length.
     pub fn new(body: usize) -> Self {
-        let meter = Self::default();
-        meter.0.body_left.set(body);
-        meter
+        let progress = Self::default();
+        progress.0.body_left.set(body);
+        progress
     }
 
-    /// The socket has taken these bytes.
-    pub fn count(&self, bytes: &[u8]) {
+    /// Records written bytes.
+    pub fn record_written(&self, bytes: &[u8]) {
         let state = &self.0;
-        state.begun.set(true);
+        state.has_started.set(true);
         let mut bytes = bytes.iter();
         while state.head_end.get() < 4 {
             let Some(&byte) = bytes.next() else { return };
@@ -45,25 +45,25 @@
             .set(state.body_left.get().saturating_sub(bytes.len()));
     }
 
-    /// The peer has said something.
-    pub fn heard(&self) {
-        if self.begun() && !self.complete() {
+    /// Records that the peer has sent something.
+    pub fn record_read(&self) {
+        if self.has_started() && !self.is_complete() {
             self.0.interrupted.set(true);
         }
     }
 
-    /// The peer has said something between the first byte and the last.
-    pub fn interrupted(&self) -> bool {
+    /// Whether the peer has sent something between the first and the last byte.
+    pub fn was_interrupted(&self) -> bool {
         self.0.interrupted.get()
     }
 
-    /// Some byte is out.
-    pub fn begun(&self) -> bool {
-        self.0.begun.get()
+    /// Whether any byte was written.
+    pub fn has_started(&self) -> bool {
+        self.0.has_started.get()
     }
 
-    /// The last byte is out.
-    pub fn complete(&self) -> bool {
+    /// Whether the last byte was written.
+    pub fn is_complete(&self) -> bool {
         self.0.head_end.get() == 4 && self.0.body_left.get() == 0
     }
 }
--- a/src/bin/simulator-adapter.rs
+++ b/src/bin/simulator-adapter.rs
@@ -1,10 +1,11 @@
-//! Runs any number of instances on the simulator's protocol, over standard input and output.
+//! Runs any number of balancer instances on the simulator's protocol, over standard input and
+//! output.
 
 use std::io::{BufWriter, stdin, stdout};
 use std::process::ExitCode;
 
-/// The balancer behind the simulator's wire: events on standard input, actions on standard output,
-/// until it ends.
+/// The balancer behind the simulator's protocol: reads events from standard input and writes
+/// actions to standard output until its end.
 #[cfg(feature = "product")]
 #[derive(clap::Parser)]
 #[command(name = "simulator-adapter")]
