--- a/crates/affinity/src/contact.rs
+++ b/crates/affinity/src/contact.rs
@@ -1,152 +1,162 @@
-//! Tracks whom this member has heard, directly or through others, and since when it is in contact
-//! with a quorum.
+//! Tracks which members this one has heard, directly or through others, and since when it is in
+//! contact with a quorum.
 //!
-//! Some members stand for all: the *beacons*, drawn by their names, the same at every member that
-//! knows the same ones. Each periodic message tells how long ago its sender heard of each of them,
-//! by itself or by periodic messages of others; as every periodic message says all that its sender
-//! knows of who left, whoever heard of a beacon knows what that beacon knew. A member is in contact
-//! as of the instant since which it has heard of a quorum: any two quorums have a beacon in common,
-//! also where the two members know beacons that differ by a few.
+//! A few members represent all: the *beacons*, selected by a hash of their names, the same at every
+//! member that knows the same members. Each periodic message reports how long ago its sender heard
+//! of each beacon, directly or through others' periodic messages; as a periodic message contains
+//! all drains known to its sender, whoever heard of a beacon knows what that beacon knew. A member
+//! is in contact since the time after which it has heard of a quorum: any two quorums share a
+//! beacon, even if the two members' sets of beacons differ by a few.
 
 use crate::{Micros, mix};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Members that stand for all, where there are as many.
+/// Largest number of beacons.
 pub const MAX_BEACONS: usize = 16;
-/// Eighths of the beacons that a quorum has, rounded up: 10 of 16, so that two members whose
-/// beacons differ by three still have one in common.
-const QUORUM_EIGHTHS: usize = 5;
-/// Ages are told in steps of so much, rounded up, and not at all from the longest on.
-const STEP: Micros = 10_000;
-const MAX_AGE: Micros = 60_000_000;
-/// Draws the beacons.
-const DRAW: u64 = 0x6265_6163;
-
-/// What a periodic message tells of a beacon: the lower half of its number, twice its age in steps,
-/// plus 1 where it knew who left.
+/// Eighths of the beacons in a quorum, rounded up: 10 of 16, so that two quorums share a beacon
+/// even if the members' beacons differ by three.
+const QUORUM_EIGHTHS_OF_BEACONS: usize = 5;
+/// Ages are sent in steps of this length, rounded up, and not at all from the maximum on.
+const AGE_STEP_US: Micros = 10_000;
+const MAX_AGE_US: Micros = 60_000_000;
+/// Salt of the hash that selects the beacons.
+const BEACON_SALT: u64 = 0x6265_6163;
+
+/// The age of a beacon in a periodic message: the lower half of the beacon's id, and twice its age
+/// in steps, plus 1 if the beacon's knowledge of drains was complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BeaconAge([u8; 4], u32);
 
-/// When a beacon was heard of, by its clock: at all, and knowing who left.
+/// When a beacon was last heard of, by its own clock: at all, and with complete knowledge of
+/// drains.
 #[derive(Clone, Copy, Debug, Default)]
 struct BeaconContact {
-    number: u64,
-    at_all: Option<Micros>,
-    sound: Option<Micros>,
+    member: u64,
+    heard_at: Option<Micros>,
+    trusted_at: Option<Micros>,
 }
 
-/// Whom this member has heard.
+/// The beacons, and when this member last heard of them.
 #[derive(Clone, Debug)]
 pub struct Contact {
-    me: u64,
+    own: u64,
     beacons: BTreeMap<[u8; 4], BeaconContact>,
 }
 
-fn short(number: u64) -> [u8; 4] {
+fn short_id(number: u64) -> [u8; 4] {
     (number as u32).to_le_bytes()
 }
 
 impl Contact {
-    /// One that knows nobody: it is not in contact before it has been told who is there.
-    pub fn new(me: u64) -> Self {
+    /// Knows no members; it is not in contact before these are set.
+    pub fn new(own: u64) -> Self {
         Self {
-            me,
+            own,
             beacons: BTreeMap::new(),
         }
     }
 
-    /// Those are all members, this one too: who runs, and who may still run without being heard.
-    pub fn members(&mut self, members: impl Iterator<Item = u64>) {
-        let mut drawn: Vec<u64> = members.collect();
-        drawn.sort_unstable_by_key(|number| (mix(*number, DRAW), *number));
-        drawn.dedup();
-        drawn.truncate(MAX_BEACONS);
-        let heard = |number: u64| {
+    /// Sets all members including this one: those that run, and those that may still run unheard.
+    pub fn set_members(&mut self, members: impl Iterator<Item = u64>) {
+        let mut selected: Vec<u64> = members.collect();
+        selected.sort_unstable_by_key(|number| (mix(*number, BEACON_SALT), *number));
+        selected.dedup();
+        selected.truncate(MAX_BEACONS);
+        let contact_of = |number: u64| {
             let known = self
                 .beacons
-                .get(&short(number))
-                .filter(|heard| heard.number == number);
+                .get(&short_id(number))
+                .filter(|heard| heard.member == number);
             known.copied().unwrap_or(BeaconContact {
-                number,
+                member: number,
                 ..BeaconContact::default()
             })
         };
-        self.beacons = drawn
+        self.beacons = selected
             .into_iter()
-            .map(|number| (short(number), heard(number)))
+            .map(|number| (short_id(number), contact_of(number)))
             .collect();
     }
 
-    /// What a periodic message tells of them at that instant.
-    pub fn told(&self, now: Micros, sound: bool) -> Vec<BeaconAge> {
-        let told = |(short, heard): (&[u8; 4], &BeaconContact)| {
-            let (at, knew) = match self.heard_at(heard, now, sound) {
-                (_, Some(knew)) if now - knew < MAX_AGE => (knew, true),
+    /// The ages of the beacons for a periodic message at that time.
+    pub fn beacon_ages(&self, now: Micros, is_trusted: bool) -> Vec<BeaconAge> {
+        let beacon_age = |(short, heard): (&[u8; 4], &BeaconContact)| {
+            let (at, trusted_at) = match self.contact_times(heard, now, is_trusted) {
+                (_, Some(knew)) if now - knew < MAX_AGE_US => (knew, true),
                 (at, _) => (at?, false),
             };
-            let steps = u32::try_from((now - at).max(0).div_euclid(STEP) + 1).ok()?;
-            (now - at < MAX_AGE).then_some(BeaconAge(*short, steps * 2 + u32::from(knew)))
+            let steps = u32::try_from((now - at).max(0).div_euclid(AGE_STEP_US) + 1).ok()?;
+            (now - at < MAX_AGE_US).then_some(BeaconAge(*short, steps * 2 + u32::from(trusted_at)))
         };
-        self.beacons.iter().filter_map(told).collect()
+        self.beacons.iter().filter_map(beacon_age).collect()
     }
 
-    fn heard_at(
+    fn contact_times(
         &self,
-        heard: &BeaconContact,
+        beacon: &BeaconContact,
         now: Micros,
-        sound: bool,
+        is_trusted: bool,
     ) -> (Option<Micros>, Option<Micros>) {
-        match heard.number == self.me {
-            true => (Some(now), sound.then_some(now).or(heard.sound)),
-            false => (heard.at_all, heard.sound),
+        match beacon.member == self.own {
+            true => (Some(now), is_trusted.then_some(now).or(beacon.trusted_at)),
+            false => (beacon.heard_at, beacon.trusted_at),
         }
     }
 
-    /// A periodic message of that time told this, and all that it says of who left was taken in.
-    pub fn heard(&mut self, stamp: Micros, told: &[BeaconAge]) {
-        for BeaconAge(short, packed) in told.iter().take(MAX_BEACONS) {
-            let at = stamp.saturating_sub(Micros::from(packed / 2).saturating_mul(STEP));
-            if let Some(heard) = self.beacons.get_mut(short) {
-                heard.at_all = heard.at_all.max(Some(at));
+    /// Applies the ages of a periodic message of that time, after its drains were applied.
+    pub fn receive_ages(&mut self, stamp: Micros, ages: &[BeaconAge]) {
+        for BeaconAge(short, packed) in ages.iter().take(MAX_BEACONS) {
+            let at = stamp.saturating_sub(Micros::from(packed / 2).saturating_mul(AGE_STEP_US));
+            if let Some(beacon) = self.beacons.get_mut(short) {
+                beacon.heard_at = beacon.heard_at.max(Some(at));
                 if packed % 2 == 1 {
-                    heard.sound = heard.sound.max(Some(at));
+                    beacon.trusted_at = beacon.trusted_at.max(Some(at));
                 }
             }
         }
     }
 
-    /// Since when a quorum was heard of: beacons that knew who left, or any.
-    fn quorum(&self, now: Micros, sound: bool, any: bool) -> Option<Micros> {
-        let at = |heard: &BeaconContact| {
-            let (at_all, knew) = self.heard_at(heard, now, sound);
-            if any { at_all.max(knew) } else { knew }
+    /// Since when a quorum was heard of: with complete knowledge of drains, or at all.
+    fn quorum_since(&self, now: Micros, is_trusted: bool, any_contact: bool) -> Option<Micros> {
+        let contact_time = |beacon: &BeaconContact| {
+            let (heard_at, trusted_at) = self.contact_times(beacon, now, is_trusted);
+            if any_contact {
+                heard_at.max(trusted_at)
+            } else {
+                trusted_at
+            }
         };
-        let mut heard: Vec<Micros> = self.beacons.values().filter_map(at).collect();
-        heard.sort_unstable_by_key(|at| std::cmp::Reverse(*at));
-        let quorum = (self.beacons.len() * QUORUM_EIGHTHS).div_ceil(8);
-        heard.get(quorum.checked_sub(1)?).map(|at| (*at).min(now))
+        let mut times: Vec<Micros> = self.beacons.values().filter_map(contact_time).collect();
+        times.sort_unstable_by_key(|at| std::cmp::Reverse(*at));
+        let quorum_size = (self.beacons.len() * QUORUM_EIGHTHS_OF_BEACONS).div_ceil(8);
+        times
+            .get(quorum_size.checked_sub(1)?)
+            .map(|at| (*at).min(now))
     }
 
-    /// Since when a quorum was heard of that knew who left, by others' clocks.
-    pub fn since(&self, now: Micros, sound: bool) -> Option<Micros> {
-        self.quorum(now, sound, false)
+    /// Since when a quorum with complete knowledge of drains was heard of, by others' clocks.
+    pub fn in_contact_since(&self, now: Micros, is_trusted: bool) -> Option<Micros> {
+        self.quorum_since(now, is_trusted, false)
     }
 
     /// Since when a quorum was heard of at all.
-    pub fn met(&self, now: Micros) -> Option<Micros> {
-        self.quorum(now, false, true)
+    pub fn any_contact_since(&self, now: Micros) -> Option<Micros> {
+        self.quorum_since(now, false, true)
     }
 
-    /// Beacons that were heard of since that instant.
-    pub fn beacons(&self, since: Micros) -> impl Iterator<Item = u64> {
-        let heard = move |heard: &&BeaconContact| {
-            heard.sound.max(heard.at_all).is_some_and(|at| at >= since)
+    /// Beacons that were heard of since that time.
+    pub fn beacons_heard_since(&self, since: Micros) -> impl Iterator<Item = u64> {
+        let is_recent = move |heard: &&BeaconContact| {
+            heard
+                .trusted_at
+                .max(heard.heard_at)
+                .is_some_and(|at| at >= since)
         };
         self.beacons
             .values()
-            .filter(heard)
-            .map(|heard| heard.number)
+            .filter(is_recent)
+            .map(|heard| heard.member)
     }
 }
 
--- a/crates/affinity/src/contact_lease.rs
+++ b/crates/affinity/src/contact_lease.rs
@@ -1,55 +1,55 @@
-//! Decides whether this member may still be hearing the others, and so may use its entries.
+//! Decides whether this member may still be in contact with the others, and so may use its entries.
 //!
-//! The host says when this member is in contact: by its connectivity state in the fleet, and never
-//! on what came late. From then on its affinity entries hold for the silence, on its own monotonic
-//! clock, which runs on while the process is stopped.
+//! The host determines when this member is in contact, by its connectivity and never from delayed
+//! messages. From then on its affinity entries are valid for the contact timeout, by its own
+//! monotonic clock, which continues while the process is suspended.
 
 use crate::Micros;
 
-/// When contact was last known.
+/// The validity of the last known contact.
 #[derive(Clone, Copy, Debug)]
 pub struct ContactLease {
     contact_timeout: Micros,
-    until: Option<Micros>,
-    sound: bool,
+    expires: Option<Micros>,
+    is_trusted: bool,
 }
 
 impl ContactLease {
-    /// One that starts. It is `sound` where it founds the fleet; else only after its first contact,
-    /// as it does not know which processes left before it came.
-    pub fn new(contact_timeout: Micros, sound: bool) -> Self {
+    /// Starts without contact. A member that founds the fleet is trusted from the start, any other
+    /// only after its first contact, as it does not know the drains from before it joined.
+    pub fn new(contact_timeout: Micros, is_trusted: bool) -> Self {
         Self {
             contact_timeout,
-            until: None,
-            sound,
+            expires: None,
+            is_trusted,
         }
     }
 
-    /// It is in contact with the others at that instant of its monotonic clock.
-    pub fn contact(&mut self, mono: Micros) {
-        self.until = self.until.max(Some(mono + self.contact_timeout));
-        self.sound = true;
+    /// Records that the member was in contact at that time of its monotonic clock.
+    pub fn renew(&mut self, mono: Micros) {
+        self.expires = self.expires.max(Some(mono + self.contact_timeout));
+        self.is_trusted = true;
     }
 
-    /// Most of those that it met know as little as it does who left, as all have just started:
-    /// together they found the fleet.
-    pub fn founds(&mut self, they_do: bool) {
-        self.sound |= they_do;
+    /// Trusts this member as a founder of the fleet: most members it met have also just started,
+    /// and know no more about drains.
+    pub fn trust_as_founder(&mut self, is_founder: bool) {
+        self.is_trusted |= is_founder;
     }
 
-    /// It knows that it is out of contact.
+    /// Ends the lease, as the member knows that it is out of contact.
     pub fn lose_contact(&mut self) {
-        self.until = None;
+        self.expires = None;
     }
 
-    /// Whether affinity entries may be used at that instant.
-    pub fn hears(&self, mono: Micros) -> bool {
-        self.sound && self.until.is_some_and(|until| mono < until)
+    /// Whether affinity entries may be used at that time.
+    pub fn is_valid(&self, mono: Micros) -> bool {
+        self.is_trusted && self.expires.is_some_and(|until| mono < until)
     }
 
-    /// Whether what this member says is a sign of contact to others.
-    pub fn sound(&self) -> bool {
-        self.sound
+    /// Whether this member's messages count as contact for others.
+    pub fn is_trusted(&self) -> bool {
+        self.is_trusted
     }
 }
 
--- a/crates/affinity/src/drain_phase.rs
+++ b/crates/affinity/src/drain_phase.rs
@@ -1,8 +1,9 @@
-//! Endpoint processes that drain or have come back, and who is drained of affinity to them.
+//! Endpoint processes that drain or have returned, and which members are drained of affinity to
+//! them.
 //!
-//! Each process has an epoch, 0 at first. `begin_drain` ends its epoch for good; where its leave is
-//! called off, the next one opens. Affinity entries belong to the epoch in which they were made and
-//! end with it.
+//! Each process has an epoch, initially 0. A drain ends the epoch for good; if the drain is
+//! cancelled, the next epoch begins. Affinity entries belong to the epoch in which they were made
+//! and end with it.
 
 use crate::Micros;
 use crate::entry::Process;
@@ -11,141 +12,148 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Processes of which phases are known at the most: all of them, and what else must be, fits into
-/// each periodic message.
+/// Most processes with a known phase: all of them have to fit into each periodic message, beside
+/// its other content.
 pub const MAX_PHASES: usize = 12;
-/// Members whose reports are kept for each of them: all of the largest fleet.
+/// Most members whose reports are kept for each process: those of the largest fleet.
 const MAX_REPORTS: usize = 10_240;
 
-/// How far a process has come: the greater phase holds, fields compared in this order.
+/// The progress of a process. The greater phase wins; fields are compared in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Phase {
     /// Its epoch.
     pub epoch: u64,
-    /// That epoch has ended.
-    pub leaves: bool,
-    /// The slot in which it began; of two that were told the earlier one.
+    /// Whether that epoch has ended.
+    pub draining: bool,
+    /// The slot in which the phase began; of two reported slots the earlier one wins.
     pub since: Reverse<Slot>,
 }
 
-/// Why no phase was begun.
+/// Why a phase was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EpochRefused {
-    /// Too many processes leave at a time.
-    TooMany,
-    /// That epoch is over.
-    Past,
+pub enum DrainError {
+    /// Too many processes drain at the same time.
+    TooManyDraining,
+    /// That epoch has ended.
+    EpochEnded,
 }
 
 #[derive(Clone, Debug)]
-struct State {
+struct DrainState {
     phase: Phase,
-    reported: BTreeSet<u64>,
-    complete: Option<Micros>,
+    clear_members: BTreeSet<u64>,
+    all_clear_since: Option<Micros>,
 }
 
-/// The phases that are known.
+/// The known phases.
 #[derive(Clone, Debug, Default)]
 pub struct Phases {
-    known: BTreeMap<Process, State>,
-    /// Some phase was told that finds no room: what else left is not known here.
-    overflowed: bool,
+    states: BTreeMap<Process, DrainState>,
+    /// Whether a phase was received for which there was no room, so that further drains may exist.
+    is_incomplete: bool,
 }
 
 impl Phases {
     /// Begins a phase, or learns of it.
     ///
     /// # Errors
-    /// Why not.
-    pub fn merge(&mut self, process: Process, phase: Phase) -> Result<(), EpochRefused> {
-        if let Some(state) = self.known.get_mut(&process) {
-            if (phase.epoch, phase.leaves) < (state.phase.epoch, state.phase.leaves) {
-                return Err(EpochRefused::Past);
+    /// The phase is outdated, or there is no room for it.
+    pub fn merge(&mut self, process: Process, phase: Phase) -> Result<(), DrainError> {
+        if let Some(state) = self.states.get_mut(&process) {
+            if (phase.epoch, phase.draining) < (state.phase.epoch, state.phase.draining) {
+                return Err(DrainError::EpochEnded);
             }
-            if (phase.epoch, phase.leaves) > (state.phase.epoch, state.phase.leaves) {
-                (state.reported, state.complete) = (BTreeSet::new(), None);
+            if (phase.epoch, phase.draining) > (state.phase.epoch, state.phase.draining) {
+                (state.clear_members, state.all_clear_since) = (BTreeSet::new(), None);
             }
             state.phase = state.phase.max(phase);
             return Ok(());
         }
-        if self.known.len() >= MAX_PHASES {
-            self.overflowed = true;
-            return Err(EpochRefused::TooMany);
+        if self.states.len() >= MAX_PHASES {
+            self.is_incomplete = true;
+            return Err(DrainError::TooManyDraining);
         }
-        self.known.insert(
+        self.states.insert(
             process,
-            State {
+            DrainState {
                 phase,
-                reported: BTreeSet::new(),
-                complete: None,
+                clear_members: BTreeSet::new(),
+                all_clear_since: None,
             },
         );
         Ok(())
     }
 
-    /// Whether all that was told is known.
-    pub fn whole(&self) -> bool {
-        !self.overflowed
+    /// Whether every received phase is known.
+    pub fn is_complete(&self) -> bool {
+        !self.is_incomplete
     }
 
-    /// The epoch in which that process is bound now.
+    /// The epoch of new affinity entries for that process.
     pub fn epoch(&self, process: Process) -> u64 {
-        self.known.get(&process).map_or(0, |s| s.phase.epoch)
+        self.states.get(&process).map_or(0, |s| s.phase.epoch)
     }
 
-    /// Whether an entry of that epoch has ended.
-    pub fn ended(&self, process: Process, epoch: u64) -> bool {
-        self.known
+    /// Whether entries of that epoch have ended.
+    pub fn has_ended(&self, process: Process, epoch: u64) -> bool {
+        self.states
             .get(&process)
-            .is_some_and(|s| epoch < s.phase.epoch || epoch == s.phase.epoch && s.phase.leaves)
+            .is_some_and(|s| epoch < s.phase.epoch || epoch == s.phase.epoch && s.phase.draining)
     }
 
-    /// From that slot on a key bound at that process in that epoch binds elsewhere; none where the
-    /// process stays. Keys are parted evenly over the time, the same at every member: few move at a
-    /// time. Those of epochs before, too, as an epoch may be skipped.
-    pub fn moves(&self, key: u64, process: Process, epoch: u64, times: &Times) -> Option<Slot> {
-        let phase = self.known.get(&process)?.phase;
-        if epoch > phase.epoch || epoch == phase.epoch && !phase.leaves {
+    /// The slot from which on a key with an entry of that epoch migrates to another process; none
+    /// if the process stays. The migration of the keys is spread evenly over the migration time, in
+    /// the same way at every member, so that few migrate at a time. Applies to earlier epochs too,
+    /// as an epoch may be skipped.
+    pub fn migrates_at(
+        &self,
+        key: u64,
+        process: Process,
+        epoch: u64,
+        times: &Times,
+    ) -> Option<Slot> {
+        let phase = self.states.get(&process)?.phase;
+        if epoch > phase.epoch || epoch == phase.epoch && !phase.draining {
             return None;
         }
-        let place = mix(key, process.name).rem_euclid(times.migration_time.unsigned_abs());
-        Some(if phase.leaves {
-            phase.since.0.saturating_add(place.cast_signed())
+        let offset = mix(key, process.name).rem_euclid(times.migration_time.unsigned_abs());
+        Some(if phase.draining {
+            phase.since.0.saturating_add(offset.cast_signed())
         } else {
             Slot::MIN
         })
     }
 
-    /// All that are known.
+    /// All known phases.
     pub fn iter(&self) -> impl Iterator<Item = (Process, Phase)> {
-        self.known
+        self.states
             .iter()
             .map(|(process, state)| (*process, state.phase))
     }
 
-    /// A member is clear of a process at an epoch. What is said of another epoch, or goes beyond
-    /// the bound, is dropped.
-    pub fn report(&mut self, process: Process, epoch: u64, member: u64) {
-        if let Some(state) = self.known.get_mut(&process)
-            && state.phase.leaves
+    /// Records that a member is clear of a process in an epoch. Reports for another epoch or beyond
+    /// the limit are dropped.
+    pub fn report_clear(&mut self, process: Process, epoch: u64, member: u64) {
+        if let Some(state) = self.states.get_mut(&process)
+            && state.phase.draining
             && state.phase.epoch == epoch
-            && state.reported.len() < MAX_REPORTS
+            && state.clear_members.len() < MAX_REPORTS
         {
-            state.reported.insert(member);
+            state.clear_members.insert(member);
         }
     }
 
-    /// Members that are clear of a process in the epoch that it leaves.
-    pub fn reported(&self, process: Process) -> impl Iterator<Item = u64> + Clone {
-        self.known
+    /// The members that are clear of a process in the epoch that it drains.
+    pub fn clear_members(&self, process: Process) -> impl Iterator<Item = u64> + Clone {
+        self.states
             .get(&process)
             .into_iter()
-            .flat_map(|s| s.reported.iter().copied())
+            .flat_map(|s| s.clear_members.iter().copied())
     }
 
-    /// Since when all these members are known to be clear of it at that epoch. Once all were, it
-    /// stays so.
-    pub fn complete(
+    /// Since when all these members are known to be clear of the process in that epoch. Once they
+    /// all were, this stays so.
+    pub fn all_clear_since(
         &mut self,
         process: Process,
         epoch: u64,
@@ -153,30 +161,33 @@
         members: &[u64],
     ) -> Option<Micros> {
         let state = self
-            .known
+            .states
             .get_mut(&process)
-            .filter(|s| s.phase.epoch == epoch && s.phase.leaves)?;
-        if state.complete.is_none() && members.iter().all(|member| state.reported.contains(member))
+            .filter(|s| s.phase.epoch == epoch && s.phase.draining)?;
+        if state.all_clear_since.is_none()
+            && members
+                .iter()
+                .all(|member| state.clear_members.contains(member))
         {
-            state.complete = Some(mono);
+            state.all_clear_since = Some(mono);
         }
-        state.complete
+        state.all_clear_since
     }
 
-    /// Whether what another tells of it is to be taken in: what all may have forgotten by now is
-    /// not learnt anew.
-    pub fn takes(&self, process: Process, phase: Phase, slot: Slot, times: &Times) -> bool {
-        slot < phase.since.0.saturating_add(times.remembered()) || self.known.contains_key(&process)
+    /// Whether a received phase is to be applied: a phase that all members may have removed by now
+    /// is not learnt again.
+    pub fn accepts(&self, process: Process, phase: Phase, slot: Slot, times: &Times) -> bool {
+        slot < phase.since.0.saturating_add(times.retention()) || self.states.contains_key(&process)
     }
 
-    /// Forgets processes that have come back, or are not listed any more, once no entry of before
-    /// can be alive anywhere.
+    /// Removes processes that have returned, or that are no longer listed, once no earlier entry
+    /// can be valid at any member.
     pub fn forget(&mut self, slot: Slot, times: &Times, listed: impl Fn(Process) -> bool) {
-        let long = times.remembered();
-        let recent = |phase: &Phase| slot < phase.since.0.saturating_add(long);
-        self.known
-            .retain(|process, s| recent(&s.phase) || s.phase.leaves && listed(*process));
-        self.overflowed &= self.known.len() >= MAX_PHASES;
+        let retention = times.retention();
+        let is_recent = |phase: &Phase| slot < phase.since.0.saturating_add(retention);
+        self.states
+            .retain(|process, s| is_recent(&s.phase) || s.phase.draining && listed(*process));
+        self.is_incomplete &= self.states.len() >= MAX_PHASES;
     }
 }
 
--- a/crates/affinity/src/entry/tests.rs
+++ b/crates/affinity/src/entry/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use proptest::prelude::*;
 
-fn of(entries: &[(Process, AffinityEntry)]) -> KeyEntries {
+fn merged(entries: &[(Process, AffinityEntry)]) -> KeyEntries {
     let mut key_entries = KeyEntries::default();
     entries.iter().for_each(|(process, entry)| {
         key_entries.merge(*process, *entry);
@@ -12,27 +12,27 @@
 }
 
 prop_compose! {
-    fn any_entry()(name in 0..4u64, epoch in 0..2u64, ends in 0..6i64, held: bool) -> (Process, AffinityEntry) {
-        (Process { name, started: 0 }, AffinityEntry { epoch, ends, held })
+    fn any_entry()(name in 0..4u64, epoch in 0..2u64, expires_slot in 0..6i64, renewed: bool) -> (Process, AffinityEntry) {
+        (Process { name, started: 0 }, AffinityEntry { epoch, expires_slot, renewed })
     }
 }
 
 proptest! {
     #[test]
-    fn the_same_entries_make_the_same_places_in_any_order_and_however_often(
-        entries in prop::collection::vec(any_entry(), 0..12), again in 0..12usize, turn in 0..12usize,
+    fn merging_is_independent_of_order_and_repetition(
+        entries in prop::collection::vec(any_entry(), 0..12), repeated in 0..12usize, rotation in 0..12usize,
     ) {
-        let mut others = entries.clone();
-        others.extend(entries.iter().take(again));
-        let turn = turn % others.len().max(1);
-        others.rotate_left(turn);
-        others.reverse();
-        prop_assert_eq!(of(&entries), of(&others));
+        let mut shuffled = entries.clone();
+        shuffled.extend(entries.iter().take(repeated));
+        let rotation = rotation % shuffled.len().max(1);
+        shuffled.rotate_left(rotation);
+        shuffled.reverse();
+        prop_assert_eq!(merged(&entries), merged(&shuffled));
     }
 }
 
 #[test]
-fn a_key_bound_twice_has_one_winner_and_one_met_again_wins() {
+fn of_two_processes_the_renewed_entry_is_preferred() {
     let (a, b) = (
         Process {
             name: 1,
@@ -45,16 +45,19 @@
     );
     let entry = |ends, held| AffinityEntry {
         epoch: 0,
-        ends,
-        held,
+        expires_slot: ends,
+        renewed: held,
     };
-    let key_entries = of(&[(a, entry(5, true)), (b, entry(9, false))]);
-    assert_eq!(key_entries.cached_at(3, |_, _| true).first(), Some(&a));
-    assert_eq!(key_entries.cached_at(3, |p, _| p != a), [b]);
-    let both = of(&[(a, entry(5, true)), (b, entry(9, true))]);
-    let turned = of(&[(b, entry(9, true)), (a, entry(5, true))]);
+    let key_entries = merged(&[(a, entry(5, true)), (b, entry(9, false))]);
     assert_eq!(
-        both.cached_at(3, |_, _| true),
-        turned.cached_at(3, |_, _| true)
+        key_entries.processes_by_rank(3, |_, _| true).first(),
+        Some(&a)
+    );
+    assert_eq!(key_entries.processes_by_rank(3, |p, _| p != a), [b]);
+    let forward = merged(&[(a, entry(5, true)), (b, entry(9, true))]);
+    let reversed = merged(&[(b, entry(9, true)), (a, entry(5, true))]);
+    assert_eq!(
+        forward.processes_by_rank(3, |_, _| true),
+        reversed.processes_by_rank(3, |_, _| true)
     );
 }
--- a/crates/affinity/src/exchange.rs
+++ b/crates/affinity/src/exchange.rs
@@ -1,72 +1,76 @@
-//! What a member sends to others, and when.
+//! The messages that a member sends, and their schedule.
 
 use crate::member::AffinityMember;
 use crate::message::{AffinityMessage, MAX_MESSAGE_BYTES};
-use crate::report::Outgoing;
+use crate::report::OutgoingMessages;
 use crate::time::Slot;
 use crate::{Micros, mix};
 
-/// How often [`AffinityMember::tick`] is to be called.
-pub const TICK: Micros = 100_000;
-/// Time from one periodic message to the next.
-const MESSAGE_INTERVAL: Micros = 500_000;
-/// Keys in one turn of an answer: they fit into one fragment or two.
-const ANSWER: usize = 32;
-/// Entries that wait from which on there is a periodic message between: as many as fit into one.
-const MANY: usize = 40;
-/// Least room of a periodic message for members that are clear of a process.
-const REPORT_ROOM: usize = 48;
+/// Interval of the calls of [`AffinityMember::tick`].
+pub const TICK_US: Micros = 100_000;
+/// Interval of the periodic messages.
+const MESSAGE_INTERVAL_US: Micros = 500_000;
+/// Keys per message of an answer to a table request: they fit into one or two fragments.
+const KEYS_PER_ANSWER: usize = 32;
+/// Pending updates above which an additional periodic message is sent: as many as fit into one.
+const MAX_PENDING_PER_MESSAGE: usize = 40;
+/// Least space for reports of clear members in a periodic message.
+const MIN_REPORT_BYTES: usize = 48;
 
 impl AffinityMember {
-    /// Says at an instant of both clocks since when it is in contact. One that starts is so only by
-    /// what was said after it began; where a quorum was heard and most of it has just started too,
-    /// nobody there knows more.
-    fn follow(&mut self, now: Micros, mono: Micros) {
-        let sound = self.contact_lease.sound();
+    /// Updates the contact lease at a time by both clocks. A member that has just started is in
+    /// contact only by messages sent after its start; if it heard a quorum that has mostly just
+    /// started too, no member there knows more.
+    fn update_contact(&mut self, now: Micros, mono: Micros) {
+        let is_trusted = self.contact_lease.is_trusted();
         if let Some(at) = self
             .contact
-            .since(now, sound)
-            .filter(|at| sound || *at > self.begun)
+            .in_contact_since(now, is_trusted)
+            .filter(|at| is_trusted || *at > self.trusted_from)
         {
-            self.contact_lease.contact(mono - (now - at));
-        } else if !sound && now >= self.begun + self.times.contact_timeout {
-            let met = self
+            self.contact_lease.renew(mono - (now - at));
+        } else if !is_trusted && now >= self.trusted_from + self.times.contact_timeout {
+            let heard_quorum = self
                 .contact
-                .met(now)
-                .is_some_and(|at| at > self.begun && now - at < self.times.contact_timeout);
-            self.contact_lease.founds(met);
+                .any_contact_since(now)
+                .is_some_and(|at| at > self.trusted_from && now - at < self.times.contact_timeout);
+            self.contact_lease.trust_as_founder(heard_quorum);
         }
     }
 
-    /// Every [`TICK`]: ages out what is past its incarnation and says what is to be sent.
-    pub fn tick(&mut self, now: Micros, mono: Micros) -> Outgoing {
-        self.follow(now, mono);
+    /// Must be called every [`TICK_US`]: removes expired entries and returns the messages to send.
+    pub fn tick(&mut self, now: Micros, mono: Micros) -> OutgoingMessages {
+        self.update_contact(now, mono);
         let slot = self.times.slot(now);
         if slot != self.slot {
             self.slot = slot;
-            self.turn_of_slot(slot);
+            self.begin_slot(slot);
         }
-        let mut told = Outgoing::default();
-        let due =
-            now >= self.last_message.saturating_add(MESSAGE_INTERVAL) || now < self.last_message;
-        // What does not fit into one periodic message goes with one between.
-        if due || self.pending.count() > MANY && now >= self.last_message + MESSAGE_INTERVAL / 2 {
+        let mut outgoing = OutgoingMessages::default();
+        let is_due =
+            now >= self.last_message.saturating_add(MESSAGE_INTERVAL_US) || now < self.last_message;
+        // Updates that do not fit into one periodic message are sent with an additional one.
+        if is_due
+            || self.pending.count() > MAX_PENDING_PER_MESSAGE
+                && now >= self.last_message + MESSAGE_INTERVAL_US / 2
+        {
             self.last_message = now;
             self.publish_uses(now);
-            told.nearby = Some(self.periodic_message(now));
+            outgoing.periodic = Some(self.periodic_message(now));
         }
-        told.direct.extend(self.answer(now));
-        told
+        outgoing.direct.extend(self.next_answer(now));
+        outgoing
     }
 
-    /// Own uses that the others need to know of become entries.
+    /// Turns this member's uses that must be published into entries.
     fn publish_uses(&mut self, now: Micros) {
         let phases = &self.phases;
-        let epoch =
-            |process| Some(phases.epoch(process)).filter(|epoch| !phases.ended(process, *epoch));
+        let epoch = |process| {
+            Some(phases.epoch(process)).filter(|epoch| !phases.has_ended(process, *epoch))
+        };
         for (key, process, entry) in
             self.publishing
-                .due_now(now, MESSAGE_INTERVAL, &self.table, &self.times, epoch)
+                .take_due(now, MESSAGE_INTERVAL_US, &self.table, &self.times, epoch)
         {
             self.summary.published += 1;
             self.table.merge(key, process, entry);
@@ -74,106 +78,112 @@
         }
     }
 
-    fn turn_of_slot(&mut self, slot: Slot) {
+    fn begin_slot(&mut self, slot: Slot) {
         let (phases, times) = (&self.phases, &self.times);
-        self.table.age(slot);
+        self.table.expire(slot);
         if phases.iter().next().is_some() {
-            let moved = |key, process, epoch| {
+            let has_migrated = |key, process, epoch| {
                 phases
-                    .moves(key, process, epoch, times)
+                    .migrates_at(key, process, epoch, times)
                     .is_some_and(|m| m <= slot)
             };
             self.table
-                .retain(|key, process, entry| !moved(key, process, entry.epoch));
+                .retain(|key, process, entry| !has_migrated(key, process, entry.epoch));
         }
-        let left: Vec<_> = phases.iter().filter(|(_, phase)| phase.leaves).collect();
-        for (process, phase) in left {
-            if !self.under_way.contains_key(&process) && !self.table.holds(process) {
-                self.phases.report(process, phase.epoch, self.member);
+        let draining: Vec<_> = phases.iter().filter(|(_, phase)| phase.draining).collect();
+        for (process, phase) in draining {
+            if !self.in_flight.contains_key(&process) && !self.table.contains_process(process) {
+                self.phases.report_clear(process, phase.epoch, self.member);
             }
         }
     }
 
-    /// What a few members are sent again and again: who left, who is clear, what was dropped, and
-    /// the entries that wait.
+    /// The periodic message to a few members: drains, clear members, the eviction floor, and
+    /// pending updates.
     pub(crate) fn periodic_message(&mut self, now: Micros) -> Vec<u8> {
         let mut message = AffinityMessage::at(now);
-        if self.phases.whole() {
-            message.heard = self.contact.told(now, self.contact_lease.sound());
+        if self.phases.is_complete() {
+            message.heard = self
+                .contact
+                .beacon_ages(now, self.contact_lease.is_trusted());
         }
-        message.asks = self.asks > 0;
+        message.asks = self.table_requests_left > 0;
         message.floor = self.table.floor();
-        self.asks = self.asks.saturating_sub(1);
+        self.table_requests_left = self.table_requests_left.saturating_sub(1);
         for (process, phase) in self.phases.iter() {
-            message.phase(process, phase);
+            message.add_phase(process, phase);
         }
         self.add_reports(&mut message);
         self.add_pending(now, &mut message);
-        message.bytes()
+        message.encode()
     }
 
-    /// Adds which members are clear of processes that left, from another process and member on each
-    /// time, as many as fit.
+    /// Adds as many reports of clear members as fit, starting with another process and member each
+    /// time.
     fn add_reports(&mut self, message: &mut AffinityMessage) {
         let phases = self.phases.iter();
-        let left: Vec<_> = phases.filter(|(_, phase)| phase.leaves).collect();
-        self.turn = mix(self.turn, 1);
-        for i in 0..left.len() {
-            let (process, phase) = left[(i + self.turn as usize % left.len()) % left.len()];
-            let reported = self.phases.reported(process);
-            let skip = self.turn as usize % reported.clone().count().max(1);
-            let around = reported.clone().skip(skip).chain(reported.take(skip));
-            if message.bytes().len() + REPORT_ROOM > MAX_MESSAGE_BYTES {
+        let draining: Vec<_> = phases.filter(|(_, phase)| phase.draining).collect();
+        self.rotation = mix(self.rotation, 1);
+        for i in 0..draining.len() {
+            let (process, phase) =
+                draining[(i + self.rotation as usize % draining.len()) % draining.len()];
+            let clear_members = self.phases.clear_members(process);
+            let skip = self.rotation as usize % clear_members.clone().count().max(1);
+            let rotated = clear_members
+                .clone()
+                .skip(skip)
+                .chain(clear_members.take(skip));
+            if message.encode().len() + MIN_REPORT_BYTES > MAX_MESSAGE_BYTES {
                 break;
             }
-            message.report(process, phase.epoch, around);
+            message.add_report(process, phase.epoch, rotated);
         }
     }
 
-    /// Adds entries that wait, as many as fit, and drops those that are over.
+    /// Adds as many pending updates as fit, and drops expired ones.
     fn add_pending(&mut self, now: Micros, message: &mut AffinityMessage) {
         let slot = self.times.slot(now);
-        let (mut over, mut entries) = (Vec::new(), Vec::new());
-        for (key, process) in self.pending.waiting() {
-            let entry = self.table.at(key, process);
-            match entry.filter(|entry| slot < entry.ends) {
+        let (mut expired, mut entries) = (Vec::new(), Vec::new());
+        for (key, process) in self.pending.by_priority() {
+            let entry = self.table.get(key, process);
+            match entry.filter(|entry| slot < entry.expires_slot) {
                 Some(entry) => entries.push((key, process, entry)),
-                None => over.push((key, process)),
+                None => expired.push((key, process)),
             }
         }
-        for of in over {
-            self.pending.went(of, true);
+        for update in expired {
+            self.pending.record_sent(update, true);
         }
-        let ends = entries.iter().map(|(.., entry)| entry.ends);
+        let ends = entries.iter().map(|(.., entry)| entry.expires_slot);
         let base = ends.max().unwrap_or(slot);
-        for of in message.news(base, entries.into_iter()) {
-            self.pending.went(of, false);
+        for update in message.add_news(base, entries.into_iter()) {
+            self.pending.record_sent(update, false);
         }
     }
 
-    /// The next turn of the answer to a member that asked.
-    fn answer(&mut self, now: Micros) -> Vec<(u64, Vec<u8>)> {
-        let Some((who, from)) = self.asked.pop_front() else {
+    /// The next messages of the answer to a member that requested the table.
+    fn next_answer(&mut self, now: Micros) -> Vec<(u64, Vec<u8>)> {
+        let Some((member, last_rank)) = self.pending_answers.pop_front() else {
             return Vec::new();
         };
-        let (mut entries, mut rank) = (Vec::new(), from);
-        for at in self.table.below(from).take(ANSWER) {
+        let (mut entries, mut rank) = (Vec::new(), last_rank);
+        for key_rank in self.table.keys_below(last_rank).take(KEYS_PER_ANSWER) {
             entries.extend(
                 self.table
-                    .entries(at.2)
-                    .map(|(process, entry)| (at.2, process, entry)),
+                    .entries(key_rank.2)
+                    .map(|(process, entry)| (key_rank.2, process, entry)),
             );
-            rank = Some(at);
+            rank = Some(key_rank);
         }
-        if rank == from {
+        if rank == last_rank {
             let mut end = AffinityMessage::at(now);
             end.ends = true;
-            return vec![(who, end.bytes())];
+            return vec![(member, end.encode())];
         }
-        self.asked.push_back((who, rank));
-        AffinityMessage::entries(now, entries)
+        self.pending_answers.push_back((member, rank));
+        AffinityMessage::with_entries(now, entries)
             .iter()
-            .map(|message| (who, message.bytes()))
+            .map(|message| (member, message.encode()))
             .collect()
     }
 }
--- a/crates/affinity/src/histories.rs
+++ b/crates/affinity/src/histories.rs
@@ -1,12 +1,12 @@
-//! Random histories of a few members with loss, duplication, reordering, partitions, crashes, stops
-//! and skewed clocks.
+//! Random histories of a few members with message loss, duplication and reordering, partitions,
+//! crashes, suspensions and skewed clocks.
 
 mod checks;
 mod events;
 mod runs;
 
 use crate::entry::Process;
-use crate::exchange::TICK;
+use crate::exchange::TICK_US;
 use crate::member::AffinityMember;
 use crate::safety_rules::SafetyRules;
 use crate::section::AffinityEntriesSection;
@@ -16,15 +16,16 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-/// Where true time begins.
-const EPOCH: Micros = 1_900_000_000_000_000;
+/// The time at which a history starts.
+const START_US: Micros = 1_900_000_000_000_000;
 const KEYS: u64 = 24;
 const PROCESSES: u64 = 3;
-/// Sends of a periodic message, for those by members that pass its entries on: an entry goes with
-/// three of them, so that at 30 % loss one in 10^14 is not reached.
-const SENDS: usize = 9;
+/// Sends of one periodic message, standing in for the members that would forward its entries: an
+/// entry is in three such messages, so that with 30% loss one in 10^14 is not delivered.
+const SENDS_PER_MESSAGE: usize = 9;
 
-/// Lives as short as they can be beside the spread, so that much ages out in a history.
+/// The shortest lifetimes that the dissemination time permits, so that many entries expire in a
+/// history.
 fn section() -> AffinityEntriesSection {
     let (first_lifetime, renewed_lifetime) = (Time::ms(6000), Time::ms(12_000));
     AffinityEntriesSection {
@@ -44,36 +45,36 @@
 
 struct Node {
     affinity: AffinityMember,
-    lifetime: u64,
+    incarnation: u64,
     offset: Micros,
     stopped: bool,
-    booted: Micros,
-    /// Since when nothing befell this member.
-    steady: Micros,
-    under_way: Vec<(Micros, Process)>,
+    started_at: Micros,
+    /// Since when no fault has affected this member.
+    undisturbed_since: Micros,
+    in_flight: Vec<(Micros, Process)>,
 }
 
-/// When it arrives, its number, from whom, to whom, and the fragment.
+/// Time of arrival, sequence number, sender, receiver and content.
 type Datagram = (Micros, u64, usize, usize, Vec<u8>);
 
 struct World {
-    t: Micros,
+    now: Micros,
     times: Times,
     rules: SafetyRules,
     capacity: usize,
     rng: fastrand::Rng,
     nodes: Vec<Node>,
-    net: BinaryHeap<Reverse<Datagram>>,
+    network: BinaryHeap<Reverse<Datagram>>,
     sent: u64,
     loss: f64,
-    /// From whom to whom nothing passes.
-    cut: Vec<Vec<bool>>,
-    /// Since when something passes.
-    joined: Vec<Vec<Micros>>,
-    truth: checks::Truth,
-    /// The member that is asked whether the first process is clear, and since when it is.
-    asked: Option<usize>,
-    clear: Option<Micros>,
+    /// From which member to which nothing is delivered.
+    is_blocked: Vec<Vec<bool>>,
+    /// Since when datagrams are delivered.
+    connected_since: Vec<Vec<Micros>>,
+    record: checks::HistoryRecord,
+    /// The member that is queried whether the first process is clear, and since when it is.
+    queried_member: Option<usize>,
+    clear_since: Option<Micros>,
 }
 
 impl World {
@@ -82,130 +83,131 @@
         let times = section().times();
         let loss = [0.0, 0.1, 0.3][rng.usize(..3)];
         let mut world = Self {
-            t: EPOCH + rng.i64(0..times.slot),
+            now: START_US + rng.i64(0..times.slot),
             times,
             rules,
             capacity,
             nodes: Vec::new(),
-            net: BinaryHeap::new(),
+            network: BinaryHeap::new(),
             sent: 0,
             loss,
-            cut: vec![vec![false; members]; members],
-            joined: vec![vec![0; members]; members],
-            truth: checks::Truth::default(),
-            asked: None,
-            clear: None,
+            is_blocked: vec![vec![false; members]; members],
+            connected_since: vec![vec![0; members]; members],
+            record: checks::HistoryRecord::default(),
+            queried_member: None,
+            clear_since: None,
             rng,
         };
         for i in 0..members {
-            // Two clocks differ by the skew at the most; one history in eight has one that is off
-            // by two seconds.
+            // Clocks differ by at most the skew, except in one history of eight, in which one clock
+            // is two seconds off.
             let half = times.skew / 2;
-            let off = i == 0 && world.rng.u8(..8) == 0;
-            let way = if world.rng.bool() {
+            let is_skewed = i == 0 && world.rng.u8(..8) == 0;
+            let large_offset = if world.rng.bool() {
                 2_000_000
             } else {
                 -2_000_000
             };
-            let offset = if off {
-                way
+            let offset = if is_skewed {
+                large_offset
             } else {
                 world.rng.i64(-half..=half)
             };
-            let node = world.boot(i, offset, true);
+            let node = world.start_member(i, offset, true);
             world.nodes.push(node);
         }
         world
     }
 
-    fn boot(&mut self, i: usize, offset: Micros, founds: bool) -> Node {
+    fn start_member(&mut self, i: usize, offset: Micros, is_founder: bool) -> Node {
         self.sent += 1;
-        let (members, lifetime) = (self.cut.len(), self.sent);
+        let (members, incarnation) = (self.is_blocked.len(), self.sent);
         let rates = section().rates(members as u32);
         let number = member(i as u64);
         let mut affinity = AffinityMember::new(
-            self.t + offset,
+            self.now + offset,
             self.times,
             self.capacity,
             rates,
             number,
-            founds,
+            is_founder,
         );
         (
             affinity.rules,
             affinity.publishing.rules,
             affinity.table.rules,
         ) = (self.rules, self.rules, self.rules);
-        affinity.members(&(0..members as u64).map(member).collect::<Vec<_>>());
-        let (booted, steady, under_way) = (self.t, self.t, Vec::new());
+        affinity.set_members(&(0..members as u64).map(member).collect::<Vec<_>>());
+        let (started_at, undisturbed_since, under_way) = (self.now, self.now, Vec::new());
         Node {
             affinity,
-            lifetime,
+            incarnation,
             offset,
             stopped: false,
-            booted,
-            steady,
-            under_way,
+            started_at,
+            undisturbed_since,
+            in_flight: under_way,
         }
     }
 
-    fn now(&self, i: usize) -> Micros {
-        self.t + self.nodes[i].offset
+    fn clock(&self, i: usize) -> Micros {
+        self.now + self.nodes[i].offset
     }
 
-    fn mono(&self, i: usize) -> Micros {
-        self.t - self.nodes[i].booted
+    fn monotonic_clock(&self, i: usize) -> Micros {
+        self.now - self.nodes[i].started_at
     }
 
-    /// A datagram leaves: it is lost, late, comes twice, or overtakes others.
+    /// Sends a datagram, which may be lost, delayed, duplicated or reordered.
     fn send(&mut self, from: usize, to: usize, bytes: &[u8], sends: usize) {
         let repeats = 1 + usize::from(self.rng.u8(..10) == 0);
-        let mut at = self.t;
-        let mut came = 0;
+        let mut send_at = self.now;
+        let mut delivered = 0;
         for _ in 0..sends {
-            if came < repeats && self.rng.f64() >= self.loss {
-                came += 1;
+            if delivered < repeats && self.rng.f64() >= self.loss {
+                delivered += 1;
                 self.sent += 1;
-                let late = if self.rng.u8(..40) == 0 {
+                let delay = if self.rng.u8(..40) == 0 {
                     self.rng.i64(0..20_000_000)
                 } else {
                     0
                 };
-                let arrives = at + self.rng.i64(1000..100_000) + if came > 1 { late } else { 0 };
-                self.net
+                let arrives =
+                    send_at + self.rng.i64(1000..100_000) + if delivered > 1 { delay } else { 0 };
+                self.network
                     .push(Reverse((arrives, self.sent, from, to, bytes.to_vec())));
             }
-            at += 50_000;
+            send_at += 50_000;
         }
     }
 
     fn step(&mut self) {
-        self.t += TICK;
-        self.befall();
-        // Who was stopped goes on with what it knew before it reads what waits for it.
+        self.now += TICK_US;
+        self.inject_fault();
+        // A member that was suspended acts on what it knew before it reads waiting datagrams.
         self.check();
-        self.use_keys();
+        self.send_requests();
         while self
-            .net
+            .network
             .peek()
-            .is_some_and(|Reverse((at, ..))| *at <= self.t)
-            && let Some(Reverse((_, _, from, to, bytes))) = self.net.pop()
+            .is_some_and(|Reverse((at, ..))| *at <= self.now)
+            && let Some(Reverse((_, _, from, to, bytes))) = self.network.pop()
         {
-            self.arrive(from, to, &bytes);
+            self.deliver_datagram(from, to, &bytes);
         }
         self.check();
         for i in 0..self.nodes.len() {
             self.tick(i);
         }
-        self.ask();
+        self.query_clear();
     }
 
-    fn arrive(&mut self, from: usize, to: usize, bytes: &[u8]) {
+    fn deliver_datagram(&mut self, from: usize, to: usize, bytes: &[u8]) {
         if self.nodes[to].stopped {
             // It waits in the socket's buffer.
             self.sent += 1;
-            self.net.push(Reverse((
-                self.t + TICK,
+            self.network.push(Reverse((
+                self.now + TICK_US,
                 self.sent,
                 from,
                 to,
@@ -213,11 +215,11 @@
             )));
             return;
         }
-        if self.cut[from][to] {
+        if self.is_blocked[from][to] {
             return;
         }
-        let now = self.now(to);
-        // What cannot be read is no history's business.
+        let now = self.clock(to);
+        // Rejected messages are irrelevant here.
         let _ = self.nodes[to].affinity.receive(now, from as u64, bytes);
     }
 
@@ -225,89 +227,91 @@
         if self.nodes[i].stopped {
             return;
         }
-        let (now, t) = (self.now(i), self.t);
+        let (now, t) = (self.clock(i), self.now);
         let node = &mut self.nodes[i];
-        for (_, process) in node.under_way.extract_if(.., |(until, _)| *until <= t) {
-            node.affinity.under_way(process, false);
+        for (_, process) in node.in_flight.extract_if(.., |(until, _)| *until <= t) {
+            node.affinity.set_in_flight(process, false);
         }
-        let mono = self.mono(i);
-        let told = self.nodes[i].affinity.tick(now, mono);
+        let mono = self.monotonic_clock(i);
+        let outgoing = self.nodes[i].affinity.tick(now, mono);
         for to in (0..self.nodes.len()).filter(|to| *to != i) {
-            told.nearby
+            outgoing
+                .periodic
                 .iter()
-                .for_each(|message| self.send(i, to, message, SENDS));
+                .for_each(|message| self.send(i, to, message, SENDS_PER_MESSAGE));
         }
-        for (to, message) in told.direct {
+        for (to, message) in outgoing.direct {
             self.send(i, to as usize, &message, 1);
         }
     }
 
-    /// Requests come in: each goes where its key is bound, or else where all would send it, or
-    /// elsewhere.
-    fn use_keys(&mut self) {
+    /// Sends requests: to a process with an entry for the key, otherwise to the process that all
+    /// members would choose or to another one.
+    fn send_requests(&mut self) {
         for i in 0..self.nodes.len() {
             if self.nodes[i].stopped || self.rng.u8(..4) > 0 {
                 continue;
             }
             let key = self.rng.u64(..KEYS);
-            let (now, mono) = (self.now(i), self.mono(i));
-            let cached_at = self.nodes[i]
+            let (now, mono) = (self.clock(i), self.monotonic_clock(i));
+            let picked = self.nodes[i]
                 .affinity
-                .picks(now, mono, key, |_| true)
+                .pick(now, mono, key, |_| true)
                 .first()
                 .copied();
-            let at = cached_at.unwrap_or_else(|| process(mix(key, self.rng.u64(..2)) % PROCESSES));
-            if cached_at.is_some() {
-                let until = self.t + self.rng.i64(0..self.times.longest_use);
-                self.nodes[i].under_way.push((until, at));
-                self.nodes[i].affinity.under_way(at, true);
+            let process =
+                picked.unwrap_or_else(|| process(mix(key, self.rng.u64(..2)) % PROCESSES));
+            if picked.is_some() {
+                let ends_at = self.now + self.rng.i64(0..self.times.longest_use);
+                self.nodes[i].in_flight.push((ends_at, process));
+                self.nodes[i].affinity.set_in_flight(process, true);
             }
-            self.nodes[i].affinity.record_use(now, key, at);
-            // A use by an affinity entry that is about to end is told too late: the spread, two
-            // clocks and a slot before.
-            let late =
+            self.nodes[i].affinity.record_use(now, key, process);
+            // A use of an entry that is about to expire is published too late: the margin is the
+            // dissemination time, two clocks and a slot.
+            let latest_renewal =
                 self.times.slot(now + 2 * self.times.skew) + self.times.dissemination_time + 2;
-            let in_time = self.nodes[i]
+            let is_renewable = self.nodes[i]
                 .affinity
                 .table
-                .at(key, at)
-                .is_some_and(|w| w.ends > late);
-            self.truth.record_use(
-                self.t,
+                .get(key, process)
+                .is_some_and(|w| w.expires_slot > latest_renewal);
+            self.record.record_use(
+                self.now,
                 self.times.slot(now),
                 i,
-                (key, at),
-                cached_at.is_some() && in_time,
+                (key, process),
+                picked.is_some() && is_renewable,
             );
         }
     }
 
-    /// Whoever wants the first process away asks one member, again and again.
-    fn ask(&mut self) {
-        let Some(i) = self.asked.filter(|i| !self.nodes[*i].stopped) else {
+    /// Queries one member repeatedly whether the first process is clear.
+    fn query_clear(&mut self) {
+        let Some(i) = self.queried_member.filter(|i| !self.nodes[*i].stopped) else {
             return;
         };
-        let (now, mono) = (self.now(i), self.mono(i));
-        // It knows for sure of itself alone; whom it heard of, it knows by itself.
+        let (now, mono) = (self.clock(i), self.monotonic_clock(i));
+        // Only the member itself is given as known to run; it knows the others it has heard of.
         if self.nodes[i]
             .affinity
-            .clear(now, mono, process(0), 0, &[member(i as u64)])
+            .drain_status(now, mono, process(0), 0, &[member(i as u64)])
             .clear
         {
-            self.clear = self.clear.or(Some(self.t));
+            self.clear_since = self.clear_since.or(Some(self.now));
         }
     }
 }
 
-/// What came of histories: how often each property was looked at, and the first breach.
-type Found = (HashMap<&'static str, u64>, Option<String>);
+/// Number of checks of each property, and the first violation.
+type HistoryResult = (HashMap<&'static str, u64>, Option<String>);
 
-fn play(seed: u64, rules: SafetyRules, capacity: usize, seconds: i64) -> Found {
+fn run_history(seed: u64, rules: SafetyRules, capacity: usize, seconds: i64) -> HistoryResult {
     let members = 3 + (seed % 3) as usize;
     let mut world = World::new(seed, members, capacity, rules);
-    while world.t < EPOCH + seconds * 1_000_000 && world.truth.breach.is_none() {
+    while world.now < START_US + seconds * 1_000_000 && world.record.violation.is_none() {
         world.step();
     }
     world.settle();
-    (world.truth.looked, world.truth.breach)
+    (world.record.checks, world.record.violation)
 }
--- a/crates/affinity/src/member.rs
+++ b/crates/affinity/src/member.rs
@@ -3,7 +3,7 @@
 use crate::Micros;
 use crate::contact::Contact;
 use crate::contact_lease::ContactLease;
-use crate::drain_phase::{EpochRefused, Phase, Phases};
+use crate::drain_phase::{DrainError, Phase, Phases};
 use crate::entry::{AffinityEntry, MAX_ENTRIES_PER_KEY, Process};
 use crate::pending_updates::PendingUpdates;
 use crate::publishing::{PublishRates, Publishing};
@@ -14,11 +14,10 @@
 use std::cmp::Reverse;
 use std::collections::{HashMap, HashSet, VecDeque};
 
-/// Periodic messages in which a member that starts asks for all affinity entries, until it is
-/// answered.
-const ASKS: u32 = 8;
+/// Most periodic messages in which a member that starts requests the table, until it is answered.
+const MAX_TABLE_REQUESTS: u32 = 8;
 
-/// All that one member knows of affinity entries.
+/// The affinity state of one member.
 #[derive(Clone, Debug)]
 pub struct AffinityMember {
     pub(crate) times: Times,
@@ -29,33 +28,32 @@
     pub(crate) phases: Phases,
     pub(crate) contact: Contact,
     pub(crate) contact_lease: ContactLease,
-    /// Processes that the own list has named and that take nothing any more: nothing is bound
-    /// there.
+    /// Listed processes that accept no more requests: no entries are made or kept for them.
     pub(crate) closed: HashSet<Process>,
-    /// Requests under way that may go by an affinity entry, by process.
-    pub(crate) under_way: HashMap<Process, u32>,
-    /// Members that asked for all affinity entries, and how far their answers have come.
-    pub(crate) asked: VecDeque<(u64, Option<Rank>)>,
-    /// From then on what others sent is sure to be said after this member began.
-    pub(crate) begun: Micros,
-    pub(crate) asks: u32,
+    /// Requests in flight that were picked by an affinity entry, by process.
+    pub(crate) in_flight: HashMap<Process, u32>,
+    /// Members that requested the table, and the rank up to which each was answered.
+    pub(crate) pending_answers: VecDeque<(u64, Option<Rank>)>,
+    /// Messages of others from then on were certainly sent after this member started.
+    pub(crate) trusted_from: Micros,
+    pub(crate) table_requests_left: u32,
     pub(crate) last_message: Micros,
     pub(crate) slot: Slot,
-    pub(crate) turn: u64,
+    pub(crate) rotation: u64,
     pub(crate) summary: AffinitySummary,
     pub(crate) rules: SafetyRules,
 }
 
 impl AffinityMember {
-    /// Those of a member by that number, the same in all its incarnations, that begins now. One
-    /// that `founds` the fleet asks nobody.
+    /// A member with that id, the same in all its incarnations, that starts now. A member that
+    /// founds the fleet requests no table.
     pub fn new(
         now: Micros,
         times: Times,
         keys: usize,
         rates: PublishRates,
         member: u64,
-        founds: bool,
+        is_founder: bool,
     ) -> Self {
         Self {
             table: Table::new(keys, member),
@@ -63,15 +61,15 @@
             pending: PendingUpdates::default(),
             phases: Phases::default(),
             contact: Contact::new(member),
-            contact_lease: ContactLease::new(times.contact_timeout, founds),
+            contact_lease: ContactLease::new(times.contact_timeout, is_founder),
             closed: HashSet::new(),
-            under_way: HashMap::new(),
-            asked: VecDeque::new(),
-            begun: now + times.skew,
-            asks: if founds { 0 } else { ASKS },
+            in_flight: HashMap::new(),
+            pending_answers: VecDeque::new(),
+            trusted_from: now + times.skew,
+            table_requests_left: if is_founder { 0 } else { MAX_TABLE_REQUESTS },
             last_message: Micros::MIN,
             slot: Slot::MIN,
-            turn: member,
+            rotation: member,
             summary: AffinitySummary::default(),
             rules: SafetyRules::ALL,
             times,
@@ -79,74 +77,81 @@
         }
     }
 
-    /// Those are all members, this one too: who runs, and who may still run without being heard.
-    pub fn members(&mut self, members: &[u64]) {
-        self.contact.members(members.iter().copied());
+    /// Sets all members including this one: those that run, and those that may still run unheard.
+    pub fn set_members(&mut self, members: &[u64]) {
+        self.contact.set_members(members.iter().copied());
         self.publishing.set_members(members.len());
     }
 
-    /// It knows that it is out of contact.
+    /// Ends the contact lease, as the member knows that it is out of contact.
     pub fn lose_contact(&mut self) {
         self.contact_lease.lose_contact();
     }
 
-    /// Where a key is bound, of the processes that may be used, the best first. None where this
-    /// member may not hear the others.
-    pub fn picks(
+    /// The usable processes with an entry for a key, best first. None while this member may be out
+    /// of contact.
+    pub fn pick(
         &self,
         now: Micros,
-        mono: Micros,
+        monotonic: Micros,
         key: u64,
-        may: impl Fn(Process) -> bool,
+        is_usable: impl Fn(Process) -> bool,
     ) -> Vec<Process> {
-        let hears = self.contact_lease.hears(mono) || !self.rules.falls_silent;
+        let in_contact = self.contact_lease.is_valid(monotonic) || !self.rules.uses_contact_timeout;
         let slot = self.times.slot(now);
-        let alive = |process: Process, entry: AffinityEntry| {
-            let moves = self.phases.moves(key, process, entry.epoch, &self.times);
-            slot < entry.ends && moves.is_none_or(|moves| slot < moves) && may(process)
+        let is_current = |process: Process, entry: AffinityEntry| {
+            let migrates_at = self
+                .phases
+                .migrates_at(key, process, entry.epoch, &self.times);
+            slot < entry.expires_slot
+                && migrates_at.is_none_or(|moves| slot < moves)
+                && is_usable(process)
         };
-        if hears && self.phases.whole() {
-            self.table.cached_at(key, alive)
+        if in_contact && self.phases.is_complete() {
+            self.table.processes_by_rank(key, is_current)
         } else {
             Vec::new()
         }
     }
 
-    /// A request that was given an affinity entry to that process begins, or ends for good.
-    pub fn under_way(&mut self, process: Process, begins: bool) {
-        let requests = self.under_way.entry(process).or_default();
-        *requests = if begins {
+    /// Records that a request picked by an affinity entry for that process begins, or ends.
+    pub fn set_in_flight(&mut self, process: Process, in_flight: bool) {
+        let requests = self.in_flight.entry(process).or_default();
+        *requests = if in_flight {
             requests.saturating_add(1)
         } else {
             requests.saturating_sub(1)
         };
         if *requests == 0 {
-            self.under_way.remove(&process);
+            self.in_flight.remove(&process);
         }
     }
 
-    /// This member used a key at a process.
+    /// Records that this member used a key at a process.
     pub fn record_use(&mut self, now: Micros, key: u64, process: Process) {
         if self.closed.contains(&process) {
             return;
         }
         let (slot, epoch) = (self.times.slot(now), self.phases.epoch(process));
-        let at = self.table.at(key, process).is_some();
-        // Who finds so many places has one to go to: a further one would cost entries at each use.
-        let key_entries = || {
+        let is_known = self.table.get(key, process).is_some();
+        // With that many processes the key has enough to choose from; another one would cost
+        // updates at each use.
+        let entry_count = || {
             self.table
                 .entries(key)
-                .filter(|(_, entry)| slot < entry.ends)
+                .filter(|(_, entry)| slot < entry.expires_slot)
                 .count()
         };
-        if !self.phases.ended(process, epoch) && (at || key_entries() < MAX_ENTRIES_PER_KEY) {
-            self.publishing.record_use(key, process, slot, at);
+        if !self.phases.has_ended(process, epoch)
+            && (is_known || entry_count() < MAX_ENTRIES_PER_KEY)
+        {
+            self.publishing.record_use(key, process, slot, is_known);
         }
     }
 
-    /// The own list says that those take nothing any more: what was bound there is dropped here,
-    /// and nothing is taken in.
-    pub fn closes(&mut self, closed: HashSet<Process>) {
+    /// Sets the listed processes that accept no more requests; their entries are dropped, and new
+    /// ones rejected.
+    pub fn set_closed(&mut self, closed: HashSet<Process>) {
         if closed.iter().any(|process| !self.closed.contains(process)) {
             self.table
                 .retain(|_, process, _| !closed.contains(&process));
@@ -154,20 +159,20 @@
         self.closed = closed;
     }
 
-    /// That process leaves: its epoch ends.
+    /// Begins the drain of a process, which ends its epoch.
     ///
     /// # Errors
-    /// Why it cannot.
+    /// The epoch has ended already, or too many processes drain.
     pub fn begin_drain(
         &mut self,
         now: Micros,
         process: Process,
         epoch: u64,
-    ) -> Result<(), EpochRefused> {
+    ) -> Result<(), DrainError> {
         if self
             .phases
             .iter()
-            .any(|(p, phase)| p == process && phase.leaves && phase.epoch == epoch)
+            .any(|(p, phase)| p == process && phase.draining && phase.epoch == epoch)
         {
             return Ok(());
         }
@@ -176,39 +181,39 @@
             process,
             Phase {
                 epoch,
-                leaves: true,
+                draining: true,
                 since,
             },
         )
     }
 
-    /// It stays after all, or is back: that epoch, above the one that ended, opens.
+    /// Cancels a drain, or records the process's return: that epoch, above the ended one, begins.
     ///
     /// # Errors
-    /// Why it cannot.
+    /// The epoch has ended already, or too many processes drain.
     pub fn cancel_drain(
         &mut self,
         now: Micros,
         process: Process,
         epoch: u64,
-    ) -> Result<(), EpochRefused> {
+    ) -> Result<(), DrainError> {
         self.phases.merge(
             process,
             Phase {
                 epoch,
-                leaves: false,
+                draining: false,
                 since: Reverse(self.times.slot(now)),
             },
         )
     }
 
-    /// How far it is clear, where `running` are all members that are known to run. It is once all
-    /// of them, this one and all beacons that were heard of are clear of it and whoever is not
-    /// heard has fallen silent by its own clock.
-    pub fn clear(
+    /// How far a process is clear; `running` are all members known to run. It is clear once all of
+    /// them, this member and all beacons that were heard of are clear of it, and the contact lease
+    /// of every unheard member has expired by its own clock.
+    pub fn drain_status(
         &mut self,
         now: Micros,
-        mono: Micros,
+        monotonic: Micros,
         process: Process,
         epoch: u64,
         running: &[u64],
@@ -216,71 +221,81 @@
         let phase = self
             .phases
             .iter()
-            .find(|(p, phase)| *p == process && phase.epoch == epoch && phase.leaves);
-        let known = phase.is_some();
-        // Whoever knows that it leaves uses no affinity entry from then on.
-        let moved = phase.is_some_and(|(_, phase)| now >= self.times.moved(phase.since.0));
-        let moved = moved || !self.rules.waits_for_silence;
-        let reported = self.phases.reported(process).filter(|_| known);
-        let (mine, reported) = (reported.clone().any(|m| m == self.member), reported.count());
-        let hears = self.contact_lease.hears(mono) || !self.rules.falls_silent;
+            .find(|(p, phase)| *p == process && phase.epoch == epoch && phase.draining);
+        let is_known = phase.is_some();
+        // A member that knows of the drain uses no affinity entry from then on.
+        let has_migrated =
+            phase.is_some_and(|(_, phase)| now >= self.times.migrated_at(phase.since.0));
+        let moved = has_migrated || !self.rules.waits_for_contact_timeout;
+        let clear_count = self.phases.clear_members(process).filter(|_| is_known);
+        let (own_is_clear, reported) = (
+            clear_count.clone().any(|m| m == self.member),
+            clear_count.count(),
+        );
+        let in_contact = self.contact_lease.is_valid(monotonic) || !self.rules.uses_contact_timeout;
         let mut members = running.to_vec();
-        members.extend(self.contact.beacons(now - self.times.contact_timeout));
-        let all = if hears && mine {
-            self.phases.complete(process, epoch, mono, &members)
+        members.extend(
+            self.contact
+                .beacons_heard_since(now - self.times.contact_timeout),
+        );
+        let all_clear_since = if in_contact && own_is_clear {
+            self.phases
+                .all_clear_since(process, epoch, monotonic, &members)
         } else {
             None
         };
-        let waits = if self.rules.waits_for_silence {
-            self.times.clear_after()
+        let required_wait = if self.rules.waits_for_contact_timeout {
+            self.times.clear_delay()
         } else {
             0
         };
         DrainStatus {
-            clear: moved && all.is_some_and(|since| mono - since >= waits),
-            known,
-            mine,
+            clear: moved && all_clear_since.is_some_and(|since| monotonic - since >= required_wait),
+            known: is_known,
+            mine: own_is_clear,
             reported,
         }
     }
 
-    /// Forgets processes that left and are listed no more.
+    /// Removes drained processes that are no longer listed.
     pub fn forget(&mut self, now: Micros, listed: impl Fn(Process) -> bool) {
         self.phases
             .forget(self.times.slot(now), &self.times, listed);
     }
 
-    /// The slot of an instant.
-    pub fn slot_of(&self, now: Micros) -> Slot {
+    /// The slot at a time.
+    pub fn slot_at(&self, now: Micros) -> Slot {
         self.times.slot(now)
     }
 
-    /// Processes that leave or have come back, and how many members are clear of each.
+    /// Processes that drain or have returned, and how many members are clear of each.
     pub fn phases(&self) -> impl Iterator<Item = (Process, Phase, usize)> {
         self.phases
             .iter()
-            .map(|(process, phase)| (process, phase, self.phases.reported(process).count()))
+            .map(|(process, phase)| (process, phase, self.phases.clear_members(process).count()))
     }
 
-    /// All affinity entries, for whoever audits them: key, process, entry.
+    /// All affinity entries, for audits: key, process, entry.
     pub fn dump(&self) -> impl Iterator<Item = (u64, Process, AffinityEntry)> {
         let entries = |key| {
             self.table
                 .entries(key)
                 .map(move |(process, entry)| (key, process, entry))
         };
-        self.table.below(None).flat_map(move |rank| entries(rank.2))
+        self.table
+            .keys_below(None)
+            .flat_map(move |rank| entries(rank.2))
     }
 
-    /// Figures for whoever watches.
-    pub fn summary(&self, mono: Micros) -> AffinitySummary {
+    /// The figures for monitoring.
+    pub fn summary(&self, monotonic: Micros) -> AffinitySummary {
         AffinitySummary {
             keys: self.table.len(),
             phases: self.phases.iter().count(),
             waiting: self.publishing.waiting(),
             pending: self.pending.count(),
             made_room: self.pending.dropped,
-            in_contact: self.contact_lease.hears(mono),
+            in_contact: self.contact_lease.is_valid(monotonic),
             dropped: self.table.dropped,
             unpublished: self.publishing.dropped + self.summary.unpublished,
             ..self.summary
--- a/crates/affinity/src/message.rs
+++ b/crates/affinity/src/message.rs
@@ -1,6 +1,6 @@
 //! The encoding of affinity messages.
 //!
-//! A byte for the version of the form, then a [`AffinityMessage`] by postcard.
+//! One byte for the version of the encoding, then an [`AffinityMessage`] in postcard's format.
 
 use crate::Micros;
 use crate::contact::BeaconAge;
@@ -10,48 +10,49 @@
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
 
-/// Longest fragment in bytes: what is left of a datagram of 1,200 beside heads and some
+/// Longest message in bytes: what remains of a datagram of 1,200 bytes beside headers and some
 /// observations.
 pub const MAX_MESSAGE_BYTES: usize = 1024;
 const VERSION: u8 = 1;
-/// Longest slots back from a fragment's own that an entry may lie: a day of slots of a millisecond.
-const FARTHEST: u64 = 86_400_000;
+/// Most slots that an entry may expire before its message's base: a day of slots of one
+/// millisecond.
+const MAX_SLOTS_BACK: u64 = 86_400_000;
 
-/// Why a fragment was refused.
+/// Why a message was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum MessageRefused {
-    /// Not of this form.
+pub enum MessageError {
+    /// It can't be decoded.
     Malformed,
-    /// Of a version that cannot be read.
+    /// Its version is unknown.
     Version,
-    /// Sent by a clock that is off.
+    /// The sender's clock is ahead by more than the skew.
     Clock,
 }
 
-/// A process as it is written.
+/// An encoded process: name and start.
 type EncodedProcess = ([u8; 8], i64);
-/// A phase: of whom, which epoch, whether it leaves, since which slot.
+/// An encoded phase: process, epoch, whether it drains, first slot.
 type EncodedPhase = (EncodedProcess, u64, bool, Slot);
-/// Members that are clear of a process at an epoch.
+/// The members that are clear of a process in an epoch.
 type EncodedReport = (EncodedProcess, u64, Vec<[u8; 8]>);
-/// Entries on one process in one epoch: the key, then twice the slots back of its end from the
-/// fragment's own, plus 1 where it is held.
+/// The entries of one process and epoch: the key, and twice the number of slots by which the entry
+/// expires before the message's base, plus 1 if it is renewed.
 type EncodedEntries = (EncodedProcess, u64, Vec<([u8; 8], u64)>);
 
-/// A fragment.
+/// An affinity message.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AffinityMessage {
     /// When it was written, by the sender's clock.
     pub stamp: Micros,
-    /// The sender asks for all affinity entries.
+    /// Whether the sender requests the table.
     pub asks: bool,
-    /// The last one of an answer.
+    /// Whether it is the last message of an answer.
     pub ends: bool,
-    /// Its entries are news, to be forwarded.
+    /// Whether its entries are new and must be disseminated further.
     pub news: bool,
-    /// Entries up to that rank were dropped somewhere: they are everywhere.
+    /// The eviction floor: entries up to that rank were evicted by some member, and are by all.
     pub floor: Option<(Slot, u64)>,
-    /// Whom the sender has heard.
+    /// The ages of the beacons.
     pub heard: Vec<BeaconAge>,
     base: Slot,
     phases: Vec<EncodedPhase>,
@@ -59,11 +60,11 @@
     groups: Vec<EncodedEntries>,
 }
 
-fn name(process: Process) -> EncodedProcess {
+fn encode_process(process: Process) -> EncodedProcess {
     (process.name.to_le_bytes(), process.started)
 }
 
-fn process((name, started): EncodedProcess) -> Process {
+fn decode_process((name, started): EncodedProcess) -> Process {
     Process {
         name: u64::from_le_bytes(name),
         started,
@@ -71,7 +72,7 @@
 }
 
 impl AffinityMessage {
-    /// One written at that instant.
+    /// An empty message written at that time.
     pub fn at(stamp: Micros) -> Self {
         Self {
             stamp,
@@ -80,141 +81,163 @@
     }
 
     /// Adds a phase.
-    pub fn phase(&mut self, of: Process, phase: Phase) {
-        self.phases
-            .push((name(of), phase.epoch, phase.leaves, phase.since.0));
+    pub fn add_phase(&mut self, of: Process, phase: Phase) {
+        self.phases.push((
+            encode_process(of),
+            phase.epoch,
+            phase.draining,
+            phase.since.0,
+        ));
     }
 
-    /// Adds the members that are clear of a process, as many as fit.
-    pub fn report(&mut self, of: Process, epoch: u64, members: impl Iterator<Item = u64>) {
-        self.reports.push((name(of), epoch, Vec::new()));
-        // Room for the length's second byte.
-        let room = (MAX_MESSAGE_BYTES - 2).saturating_sub(self.bytes().len());
-        if let Some((.., listed)) = self.reports.last_mut() {
-            listed.extend(members.take(room / 8).map(u64::to_le_bytes));
+    /// Adds as many of the members that are clear of a process as fit.
+    pub fn add_report(&mut self, of: Process, epoch: u64, members: impl Iterator<Item = u64>) {
+        self.reports.push((encode_process(of), epoch, Vec::new()));
+        // Reserves the second byte of the length.
+        let remaining_bytes = (MAX_MESSAGE_BYTES - 2).saturating_sub(self.encode().len());
+        if let Some((.., listed_members)) = self.reports.last_mut() {
+            listed_members.extend(members.take(remaining_bytes / 8).map(u64::to_le_bytes));
         }
     }
 
-    /// Adds entries that end no later than that, as many as fit; gives those that did.
-    pub fn news(
+    /// Adds as many entries as fit, which must expire no later than `base`; returns those added.
+    pub fn add_news(
         &mut self,
         base: Slot,
         entries: impl Iterator<Item = (u64, Process, AffinityEntry)>,
     ) -> Vec<(u64, Process)> {
         (self.news, self.base) = (true, base);
-        let (mut length, mut taken) = (self.bytes().len() + 4, Vec::new());
+        let (mut length, mut added) = (self.encode().len() + 4, Vec::new());
         for (key, of, entry) in entries {
-            let back = base.saturating_sub(entry.ends).max(0).cast_unsigned();
-            let at = self
+            let back = base
+                .saturating_sub(entry.expires_slot)
+                .max(0)
+                .cast_unsigned();
+            let group = self
                 .groups
                 .iter()
-                .position(|(n, epoch, _)| *n == name(of) && *epoch == entry.epoch);
+                .position(|(n, epoch, _)| *n == encode_process(of) && *epoch == entry.epoch);
             length += 8
-                + varint(back * 2 + 1)
-                + if at.is_some() {
+                + varint_length(back * 2 + 1)
+                + if group.is_some() {
                     0
                 } else {
-                    8 + 10 + varint(entry.epoch) + 2
+                    8 + 10 + varint_length(entry.epoch) + 2
                 };
             if length > MAX_MESSAGE_BYTES {
                 break;
             }
-            let at = at.unwrap_or_else(|| {
-                self.groups.push((name(of), entry.epoch, Vec::new()));
+            let at = group.unwrap_or_else(|| {
+                self.groups
+                    .push((encode_process(of), entry.epoch, Vec::new()));
                 self.groups.len() - 1
             });
             self.groups[at]
                 .2
-                .push((key.to_le_bytes(), back * 2 + u64::from(entry.held)));
-            taken.push((key, of));
+                .push((key.to_le_bytes(), back * 2 + u64::from(entry.renewed)));
+            added.push((key, of));
         }
-        taken
+        added
     }
 
-    /// Fragments with these entries, as few as hold them.
-    pub fn entries(stamp: Micros, mut entries: Vec<(u64, Process, AffinityEntry)>) -> Vec<Self> {
+    /// The smallest number of messages that contain these entries.
+    pub fn with_entries(
+        stamp: Micros,
+        mut entries: Vec<(u64, Process, AffinityEntry)>,
+    ) -> Vec<Self> {
         entries.sort_by_key(|(key, process, entry)| (*process, entry.epoch, *key));
         let base = entries
             .iter()
-            .map(|(.., entry)| entry.ends)
+            .map(|(.., entry)| entry.expires_slot)
             .max()
             .unwrap_or(0);
-        let empty = || Self {
+        let empty_message = || Self {
             base,
             ..Self::at(stamp)
         };
-        let mut pieces = Vec::new();
-        let (mut message, mut length) = (empty(), empty().bytes().len() + 2);
+        let mut messages = Vec::new();
+        let (mut message, mut length) = (empty_message(), empty_message().encode().len() + 2);
         for (key, of, entry) in entries {
-            let back = (base - entry.ends).cast_unsigned();
-            // A key, the slots back, and where it opens a group its head, each at its longest.
-            let same = message
+            let back = (base - entry.expires_slot).cast_unsigned();
+            // The key, the slots back and, at the start of a group, its header, each at its
+            // longest.
+            let same_group = message
                 .groups
                 .last()
-                .is_some_and(|(n, epoch, _)| *n == name(of) && *epoch == entry.epoch);
+                .is_some_and(|(n, epoch, _)| *n == encode_process(of) && *epoch == entry.epoch);
             let cost = 8
-                + varint(back * 2 + 1)
-                + if same {
+                + varint_length(back * 2 + 1)
+                + if same_group {
                     0
                 } else {
-                    8 + 10 + varint(entry.epoch) + 2
+                    8 + 10 + varint_length(entry.epoch) + 2
                 };
             if length + cost > MAX_MESSAGE_BYTES {
-                pieces.push(std::mem::replace(&mut message, empty()));
-                length = empty().bytes().len() + 2 + 8 + 10 + varint(entry.epoch) + 2 + 10;
-                message.groups.push((name(of), entry.epoch, Vec::new()));
+                messages.push(std::mem::replace(&mut message, empty_message()));
+                length = empty_message().encode().len()
+                    + 2
+                    + 8
+                    + 10
+                    + varint_length(entry.epoch)
+                    + 2
+                    + 10;
+                message
+                    .groups
+                    .push((encode_process(of), entry.epoch, Vec::new()));
             } else {
                 length += cost;
-                if !same {
-                    message.groups.push((name(of), entry.epoch, Vec::new()));
+                if !same_group {
+                    message
+                        .groups
+                        .push((encode_process(of), entry.epoch, Vec::new()));
                 }
             }
-            if let Some((.., listed)) = message.groups.last_mut() {
-                listed.push((key.to_le_bytes(), back * 2 + u64::from(entry.held)));
+            if let Some((.., entries_of_group)) = message.groups.last_mut() {
+                entries_of_group.push((key.to_le_bytes(), back * 2 + u64::from(entry.renewed)));
             }
         }
         if !message.groups.is_empty() {
-            pieces.push(message);
+            messages.push(message);
         }
-        pieces
+        messages
     }
 
-    /// As it is sent.
-    pub fn bytes(&self) -> Vec<u8> {
-        // A vector takes all that is written to it.
+    /// Encodes the message.
+    pub fn encode(&self) -> Vec<u8> {
+        // Writing to a vector cannot fail.
         postcard::to_extend(self, vec![VERSION]).unwrap_or_default()
     }
 
-    /// Reads one.
+    /// Decodes a message.
     ///
     /// # Errors
-    /// Why it is to be dropped.
-    pub fn read(bytes: &[u8]) -> Result<Self, MessageRefused> {
+    /// The message must be dropped.
+    pub fn read(bytes: &[u8]) -> Result<Self, MessageError> {
         match bytes {
             [VERSION, rest @ ..] if bytes.len() <= MAX_MESSAGE_BYTES => {
-                postcard::from_bytes(rest).map_err(|_| MessageRefused::Malformed)
+                postcard::from_bytes(rest).map_err(|_| MessageError::Malformed)
             }
-            [VERSION, ..] | [] => Err(MessageRefused::Malformed),
-            _ => Err(MessageRefused::Version),
+            [VERSION, ..] | [] => Err(MessageError::Malformed),
+            _ => Err(MessageError::Version),
         }
     }
 
-    /// Phases in it.
+    /// The phases in the message.
     pub fn phases(&self) -> impl Iterator<Item = (Process, Phase)> {
         let phase = |epoch, leaves, since| Phase {
             epoch,
-            leaves,
+            draining: leaves,
             since: Reverse(since),
         };
-        self.phases
-            .iter()
-            .map(move |(n, epoch, leaves, since)| (process(*n), phase(*epoch, *leaves, *since)))
+        self.phases.iter().map(move |(n, epoch, leaves, since)| {
+            (decode_process(*n), phase(*epoch, *leaves, *since))
+        })
     }
 
-    /// Who is clear of what at which epoch.
+    /// The reports in the message: process, epoch and member.
     pub fn reports(&self) -> impl Iterator<Item = (Process, u64, u64)> {
         let of = |(n, epoch, members): &EncodedReport| {
-            let (of, epoch) = (process(*n), *epoch);
+            let (of, epoch) = (decode_process(*n), *epoch);
             members
                 .clone()
                 .into_iter()
@@ -223,21 +246,21 @@
         self.reports.iter().flat_map(of)
     }
 
-    /// Entries in it; those that lie too far back are passed over.
+    /// The entries in the message, without those that expire too long before the base.
     pub fn each_entry(&self) -> impl Iterator<Item = (u64, Process, AffinityEntry)> {
         self.groups.iter().flat_map(move |(n, epoch, listed)| {
             listed
                 .iter()
-                .filter(|(_, packed)| packed / 2 <= FARTHEST)
+                .filter(|(_, packed)| packed / 2 <= MAX_SLOTS_BACK)
                 .filter_map(move |(key, packed)| {
                     let ends = self.base.checked_sub((packed / 2).cast_signed())?;
                     Some((
                         u64::from_le_bytes(*key),
-                        process(*n),
+                        decode_process(*n),
                         AffinityEntry {
                             epoch: *epoch,
-                            ends,
-                            held: packed % 2 == 1,
+                            expires_slot: ends,
+                            renewed: packed % 2 == 1,
                         },
                     ))
                 })
@@ -245,8 +268,8 @@
     }
 }
 
-/// Bytes of a number as postcard writes it.
-fn varint(number: u64) -> usize {
+/// Length of a number in postcard's encoding, in bytes.
+fn varint_length(number: u64) -> usize {
     (64 - number.leading_zeros()).div_ceil(7).max(1) as usize
 }
 
--- a/crates/affinity/src/pending_updates.rs
+++ b/crates/affinity/src/pending_updates.rs
@@ -1,46 +1,49 @@
-//! Updates that are disseminated until enough members have them.
+//! Updates that are still disseminated.
 //!
-//! What is told here, or was new here, goes along with periodic messages to members drawn anew each
-//! time (Demers et al., PODC 1987, p. 1, "rumor mongering" by counter): what went least often
-//! first, each time as the table has it by then.
+//! Updates made or newly received here are included in periodic messages to random members (Demers
+//! et al., PODC 1987, p. 1, "rumor mongering" by counter): the least often sent first, each time
+//! with the current entry of the table.
 
 use crate::entry::Process;
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
-/// Periodic messages with which an entry goes: of four sends each, 12. With three in ten lost, one
-/// member in 4,000 is missed by all who pass an entry on.
-pub const ROUNDS: u8 = 3;
-/// Entries that wait; what went most often makes room.
-const MAX_ENTRIES: usize = 1024;
+/// Periodic messages that include an update: with four receivers each, 12 sends. At 30% loss, one
+/// member in 4,000 is missed by all that forward an update.
+pub const SENDS_PER_UPDATE: u8 = 3;
+/// Most pending updates; the most often sent is removed first.
+const MAX_PENDING: usize = 1024;
 
-/// Entries that are to be forwarded.
+/// Updates that are to be disseminated.
 #[derive(Clone, Debug, Default)]
 pub struct PendingUpdates {
-    left: HashMap<(u64, Process), u8>,
-    /// Entries that made room before they went as often as they should.
+    remaining_sends: HashMap<(u64, Process), u8>,
+    /// Updates removed for others before they were sent often enough.
     pub dropped: u64,
 }
 
 impl PendingUpdates {
-    /// An entry is new here.
+    /// Adds an update that is new here.
     pub fn add(&mut self, key: u64, process: Process) {
-        if self.left.len() >= MAX_ENTRIES && !self.left.contains_key(&(key, process)) {
-            let least = self
-                .left
+        if self.remaining_sends.len() >= MAX_PENDING
+            && !self.remaining_sends.contains_key(&(key, process))
+        {
+            let most_sent = self
+                .remaining_sends
                 .iter()
                 .min_by_key(|(of, left)| (**left, **of))
                 .map(|(of, _)| *of);
-            least.and_then(|of| self.left.remove(&of));
+            most_sent.and_then(|of| self.remaining_sends.remove(&of));
             self.dropped += 1;
         }
-        self.left.insert((key, process), ROUNDS);
+        self.remaining_sends
+            .insert((key, process), SENDS_PER_UPDATE);
     }
 
-    /// All, those that went least often first.
-    pub fn waiting(&self) -> Vec<(u64, Process)> {
+    /// All updates, the least often sent first.
+    pub fn by_priority(&self) -> Vec<(u64, Process)> {
         let mut waiting: Vec<_> = self
-            .left
+            .remaining_sends
             .iter()
             .map(|(of, left)| (Reverse(*left), *of))
             .collect();
@@ -48,19 +51,19 @@
         waiting.into_iter().map(|(_, of)| of).collect()
     }
 
-    /// One went once, or is over.
-    pub fn went(&mut self, of: (u64, Process), over: bool) {
-        if let Some(left) = self.left.get_mut(&of) {
-            *left = if over { 0 } else { *left - 1 };
-            if *left == 0 {
-                self.left.remove(&of);
+    /// Records that an update was sent, or drops it as expired.
+    pub fn record_sent(&mut self, update: (u64, Process), is_expired: bool) {
+        if let Some(remaining) = self.remaining_sends.get_mut(&update) {
+            *remaining = if is_expired { 0 } else { *remaining - 1 };
+            if *remaining == 0 {
+                self.remaining_sends.remove(&update);
             }
         }
     }
 
-    /// How many wait.
+    /// Number of pending updates.
     pub fn count(&self) -> usize {
-        self.left.len()
+        self.remaining_sends.len()
     }
 }
 
--- a/crates/affinity/src/pending_updates/tests.rs
+++ b/crates/affinity/src/pending_updates/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of `rumour.rs`.
+//! Tests of `pending_updates.rs`.
 
 use super::*;
 
 #[test]
-fn each_goes_so_often_what_went_least_first_and_they_are_bounded() {
-    let (mut pending, of) = (PendingUpdates::default(), |key| {
+fn updates_are_sent_a_fixed_number_of_times_least_sent_first_and_are_bounded() {
+    let (mut pending, update) = (PendingUpdates::default(), |key| {
         (
             key,
             Process {
@@ -13,16 +13,16 @@
             },
         )
     });
-    pending.add(1, of(1).1);
-    pending.went(of(1), false);
-    pending.add(2, of(2).1);
-    assert_eq!(pending.waiting(), [of(2), of(1)]);
-    (1..ROUNDS).for_each(|_| pending.went(of(1), false));
-    pending.went(of(2), true);
+    pending.add(1, update(1).1);
+    pending.record_sent(update(1), false);
+    pending.add(2, update(2).1);
+    assert_eq!(pending.by_priority(), [update(2), update(1)]);
+    (1..SENDS_PER_UPDATE).for_each(|_| pending.record_sent(update(1), false));
+    pending.record_sent(update(2), true);
     assert_eq!(pending.count(), 0);
-    (0..2 * MAX_ENTRIES as u64).for_each(|key| pending.add(key, of(0).1));
+    (0..2 * MAX_PENDING as u64).for_each(|key| pending.add(key, update(0).1));
     assert_eq!(
         (pending.count(), pending.dropped),
-        (MAX_ENTRIES, MAX_ENTRIES as u64)
+        (MAX_PENDING, MAX_PENDING as u64)
     );
 }
--- a/crates/affinity/src/publishing.rs
+++ b/crates/affinity/src/publishing.rs
@@ -1,10 +1,10 @@
 //! Decides which uses of a key are published, and when.
 //!
-//! A use of what is bound is told only where the others would else age it out, by one of those that
-//! know of such a use. As nobody knows who else does, each waits a drawn time, exponentially so
-//! that few come first whatever their number (as for feedback of multicast: Nonnenmacher and
-//! Biersack, IEEE/ACM Transactions on Networking 7, 1999, p. 375); who hears the entry meanwhile
-//! says nothing.
+//! A use of a key with an entry is published only if the entry would otherwise expire, by one of
+//! the members with such a use. As no member knows which others have one, each waits for a random,
+//! exponentially distributed time, so that few publish first whatever their number (as for
+//! multicast feedback: Nonnenmacher and Biersack, IEEE/ACM Transactions on Networking 7, 1999, p.
+//! 375); the others receive the update in the meantime and publish nothing.
 
 use crate::entry::{AffinityEntry, Process};
 use crate::safety_rules::SafetyRules;
@@ -13,146 +13,149 @@
 use crate::{Micros, mix};
 use std::collections::{HashMap, VecDeque};
 
-/// Entries told at once: they fit into a periodic message, were each on another process.
-const MAX_AT_ONCE: usize = 32;
-/// First uses that wait to be told; the one that waited longest makes room.
+/// Most entries published at once: they fit into a periodic message even if each has its own
+/// process.
+const MAX_PUBLISHED_AT_ONCE: usize = 32;
+/// Most first uses that wait to be published; the oldest is dropped.
 const MAX_UNPUBLISHED: usize = 1024;
-/// Seconds of its part of the entries that a member may save up, and the least that this comes to.
-const SAVES: f64 = 4.0;
-const MIN_BURST: f64 = 16.0;
+/// Seconds of its share of the update rate that a member may save up, and the least burst.
+const MAX_SAVED_S: f64 = 4.0;
+const MIN_BURST_UPDATES: f64 = 16.0;
 
-/// What may be told of keys that are not bound yet.
+/// The rate limit on updates for keys without an entry.
 #[derive(Clone, Copy, Debug)]
 pub struct PublishRates {
-    /// By all members together.
+    /// Updates per second by all members together.
     pub updates_per_s: f64,
-    /// Members that are expected, two at the least.
+    /// Number of members, at least two.
     pub members: f64,
 }
 
-/// Own uses that the others may need to be told of.
+/// This member's uses that may have to be published.
 #[derive(Clone, Debug)]
 pub struct Publishing {
     rates: PublishRates,
     member: u64,
-    uses: HashMap<(u64, Process), Slot>,
-    fresh: VecDeque<(u64, Process, Slot)>,
+    renewals: HashMap<(u64, Process), Slot>,
+    first_uses: VecDeque<(u64, Process, Slot)>,
     tokens: f64,
-    filled: Micros,
-    /// First uses that were never told, as too many came.
+    refilled_at: Micros,
+    /// First uses that were dropped without being published.
     pub dropped: u64,
     pub(crate) rules: SafetyRules,
 }
 
 impl Publishing {
-    /// Nothing to tell yet.
+    /// Starts without uses.
     pub fn new(rates: PublishRates, member: u64) -> Self {
-        let (uses, fresh) = (HashMap::new(), VecDeque::new());
+        let (renewals, first_uses) = (HashMap::new(), VecDeque::new());
         let rules = SafetyRules::ALL;
         Self {
             rates,
             member,
-            uses,
-            fresh,
-            tokens: MIN_BURST,
-            filled: Micros::MAX,
+            renewals,
+            first_uses,
+            tokens: MIN_BURST_UPDATES,
+            refilled_at: Micros::MAX,
             dropped: 0,
             rules,
         }
     }
 
-    /// So many members are there.
+    /// Sets the number of members.
     pub fn set_members(&mut self, members: usize) {
         self.rates.members = members.max(2) as f64;
     }
 
-    /// This member used a key there, which is bound there already or not.
-    pub fn record_use(&mut self, key: u64, process: Process, slot: Slot, cached_at: bool) {
-        if cached_at {
-            self.uses.insert((key, process), slot);
+    /// Records that this member used a key at a process that has an entry for it or not.
+    pub fn record_use(&mut self, key: u64, process: Process, slot: Slot, is_known: bool) {
+        if is_known {
+            self.renewals.insert((key, process), slot);
         } else if !self
-            .fresh
+            .first_uses
             .iter()
             .rev()
             .take(64)
             .any(|(k, p, _)| (*k, *p) == (key, process))
         {
-            if self.fresh.len() >= MAX_UNPUBLISHED {
-                self.fresh.pop_front();
+            if self.first_uses.len() >= MAX_UNPUBLISHED {
+                self.first_uses.pop_front();
                 self.dropped += 1;
             }
-            self.fresh.push_back((key, process, slot));
+            self.first_uses.push_back((key, process, slot));
         }
     }
 
-    /// When this member tells of a use on which the others know that entry.
-    fn due(&self, key: u64, entry: AffinityEntry, times: &Times) -> Micros {
-        // With everybody before anybody's clock says that it ended.
-        let before = times.dissemination_time + times.slots(times.skew);
-        let latest = entry.ends - before;
-        let over = ((times.lifetime(entry.held) - before) / 2).max(1) * times.slot;
-        let drawn = mix(mix(self.member, key), entry.ends.cast_unsigned());
-        let uniform = (drawn >> 11) as f64 / (1u64 << 53) as f64;
-        let waits =
+    /// When this member publishes a use, if others know that entry.
+    fn due_at(&self, key: u64, entry: AffinityEntry, times: &Times) -> Micros {
+        // The update must reach every member before the entry expires by any clock.
+        let lead_time = times.dissemination_time + times.slots(times.skew);
+        let latest = entry.expires_slot - lead_time;
+        let delay_range = ((times.lifetime(entry.renewed) - lead_time) / 2).max(1) * times.slot;
+        let random = mix(mix(self.member, key), entry.expires_slot.cast_unsigned());
+        let uniform = (random >> 11) as f64 / (1u64 << 53) as f64;
+        let delay_fraction =
             (1.0 + uniform.max(f64::MIN_POSITIVE).ln() / self.rates.members.ln()).clamp(0.0, 1.0);
-        latest * times.slot - over + (waits * over as f64) as Micros
+        latest * times.slot - delay_range + (delay_fraction * delay_range as f64) as Micros
     }
 
-    /// What is to be told at this instant, so that nothing is late until the next one, `every` from
-    /// now.
-    pub fn due_now(
+    /// The entries to publish now, so that none is late at the next call, `interval` from now.
+    pub fn take_due(
         &mut self,
         now: Micros,
-        every: Micros,
+        interval: Micros,
         table: &Table,
         times: &Times,
         epoch: impl Fn(Process) -> Option<u64>,
     ) -> Vec<(u64, Process, AffinityEntry)> {
-        let mut told = Vec::new();
-        let uses = std::mem::take(&mut self.uses);
-        self.uses.reserve(uses.len());
+        let mut published = Vec::new();
+        let uses = std::mem::take(&mut self.renewals);
+        self.renewals.reserve(uses.len());
         for ((key, process), last) in uses {
-            let known = table.at(key, process);
-            let Some((entry, epoch)) = known.zip(epoch(process)) else {
+            let stored = table.get(key, process);
+            let Some((entry, epoch)) = stored.zip(epoch(process)) else {
                 continue;
             };
-            let mine = AffinityEntry::of(last, epoch, true, times);
-            if mine <= entry {
+            let own_entry = AffinityEntry::new(last, epoch, true, times);
+            if own_entry <= entry {
                 continue;
             }
-            let due = now + every > self.due(key, entry, times) || !self.rules.tells_sparsely;
-            match due && self.rules.renews && told.len() < MAX_AT_ONCE {
-                true => told.push((key, process, mine)),
-                false => drop(self.uses.insert((key, process), last)),
+            let is_due =
+                now + interval > self.due_at(key, entry, times) || !self.rules.publishes_sparsely;
+            match is_due && self.rules.publishes_renewals && published.len() < MAX_PUBLISHED_AT_ONCE
+            {
+                true => published.push((key, process, own_entry)),
+                false => drop(self.renewals.insert((key, process), last)),
             }
         }
-        let part = self.rates.updates_per_s / self.rates.members;
-        let passed = now.saturating_sub(self.filled).max(0) as f64 / 1e6;
-        self.tokens = (self.tokens + passed * part).min((SAVES * part).max(MIN_BURST));
-        self.filled = now;
+        let own_rate = self.rates.updates_per_s / self.rates.members;
+        let elapsed_s = now.saturating_sub(self.refilled_at).max(0) as f64 / 1e6;
+        self.tokens = (self.tokens + elapsed_s * own_rate)
+            .min((MAX_SAVED_S * own_rate).max(MIN_BURST_UPDATES));
+        self.refilled_at = now;
         while self.tokens >= 1.0
-            && told.len() < MAX_AT_ONCE
-            && let Some((key, process, last)) = self.fresh.pop_front()
+            && published.len() < MAX_PUBLISHED_AT_ONCE
+            && let Some((key, process, last)) = self.first_uses.pop_front()
         {
             let Some(epoch) = epoch(process) else {
                 continue;
             };
-            // Another may have told of it meanwhile.
-            if table.at(key, process).is_some() {
-                self.uses.insert((key, process), last);
+            // Another member may have published it in the meantime.
+            if table.get(key, process).is_some() {
+                self.renewals.insert((key, process), last);
                 continue;
             }
             if times.slot(now) < last + times.first_lifetime {
-                told.push((key, process, AffinityEntry::of(last, epoch, false, times)));
+                published.push((key, process, AffinityEntry::new(last, epoch, false, times)));
                 self.tokens -= 1.0;
             }
         }
-        told
+        published
     }
 
-    /// Uses that wait to be told.
+    /// Number of uses that wait to be published.
     pub fn waiting(&self) -> usize {
-        self.uses.len() + self.fresh.len()
+        self.renewals.len() + self.first_uses.len()
     }
 }
 
--- a/crates/affinity/src/receive.rs
+++ b/crates/affinity/src/receive.rs
@@ -1,57 +1,57 @@
-//! What a member makes of the messages of others.
+//! Handles the messages of other members.
 
 use crate::Micros;
 use crate::member::AffinityMember;
-use crate::message::{AffinityMessage, MessageRefused};
+use crate::message::{AffinityMessage, MessageError};
 use crate::time::Slot;
 
-/// Members that are answered at a time.
-const MAX_ASKED: usize = 4;
+/// Most members that are being answered at the same time.
+const MAX_PENDING_ANSWERS: usize = 4;
 
 impl AffinityMember {
-    /// A fragment came from a member.
+    /// Applies a message from a member.
     ///
     /// # Errors
-    /// Why it was refused; nothing of it was taken in.
-    pub fn receive(&mut self, now: Micros, from: u64, bytes: &[u8]) -> Result<(), MessageRefused> {
-        let read = AffinityMessage::read(bytes).and_then(|message| {
+    /// The message was rejected; nothing of it was applied.
+    pub fn receive(&mut self, now: Micros, from: u64, bytes: &[u8]) -> Result<(), MessageError> {
+        let decoded = AffinityMessage::read(bytes).and_then(|message| {
             match message.stamp <= now + self.times.skew {
                 true => Ok(message),
-                false => Err(MessageRefused::Clock),
+                false => Err(MessageError::Clock),
             }
         });
-        let message = read.inspect_err(|_| self.summary.refused += 1)?;
+        let message = decoded.inspect_err(|_| self.summary.refused += 1)?;
         self.merge_phases(now, &message);
         self.merge_reports(&message);
         self.merge_entries(now, &message);
-        // Who has no room for who left does not know what the sender did.
-        if self.phases.whole() {
-            self.contact.heard(message.stamp, &message.heard);
+        // A member without room for all drains does not know what the sender knew.
+        if self.phases.is_complete() {
+            self.contact.receive_ages(message.stamp, &message.heard);
         }
         if message.asks {
             self.queue_answer(from);
         }
         if message.ends {
-            self.asks = 0;
+            self.table_requests_left = 0;
         }
-        let latest = self.newest_slot(now) + self.times.renewed_lifetime;
+        let latest = self.latest_slot(now) + self.times.renewed_lifetime;
         if let Some(floor) = message.floor.filter(|(slot, _)| *slot <= latest) {
-            self.table.raise(floor);
+            self.table.raise_floor(floor);
         }
         Ok(())
     }
 
     /// The slot that the fastest clock within the skew may have reached.
-    fn newest_slot(&self, now: Micros) -> Slot {
+    fn latest_slot(&self, now: Micros) -> Slot {
         self.times.slot(now + self.times.skew)
     }
 
     fn merge_phases(&mut self, now: Micros, message: &AffinityMessage) {
-        let (newest, oldest) = (self.newest_slot(now), self.times.slot(now));
+        let (latest, current) = (self.latest_slot(now), self.times.slot(now));
         let phases = message.phases();
-        for (process, phase) in phases.filter(|(_, phase)| phase.since.0 <= newest) {
-            // One that finds no room stops all affinity entries here until it does.
-            if self.phases.takes(process, phase, oldest, &self.times) {
+        for (process, phase) in phases.filter(|(_, phase)| phase.since.0 <= latest) {
+            // A phase for which there is no room suspends the use of all entries here.
+            if self.phases.accepts(process, phase, current, &self.times) {
                 let _ = self.phases.merge(process, phase);
             }
         }
@@ -59,27 +59,33 @@
 
     fn merge_reports(&mut self, message: &AffinityMessage) {
         for (process, epoch, member) in message.reports() {
-            self.phases.report(process, epoch, member);
-            // What an earlier incarnation of this member said holds for this one too.
-            let own = member == self.member;
-            if own && self.phases.ended(process, epoch) && self.table.holds(process) {
+            self.phases.report_clear(process, epoch, member);
+            // A report by an earlier incarnation of this member applies to this one too.
+            let is_own = member == self.member;
+            if is_own
+                && self.phases.has_ended(process, epoch)
+                && self.table.contains_process(process)
+            {
                 let phases = &self.phases;
                 self.table
-                    .retain(|_, of, entry| of != process || !phases.ended(of, entry.epoch));
+                    .retain(|_, of, entry| of != process || !phases.has_ended(of, entry.epoch));
             }
         }
     }
 
     fn merge_entries(&mut self, now: Micros, message: &AffinityMessage) {
-        let (newest, oldest) = (self.newest_slot(now), self.times.slot(now));
+        let (latest, current) = (self.latest_slot(now), self.times.slot(now));
         for (key, process, mut entry) in message.each_entry() {
             if !self.rules.ages_from_use {
-                entry.ends = oldest + self.times.lifetime(entry.held);
+                entry.expires_slot = current + self.times.lifetime(entry.renewed);
             }
-            let ended = self.phases.ended(process, entry.epoch) && self.rules.refuses_ended;
-            let ended = ended || self.closed.contains(&process);
-            let counts = entry.last(&self.times) <= newest && oldest < entry.ends && !ended;
-            if !counts || !self.table.merge(key, process, entry) {
+            let is_ended =
+                self.phases.has_ended(process, entry.epoch) && self.rules.rejects_ended_epochs;
+            let is_rejected = is_ended || self.closed.contains(&process);
+            let is_valid = entry.last_use_slot(&self.times) <= latest
+                && current < entry.expires_slot
+                && !is_rejected;
+            if !is_valid || !self.table.merge(key, process, entry) {
                 self.summary.passed_over += 1;
                 continue;
             }
@@ -91,9 +97,9 @@
     }
 
     fn queue_answer(&mut self, to: u64) {
-        let known = self.asked.iter().any(|(who, _)| *who == to);
-        if !known && self.asked.len() < MAX_ASKED {
-            self.asked.push_back((to, None));
+        let is_queued = self.pending_answers.iter().any(|(who, _)| *who == to);
+        if !is_queued && self.pending_answers.len() < MAX_PENDING_ANSWERS {
+            self.pending_answers.push_back((to, None));
         }
     }
 }
--- a/crates/affinity/src/report.rs
+++ b/crates/affinity/src/report.rs
@@ -1,45 +1,45 @@
-//! What a member reports: messages to send, how far a process is drained of affinity, and its
+//! The output of a member: messages to send, drain status, and figures.
 //! figures.
 
 use serde::Serialize;
 
-/// What is to be sent.
+/// The messages to send.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Outgoing {
-    /// To a few members drawn anew each time: a periodic message.
-    pub nearby: Option<Vec<u8>>,
-    /// To one member each.
+pub struct OutgoingMessages {
+    /// A periodic message for a few random members.
+    pub periodic: Option<Vec<u8>>,
+    /// Messages for one member each.
     pub direct: Vec<(u64, Vec<u8>)>,
 }
 
 /// How far a process is clear.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct DrainStatus {
-    /// No member picks by an entry to it in that epoch, ever again.
+    /// No member will ever pick the process by an entry of that epoch again.
     pub clear: bool,
-    /// It is known to drain in that epoch.
+    /// The process is known to drain in that epoch.
     pub known: bool,
     /// This member is drained of affinity to it.
     pub mine: bool,
-    /// Members that are.
+    /// Number of members that are.
     pub reported: usize,
 }
 
-/// Figures for whoever watches.
+/// Figures for monitoring.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct AffinitySummary {
     /// Keys with entries.
     pub keys: usize,
-    /// Processes that drain, or did.
+    /// Processes that drain, or have returned.
     pub phases: usize,
     /// Own uses that wait to be published.
     pub waiting: usize,
-    /// Updates that are still to be disseminated, and those that made room for others.
+    /// Updates that are still disseminated, and those that were removed for others.
     #[serde(rename = "rumours")]
     pub pending: usize,
     /// See `pending`.
     pub made_room: u64,
-    /// Entries are used at present.
+    /// Whether entries are used at present.
     #[serde(rename = "hears")]
     pub in_contact: bool,
     /// Updates published.
@@ -50,11 +50,11 @@
     pub received: u64,
     /// See `received`.
     pub passed_over: u64,
-    /// Entries dropped as the table was full; first uses that were never published.
+    /// Entries evicted because the table was full; first uses that were never published.
     pub dropped: u64,
     /// See `dropped`.
     #[serde(rename = "untold")]
     pub unpublished: u64,
-    /// Messages refused.
+    /// Messages that were rejected.
     pub refused: u64,
 }
--- a/crates/affinity/src/safety_rules.rs
+++ b/crates/affinity/src/safety_rules.rs
@@ -1,34 +1,34 @@
-//! Safety rules that tests switch off one at a time, to see the property that each of them keeps
-//! fail.
+//! Safety rules that tests switch off one at a time, to see that the property which each of them
+//! ensures is violated.
 
-/// Which rules hold. Outside of tests all do.
+/// The rules in effect; outside of tests, all of them.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SafetyRules {
-    /// An entry counts from the use that it tells of, not from when it came (property a).
+    /// An entry ages from the use that it records, not from its arrival (property a).
     pub ages_from_use: bool,
-    /// An entry on a process of an epoch that ended is refused (properties a and d).
-    pub refuses_ended: bool,
-    /// Uses are told before others age them out (property b).
-    pub renews: bool,
-    /// A full table drops by what all members share (property c).
-    pub drops_alike: bool,
-    /// A member that may not hear the others uses nothing, by its own clock (property d).
-    pub falls_silent: bool,
-    /// A clear is given only after whoever is not heard has fallen silent (property d).
-    pub waits_for_silence: bool,
-    /// Tells only what others would else age out (property e).
-    pub tells_sparsely: bool,
+    /// Entries for an ended epoch are rejected (properties a and d).
+    pub rejects_ended_epochs: bool,
+    /// Uses are published before the entry expires at others (property b).
+    pub publishes_renewals: bool,
+    /// A full table evicts in an order that all members share (property c).
+    pub evicts_in_common_order: bool,
+    /// A member that may be out of contact uses no entries, by its own clock (property d).
+    pub uses_contact_timeout: bool,
+    /// A process is clear only after the contact timeout of unheard members (property d).
+    pub waits_for_contact_timeout: bool,
+    /// Only uses whose entry would otherwise expire are published (property e).
+    pub publishes_sparsely: bool,
 }
 
 impl SafetyRules {
-    /// As it is outside of tests.
+    /// All rules, as outside of tests.
     pub(crate) const ALL: Self = Self {
         ages_from_use: true,
-        refuses_ended: true,
-        renews: true,
-        drops_alike: true,
-        falls_silent: true,
-        waits_for_silence: true,
-        tells_sparsely: true,
+        rejects_ended_epochs: true,
+        publishes_renewals: true,
+        evicts_in_common_order: true,
+        uses_contact_timeout: true,
+        waits_for_contact_timeout: true,
+        publishes_sparsely: true,
     };
 }
--- a/crates/affinity/src/section/tests.rs
+++ b/crates/affinity/src/section/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn what_nothing_could_work_with_is_named() {
+fn unusable_settings_are_rejected_with_their_key() {
     let good = AffinityEntriesSection::default;
     assert!(good().check().is_ok());
     for (bad, key) in [
@@ -40,7 +40,7 @@
             "fleet.affinity_entries.updates_per_s",
         ),
     ] {
-        let said = bad.check().expect_err(key);
-        assert!(said.key == key, "{said:?}");
+        let error = bad.check().expect_err(key);
+        assert!(error.key == key, "{error:?}");
     }
 }
--- a/crates/affinity/src/table.rs
+++ b/crates/affinity/src/table.rs
@@ -6,52 +6,55 @@
 use crate::time::Slot;
 use std::collections::{BTreeSet, HashMap};
 
-/// The order in which entries are dropped, the least first: by the slot in which the last use that
-/// all were told of ends, then by a number drawn from the key. Nothing that only one member knows
-/// has a part in it.
+/// The order in which entries are evicted, lowest first: by the slot in which the last published
+/// use expires, then by a hash of the key. It depends on nothing that only one member knows.
 pub type Rank = (Slot, u64, u64);
 
-/// Entries on keys, at most so many of them.
+/// Entries by key, for a bounded number of keys.
 #[derive(Clone, Debug)]
 pub struct Table {
-    most: usize,
+    max_keys: usize,
     key_entries: HashMap<u64, KeyEntries>,
     ranks: BTreeSet<Rank>,
-    /// The greatest rank that was dropped anywhere: nothing up to it is kept, so that what was
-    /// dropped at one member finds no room at another where something has just aged out.
+    /// The highest rank that was evicted by any member. Nothing up to it is kept, so that what one
+    /// member evicted is not kept by another one that had free space.
     floor: Option<(Slot, u64)>,
-    /// Entries dropped as the table was full.
+    /// Number of entries evicted because the table was full.
     pub dropped: u64,
     pub(crate) rules: SafetyRules,
-    /// What differs between members; only a test that takes the order out asks for it.
-    pub(crate) own: u64,
+    /// This member's id; used only by a test that breaks the common order.
+    pub(crate) member: u64,
 }
 
 impl Table {
-    /// An empty one for at most so many keys.
-    pub fn new(most: usize, own: u64) -> Self {
+    /// An empty table for at most that many keys.
+    pub fn new(max_keys: usize, member: u64) -> Self {
         let (key_entries, ranks) = (HashMap::new(), BTreeSet::new());
         Self {
-            most: most.max(1),
+            max_keys: max_keys.max(1),
             key_entries,
             ranks,
             floor: None,
             dropped: 0,
             rules: SafetyRules::ALL,
-            own,
+            member,
         }
     }
 
     fn rank(&self, key: u64, key_entries: &KeyEntries) -> Rank {
-        match self.rules.drops_alike {
-            true => (key_entries.ends().unwrap_or(Slot::MIN), mix(key, 0), key),
-            false => (0, mix(key, self.own), key),
+        match self.rules.evicts_in_common_order {
+            true => (
+                key_entries.expires_slot().unwrap_or(Slot::MIN),
+                mix(key, 0),
+                key,
+            ),
+            false => (0, mix(key, self.member), key),
         }
     }
 
-    /// Takes an entry in; whether that changed anything.
+    /// Merges an entry; returns whether anything changed.
     pub fn merge(&mut self, key: u64, process: Process, entry: AffinityEntry) -> bool {
-        if !self.stands(key, &entry) {
+        if !self.is_above_floor(key, &entry) {
             return false;
         }
         let mut key_entries = self.key_entries.remove(&key).unwrap_or_default();
@@ -61,26 +64,26 @@
         let changed = key_entries.merge(process, entry);
         self.ranks.insert(self.rank(key, &key_entries));
         self.key_entries.insert(key, key_entries);
-        if self.key_entries.len() > self.most
-            && let Some((slot, drawn, least)) = self.ranks.pop_first()
+        if self.key_entries.len() > self.max_keys
+            && let Some((floor_slot, drawn, evicted)) = self.ranks.pop_first()
         {
-            self.key_entries.remove(&least);
+            self.key_entries.remove(&evicted);
             self.dropped += 1;
-            self.floor = self.floor.max(Some((slot, drawn)));
-            return changed && least != key;
+            self.floor = self.floor.max(Some((floor_slot, drawn)));
+            return changed && evicted != key;
         }
         changed
     }
 
-    /// The greatest rank that was dropped.
+    /// The highest evicted rank.
     pub fn floor(&self) -> Option<(Slot, u64)> {
         self.floor
     }
 
-    /// Another member dropped what has that rank: so does this one, with all below it.
-    pub fn raise(&mut self, floor: (Slot, u64)) {
+    /// Evicts everything up to a rank that another member evicted.
+    pub fn raise_floor(&mut self, floor: (Slot, u64)) {
         self.floor = self.floor.max(Some(floor));
-        while self.rules.drops_alike
+        while self.rules.evicts_in_common_order
             && let Some((.., key)) = self
                 .ranks
                 .first()
@@ -93,19 +96,19 @@
         }
     }
 
-    /// Drops every place that is not to be kept.
-    pub fn retain(&mut self, keep: impl Fn(u64, Process, &AffinityEntry) -> bool) {
+    /// Keeps only matching entries.
+    pub fn retain(&mut self, is_kept: impl Fn(u64, Process, &AffinityEntry) -> bool) {
         let mut changed = Vec::new();
         for (key, key_entries) in &mut self.key_entries {
             if key_entries
                 .iter()
-                .all(|(process, entry)| keep(*key, process, &entry))
+                .all(|(process, entry)| is_kept(*key, process, &entry))
             {
                 continue;
             }
-            let before = key_entries.clone();
-            key_entries.retain(|entry, process| keep(*key, *process, entry));
-            changed.push((*key, before, key_entries.clone()));
+            let previous = key_entries.clone();
+            key_entries.retain(|entry, process| is_kept(*key, *process, entry));
+            changed.push((*key, previous, key_entries.clone()));
         }
         for (key, before, key_entries) in changed {
             self.ranks.remove(&self.rank(key, &before));
@@ -116,79 +119,79 @@
         }
     }
 
-    /// Drops what is past its incarnation in that slot.
-    pub fn age(&mut self, slot: Slot) {
-        // A key's other place may end before the one that gives its rank: it is passed over where
-        // it is read.
+    /// Removes entries that have expired in that slot.
+    pub fn expire(&mut self, slot: Slot) {
+        // Another entry of a key may expire before the one that determines its rank; it is ignored
+        // when it is read.
         while let Some((.., key)) = self.ranks.first().copied().filter(|rank| rank.0 <= slot) {
             self.ranks.pop_first();
             self.key_entries.remove(&key);
         }
-        if !self.rules.drops_alike {
-            self.retain(|_, _, entry| slot < entry.ends);
+        if !self.rules.evicts_in_common_order {
+            self.retain(|_, _, entry| slot < entry.expires_slot);
         }
     }
 
-    /// Whether an entry lies above all that was dropped anywhere; one that does not counts as never
-    /// told.
-    fn stands(&self, key: u64, entry: &AffinityEntry) -> bool {
+    /// Whether an entry is above the eviction floor; one that is not counts as never published.
+    fn is_above_floor(&self, key: u64, entry: &AffinityEntry) -> bool {
         self.floor
-            .is_none_or(|floor| (entry.ends, mix(key, 0)) > floor)
-            || !self.rules.drops_alike
+            .is_none_or(|floor| (entry.expires_slot, mix(key, 0)) > floor)
+            || !self.rules.evicts_in_common_order
     }
 
-    /// The entry on a key at a process.
-    pub fn at(&self, key: u64, process: Process) -> Option<AffinityEntry> {
+    /// The entry for a key at a process.
+    pub fn get(&self, key: u64, process: Process) -> Option<AffinityEntry> {
         self.key_entries
             .get(&key)?
-            .at(process)
-            .filter(|entry| self.stands(key, entry))
+            .get(process)
+            .filter(|entry| self.is_above_floor(key, entry))
     }
 
-    /// Where a key is bound, of the places that may be used, the best first.
-    pub fn cached_at(
+    /// The usable processes with an entry for a key, best first.
+    pub fn processes_by_rank(
         &self,
         key: u64,
-        may: impl Fn(Process, AffinityEntry) -> bool,
+        is_usable: impl Fn(Process, AffinityEntry) -> bool,
     ) -> Vec<Process> {
-        let stands = |process, entry| self.stands(key, &entry) && may(process, entry);
+        let is_valid =
+            |process, entry| self.is_above_floor(key, &entry) && is_usable(process, entry);
         self.key_entries
             .get(&key)
-            .map(|key_entries| key_entries.cached_at(key, stands))
+            .map(|key_entries| key_entries.processes_by_rank(key, is_valid))
             .unwrap_or_default()
     }
 
-    /// All entries on a key, the one that ends last first.
+    /// All entries of a key, the one that expires last first.
     pub fn entries(&self, key: u64) -> impl Iterator<Item = (Process, AffinityEntry)> {
         let entries = self
             .key_entries
             .get(&key)
             .into_iter()
             .flat_map(KeyEntries::iter);
-        entries.filter(move |(_, entry)| self.stands(key, entry))
+        entries.filter(move |(_, entry)| self.is_above_floor(key, entry))
     }
 
-    /// All keys, the one that ends last first, those below that rank.
-    pub fn below(&self, rank: Option<Rank>) -> impl Iterator<Item = Rank> {
+    /// All keys below that rank, the one that expires last first.
+    pub fn keys_below(&self, rank: Option<Rank>) -> impl Iterator<Item = Rank> {
         self.ranks
             .range(..rank.unwrap_or((Slot::MAX, u64::MAX, u64::MAX)))
             .rev()
             .copied()
     }
 
-    /// Whether any key has a place at that process.
-    pub fn holds(&self, process: Process) -> bool {
+    /// Whether any key has an entry for that process.
+    pub fn contains_process(&self, process: Process) -> bool {
         self.key_entries
             .values()
-            .any(|key_entries| key_entries.at(process).is_some())
+            .any(|key_entries| key_entries.get(process).is_some())
     }
 
-    /// Keys in it.
+    /// Number of keys.
     pub fn len(&self) -> usize {
         self.key_entries.len()
     }
 
-    /// No key is in it.
+    /// Whether there are no keys.
     pub fn is_empty(&self) -> bool {
         self.key_entries.is_empty()
     }
--- a/crates/affinity/src/time/tests.rs
+++ b/crates/affinity/src/time/tests.rs
@@ -3,7 +3,7 @@
 use crate::section::AffinityEntriesSection;
 
 #[test]
-fn slots_are_counted_from_the_epoch_either_way_and_a_part_of_one_is_one() {
+fn slots_are_counted_from_the_epoch_and_partial_slots_are_rounded_up() {
     let t = AffinityEntriesSection::default().times();
     assert_eq!(
         (t.slot(0), t.slot(t.slot - 1), t.slot(t.slot), t.slot(-1)),
--- a/src/bin/sidecar/affinity.rs
+++ b/src/bin/sidecar/affinity.rs
@@ -6,7 +6,7 @@
 use crate::affinity_list::ProcessList;
 use crate::clock::Clock;
 use load_balancer::{EndpointId, Micros};
-use load_balancer_affinity::exchange::TICK;
+use load_balancer_affinity::exchange::TICK_US;
 use load_balancer_affinity::{AffinityMember, Process};
 use load_balancer_gossip::connectivity::AffinityEntries as Permission;
 use load_balancer_gossip::core::{ObservedEndpoint, ReceivedFragment};
@@ -56,7 +56,7 @@
         let mut core = self.host.0.core.borrow_mut();
         self.processes
             .iter()
-            .for_each(|process| core.under_way(*process, false));
+            .for_each(|process| core.set_in_flight(*process, false));
     }
 }
 
@@ -108,7 +108,7 @@
     }
 
     async fn run_ticks(self) {
-        let every = Duration::from_micros(TICK.unsigned_abs());
+        let every = Duration::from_micros(TICK_US.unsigned_abs());
         for tick in 0_u64.. {
             if tick.is_multiple_of(TICKS_PER_REFRESH) {
                 self.refresh_members();
@@ -116,7 +116,7 @@
             let (now, mono) = self.now();
             let outgoing = self.0.core.borrow_mut().tick(now, mono);
             // Fragments may be lost, so one that can't be sent now is dropped.
-            if let Some(message) = outgoing.nearby {
+            if let Some(message) = outgoing.periodic {
                 for to in self.0.member.random_members(FANOUT) {
                     let _ = self
                         .0
@@ -140,7 +140,7 @@
         let (now, _) = self.now();
         self.0.permission.set(peers.affinity_entries);
         let mut core = self.0.core.borrow_mut();
-        core.members(&peers.known);
+        core.set_members(&peers.known);
         let list = self.0.list.borrow();
         core.forget(now, |process| list.names.contains_key(&process));
         *self.0.running_members.borrow_mut() = peers.running;
@@ -154,7 +154,7 @@
             .picks
             .borrow_mut()
             .retain(|process, _| names.contains_key(process));
-        self.0.core.borrow_mut().closes(closed);
+        self.0.core.borrow_mut().set_closed(closed);
     }
 
     /// The endpoints of a key by its affinity entries, if these may be used.
@@ -164,7 +164,7 @@
         }
         let ((now, mono), list) = (self.now(), self.0.list.borrow());
         let mut core = self.0.core.borrow_mut();
-        let processes = core.picks(now, mono, key, |process| {
+        let processes = core.pick(now, mono, key, |process| {
             list.endpoints.contains_key(&process)
         });
         if processes.is_empty() {
@@ -172,7 +172,7 @@
         }
         let mut picks = self.0.picks.borrow_mut();
         for process in &processes {
-            core.under_way(*process, true);
+            core.set_in_flight(*process, true);
             let (count, last) = picks.entry(*process).or_default();
             (*count, *last) = (*count + 1, mono);
         }
--- a/src/bin/sidecar/affinity/reports.rs
+++ b/src/bin/sidecar/affinity/reports.rs
@@ -3,7 +3,7 @@
 use super::AffinityHost;
 use load_balancer::Micros;
 use load_balancer_affinity::Process;
-use load_balancer_affinity::drain_phase::{EpochRefused, Phase};
+use load_balancer_affinity::drain_phase::{DrainError, Phase};
 use load_balancer_affinity::entry::AffinityEntry;
 use load_balancer_affinity::report::{AffinitySummary, DrainStatus};
 use load_balancer_gossip::connectivity::AffinityEntries as Permission;
@@ -24,15 +24,15 @@
 
 impl AffinityHost {
     /// Starts a process's drain in that epoch; returns how far it is drained of affinity.
-    pub fn begin_drain(&self, process: Process, epoch: u64) -> Result<DrainStatus, EpochRefused> {
+    pub fn begin_drain(&self, process: Process, epoch: u64) -> Result<DrainStatus, DrainError> {
         let (now, mono) = self.now();
         let mut core = self.0.core.borrow_mut();
         core.begin_drain(now, process, epoch)?;
-        Ok(core.clear(now, mono, process, epoch, &self.0.running_members.borrow()))
+        Ok(core.drain_status(now, mono, process, epoch, &self.0.running_members.borrow()))
     }
 
     /// Cancels a process's drain in that epoch, or records its return.
-    pub fn cancel_drain(&self, process: Process, epoch: u64) -> Result<(), EpochRefused> {
+    pub fn cancel_drain(&self, process: Process, epoch: u64) -> Result<(), DrainError> {
         let (now, _) = self.now();
         self.0.core.borrow_mut().cancel_drain(now, process, epoch)
     }
@@ -44,7 +44,7 @@
         (
             core.summary(mono),
             self.0.permission.get(),
-            core.slot_of(now),
+            core.slot_at(now),
         )
     }
 
@@ -55,7 +55,7 @@
             name: list.names.get(&process).cloned(),
             process,
             epoch: phase.epoch,
-            leaves: phase.leaves,
+            leaves: phase.draining,
             reported,
         };
         core.phases().map(draining).collect()
--- a/src/bin/sidecar/affinity_pages.rs
+++ b/src/bin/sidecar/affinity_pages.rs
@@ -3,7 +3,7 @@
 
 use crate::affinity::AffinityHost;
 use hyper::StatusCode;
-use load_balancer_affinity::drain_phase::EpochRefused;
+use load_balancer_affinity::drain_phase::DrainError;
 use load_balancer_affinity::report::AffinitySummary;
 use load_balancer_affinity::{Process, hash};
 use load_balancer_common::pages::{Ask, Page};
@@ -127,7 +127,7 @@
 
 fn drain_page(
     body: &[u8],
-    apply: impl Fn(Process, u64) -> Result<DrainResponse, EpochRefused>,
+    apply: impl Fn(Process, u64) -> Result<DrainResponse, DrainError>,
 ) -> Option<Page> {
     let (process, epoch) = match parse_drain_request(body) {
         Ok(parsed) => parsed,
@@ -135,12 +135,12 @@
     };
     match apply(process, epoch) {
         Ok(response) => Page::json(StatusCode::OK, &response),
-        Err(EpochRefused::Past) => Page::refused(
+        Err(DrainError::EpochEnded) => Page::refused(
             StatusCode::CONFLICT,
             "epoch",
             "a later one has begun for this process",
         ),
-        Err(EpochRefused::TooMany) => Page::refused(
+        Err(DrainError::TooManyDraining) => Page::refused(
             StatusCode::TOO_MANY_REQUESTS,
             "server",
             "as many processes leave already as members can tell of",
@@ -182,8 +182,8 @@
             server,
             started_ms: process.started,
             epoch: entry.epoch,
-            ends: entry.ends,
-            held: entry.held,
+            ends: entry.expires_slot,
+            held: entry.renewed,
         }
     };
     let to_count = |(server, process, count, ago): (String, Process, u64, i64)| PickCount {
