--- a/tests/product/configuration.rs
+++ b/tests/product/configuration.rs
@@ -1,11 +1,11 @@
-//! Command line, product configuration and its reload.
+//! The command line, the product configuration and its reload.
 
 use crate::harness::*;
 use crate::stubs::*;
 use std::thread;
 
 #[test]
-fn help_version_and_wrong_calls_end_with_their_codes() {
+fn help_version_and_invalid_arguments_have_their_exit_codes() {
     let help = run(&["--help"], &[]);
     let text = String::from_utf8(help.stdout).expect("text");
     assert_eq!(help.status.code(), Some(0));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_product_configuration_that_cannot_be_used_ends_the_start_with_file_line_and_key() {
+fn an_invalid_product_configuration_ends_the_start_with_file_line_and_key() {
     for (text, place) in [
         (
             "[metrics]\naddres = \"127.0.0.1:1\"\n",
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_check_prints_what_would_hold_and_reads_the_platforms_file_too() {
+fn a_check_prints_the_effective_configuration_and_reads_the_platforms_file_too() {
     let file = File::new("[metrics]\nreaders = 7\n");
     let path = file.0.to_str().expect("a path of text");
     let output = run(&["--check", "--config", path], &[]);
@@ -72,7 +72,7 @@
     ] {
         assert!(text.lines().any(|l| l == line), "{line} is not in\n{text}");
     }
-    // What is printed is a configuration itself.
+    // The output is a valid configuration itself.
     let again = File::new(&text);
     let repeated = run(
         &[
@@ -103,9 +103,9 @@
     assert_eq!(with(&bad).status.code(), Some(78));
 }
 
-// Product configurations that were written before the keys had the field's terms.
+// Product configurations from before the keys were renamed.
 #[test]
-fn earlier_keys_mean_the_same_as_todays() {
+fn earlier_keys_are_equivalent_to_the_current_ones() {
     let checked = |text: &str| {
         let file = File::new(text);
         let output = run(
@@ -132,9 +132,9 @@
     assert!(written.contains("min_reporters = 4"), "{written}");
 }
 
-// What a writer has got to as the signal comes: the file is cut, and later whole.
+// The file as a writer has it when the signal arrives: truncated, and later complete.
 #[test]
-fn a_reload_takes_a_whole_file_or_nothing_of_it() {
+fn a_reload_applies_a_complete_file_or_nothing() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| served());
     let at = unused_address();
@@ -143,7 +143,7 @@
     let (sidecar, said) = start(&discovery, &endpoint, &file);
     file.write(&whole.replace("\"info\"", "\"deb"));
     sidecar.signal("-HUP");
-    await_that("the cut file is refused", || {
+    wait_until("the cut file is refused", || {
         said.count("reload failed, the old product configuration stays") == 1
     });
     assert_eq!(ask(&sidecar), 200);
@@ -155,9 +155,9 @@
     );
     sidecar.signal("-HUP");
     let taken = "product configuration reloaded: log.level, metrics.readers changed\n";
-    await_that("the whole file is taken in", || said.count(taken) == 1);
+    wait_until("the whole file is taken in", || said.count(taken) == 1);
     assert_eq!(ask(&sidecar), 200);
-    await_that("each line of a request has its id", || {
+    wait_until("each line of a request has its id", || {
         said.count("debug: answered id=\"9b1f03aa\"") == 1
     });
     let other = unused_address();
@@ -165,7 +165,7 @@
     sidecar.signal("-HUP");
     let waits =
         "reloaded: log.level, metrics.readers changed; metrics.address waits for a restart\n";
-    await_that("what waits is named", || said.count(waits) == 1);
+    wait_until("what waits is named", || said.count(waits) == 1);
     assert!(
         page(at, "/metrics").contains("sidecar_requests_total"),
         "the old address stays"
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn ten_signals_in_a_burst_cost_no_answer() {
+fn ten_signals_in_a_burst_lose_no_answer() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| served());
     let file = File::new("[log]\nlevel = \"warn\"\n");
@@ -186,7 +186,7 @@
     });
     file.write("[log]\nlevel = \"info\"\n");
     sidecar.signal("-HUP");
-    await_that("the last one is followed", || {
+    wait_until("the last one is followed", || {
         said.count("reloaded: log.level changed") == 1
     });
 }
--- a/tests/product/gossip.rs
+++ b/tests/product/gossip.rs
@@ -10,7 +10,7 @@
     File::new(&metrics(page, &fleet))
 }
 
-/// Datagram sockets that a process holds.
+/// Number of datagram sockets of a process.
 fn datagram_sockets(process: u32) -> usize {
     let table = std::fs::read_to_string("/proc/net/udp").expect("it is there");
     let inodes: Vec<String> = table
@@ -34,40 +34,40 @@
 }
 
 #[test]
-fn members_find_each_other_and_one_that_stops_is_gone_at_once() {
+fn members_find_each_other_and_a_member_that_shuts_down_leaves_at_once() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| served());
-    let [one, two] = [unused_datagrams(), unused_datagrams()];
+    let [one, two] = [unused_datagram_address(), unused_datagram_address()];
     let pages = [unused_address(), unused_address()];
     let files = [member(one, two, pages[0]), member(two, one, pages[1])];
     let (first, _said) = start_named("one", &discovery, &endpoint, &files[0]);
     let (second, _said) = start_named("two", &discovery, &endpoint, &files[1]);
     for (at, other) in [(pages[0], "two"), (pages[1], "one")] {
-        await_that("the other is known", || {
+        wait_until("the other is known", || {
             page(at, "/fleet").contains(&format!("\"name\": \"{other}\",\n      \"zone\""))
         });
-        await_that("it is counted", || {
+        wait_until("it is counted", || {
             page(at, "/metrics").contains("sidecar_fleet_members 1")
         });
     }
     assert_eq!((ask(&first), ask(&second)), (200, 200));
-    await_that("a steward is told of the server that was served", || {
+    wait_until("a steward is told of the server that was served", || {
         let told = page(pages[0], "/fleet/servers");
         told.contains("\"member\":\"one\"") && told.contains("\"state\":\"well\"")
     });
     assert_eq!(datagram_sockets(first.process.id()), 1);
     second.terminate();
-    await_that("it has left", || {
+    wait_until("it has left", || {
         page(pages[0], "/metrics").contains("sidecar_fleet_members 0")
     });
     assert_eq!(ask(&first), 200);
 }
 
 #[test]
-fn a_member_tells_where_it_stands_of_what_version_others_are_and_how_servers_are() {
+fn a_member_reports_its_connectivity_other_versions_and_server_health() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| served());
-    let [one, two] = [unused_datagrams(), unused_datagrams()];
+    let [one, two] = [unused_datagram_address(), unused_datagram_address()];
     let pages = [unused_address(), unused_address()];
     let file = |listen, seed, page| {
         let fleet =
@@ -79,19 +79,19 @@
     };
     let files = [file(one, two, pages[0]), file(two, one, pages[1])];
     let (first, said) = start_named("one", &discovery, &endpoint, &files[0]);
-    await_that("it is alone", || {
+    wait_until("it is alone", || {
         page(pages[0], "/fleet/servers").contains("\"answers\":false")
     });
     let (second, _said) = start_named("two", &discovery, &endpoint, &files[1]);
-    await_that("it says that it is whole", || {
+    wait_until("it says that it is whole", || {
         said.count("connectivity: connected") == 1
     });
     let version = format!("\"version\": \"{}\"", env!("CARGO_PKG_VERSION"));
-    await_that("the other's version is known", || {
+    wait_until("the other's version is known", || {
         page(pages[0], "/fleet").contains(&version)
     });
     assert_eq!((ask(&first), ask(&second)), (200, 200));
-    await_that("what has served is well", || {
+    wait_until("what has served is well", || {
         let page = page(pages[0], "/fleet/servers");
         page.contains("\"answers\":true") && page.contains("\"state\":\"well\"")
     });
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_fleet_without_a_name_or_with_a_taken_address_ends_the_start() {
+fn a_fleet_without_a_name_or_with_an_address_in_use_ends_the_start() {
     let holder = std::net::UdpSocket::bind("127.0.0.1:0").expect("a free port");
     let at = holder.local_addr().expect("an address");
     let file = File::new(&format!("[fleet]\nenabled = true\nlisten = \"{at}\"\n"));
--- a/tests/product/harness.rs
+++ b/tests/product/harness.rs
@@ -1,4 +1,4 @@
-//! A sidecar with a product configuration, and what is read of it.
+//! A sidecar with a product configuration, and its output.
 
 use crate::stubs::*;
 use std::io::{Read, Write};
@@ -20,7 +20,7 @@
         Self(config_file(text))
     }
 
-    /// As an editor does that writes in place.
+    /// Writes in place, as some editors do.
     pub fn write(&self, text: &str) {
         std::fs::write(&self.0, text).expect("the file can be written");
     }
@@ -32,7 +32,7 @@
     }
 }
 
-/// What a sidecar has written to its standard error so far.
+/// The standard error of a sidecar so far.
 #[derive(Clone, Default)]
 pub struct Said(Arc<Mutex<String>>);
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// A sidecar with a product configuration, whose standard error is read.
+/// Starts a sidecar with a product configuration, and reads its standard error.
 pub fn start(discovery: &Discovery, endpoint: &Endpoint, file: &File) -> (Sidecar, Said) {
     start_named("", discovery, endpoint, file)
 }
@@ -108,13 +108,13 @@
     command.output().expect("it starts")
 }
 
-/// Reads a page of the metrics' address; empty where the reader is rejected.
+/// Reads a page at the metrics address; empty if the reader is rejected.
 pub fn page(at: SocketAddr, path: &str) -> String {
     let Ok(mut stream) = TcpStream::connect(at) else {
         return String::new();
     };
     stream
-        .set_read_timeout(Some(LONG))
+        .set_read_timeout(Some(TEST_TIMEOUT))
         .expect("a time-out can be set");
     let mut text = String::new();
     if stream
--- a/tests/product/logs.rs
+++ b/tests/product/logs.rs
@@ -1,18 +1,18 @@
-//! Lines of the log.
+//! Log lines.
 
 use crate::harness::*;
 use crate::stubs::*;
 use std::io::Read;
 
 #[test]
-fn without_a_product_configuration_the_on_call_log_lines_are_as_ever() {
+fn without_a_product_configuration_the_log_lines_are_unchanged() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| served());
     let file = File::new("");
     let (sidecar, said) = start(&discovery, &endpoint, &file);
     assert_eq!(ask(&sidecar), 200);
     sidecar.terminate();
-    await_that("it says so", || said.text() == "sidecar: told to stop\n");
+    wait_until("it says so", || said.text() == "sidecar: told to stop\n");
 }
 
 #[test]
@@ -20,9 +20,9 @@
     request_lines_in_json("sidecar::request");
 }
 
-// Product configurations that were written before the program got its name of today.
+// Product configurations from before the program was renamed.
 #[test]
-fn a_target_under_the_programs_earlier_name_is_accepted() {
+fn a_log_target_with_the_programs_earlier_name_is_accepted() {
     request_lines_in_json("tinflow::request");
 }
 
@@ -36,7 +36,7 @@
     let (sidecar, said) = start(&discovery, &endpoint, &file);
     assert_eq!(ask(&sidecar), 200);
     sidecar.terminate();
-    await_that("the last line is there", || said.count("told to stop") == 1);
+    wait_until("the last line is there", || said.count("told to stop") == 1);
     let lines: Vec<serde_json::Value> = said
         .text()
         .lines()
@@ -59,9 +59,9 @@
     assert_eq!(lines.last().expect("a line")["message"], "told to stop");
 }
 
-// Nobody reads the pipe: four lines a request fill it long before the requests are through.
+// Nothing reads the pipe: at four lines per request it is full long before the last request.
 #[test]
-fn standard_error_that_takes_nothing_costs_lines_and_no_answer() {
+fn a_blocked_standard_error_loses_log_lines_but_no_answer() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| served());
     let file = File::new("[log]\nlevel = \"debug\"\nbuffer = \"1KiB\"\n");
@@ -70,16 +70,16 @@
         assert_eq!(ask(&sidecar), 200);
     }
     let mut pipe = sidecar.process.stderr.take().expect("it is a pipe");
-    // Its capacity is 64 KiB; the rest of 1,000 requests' lines is gone. Room makes it speak again,
-    // with the count.
-    let mut pipe = within_long("the pipe is filled", move || {
+    // Its capacity is 64 KiB; the other lines of 1,000 requests are dropped. Once it is read, lines
+    // appear again, with the count.
+    let mut pipe = run_with_timeout("the pipe is filled", move || {
         pipe.read_exact(&mut vec![0; 48 << 10])
             .expect("it was filled");
         pipe
     });
     assert_eq!(ask(&sidecar), 200);
     sidecar.terminate();
-    let rest = within_long("the process ends", move || {
+    let rest = run_with_timeout("the process ends", move || {
         let mut rest = String::new();
         pipe.read_to_string(&mut rest).expect("text until it ends");
         rest
--- a/tests/product/main.rs
+++ b/tests/product/main.rs
@@ -1,5 +1,5 @@
-//! The product parts of the sidecar, from outside: command line, product configuration, logs and
-//! metrics.
+//! The product parts of the sidecar as seen from outside: command line, product configuration, logs
+//! and metrics.
 
 #[path = "../stubs/mod.rs"]
 mod stubs;
--- a/tests/product/metrics.rs
+++ b/tests/product/metrics.rs
@@ -1,4 +1,4 @@
-//! The page of metrics.
+//! The metrics page.
 
 use crate::harness::*;
 use crate::stubs::*;
@@ -6,7 +6,7 @@
 use std::thread;
 
 #[test]
-fn metrics_count_what_happened_and_a_reload_in_between_loses_nothing() {
+fn metrics_count_events_and_survive_a_reload() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|message| match message.header("x-fail") {
         Some(_) => Reply::Answer(500, "", Vec::new()),
@@ -31,7 +31,7 @@
             assert!(page(at, "/metrics").starts_with("HTTP/1.1 200 OK\r\n"));
         }
     });
-    await_that("a reload was made", || {
+    wait_until("a reload was made", || {
         said.count("product configuration reloaded: nothing changed") >= 1
     });
     let text = page(at, "/metrics");
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn readers_that_say_nothing_hold_up_no_request() {
+fn silent_readers_block_no_request() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| served());
     let at = unused_address();
@@ -62,10 +62,10 @@
     let stuck: Vec<_> = (0..2)
         .map(|_| TcpStream::connect(at).expect("it accepts"))
         .collect();
-    await_that("both are in", || page(at, "/metrics").is_empty());
+    wait_until("both are in", || page(at, "/metrics").is_empty());
     assert_eq!(ask(&sidecar), 200);
     drop(stuck);
-    await_that("there is room again", || {
+    wait_until("there is room again", || {
         page(at, "/metrics").contains("sidecar_requests_total")
     });
 }
--- a/tests/product/snapshot.rs
+++ b/tests/product/snapshot.rs
@@ -1,12 +1,12 @@
-//! What is kept over crashes of real processes.
+//! State kept across crashes of real processes.
 
 use crate::harness::*;
 use crate::stubs::*;
 use std::path::Path;
 use std::sync::atomic::Ordering;
 
-/// A configuration with a state directory and a page of figures. A start waits for as long as a
-/// machine under load may need: the test asserts what is found, not how soon.
+/// A configuration with a snapshot directory and a metrics page. The start waits for as long as a
+/// machine under load may need: the test checks what is found, not how fast.
 fn keeping(dir: &Path, page: std::net::SocketAddr) -> File {
     File::new(&metrics(
         page,
@@ -21,7 +21,7 @@
     tempfile::tempdir_in(env!("CARGO_TARGET_TMPDIR")).expect("a directory")
 }
 
-/// A figure of the page.
+/// A metric of the page.
 fn figure(at: std::net::SocketAddr, name: &str) -> f64 {
     let page = page(at, "/metrics");
     page.lines()
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn after_a_kill_the_list_and_the_circuits_are_known_again() {
+fn after_a_kill_the_list_and_the_circuits_are_restored() {
     let (dir, discovery, at) = (directory(), Discovery::start(), unused_address());
     let old = Endpoint::start(|_| served());
     let [well, sick] = [served as fn() -> Reply, || {
@@ -62,25 +62,25 @@
     discovery.publish(7, list(7, true, &named));
     let file = keeping(dir.path(), at);
     let (sidecar, said) = start_named("n1", &discovery, &old, &file);
-    await_that("nothing was kept", || {
+    wait_until("nothing was kept", || {
         said.count("nothing was kept: 0 endpoints") == 1
     });
-    discovery.await_watch(7);
-    await_that("the circuit opens", || {
+    discovery.wait_for_watch(7);
+    wait_until("the circuit opens", || {
         ask(&sidecar);
         figure(at, "sidecar_circuits_open ") == 1.0
     });
     let commits = figure(at, "sidecar_state_commits_total ");
-    await_that("that is kept", || {
+    wait_until("that is kept", || {
         figure(at, "sidecar_state_commits_total ") > commits
     });
     drop(sidecar);
-    // Discovery is gone, and the platform only knows the one of old.
+    // Discovery is gone, and the platform knows only the old list.
     discovery.failing.store(true, Ordering::SeqCst);
     let (before, seen) = (old.requests(), sick.requests());
     let (sidecar, said) = start_named("n1", &discovery, &old, &file);
     let line = "the last life ended without a word: 2 endpoints, pace of 2, 1 open circuits";
-    await_that("it says what it found", || said.count(line) == 1);
+    wait_until("it says what it found", || said.count(line) == 1);
     assert_eq!(figure(at, "sidecar_circuits_open "), 1.0);
     for _ in 0..30 {
         assert_eq!(ask(&sidecar), 200);
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_directory_that_cannot_be_had_costs_one_line_and_a_figure() {
+fn an_unusable_directory_causes_one_log_line_and_a_metric() {
     let (dir, discovery, at) = (directory(), Discovery::start(), unused_address());
     let endpoint = Endpoint::start(|_| served());
     std::fs::write(dir.path().join("n1"), b"").expect("a file in the way");
@@ -132,11 +132,11 @@
     );
     sidecar.terminate();
     let mut sidecar = sidecar;
-    assert!(sidecar.await_end().success());
+    assert!(sidecar.wait_for_exit().success());
 }
 
 #[test]
-fn without_a_directory_there_is_no_thread_no_line_and_no_figure() {
+fn without_a_directory_there_is_no_thread_no_log_line_and_no_metric() {
     let (discovery, at) = (Discovery::start(), unused_address());
     let endpoint = Endpoint::start(|_| served());
     let file = File::new(&metrics(at, ""));
@@ -145,10 +145,10 @@
     assert!(!page(at, "/metrics").contains("sidecar_state") && said.count("state") == 0);
 }
 
-/// Lives that end in SIGKILL under load, at a different moment each, and one that is told to stop.
-/// `KILLS` in the environment says how many.
+/// Incarnations that end in SIGKILL under load, at a different time each, and one that shuts down.
+/// `KILLS` in the environment sets their number.
 #[test]
-fn killed_under_load_over_and_over_it_begins_each_life_with_a_new_number_and_sets_nothing_aside() {
+fn each_start_after_a_kill_under_load_has_a_new_incarnation_and_quarantines_nothing() {
     let kills: u64 = std::env::var("KILLS")
         .ok()
         .and_then(|n| n.parse().ok())
@@ -160,7 +160,7 @@
     let mut last = 0;
     let mut incarnation = |said: &Said| {
         let word = "; incarnation ";
-        await_that("it tells its incarnation", || said.count(word) == 1);
+        wait_until("it tells its incarnation", || said.count(word) == 1);
         let text = said.text();
         let number = text
             .split(word)
@@ -181,7 +181,7 @@
     incarnation(&said);
     assert!(said.count("ended without a word") == 1, "{}", said.text());
     sidecar.terminate();
-    assert!(sidecar.await_end().success());
+    assert!(sidecar.wait_for_exit().success());
     let (_sidecar, said) = start_named("n1", &discovery, &endpoint, &file);
     incarnation(&said);
     assert_eq!(
--- a/tests/sidecar/answers.rs
+++ b/tests/sidecar/answers.rs
@@ -1,4 +1,4 @@
-//! Answers that come twice, too early, broken off or without an end.
+//! Responses that are duplicated, premature, interrupted or endless.
 
 use crate::stubs::*;
 use socket2::{Domain, SockRef, Socket, Type};
@@ -7,31 +7,31 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How late a second answer may come, which is "some milliseconds": less than a connection rests.
-const SOME_MILLISECONDS: Duration = Duration::from_millis(20);
+/// Delay of the duplicate response: shorter than the reuse delay of a connection.
+const DUPLICATE_DELAY: Duration = Duration::from_millis(20);
 
-/// A request of the class that must not run twice, with a number that its answer tells.
+/// A non-idempotent request with a number that its response repeats.
 fn numbered(number: usize) -> String {
     request("book", &format!("X-Number: {number}\r\n"), "{}")
 }
 
-/// Answers a request with its number, and once more in front of the answer to the next request, if
-/// that is written on the connection before some milliseconds are over.
-fn answer_twice(stream: &mut TcpStream, number: &str) -> Then {
+/// Responds to a request with its number, and again before the response to the next request if that
+/// arrives within some milliseconds.
+fn answer_twice(stream: &mut TcpStream, number: &str) -> Afterwards {
     let written = Instant::now();
     answer(stream, 200, "", number.as_bytes());
-    // Until the next request is there, or the connection is closed.
+    // Until the next request has arrived or the connection is closed.
     let _ = stream.peek(&mut [0]);
-    if written.elapsed() < SOME_MILLISECONDS {
+    if written.elapsed() < DUPLICATE_DELAY {
         answer(stream, 200, "", number.as_bytes());
     }
-    Then::KeepOn
+    Afterwards::KeepOn
 }
 
-// Two answers can't be told apart by looking at them: the second one would be served as the answer
-// to whatever request the connection is used for next.
+// Duplicate responses can't be recognized as such: the second one would be taken for the response
+// to the next request on the connection.
 #[test]
-fn a_second_answer_never_becomes_the_answer_to_the_next_request() {
+fn a_duplicate_response_is_never_taken_for_the_response_to_the_next_request() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|message| {
         let number = message.header("x-number").expect("its number").to_owned();
@@ -54,9 +54,9 @@
     assert_eq!(endpoint.requests(), 20);
 }
 
-// The same with both in one fragment.
+// As above, with both in one segment.
 #[test]
-fn what_comes_behind_an_answer_is_none_to_the_next_request() {
+fn bytes_behind_a_response_are_not_the_response_to_the_next_request() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|message| {
         let number = message.header("x-number").expect("its number");
@@ -64,7 +64,7 @@
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{number}",
             number.len()
         );
-        Reply::bytes([once.as_str(), once.as_str()].concat(), Then::KeepOn)
+        Reply::bytes([once.as_str(), once.as_str()].concat(), Afterwards::KeepOn)
     });
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
     for number in 0..5 {
@@ -74,75 +74,75 @@
             number.to_string(),
             "another request's answer"
         );
-        // Longer than a connection rests: it is whole otherwise.
+        // Longer than the reuse delay, so that the connection would be reused.
         thread::sleep(Duration::from_millis(60));
     }
     assert_eq!(endpoint.requests(), 5);
 }
 
-/// Bytes of an answer, what its endpoint does then, and what the client gets: 200 with the body
+/// Bytes of a response, what the endpoint does then, and the client's result: 200 with the body
 /// `whole`, or 502.
-const FORMS: [(&str, Then, u16); 15] = [
-    // A reset is no end, a close is one, where no length was told.
-    ("HTTP/1.1 200 OK\r\n\r\nwhole", Then::Close, 200),
-    ("HTTP/1.1 200 OK\r\n\r\nwhole", Then::Reset, 502),
-    ("HTTP/1.0 200 OK\r\n\r\nwhole", Then::Close, 200),
-    ("HTTP/1.0 200 OK\r\n\r\nwhole", Then::Reset, 502),
+const FORMS: [(&str, Afterwards, u16); 15] = [
+    // Without a length, a close ends the response and a reset does not.
+    ("HTTP/1.1 200 OK\r\n\r\nwhole", Afterwards::Close, 200),
+    ("HTTP/1.1 200 OK\r\n\r\nwhole", Afterwards::Reset, 502),
+    ("HTTP/1.0 200 OK\r\n\r\nwhole", Afterwards::Close, 200),
+    ("HTTP/1.0 200 OK\r\n\r\nwhole", Afterwards::Reset, 502),
     (
         "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nwhole",
-        Then::Close,
+        Afterwards::Close,
         502,
     ),
     (
         "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nwhole",
-        Then::Reset,
+        Afterwards::Reset,
         502,
     ),
     (
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n0\r\n\r\n",
-        Then::KeepOn,
+        Afterwards::KeepOn,
         200,
     ),
     (
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n",
-        Then::Close,
+        Afterwards::Close,
         502,
     ),
     (
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n0\r\n",
-        Then::Close,
+        Afterwards::Close,
         502,
     ),
     (
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nz\r\nwhole\r\n0\r\n\r\n",
-        Then::KeepOn,
+        Afterwards::KeepOn,
         502,
     ),
     (
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nwhole",
-        Then::KeepOn,
+        Afterwards::KeepOn,
         502,
     ),
     (
         "HTTP/1.1 200 OK\r\nContent-Length: 5 5\r\n\r\nwhole",
-        Then::KeepOn,
+        Afterwards::KeepOn,
         502,
     ),
     (
         "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 5\r\n\r\nwhole",
-        Then::KeepOn,
+        Afterwards::KeepOn,
         200,
     ),
     (
         "HTTP/1.1 103 Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole",
-        Then::KeepOn,
+        Afterwards::KeepOn,
         200,
     ),
-    ("HTTP/1.1 20", Then::Close, 502),
+    ("HTTP/1.1 20", Afterwards::Close, 502),
 ];
 
 #[test]
-fn an_answer_is_whole_or_the_request_has_failed() {
+fn a_response_is_complete_or_the_request_fails() {
     for (bytes, then, status) in FORMS {
         let discovery = Discovery::start();
         let endpoint = Endpoint::start(move |_| Reply::bytes(bytes, then));
@@ -154,19 +154,19 @@
     }
 }
 
-/// Writes the same until the sidecar has closed the connection.
+/// Writes the same bytes until the sidecar has closed the connection.
 fn endless(start: &'static str, more: &'static [u8]) -> Reply {
     Reply::By(Box::new(move |stream| {
         let mut written = stream.write_all(start.as_bytes());
         while written.is_ok() {
             written = stream.write_all(more);
         }
-        Then::Close
+        Afterwards::Close
     }))
 }
 
 #[test]
-fn an_answer_without_an_end_is_cut_off_and_its_connection_closed() {
+fn an_endless_response_is_cut_off_and_its_connection_closed() {
     for (start, more) in [
         ("HTTP/1.1 200 OK\r\n\r\n", b"more".as_slice()),
         (
@@ -194,15 +194,14 @@
             502,
             "{start}"
         );
-        // By its length, not by the client's time of 19 s.
+        // Limited by its length, not by the client's timeout of 19 s.
         assert!(asked.elapsed() < Duration::from_millis(9500), "{start}");
         assert_eq!(endpoint.requests(), 1, "{start}");
     }
 }
 
-/// An endpoint that takes little before it reads, some 35 kB in all: far less than the longest
-/// request.
-fn narrow() -> TcpListener {
+/// A listener with small buffers: about 35 kB in all, far less than the longest request.
+fn listen_with_small_buffers() -> TcpListener {
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket
@@ -216,33 +215,33 @@
     socket.into()
 }
 
-/// What is left to read on a connection until the sidecar has closed it.
+/// The rest of a connection's bytes until the sidecar has closed it.
 fn taken(mut stream: TcpStream) -> usize {
-    // The rest need not come in small fragments.
+    // The rest need not arrive in small segments.
     SockRef::from(&stream)
         .set_recv_buffer_size(1 << 20)
         .expect("a size can be set");
     let mut rest = Vec::new();
-    // It may also be reset, as there was an answer that came to nothing.
+    // It may also be reset, as a response was ignored.
     let _ = stream.read_to_end(&mut rest);
     rest.len()
 }
 
-// An endpoint begins a request when its last byte has come. What answers before that can be no
-// answer to it, and its last byte must not go out later, in front of the next request.
+// An endpoint starts a request after its last byte. A response before that can't be the response to
+// it, and the rest of the request must not be sent later, in front of the next one.
 #[test]
-fn an_answer_that_comes_before_the_request_is_written_ends_the_attempt_and_the_connection() {
+fn a_response_before_the_end_of_the_request_ends_the_attempt_and_the_connection() {
     for early in [200, 500] {
-        let (discovery, listener) = (Discovery::start(), narrow());
+        let (discovery, listener) = (Discovery::start(), listen_with_small_buffers());
         let sidecar = Sidecar::start(&discovery, &[]);
         let address = listener.local_addr().expect("an address");
         discovery.publish(2, list(2, false, &[("s-1", address, "active")]));
-        discovery.await_watch(2);
+        discovery.wait_for_watch(2);
         let stub = thread::spawn(move || {
             let (mut first, _) = listener.accept().expect("a connection");
             first.read_exact(&mut [0; 20]).expect("it begins");
             answer(&mut first, early, "", b"early");
-            // Tried again, it is served.
+            // A retry is served.
             let (mut second, _) = listener.accept().expect("a connection");
             SockRef::from(&second)
                 .set_recv_buffer_size(1 << 20)
@@ -263,15 +262,15 @@
     }
 }
 
-// Only the client's time ends an attempt that the endpoint takes no further. What it did not take
-// never follows.
+// An attempt whose endpoint stops reading is ended only by the client's timeout; the rest of the
+// request is never sent.
 #[test]
-fn a_request_that_is_not_taken_to_its_end_ends_in_time() {
-    let (discovery, listener) = (Discovery::start(), narrow());
+fn a_request_that_the_endpoint_stops_reading_ends_in_time() {
+    let (discovery, listener) = (Discovery::start(), listen_with_small_buffers());
     let sidecar = Sidecar::start(&discovery, &[]);
     let address = listener.local_addr().expect("an address");
     discovery.publish(2, list(2, false, &[("s-1", address, "active")]));
-    discovery.await_watch(2);
+    discovery.wait_for_watch(2);
     let whole = request("book", "", &"b".repeat(64 << 10)).replace("19000m", "400m");
     let status = sidecar.ask(&whole).expect("an answer").status();
     assert!(status >= 500, "{status}");
--- a/tests/sidecar/bad_settings.rs
+++ b/tests/sidecar/bad_settings.rs
@@ -1,5 +1,5 @@
-//! Configurations that are damaged in one place each: either the program ends with one plain line,
-//! or it serves. At a SIGHUP the same damage costs one line, and the old configuration stays.
+//! Configurations with one defect each: the program either exits with a one-line message or serves.
+//! At SIGHUP the same defect causes one log line, and the old configuration stays in effect.
 
 mod starts;
 
@@ -11,11 +11,11 @@
 use std::net::SocketAddr;
 use std::sync::OnceLock;
 
-/// Every field that is read, by its place in the file.
+/// Every field that is read, by its path in the file.
 const FIELDS: &str = include_str!("bad_settings/fields.txt");
 
-/// What stands in the place of a field's value, as JSON; `-` is nothing at all.
-const DAMAGES: [&str; 14] = [
+/// Values that replace a field's value, as JSON; `-` removes the field.
+const DEFECTS: [&str; 14] = [
     "-",
     "null",
     "true",
@@ -32,7 +32,7 @@
     "1e300",
 ];
 
-/// A file that stands for no field.
+/// A file that has no fields.
 const WHOLE: [&str; 9] = [
     "",
     "{",
@@ -45,19 +45,19 @@
     "\u{0}",
 ];
 
-/// What is taken although it says little: the field keeps its meaning of absent, or nothing is
-/// decided by it. One line a field, with the damages that are taken.
-const TAKEN: &str = include_str!("bad_settings/taken.txt");
+/// Defects that are accepted because the field then counts as absent or has no effect: one line per
+/// field, with the accepted defects.
+const ACCEPTED_DEFECTS: &str = include_str!("bad_settings/taken.txt");
 
-/// A good configuration that names every field.
+/// A valid configuration with every field.
 fn whole(listen: SocketAddr, discovery: SocketAddr, endpoint: SocketAddr) -> Value {
-    /// Where peers' datagrams would arrive; the same for all, as each address is kept until the
-    /// tests end.
+    /// The peers' datagram address; shared by all tests, as each reserved address is kept until
+    /// they end.
     static PEERS: OnceLock<[SocketAddr; 2]> = OnceLock::new();
     let known = list(1, true, &[("s-1", endpoint, "active")]);
     let mut file: Value =
         serde_json::from_str(&config(listen, discovery, &known)).expect("a good file");
-    let [own, spare] = PEERS.get_or_init(|| [unused_datagrams(), unused_datagrams()]);
+    let [own, spare] = PEERS.get_or_init(|| [unused_datagram_address(), unused_datagram_address()]);
     (file["peer_listen"], file["peers"], file["peers_all"]) =
         (json!(own), json!([spare]), json!(spare));
     let settings = &mut file["settings"];
@@ -86,7 +86,7 @@
     file
 }
 
-/// The file with one field damaged.
+/// The file with one defective field.
 fn damaged(file: &Value, field: &str, damage: &str) -> String {
     let mut file = file.clone();
     let (parent, name) = field.rsplit_once('/').expect("a place");
@@ -110,20 +110,20 @@
 }
 
 fn taken(field: &str, damage: &str) -> bool {
-    let line = TAKEN
+    let line = ACCEPTED_DEFECTS
         .lines()
         .find_map(|l| l.strip_prefix(&format!("{field} = ")));
     line.is_some_and(|damages| damages.split("  ").any(|d| d == damage))
 }
 
 #[test]
-fn each_damage_ends_the_start_with_one_plain_line_or_is_listed_as_taken() {
+fn each_defect_ends_the_start_with_a_one_line_message_or_is_listed_as_accepted() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| ok("served"));
     let (mut wrong, listen) = (Vec::new(), unused_address());
     for field in FIELDS.split_whitespace() {
         let mut line = Vec::new();
-        for damage in DAMAGES {
+        for damage in DEFECTS {
             let text = damaged(
                 &whole(listen, discovery.address, endpoint.address),
                 field,
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn what_would_mix_up_two_classes_or_allow_a_second_effect_is_refused() {
+fn settings_that_confuse_classes_or_permit_a_second_execution_are_rejected() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| ok("served"));
     let mut wrong = Vec::new();
@@ -201,10 +201,10 @@
     assert!(wrong.is_empty(), "taken: {wrong:?}");
 }
 
-// The repeat of a class that says nothing of who drops repeats goes to servers that surely do:
-// those of the same cell.
+// Retries of a class without a deduplication scope go to servers that certainly deduplicate: those
+// of the same cell.
 #[test]
-fn a_keyed_class_without_a_scope_is_repeated_in_its_cell_alone() {
+fn a_class_without_a_deduplication_scope_is_retried_only_in_its_cell() {
     let discovery = Discovery::start();
     let endpoints = [(); 3].map(|()| Endpoint::start(|_| Reply::Close));
     let known: Vec<_> = ["s-1", "s-2", "s-3"].into_iter().zip(&endpoints).collect();
@@ -214,7 +214,7 @@
             text.replacen("\"group\":1,", &format!("\"group\" :{},", cell + 1), 1)
         })
     });
-    // A refusal would invite the client to come again by another sidecar, to any server.
+    // A rejection would make the client retry through another sidecar, at any server.
     assert_eq!(
         sidecar
             .ask(&request("pay", "", ""))
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn at_a_reload_each_damage_costs_one_line_and_the_old_configuration_stays() {
+fn a_defective_configuration_at_a_reload_logs_one_line_and_the_old_one_stays() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| ok("served"));
     let said = config_file("");
@@ -250,7 +250,7 @@
     );
     let good = whole(sidecar.address, discovery.address, endpoint.address);
     let fields = FIELDS.split_whitespace();
-    let all = fields.flat_map(|field| DAMAGES.map(|damage| (field, damage)));
+    let all = fields.flat_map(|field| DEFECTS.map(|damage| (field, damage)));
     let refused: Vec<_> = all
         .filter(|(field, damage)| !taken(field, damage))
         .collect();
@@ -266,7 +266,7 @@
     };
     for (n, text) in texts.chain(WHOLE.map(str::to_owned)).enumerate() {
         sidecar.reconfigure(|_| text.clone());
-        await_that("the reload is answered", || lines().len() > n);
+        wait_until("the reload is answered", || lines().len() > n);
         let last = lines().swap_remove(n);
         assert!(
             last.starts_with("sidecar: reload failed, the old configuration stays: "),
@@ -281,9 +281,9 @@
             .status(),
         200
     );
-    // Discovery is followed where it was.
+    // Discovery is followed at the old address.
     discovery.publish(2, list(2, false, &[("s-1", endpoint.address, "leaving")]));
-    discovery.await_watch(2);
+    discovery.wait_for_watch(2);
     assert_eq!(
         sidecar
             .ask(&request("book", "", ""))
--- a/tests/sidecar/bad_settings/starts.rs
+++ b/tests/sidecar/bad_settings/starts.rs
@@ -1,4 +1,4 @@
-//! A start of the program on a configuration, and how it ends.
+//! A start of the program with a configuration, and its result.
 
 use crate::stubs::*;
 use std::fs::File;
@@ -7,14 +7,14 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Instant;
 
-/// How a start ended, with the line that it was refused by.
+/// The result of a start, with the line by which it was rejected.
 #[derive(Debug, PartialEq)]
 pub enum Start {
     Refused(String),
     Serving,
 }
 
-/// Starts the program on a text; it says how that ended within a bounded time.
+/// Starts the program with this text; returns its result within a limited time.
 pub fn start(text: &str, listen: SocketAddr) -> Start {
     let path = config_file(text);
     let said = config_file("");
@@ -34,7 +34,7 @@
             .ok()?;
         read_message(&mut stream)
     };
-    let until = Instant::now() + LONG;
+    let until = Instant::now() + TEST_TIMEOUT;
     let started = loop {
         if let Some(status) = process.0.try_wait().expect("it can be asked") {
             let said = std::fs::read_to_string(&said).expect("text");
@@ -68,7 +68,7 @@
     started
 }
 
-/// A process that ends with its test.
+/// A process that is killed at the end of its test.
 struct Running(Child);
 
 impl Drop for Running {
--- a/tests/sidecar/closing.rs
+++ b/tests/sidecar/closing.rs
@@ -1,5 +1,5 @@
-//! How a client's connection is closed: nothing that comes late takes an answer along, and nobody
-//! holds it open.
+//! Closing of client connections: late bytes never cause the loss of an answer, and no client can
+//! keep a connection open.
 
 use crate::ok;
 use crate::stubs::*;
@@ -9,11 +9,12 @@
 use std::sync::Mutex;
 use std::sync::mpsc::channel;
 
-/// More than the sidecar reads ahead of a request, 32 KiB, and less than the system holds unread.
+/// More than the sidecar reads ahead of a request, 32 KiB, and less than the system's receive
+/// buffer.
 const UNREAD: usize = 48_000;
 
-/// A client whose system holds only a few KiB that it has not read.
-fn narrow_client(sidecar: &Sidecar) -> TcpStream {
+/// A client whose system buffers only a few KiB.
+fn client_with_small_buffer(sidecar: &Sidecar) -> TcpStream {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     socket.set_recv_buffer_size(4096).expect("it can be small");
     socket
@@ -22,18 +23,18 @@
     socket.into()
 }
 
-/// Whether the other side closes the connection without a reset: one that comes after the end shows
-/// on closing only.
+/// Whether the peer closes the connection without a reset; a reset after the end is only reported
+/// when closing.
 fn closes_cleanly(stream: &mut TcpStream) -> bool {
     stream
-        .set_read_timeout(Some(LONG))
+        .set_read_timeout(Some(TEST_TIMEOUT))
         .expect("a time-out can be set");
     matches!(stream.read(&mut [0]), Ok(0)) && stream.shutdown(Shutdown::Write).is_ok()
 }
 
-// The system resets a socket that is closed over unread bytes, and drops what it still had to send.
+// The system resets a socket that is closed with unread bytes, and discards its unsent data.
 #[test]
-fn an_answer_still_on_its_way_survives_bytes_that_nobody_reads() {
+fn a_response_in_transit_is_not_lost_with_unread_bytes() {
     let discovery = Discovery::start();
     let (release, held) = channel();
     let (held, answer) = (Mutex::new(held), vec![b'a'; 60_000]);
@@ -46,14 +47,14 @@
         Reply::Answer(200, "", body.clone())
     });
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
-    let mut client = narrow_client(&sidecar);
+    let mut client = client_with_small_buffer(&sidecar);
     let here = client.local_addr().expect("an address");
     let last = request("book", "Connection: close\r\n", "") + &"x".repeat(UNREAD);
     client
         .write_all(last.as_bytes())
         .expect("the system takes it");
     release.send(()).expect("the endpoint waits");
-    await_that("the sidecar is done with it", || {
+    wait_until("the sidecar is done with it", || {
         state_of(sidecar.address, here).as_deref() != Some("01")
     });
     assert!(read_message(&mut client).expect("an answer").body == answer);
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn an_error_answer_is_followed_by_a_clean_close_while_its_cause_still_comes() {
+fn an_error_response_is_followed_by_a_clean_close_while_the_request_still_arrives() {
     let discovery = Discovery::start();
     let sidecar = Sidecar::start(&discovery, &[]);
     let good = request("book", "", "");
@@ -79,7 +80,7 @@
 }
 
 #[test]
-fn a_flood_is_not_read_to_its_end() {
+fn an_excessive_request_is_not_read_to_its_end() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| ok("served"));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
@@ -102,10 +103,10 @@
 }
 
 #[test]
-fn peers_that_never_close_their_side_keep_no_descriptor_and_keep_out_no_request() {
+fn clients_that_never_close_occupy_no_descriptor_and_block_no_request() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| ok("served"));
-    // Of 64 descriptors clients get 20.
+    // Of 64 descriptors, clients get 20.
     let sidecar = Sidecar::start_with(&discovery, &[("s-1", &endpoint)], 1024, 64);
     assert_eq!(
         sidecar
@@ -130,15 +131,15 @@
             .status(),
         200
     );
-    await_that("their descriptors are free again", || {
+    wait_until("their descriptors are free again", || {
         sidecar.descriptors() <= before
     });
     drop(peers);
 }
 
-// Answers wait in the sidecar once the systems of both sides hold all that they take.
+// Answers are queued in the sidecar once the buffers of both systems are full.
 #[test]
-fn a_client_that_stops_reading_its_answers_is_closed_after_the_longest_that_any_client_waits() {
+fn a_client_that_stops_reading_is_closed_after_the_longest_deadline() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| Reply::Answer(200, "", vec![b'a'; 60_000]));
     let quick = |config: String| {
@@ -147,13 +148,13 @@
             .replace("8000000", "200000")
     };
     let sidecar = Sidecar::start_altered(&discovery, &[("s-1", &endpoint)], 1024, quick);
-    let mut client = narrow_client(&sidecar);
+    let mut client = client_with_small_buffer(&sidecar);
     let here = client.local_addr().expect("an address");
-    // 12 MB of answers; the system takes 4 MB at the most.
+    // 12 MB of answers; the system buffers at most 4 MB.
     client
         .write_all(request("look", "", "").repeat(200).as_bytes())
         .expect("the sidecar takes it");
-    await_that("it is closed", || {
+    wait_until("it is closed", || {
         state_of(sidecar.address, here).as_deref() != Some("01")
     });
     assert!(
--- a/tests/sidecar/connections.rs
+++ b/tests/sidecar/connections.rs
@@ -1,4 +1,4 @@
-//! How connections on both sides are kept, crowded out and closed.
+//! Reuse, eviction and closing of connections on both sides.
 
 use crate::ok;
 use crate::stubs::*;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 #[test]
-fn connections_are_used_again_until_the_endpoint_closes_them_or_they_grow_old() {
+fn connections_are_reused_until_the_endpoint_closes_them_or_they_expire() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|message| match message.header("x-last") {
         Some(_) => Reply::AnswerAndClose(200, "", b"last".to_vec()),
@@ -17,9 +17,8 @@
     });
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
     let made = || endpoint.made.load(Ordering::SeqCst);
-    // The last answer on the first connection does not say that it is the last. The next request
-    // must not be written to a connection that is closed, where it would end as a reset and, being
-    // unsafe, fail.
+    // The last response on the first connection does not announce the close. The next request must
+    // not be written to the closed connection: it would be reset and, being non-idempotent, fail.
     for headers in ["", "", "X-Last: 1\r\n"] {
         assert_eq!(
             sidecar
@@ -29,10 +28,12 @@
             200
         );
         assert_eq!(made(), 1);
-        // Longer than a connection rests after an answer.
+        // Longer than the reuse delay after a response.
         thread::sleep(Duration::from_millis(100));
     }
-    await_that("the close has come in", || !holds_open(endpoint.address));
+    wait_until("the close has come in", || {
+        !has_open_connection(endpoint.address)
+    });
     assert_eq!(
         sidecar
             .ask(&request("book", "", ""))
@@ -41,8 +42,8 @@
         200
     );
     assert_eq!((made(), endpoint.closed()), (2, 0));
-    // The sidecar closes it by itself before the endpoint's idle time is over, which is never here.
-    await_that("the idle connection is retired", || endpoint.closed() == 1);
+    // The sidecar closes the connection before the endpoint's idle timeout, which never ends here.
+    wait_until("the idle connection is retired", || endpoint.closed() == 1);
     assert_eq!(
         sidecar
             .ask(&request("book", "", ""))
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn connections_that_say_nothing_keep_out_no_request() {
+fn silent_connections_block_no_request() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| ok("served"));
     let sidecar = Sidecar::start_with(&discovery, &[("s-1", &endpoint)], 1024, 64);
@@ -69,10 +70,9 @@
     drop(crowd);
 }
 
-// Anyone may connect. Half a minute is what these stubs wait at the most; the requests would wait
-// for longer.
+// Anyone may connect. The stubs wait for at most half a minute; the requests would wait for longer.
 #[test]
-fn peers_that_say_nothing_or_stop_half_way_are_closed_or_told_of_an_error() {
+fn clients_that_are_silent_or_stop_half_way_are_closed_or_get_an_error() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| ok("served"));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
@@ -88,30 +88,30 @@
         408
     );
     for peer in [&mut silent, &mut half, &mut bodiless] {
-        assert!(await_close(peer), "a connection stayed open");
+        assert!(wait_for_close(peer), "a connection stayed open");
     }
     assert_eq!(endpoint.requests(), 0);
 }
 
 #[test]
-fn it_survives_a_want_of_descriptors() {
+fn a_shortage_of_descriptors_is_survived() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| ok("served"));
     let sidecar = Sidecar::start_with(&discovery, &[("s-1", &endpoint)], 24, 1024);
     let crowd: Vec<_> = (0..60).map(|_| sidecar.connect()).collect();
     thread::sleep(Duration::from_millis(200));
     drop(crowd);
-    await_that("it serves again", || {
+    wait_until("it serves again", || {
         sidecar
             .ask(&request("look", "", ""))
             .is_some_and(|a| a.status() == 200)
     });
 }
 
-// A process that is stopped and goes on finds its timers due before it hears of what has come
-// meanwhile: the connection would be closed as idle over a request that was not read.
+// After a suspension a process finds its timers due before it notices the bytes that have arrived:
+// the connection would be closed as idle with an unread request.
 #[test]
-fn a_request_that_came_while_the_process_was_stopped_is_served() {
+fn a_request_that_arrived_while_the_process_was_suspended_is_served() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| ok("served"));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
@@ -125,7 +125,7 @@
     assert_eq!(read_message(&mut client).expect("an answer").status(), 200);
     sidecar.signal("-STOP");
     let state = format!("/proc/{}/stat", sidecar.process.id());
-    await_that("it has stopped", || {
+    wait_until("it has stopped", || {
         std::fs::read_to_string(&state).is_ok_and(|line| line.contains("(sidecar) T "))
     });
     ask(&mut client);
@@ -136,9 +136,9 @@
     assert_eq!(endpoint.requests(), 2);
 }
 
-// Discovery and the endpoints have descriptors of their own, which clients can't take.
+// Discovery and the endpoints have descriptors of their own, which clients can't use up.
 #[test]
-fn idle_clients_that_fill_the_descriptors_while_discovery_is_down_cost_no_service_after_it_is_back()
+fn idle_clients_that_use_up_descriptors_while_discovery_is_down_do_not_prevent_service_afterwards()
 {
     let discovery = Discovery::start();
     let (old, new) = (
@@ -149,7 +149,7 @@
     discovery.failing.store(true, Ordering::SeqCst);
     let calls = discovery.calls().len();
     let crowd: Vec<_> = (0..200).map(|_| sidecar.connect()).collect();
-    await_that("discovery is still called", || {
+    wait_until("discovery is still called", || {
         discovery.calls().len() >= calls + 3
     });
     assert_eq!(
@@ -165,7 +165,7 @@
     ];
     discovery.publish(2, list(2, false, &changes));
     discovery.failing.store(false, Ordering::SeqCst);
-    discovery.await_watch(2);
+    discovery.wait_for_watch(2);
     assert_eq!(
         sidecar
             .ask(&request("look", "", ""))
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn what_no_request_can_be_made_of_ends_its_connection_and_reaches_nobody() {
+fn invalid_input_ends_its_connection_and_is_not_forwarded() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| ok("served"));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
@@ -207,17 +207,17 @@
     });
     for (bad, mut peer) in connected {
         assert!(
-            await_close(&mut peer),
+            wait_for_close(&mut peer),
             "a connection stayed open after {bad:?}"
         );
     }
     assert_eq!(endpoint.requests(), 0);
-    // What comes behind a request is no part of it, and ends the connection alone.
+    // Bytes behind a request are not part of it, and only end the connection.
     let mut client = sidecar.connect();
     client
         .write_all((good + "\0\0\0\r\n\r\n").as_bytes())
         .expect("the sidecar takes it");
     assert_eq!(read_message(&mut client).expect("an answer").status(), 200);
     assert_eq!(read_message(&mut client).expect("an error").status(), 400);
-    assert!(await_close(&mut client));
+    assert!(wait_for_close(&mut client));
 }
--- a/tests/sidecar/cuts.rs
+++ b/tests/sidecar/cuts.rs
@@ -1,5 +1,4 @@
-//! A request that may not be repeated, whose connection ends at every byte of the request and of
-//! the answer.
+//! A non-idempotent request whose connection ends at each byte of the request and of the response.
 
 use crate::stubs::*;
 use socket2::SockRef;
@@ -9,17 +8,17 @@
 use std::thread;
 use std::time::Duration;
 
-/// Answers between two cuts: with fewer, the endpoints' circuits would open.
-const GOOD_BETWEEN: usize = 6;
+/// Successful requests between two failures; with fewer, the endpoints' circuits would open.
+const SUCCESSES_BETWEEN_FAILURES: usize = 6;
 
-/// How an endpoint treats the next request.
+/// How an endpoint handles the next request.
 #[derive(Clone, Copy)]
 enum Mode {
-    /// It answers.
+    /// It responds.
     Good,
-    /// It reads so many bytes of it and resets the connection.
+    /// It reads that many bytes of the request and resets the connection.
     CutRequest(usize),
-    /// It writes so many bytes of this answer, and resets or closes the connection.
+    /// It writes that many bytes of this response, and resets or closes the connection.
     CutAnswer(&'static str, usize, End),
 }
 
@@ -29,12 +28,12 @@
     Close,
 }
 
-/// Endpoints that behave alike.
-struct Cutters {
+/// Endpoints with the same behaviour.
+struct FailingEndpoints {
     state: Arc<Mutex<(Mode, usize)>>,
 }
 
-impl Cutters {
+impl FailingEndpoints {
     fn new() -> Self {
         Self {
             state: Arc::new(Mutex::new((Mode::Good, 0))),
@@ -54,7 +53,7 @@
         address
     }
 
-    /// Treats requests like this from now on.
+    /// Sets the handling of requests from now on.
     fn set(&self, mode: Mode) {
         *self.state.lock().expect("no stub panics") = (mode, 0);
     }
@@ -67,7 +66,7 @@
 
 fn serve(mut stream: TcpStream, state: &Mutex<(Mode, usize)>) {
     stream
-        .set_read_timeout(Some(LONG))
+        .set_read_timeout(Some(TEST_TIMEOUT))
         .expect("a time-out can be set");
     while stream.peek(&mut [0]).is_ok_and(|n| n > 0) {
         let mode = {
@@ -84,7 +83,7 @@
                 continue;
             }
             Mode::CutRequest(length) => {
-                // A short request comes in one fragment here.
+                // A short request arrives in one segment here.
                 let _ = stream.read(&mut vec![0; length]);
                 End::Reset
             }
@@ -103,9 +102,9 @@
     }
 }
 
-/// Sends one unsafe request to endpoints of that mode, and then good ones; returns the status, and
-/// how many endpoints it began to arrive at.
-fn ask(sidecar: &Sidecar, cutters: &Cutters, mode: Mode) -> (u16, usize) {
+/// Sends one non-idempotent request to endpoints in that mode, and then successful ones; returns
+/// the status, and at how many endpoints the request began to arrive.
+fn ask(sidecar: &Sidecar, cutters: &FailingEndpoints, mode: Mode) -> (u16, usize) {
     cutters.set(mode);
     let status = sidecar
         .ask(&request("book", "", "{}"))
@@ -113,7 +112,7 @@
         .status();
     let begun = cutters.begun();
     cutters.set(Mode::Good);
-    for _ in 0..GOOD_BETWEEN {
+    for _ in 0..SUCCESSES_BETWEEN_FAILURES {
         assert_eq!(
             sidecar
                 .ask(&request("book", "", "{}"))
@@ -125,7 +124,7 @@
     (status, begun)
 }
 
-fn sidecar(cutters: &Cutters) -> (Discovery, Sidecar) {
+fn sidecar(cutters: &FailingEndpoints) -> (Discovery, Sidecar) {
     let discovery = Discovery::start();
     let sidecar = Sidecar::start(&discovery, &[]);
     let both = [
@@ -133,16 +132,16 @@
         ("s-2", cutters.start(), "active"),
     ];
     discovery.publish(2, list(2, false, &both));
-    discovery.await_watch(2);
+    discovery.wait_for_watch(2);
     (discovery, sidecar)
 }
 
-// Its bytes have all been written by then: whatever of them was read, it may have run.
+// All of its bytes were written by then: it may have been executed, whatever was read.
 #[test]
-fn an_unsafe_request_reset_at_any_of_its_bytes_is_sent_once() {
-    let cutters = Cutters::new();
+fn a_non_idempotent_request_reset_at_any_byte_is_sent_once() {
+    let cutters = FailingEndpoints::new();
     let (_discovery, sidecar) = sidecar(&cutters);
-    // Longer than the request by some.
+    // A little longer than the request.
     for length in 1..300 {
         assert_eq!(
             ask(&sidecar, &cutters, Mode::CutRequest(length)),
@@ -153,8 +152,8 @@
 }
 
 #[test]
-fn an_unsafe_request_whose_answer_ends_at_any_byte_is_sent_once() {
-    let cutters = Cutters::new();
+fn a_non_idempotent_request_whose_response_ends_at_any_byte_is_sent_once() {
+    let cutters = FailingEndpoints::new();
     let (_discovery, sidecar) = sidecar(&cutters);
     for (text, unframed) in [
         ("HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved", false),
@@ -179,7 +178,7 @@
         let head = text.rfind("\r\n\r\nserved").map_or(text.len(), |at| at + 4);
         for end in [End::Reset, End::Close] {
             for length in 0..text.len() + usize::from(unframed && end == End::Reset) {
-                // Without a length, what has come up to a close is the answer; a reset is no end.
+                // Without a length, a close ends the response and a reset does not.
                 let whole = unframed && end == End::Close && length >= head;
                 let seen = ask(&sidecar, &cutters, Mode::CutAnswer(text, length, end));
                 assert_eq!(
--- a/tests/sidecar/dials.rs
+++ b/tests/sidecar/dials.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints that come up late, or too late.
+//! Connections to endpoints that are established late or too late.
 
 use crate::ok;
 use crate::stubs::*;
@@ -7,8 +7,8 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// An endpoint whose connections do not come up while `filler` is open: with its queue full the
-/// system drops further openings, and the client's system tries again after a second.
+/// An endpoint to which no connection is established while `filler` is open: with a full backlog
+/// the system drops further attempts, and the client's system retries after a second.
 struct Full {
     listener: TcpListener,
     filler: TcpStream,
@@ -34,7 +34,7 @@
         self.listener.local_addr().expect("an address")
     }
 
-    /// From now on it takes connections and serves.
+    /// Accepts and serves connections from now on.
     fn open(self) -> Endpoint {
         drop(self.filler);
         Endpoint::on(self.listener, |_| ok("served"))
@@ -42,36 +42,38 @@
 }
 
 #[test]
-fn a_connection_that_comes_up_late_but_in_time_is_used() {
+fn a_connection_established_late_but_in_time_is_used() {
     let (discovery, full) = (Discovery::start(), Full::start());
     let sidecar = Sidecar::start(&discovery, &[]);
     discovery.publish(2, list(2, false, &[("s-1", full.address(), "active")]));
-    discovery.await_watch(2);
+    discovery.wait_for_watch(2);
     let mut client = sidecar.connect();
     client
         .write_all(request("book", "", "{}").as_bytes())
         .expect("the sidecar takes it");
-    await_that("the endpoint is dialled", || being_dialled(full.address()));
+    wait_until("the endpoint is dialled", || {
+        is_being_dialled(full.address())
+    });
     let endpoint = full.open();
     assert_eq!(read_message(&mut client).expect("an answer").status(), 200);
     assert_eq!(endpoint.requests(), 1);
 }
 
-// A dial that was given up is over: what it was made for goes out on no connection that comes up
-// after it.
+// A dial that was given up is over: its request is not sent on a connection that is established
+// afterwards.
 #[test]
-fn a_connection_that_comes_up_too_late_is_none() {
+fn a_connection_established_too_late_is_not_used() {
     let (discovery, full) = (Discovery::start(), Full::start());
     let short =
         |config: String| config.replace("\"DialTimeoutUs\":5000000", "\"DialTimeoutUs\":100000");
     let sidecar = Sidecar::start_altered(&discovery, &[], 1024, short);
     discovery.publish(2, list(2, false, &[("s-1", full.address(), "active")]));
-    discovery.await_watch(2);
+    discovery.wait_for_watch(2);
     let answer = sidecar.ask(&request("book", "", "{}")).expect("an answer");
     assert_eq!(answer.status(), 503, "known not to have run");
-    await_that("the dial is given up", || !being_dialled(full.address()));
+    wait_until("the dial is given up", || !is_being_dialled(full.address()));
     let endpoint = full.open();
-    // Others are served by then; this shows that what came before it has been looked at.
+    // Another request is served by then, which shows that earlier events were handled.
     let mut other = TcpStream::connect(endpoint.address).expect("it takes connections");
     other
         .write_all(request("look", "", "").as_bytes())
--- a/tests/sidecar/draining.rs
+++ b/tests/sidecar/draining.rs
@@ -1,5 +1,5 @@
-//! What crosses a planned stop: requests half read, behind others, in queues, and what comes back
-//! for those under way.
+//! Graceful shutdown while something is in progress: partly received, pipelined and queued
+//! requests, and responses to those in flight.
 
 use crate::ok;
 use crate::stubs::*;
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// An endpoint that answers each request once it is told to.
+/// An endpoint that responds to each request when the test permits.
 fn held_endpoint(reply: impl Fn() -> Reply + Send + Sync + 'static) -> (Endpoint, Sender<()>) {
     let (release, held) = channel();
     let held = Mutex::new(held);
@@ -24,7 +24,7 @@
     (endpoint, release)
 }
 
-/// The answer to a request, and whether it was said to be the last.
+/// The response to a request, and whether it announced the close.
 fn answered(stream: &mut TcpStream) -> (u16, bool) {
     let answer = read_message(stream).expect("an answer");
     (
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn what_came_behind_a_request_under_way_is_answered_too() {
+fn a_request_pipelined_behind_another_is_answered_too() {
     let discovery = Discovery::start();
     let (arrive, arrived) = channel();
     let (release, held) = channel();
@@ -52,7 +52,7 @@
         ok("served")
     });
     let mut sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
-    let mut client = resting(&sidecar);
+    let mut client = idle_connection(&sidecar);
     client
         .write_all(request("book", "", "{}").repeat(3).as_bytes())
         .expect("the sidecar takes it");
@@ -65,31 +65,31 @@
         [(); 3].map(|()| answered(&mut client)),
         [(200, false), (200, false), (200, true)]
     );
-    assert!(await_close(&mut client));
+    assert!(wait_for_close(&mut client));
     assert_eq!(sidecar.process.wait().expect("it ends").code(), Some(0));
     assert_eq!(endpoint.requests(), 3);
 }
 
 #[test]
-fn a_request_of_which_a_part_had_come_is_served() {
+fn a_partly_received_request_is_served() {
     for (cut, kept) in [
         ("X-Account", true),
         ("X-Account", false),
         ("{}", true),
         ("{}", false),
     ] {
-        in_time(|| parted_by_a_stop(cut, kept));
+        repeat_until_in_time(|| request_in_two_parts_around_the_shutdown(cut, kept));
     }
 }
 
-/// Sends a request in two parts, with the stop between them; whether that was done in time.
-fn parted_by_a_stop(cut: &str, kept: bool) -> bool {
+/// Sends a request in two parts with the shutdown between them; returns whether that was in time.
+fn request_in_two_parts_around_the_shutdown(cut: &str, kept: bool) -> bool {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| ok("served"));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
-    let stopping = Stopping::prepare(&sidecar);
+    let stopping = PendingShutdown::prepare(&sidecar);
     let mut client = if kept {
-        resting(&sidecar)
+        idle_connection(&sidecar)
     } else {
         sidecar.connect()
     };
@@ -100,12 +100,12 @@
     client
         .write_all(first.as_bytes())
         .expect("the sidecar takes it");
-    await_that("the sidecar has read it", || {
+    wait_until("the sidecar has read it", || {
         unread(sidecar.address, here) == Some(0)
     });
     stopping.stop();
     let sent = client.write_all(rest.as_bytes());
-    if begun.elapsed() > PATIENCE {
+    if begun.elapsed() > HALF_GRACE_PERIOD {
         return false;
     }
     sent.expect("the sidecar takes it");
@@ -114,42 +114,42 @@
         (200, true),
         "cut at {cut}, kept: {kept}"
     );
-    assert!(await_close(&mut client));
+    assert!(wait_for_close(&mut client));
     true
 }
 
-// Clients go on using what they have just opened; a new connection that is closed with no answer
-// costs them a request.
+// Clients use connections they have just opened; closing a new connection without an answer would
+// cost them a request.
 #[test]
-fn a_connection_that_was_just_opened_may_still_bring_its_request() {
-    in_time(|| {
+fn a_new_connection_may_still_send_its_request() {
+    repeat_until_in_time(|| {
         let discovery = Discovery::start();
         let endpoint = Endpoint::start(|_| ok("served"));
         let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
         let mut client = sidecar.connect();
-        let stopping = Stopping::prepare(&sidecar);
+        let stopping = PendingShutdown::prepare(&sidecar);
         let begun = Instant::now();
         stopping.stop();
         let sent = client.write_all(request("book", "", "{}").as_bytes());
-        if begun.elapsed() > PATIENCE {
+        if begun.elapsed() > HALF_GRACE_PERIOD {
             return false;
         }
         sent.expect("the sidecar takes it");
         assert_eq!(answered(&mut client), (200, true));
-        assert!(await_close(&mut client));
+        assert!(wait_for_close(&mut client));
         true
     });
 }
 
 #[test]
-fn a_request_that_comes_after_the_shutdown_is_not_sent_on() {
+fn a_request_after_the_shutdown_is_not_forwarded() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| ok("served"));
     let mut sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
-    let mut client = resting(&sidecar);
+    let mut client = idle_connection(&sidecar);
     sidecar.terminate();
-    assert!(await_close(&mut client));
-    // The sidecar still reads: its system answers with no reset.
+    assert!(wait_for_close(&mut client));
+    // The sidecar still reads: its system does not answer with a reset.
     client
         .write_all(request("book", "", "{}").as_bytes())
         .expect("the sidecar takes it");
@@ -158,18 +158,18 @@
     assert_eq!(endpoint.requests(), 0);
 }
 
-// The process stands still from before until after the time at which it closes its listener.
+// The process is suspended from before until after the time at which it closes its listener.
 #[test]
-fn what_waits_to_be_accepted_as_the_listener_closes_is_served() {
-    in_time(|| {
+fn connections_that_wait_to_be_accepted_as_the_listener_closes_are_served() {
+    repeat_until_in_time(|| {
         let discovery = Discovery::start();
         let endpoint = Endpoint::start(|_| ok("served"));
         let mut sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
-        let stopping = Stopping::prepare(&sidecar);
+        let stopping = PendingShutdown::prepare(&sidecar);
         let begun = Instant::now();
         stopping.stop();
         sidecar.signal("-STOP");
-        if begun.elapsed() > PATIENCE {
+        if begun.elapsed() > HALF_GRACE_PERIOD {
             return false;
         }
         let ask = |_| {
@@ -191,17 +191,17 @@
 }
 
 #[test]
-fn an_outcome_and_a_list_that_come_meanwhile_lead_to_a_further_attempt() {
+fn an_outcome_and_a_list_during_the_shutdown_lead_to_a_further_attempt() {
     let discovery = Discovery::start();
     let (failing, release) = held_endpoint(|| Reply::Answer(500, "", Vec::new()));
     let good = Endpoint::start(|_| ok("served"));
     let mut sidecar = Sidecar::start(&discovery, &[("s-1", &failing)]);
-    discovery.await_watch(1);
+    discovery.wait_for_watch(1);
     let mut client = sidecar.connect();
     client
         .write_all(request("look", "", "").as_bytes())
         .expect("the sidecar takes it");
-    await_that("it is sent on", || {
+    wait_until("it is sent on", || {
         failing.made.load(std::sync::atomic::Ordering::SeqCst) == 1
     });
     stop(&sidecar);
@@ -210,7 +210,7 @@
         ("s-2", good.address, "active"),
     ];
     discovery.publish(2, list(2, false, &entries));
-    discovery.await_watch(2);
+    discovery.wait_for_watch(2);
     release.send(()).expect("the endpoint waits");
     assert_eq!(answered(&mut client), (200, true));
     assert_eq!((failing.requests(), good.requests()), (1, 1));
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn further_signals_change_nothing_about_a_stop() {
+fn further_signals_do_not_affect_a_shutdown() {
     let discovery = Discovery::start();
     let (endpoint, release) = held_endpoint(|| ok("served"));
     let endpoint = Arc::new(endpoint);
@@ -227,7 +227,7 @@
     client
         .write_all(request("book", "", "{}").as_bytes())
         .expect("the sidecar takes it");
-    await_that("it is sent on", || {
+    wait_until("it is sent on", || {
         endpoint.made.load(std::sync::atomic::Ordering::SeqCst) == 1
     });
     sidecar.signal("-HUP");
@@ -241,11 +241,11 @@
     assert_eq!(sidecar.process.wait().expect("it ends").code(), Some(0));
 }
 
-// At the very end nothing has become free: what waited for a place all the time is told so.
+// Requests that wait for a permit until the end get an answer that says so.
 #[test]
-fn connections_for_which_there_is_no_room_get_an_answer_at_the_end() {
+fn connections_without_a_permit_get_an_answer_at_the_end() {
     let discovery = Discovery::start();
-    // One each, so that all requests go out. Of 64 descriptors clients get 20.
+    // One request each, so that all are sent. Of 64 descriptors, clients get 20.
     let names: Vec<_> = (0..20).map(|n| format!("s-{n}")).collect();
     let endpoints = [(); 20].map(|()| Endpoint::start(|_| Reply::Silence));
     let known: Vec<_> = names.iter().map(String::as_str).zip(&endpoints).collect();
@@ -259,7 +259,7 @@
         client
     };
     let served: Vec<_> = (0..20).map(ask).collect();
-    await_that("all places are taken", || requests() == 20);
+    wait_until("all places are taken", || requests() == 20);
     let waiting: Vec<_> = (0..10).map(ask).collect();
     sidecar.terminate();
     for mut client in served {
--- a/tests/sidecar/extremes.rs
+++ b/tests/sidecar/extremes.rs
@@ -1,11 +1,11 @@
-//! Settings at their ends: each request gets its one answer, and nothing is repeated that may not
-//! be.
+//! Settings at their limits: each request gets exactly one answer, and nothing is retried that must
+//! not be.
 
 use crate::ok;
 use crate::stubs::*;
 
-const ENDLESS: &str = "9223372036854775807";
-/// The longest window that settings may name, in microseconds.
+const MAX_MICROS: &str = "9223372036854775807";
+/// The longest deduplication window in the settings, in microseconds.
 const MAX_WINDOW: &str = "1125899906842623";
 
 fn altered(name: &str, from: &str, to: &str) -> impl Fn(String) -> String {
@@ -16,15 +16,16 @@
     }
 }
 
-// What is over before the next tick is over at once: a repeat would run a second time.
+// A window that is over before the next tick counts as over at once: a retry would run a second
+// time.
 #[test]
-fn a_window_for_repeats_that_is_shorter_than_a_tick_allows_none() {
+fn a_deduplication_window_shorter_than_a_tick_permits_no_retries() {
     for (window, copies) in [("0", 1), ("1", 1), ("5000", 1), (MAX_WINDOW, 3)] {
         let discovery = Discovery::start();
         let endpoint = Endpoint::start(|_| Reply::Close);
         let alter = altered("KeyTtlUs", "5000000", window);
         let sidecar = Sidecar::start_altered(&discovery, &[("s-1", &endpoint)], 1024, alter);
-        // By the page a client may repeat it wherever all endpoints drop repeats.
+        // The client may retry wherever all endpoints deduplicate.
         assert_eq!(
             sidecar
                 .ask(&request("pay", "", "{}"))
@@ -38,14 +39,14 @@
 }
 
 #[test]
-fn limits_at_their_ends_leave_each_request_its_answer() {
+fn with_limits_at_their_extremes_each_request_gets_its_answer() {
     for (name, from, to) in [
         ("MayCancel", "true", "false"),
         ("MayDuplicate", "true", "false"),
         ("MaxAttempts", "3", "1"),
         ("DialTimeoutUs", "5000000", "0"),
         ("DialTimeoutUs", "5000000", "-1"),
-        ("DialTimeoutUs", "5000000", ENDLESS),
+        ("DialTimeoutUs", "5000000", MAX_MICROS),
         ("IdleCloseUs", "2000000", "0"),
         ("TickUs", "5000", "0"),
         ("DeadlineUs", "20000000", "1"),
--- a/tests/sidecar/handovers.rs
+++ b/tests/sidecar/handovers.rs
@@ -1,4 +1,4 @@
-//! What comes in between the decision to send and the first byte that goes out.
+//! Events between the decision to send an attempt and its first byte.
 
 use crate::ok;
 use crate::stubs::*;
@@ -7,91 +7,91 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// One attempt, and much time to make its connection.
+/// Permits one attempt, with a long dial timeout.
 fn one_try(config: String) -> String {
     config
         .replace("\"MaxAttempts\":3", "\"MaxAttempts\":1")
         .replace("\"DialTimeoutUs\":5000000", "\"DialTimeoutUs\":20000000")
 }
 
-// What was decided for a process was decided by what it can take; one that was started in its place
-// is another.
+// A decision applies to the process it was made for; one started in its place is a different
+// process.
 #[test]
-fn a_dial_under_way_as_the_process_is_replaced_writes_nothing_to_the_new_one() {
-    let (discovery, held) = (Discovery::start(), Held::start());
+fn a_dial_pending_as_the_process_is_replaced_writes_nothing_to_the_new_one() {
+    let (discovery, held) = (Discovery::start(), FullBacklog::start());
     let sidecar = Sidecar::start_altered(&discovery, &[], 1024, one_try);
     let listed = |version| list(version, false, &[("s-1", held.address, "active")]);
     discovery.publish(2, listed(2));
-    discovery.await_watch(2);
+    discovery.wait_for_watch(2);
     let mut client = sidecar.connect();
     client
         .write_all(request("book", "", "{}").as_bytes())
         .expect("the sidecar takes it");
-    await_that("the endpoint is dialled", || being_dialled(held.address));
+    wait_until("the endpoint is dialled", || is_being_dialled(held.address));
     discovery.publish(
         3,
         listed(3).replace("\"since_ms\":0", "\"since_ms\":1700000000000"),
     );
-    discovery.await_watch(3);
+    discovery.wait_for_watch(3);
     let endpoint = Endpoint::on(held.release(), |_| ok("by the new process"));
     assert_eq!(
         read_message(&mut client).expect("an answer").status(),
         503,
         "known not to have run"
     );
-    await_that("the dial comes up", || {
+    wait_until("the dial comes up", || {
         endpoint.made.load(Ordering::SeqCst) >= 2
     });
     assert_eq!(endpoint.requests(), 0);
 }
 
-// Both have come while the process was stopped, the connection first: before the request is
-// written, the other is to be heard, also where an attempt may not be cancelled.
+// Both events arrive while the process is suspended, the connection first. The disconnect must be
+// noticed before the request is written, even if attempts may not be cancelled.
 #[test]
-fn a_client_that_left_before_the_connection_came_up_is_noticed_before_anything_is_written() {
-    let (discovery, held) = (Discovery::start(), Held::start());
+fn a_disconnect_before_the_connection_is_established_is_noticed_before_anything_is_written() {
+    let (discovery, held) = (Discovery::start(), FullBacklog::start());
     let no_cancel =
         |config: String| one_try(config).replace("\"MayCancel\":true", "\"MayCancel\":false");
     let sidecar = Sidecar::start_altered(&discovery, &[], 1024, no_cancel);
     discovery.publish(2, list(2, false, &[("s-1", held.address, "active")]));
-    discovery.await_watch(2);
+    discovery.wait_for_watch(2);
     let mut client = sidecar.connect();
     client
         .write_all(request("book", "", "{}").as_bytes())
         .expect("the sidecar takes it");
-    await_that("the endpoint is dialled", || being_dialled(held.address));
+    wait_until("the endpoint is dialled", || is_being_dialled(held.address));
     sidecar.stop();
     let endpoint = Endpoint::on(held.release(), |_| Reply::Silence);
-    await_that("the connection is up", || {
+    wait_until("the connection is up", || {
         endpoint.made.load(Ordering::SeqCst) == 2
     });
     client.shutdown(Shutdown::Both).expect("it closes");
     sidecar.signal("-CONT");
-    // With it whatever was written has been read.
-    await_that("the connection is closed", || endpoint.closed() == 2);
+    // The close shows that everything written was read.
+    wait_until("the connection is closed", || endpoint.closed() == 2);
     assert_eq!(endpoint.requests(), 0);
 }
 
-// The same with a list that says that the endpoint leaves.
+// As above, with a list that marks the endpoint as draining.
 #[test]
-fn an_endpoint_told_to_leave_before_the_connection_came_up_gets_nothing_written() {
-    let (discovery, held) = (Discovery::start(), Held::start());
+fn an_endpoint_that_drains_before_the_connection_is_established_gets_nothing() {
+    let (discovery, held) = (Discovery::start(), FullBacklog::start());
     let sidecar = Sidecar::start_altered(&discovery, &[], 1024, one_try);
     discovery.publish(2, list(2, false, &[("s-1", held.address, "active")]));
-    discovery.await_watch(2);
+    discovery.wait_for_watch(2);
     let mut client = sidecar.connect();
     client
         .write_all(request("book", "", "{}").as_bytes())
         .expect("the sidecar takes it");
-    await_that("the endpoint is dialled", || being_dialled(held.address));
+    wait_until("the endpoint is dialled", || is_being_dialled(held.address));
     sidecar.stop();
     let address = held.address;
     let endpoint = Endpoint::on(held.release(), |_| ok("too late"));
-    await_that("the connection is up", || {
+    wait_until("the connection is up", || {
         endpoint.made.load(Ordering::SeqCst) == 2
     });
     discovery.publish(3, list(3, false, &[("s-1", address, "leaving")]));
-    discovery.await_told(3);
+    discovery.wait_until_sent(3);
     sidecar.signal("-CONT");
     assert_eq!(
         read_message(&mut client).expect("an answer").status(),
@@ -101,14 +101,14 @@
     assert_eq!(endpoint.requests(), 0);
 }
 
-// The answer has come, and then the time of the attempt ran out, before either was seen: it is an
-// answer.
+// The response arrived, and then the attempt's time ran out, before either was noticed: the
+// response counts.
 #[test]
-fn an_answer_that_came_while_the_process_was_stopped_counts_though_its_time_is_over() {
+fn a_response_that_arrived_while_the_process_was_suspended_counts_although_its_time_is_over() {
     let discovery = Discovery::start();
     let endpoint =
         Endpoint::start(|_| Reply::Later(Duration::from_millis(500), b"in time".to_vec()));
-    // Two ticks before its client stops waiting the module does.
+    // The module gives up two ticks before the client does.
     let long_tick = |config: String| config.replace("\"TickUs\":5000", "\"TickUs\":5000000");
     let sidecar = Sidecar::start_altered(&discovery, &[("s-1", &endpoint)], 1024, long_tick);
     let mut client = sidecar.connect();
@@ -116,7 +116,7 @@
     client
         .write_all(short.as_bytes())
         .expect("the sidecar takes it");
-    await_that("the request is out", || endpoint.requests() == 1);
+    wait_until("the request is out", || endpoint.requests() == 1);
     sidecar.stop();
     std::thread::sleep(Duration::from_millis(2500));
     sidecar.signal("-CONT");
@@ -126,12 +126,11 @@
     );
 }
 
-// What became of a request at the process before says nothing of the one that was started in its
-// place.
+// Outcomes at the previous process do not count against the process started in its place.
 #[test]
-fn what_breaks_at_the_process_before_is_not_held_against_the_new_one() {
-    let (discovery, old) = (Discovery::start(), Holding::start());
-    // With short latency objectives what is known fades within a second, and one failure opens the
+fn failures_of_the_previous_process_do_not_count_against_the_new_one() {
+    let (discovery, old) = (Discovery::start(), HoldingEndpoint::start());
+    // With short latency objectives, knowledge expires within a second, and one failure opens the
     // circuit.
     let short = |config: String| config.replace("\"AimUs\":8000000", "\"AimUs\":100000");
     let sidecar = Sidecar::start_altered(&discovery, &[("s-1", &old.endpoint)], 1024, short);
@@ -139,7 +138,7 @@
     client
         .write_all(request("book", "", "{}").as_bytes())
         .expect("the sidecar takes it");
-    old.await_request();
+    old.wait_for_request();
     std::thread::sleep(Duration::from_millis(1500));
     let new = Endpoint::start(|_| ok("by the new process"));
     let listed = list(2, false, &[("s-1", new.address, "active")]);
@@ -147,7 +146,7 @@
         2,
         listed.replace("\"since_ms\":0", "\"since_ms\":1700000000000"),
     );
-    discovery.await_watch(2);
+    discovery.wait_for_watch(2);
     old.close();
     assert_eq!(read_message(&mut client).expect("an answer").status(), 502);
     assert_eq!(
@@ -159,17 +158,17 @@
     );
 }
 
-/// The first back-off lasts from two to three seconds.
+/// Sets the first backoff to between two and three seconds.
 fn long_backoff(config: String) -> String {
     config.replace("\"AimUs\":8000000", "\"AimUs\":128000000")
 }
 
-/// Then it is surely over.
-const BACKOFF_OVER: Duration = Duration::from_millis(4000);
+/// Longer than that backoff.
+const LONGER_THAN_BACKOFF: Duration = Duration::from_millis(4000);
 
 #[test]
-fn a_client_that_leaves_in_the_back_off_is_not_sent_on() {
-    let (discovery, first) = (Discovery::start(), Holding::start());
+fn a_client_that_disconnects_during_the_backoff_is_not_forwarded() {
+    let (discovery, first) = (Discovery::start(), HoldingEndpoint::start());
     let second = Endpoint::start(|_| ok("too late"));
     let sidecar =
         Sidecar::start_altered(&discovery, &[("s-1", &first.endpoint)], 1024, long_backoff);
@@ -177,21 +176,21 @@
     client
         .write_all(request("look", "", "").as_bytes())
         .expect("the sidecar takes it");
-    first.await_request();
+    first.wait_for_request();
     discovery.publish(2, list(2, false, &[("s-2", second.address, "active")]));
-    discovery.await_watch(2);
+    discovery.wait_for_watch(2);
     first.close();
-    await_that("the first attempt has broken off", || {
+    wait_until("the first attempt has broken off", || {
         first.endpoint.requests() == 1
     });
     client.shutdown(Shutdown::Both).expect("it closes");
-    std::thread::sleep(BACKOFF_OVER);
+    std::thread::sleep(LONGER_THAN_BACKOFF);
     assert_eq!((first.endpoint.requests(), second.requests()), (1, 0));
 }
 
 #[test]
-fn an_endpoint_that_leaves_in_the_back_off_gets_no_repeat() {
-    let (discovery, first) = (Discovery::start(), Holding::start());
+fn an_endpoint_that_drains_during_the_backoff_gets_no_retry() {
+    let (discovery, first) = (Discovery::start(), HoldingEndpoint::start());
     let second = Endpoint::start(|_| ok("too late"));
     let sidecar =
         Sidecar::start_altered(&discovery, &[("s-1", &first.endpoint)], 1024, long_backoff);
@@ -199,11 +198,11 @@
     client
         .write_all(request("look", "", "").as_bytes())
         .expect("the sidecar takes it");
-    first.await_request();
+    first.wait_for_request();
     discovery.publish(2, list(2, false, &[("s-2", second.address, "active")]));
-    discovery.await_watch(2);
+    discovery.wait_for_watch(2);
     first.close();
-    await_that("the first attempt has broken off", || {
+    wait_until("the first attempt has broken off", || {
         first.endpoint.requests() == 1
     });
     let gone = [
@@ -211,16 +210,16 @@
         ("s-2", second.address, "left"),
     ];
     discovery.publish(3, list(3, false, &gone));
-    discovery.await_watch(3);
+    discovery.wait_for_watch(3);
     assert_eq!(read_message(&mut client).expect("an answer").status(), 503);
     assert_eq!((first.endpoint.requests(), second.requests()), (1, 0));
 }
 
-// An attempt at a class that may not be repeated has all the time of its request: the two end
-// together. The endpoint's time-out is learnt first, or its circuit would stay closed for as long
-// as it hangs.
+// An attempt that may not be retried has all the time of its request, so that the two end together.
+// The module must see the endpoint's timeout first, or its circuit would stay closed while it
+// hangs.
 #[test]
-fn an_endpoint_that_hangs_until_its_requests_are_over_has_its_circuit_opened() {
+fn the_circuit_of_an_endpoint_that_hangs_until_its_requests_end_is_opened() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| Reply::Silence);
     let mut sidecar = Sidecar::start_adapted(
--- a/tests/sidecar/idle.rs
+++ b/tests/sidecar/idle.rs
@@ -1,4 +1,4 @@
-//! Idle times of any size in the settings.
+//! Idle timeouts of any length in the settings.
 
 use crate::ok;
 use crate::stubs::*;
@@ -6,9 +6,9 @@
 use std::thread;
 use std::time::Duration;
 
-// No idle time was given, one shorter than any rest, one that goes by the clock of no machine.
+// No idle timeout, one shorter than the reuse delay, and one beyond the range of any clock.
 #[test]
-fn connections_are_kept_as_long_as_the_settings_say_whatever_that_is() {
+fn connections_are_kept_for_any_configured_idle_timeout() {
     for (idle_close, made) in [("0", 1), ("-5", 1), ("1", 3), ("9223372036854775807", 1)] {
         let discovery = Discovery::start();
         let endpoint = Endpoint::start(|_| ok("served"));
@@ -26,7 +26,7 @@
                     .status(),
                 200
             );
-            // Longer than a connection rests.
+            // Longer than the reuse delay.
             thread::sleep(Duration::from_millis(100));
         }
         assert_eq!(endpoint.made.load(Ordering::SeqCst), made, "{idle_close}");
--- a/tests/sidecar/leaving.rs
+++ b/tests/sidecar/leaving.rs
@@ -1,5 +1,4 @@
-//! Clients that leave while bytes of theirs are unread: a connection does not read on to its end
-//! then.
+//! Clients that disconnect with unread bytes pending: the connection then does not read to its end.
 
 use crate::ok;
 use crate::stubs::*;
@@ -9,14 +8,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// A request under an id of its own, whose client would wait for longer than these tests do.
+/// A request with its own id, whose client would wait for longer than these tests run.
 fn patient(class: &str, id: &str) -> String {
     request(class, "", "")
         .replace("19000m", "600000m")
         .replace("9b1f03aa", id)
 }
 
-/// The ids of the requests that reached an endpoint, in their order.
+/// The ids of the requests received by an endpoint, in order.
 fn ids(endpoint: &Endpoint) -> Vec<String> {
     let seen = endpoint.seen.lock().expect("no stub panics");
     seen.iter()
@@ -25,7 +24,7 @@
         .collect()
 }
 
-/// Closes a connection, with a reset where that is asked for.
+/// Closes a connection, optionally with a reset.
 fn leave(client: TcpStream, reset: bool) {
     let socket = socket2::Socket::from(client);
     if reset {
@@ -36,7 +35,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_behind_what_it_sent_takes_its_attempt_along() {
+fn the_attempt_of_a_client_that_disconnects_with_unread_bytes_is_cancelled() {
     for (behind, reset) in [
         (patient("book", "second"), false),
         (patient("book", "second"), true),
@@ -53,10 +52,10 @@
         client
             .write_all(all.as_bytes())
             .expect("the sidecar takes it");
-        await_that("the request is out", || endpoint.requests() == 1);
+        wait_until("the request is out", || endpoint.requests() == 1);
         leave(client, reset);
-        await_that("the attempt is given up", || endpoint.closed() == 1);
-        // What was to be begun behind it would have been by now.
+        wait_until("the attempt is given up", || endpoint.closed() == 1);
+        // The pipelined request would have begun by now.
         assert_eq!(
             sidecar
                 .ask(&patient("book", "last"))
@@ -73,7 +72,7 @@
 }
 
 #[test]
-fn no_further_attempt_begins_for_a_client_that_left_behind_what_it_sent() {
+fn no_further_attempt_begins_for_a_client_that_disconnected_with_unread_bytes() {
     let discovery = Discovery::start();
     let ((arrive, arrived), (release, held)) = (channel(), channel::<()>());
     let held = Arc::new(Mutex::new(held));
@@ -84,7 +83,7 @@
             Some("last") => Reply::Later(Duration::from_millis(500), b"served".to_vec()),
             _ => {
                 arrive.send(()).expect("the test goes on");
-                // Without a sender no more is held.
+                // Without a sender, the endpoint holds no more requests.
                 let _ = held.lock().expect("no stub panics").recv();
                 Reply::Answer(500, "", Vec::new())
             }
@@ -100,9 +99,9 @@
         .expect("the sidecar takes it");
     arrived.recv().expect("the first request arrives");
     drop(client);
-    // "08": the other side has closed, this one has not.
+    // "08": the peer has closed its side, this one has not.
     let knows = || state_of(sidecar.address, here).is_none_or(|state| state == "08");
-    await_that("the sidecar's system knows", knows);
+    wait_until("the sidecar's system knows", knows);
     drop(release);
     assert_eq!(
         sidecar
--- a/tests/sidecar/list_forms.rs
+++ b/tests/sidecar/list_forms.rs
@@ -1,13 +1,13 @@
-//! Lists in the forms that HTTP and JSON allow, and such that are not whole.
+//! Lists in all forms that HTTP and JSON permit, and incomplete ones.
 
 use crate::ok;
 use crate::stubs::*;
 use crate::watches::{body, old_and_new, replaced, tell};
 use std::process::Stdio;
 
-// An agent that closes after each answer, as HTTP allows, has not failed.
+// An agent that closes the connection after each answer, as HTTP permits, has not failed.
 #[test]
-fn an_agent_that_says_it_will_close_is_called_on_a_new_connection() {
+fn an_agent_that_announces_the_close_is_called_on_a_new_connection() {
     let agent = Agent::start();
     let endpoint = Endpoint::start(|_| ok("served"));
     let mut sidecar = agent.sidecar_adapted(
@@ -32,9 +32,9 @@
     assert_eq!(ports.len(), 4);
 }
 
-// Each form of a whole answer that HTTP and JSON allow.
+// Each form of a complete answer that HTTP and JSON permit.
 #[test]
-fn a_list_in_fragments_indented_and_with_unknown_fields_is_read() {
+fn a_segmented_and_indented_list_with_unknown_fields_is_read() {
     let agent = Agent::start();
     let (old, new) = old_and_new();
     let sidecar = agent.sidecar("pushed", &[("s-old", &old)]);
@@ -54,7 +54,7 @@
         "0\r\n\r\n".to_owned(),
     ];
     let _watch = tell(&agent, 2, |mut call| {
-        // Byte by byte, so that the sidecar reads it in many fragments.
+        // Byte by byte, so that the sidecar reads it in many segments.
         for byte in parts.concat().bytes() {
             std::io::Write::write_all(&mut call.stream, &[byte]).expect("the sidecar reads");
         }
@@ -63,9 +63,9 @@
     assert_eq!((body(&sidecar), old.requests()), (b"new".to_vec(), 0));
 }
 
-// A list that ends before it is whole changes nothing, and is asked for again.
+// An incomplete list changes nothing and is requested again.
 #[test]
-fn half_a_list_changes_nothing_and_is_asked_for_again() {
+fn an_incomplete_list_changes_nothing_and_is_requested_again() {
     let agent = Agent::start();
     let (old, new) = old_and_new();
     let sidecar = agent.sidecar("pushed", &[("s-old", &old)]);
@@ -87,9 +87,9 @@
     assert_eq!(body(&sidecar), b"new");
 }
 
-// What comes unasked behind an answer is no answer to the next call.
+// Unrequested bytes behind an answer are not the answer to the next call.
 #[test]
-fn a_second_answer_behind_the_first_is_not_taken_for_the_next() {
+fn a_duplicate_answer_is_not_taken_for_the_next_one() {
     let agent = Agent::start();
     let (old, new) = old_and_new();
     let sidecar = agent.sidecar("pushed", &[("s-old", &old)]);
--- a/tests/sidecar/lists.rs
+++ b/tests/sidecar/lists.rs
@@ -1,4 +1,4 @@
-//! How the list is followed.
+//! Following the endpoint list.
 
 use crate::ok;
 use crate::stubs::*;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 #[test]
-fn nothing_goes_to_an_endpoint_that_leaves_or_is_missing_from_the_whole_list() {
+fn a_draining_or_unlisted_endpoint_gets_nothing() {
     for gone in [list(2, false, &[]), list(2, true, &[])] {
         let discovery = Discovery::start();
         let (old, new) = (
@@ -29,7 +29,7 @@
             ("s-new", new.address, "active"),
         ];
         discovery.publish(2, list(2, snapshot, &leaving[usize::from(snapshot)..]));
-        discovery.await_watch(2);
+        discovery.wait_for_watch(2);
         for _ in 0..5 {
             assert_eq!(
                 sidecar
@@ -39,15 +39,15 @@
                 b"new"
             );
         }
-        await_that("its connection is closed", || old.closed() == 1);
+        wait_until("its connection is closed", || old.closed() == 1);
         assert_eq!(old.requests(), 1);
     }
 }
 
-// Where the settings say that changes are pushed, the module waits for them: the sidecar must fetch
-// them.
+// If the settings say that changes are pushed, the module waits for them, so the sidecar must watch
+// for them.
 #[test]
-fn a_list_that_is_pushed_is_followed_and_taken_up_again_after_a_failure() {
+fn a_pushed_list_is_followed_and_resumed_after_a_failure() {
     let discovery = Discovery::start();
     let (old, new) = (
         Endpoint::start(|_| ok("old")),
@@ -55,9 +55,9 @@
     );
     let pushed = |config: String| config.replace("on_request", "pushed");
     let sidecar = Sidecar::start_altered(&discovery, &[("s-old", &old)], 1024, pushed);
-    discovery.await_watch(1);
+    discovery.wait_for_watch(1);
     discovery.failing.store(true, Ordering::SeqCst);
-    await_that("the watch is taken up again", || {
+    wait_until("the watch is taken up again", || {
         discovery.calls().len() >= 3
     });
     discovery.failing.store(false, Ordering::SeqCst);
@@ -72,7 +72,7 @@
             ],
         ),
     );
-    discovery.await_watch(2);
+    discovery.wait_for_watch(2);
     assert_eq!(
         sidecar
             .ask(&request("book", "", ""))
@@ -83,10 +83,10 @@
     assert_eq!(old.requests(), 0);
 }
 
-// A send counts from its first byte: one whose connection comes up only after the endpoint was told
-// to leave must not be written any more.
+// A request counts as sent from its first byte: it must not be written on a connection established
+// after the endpoint was told to drain.
 #[test]
-fn a_dial_under_way_to_an_endpoint_that_leaves_writes_nothing() {
+fn a_pending_dial_to_a_draining_endpoint_writes_nothing() {
     let other: std::net::SocketAddr = "127.0.0.1:9".parse().expect("an address");
     for (snapshot, gone) in [(false, "s-1"), (true, "s-2")] {
         dial_under_way(|address| {
@@ -99,7 +99,7 @@
     }
 }
 
-/// A dial hangs while the endpoint goes by this news of its address.
+/// A dial is pending while the endpoint's address changes by this list.
 fn dial_under_way(gone: impl Fn(std::net::SocketAddr) -> String) {
     let discovery = Discovery::start();
     let socket =
@@ -111,34 +111,33 @@
         .expect("a free port");
     let listener = TcpListener::from(socket);
     let address = listener.local_addr().expect("an address");
-    // With its queue full the system drops further openings, and the client's system tries again in
-    // a while.
+    // With a full backlog the system drops further attempts, and the client's system retries.
     let filler = TcpStream::connect(address).expect("one fits");
     let full = TcpStream::connect_timeout(&address, Duration::from_millis(300)).is_err();
     assert!(full, "the queue takes more than one");
 
     let sidecar = Sidecar::start(&discovery, &[]);
     discovery.publish(2, list(2, false, &[("s-1", address, "active")]));
-    discovery.await_watch(2);
+    discovery.wait_for_watch(2);
     let mut client = sidecar.connect();
     client
         .write_all(request("book", "", "{}").as_bytes())
         .expect("the sidecar takes it");
-    await_that("the endpoint is dialled", || being_dialled(address));
+    wait_until("the endpoint is dialled", || is_being_dialled(address));
     discovery.publish(3, gone(address));
-    discovery.await_watch(3);
+    discovery.wait_for_watch(3);
     drop(filler);
     let endpoint = Endpoint::on(listener, |_| ok("too late"));
     let status = read_message(&mut client).expect("an answer").status();
     assert_eq!(status, 503, "known not to have run");
-    await_that("the dial comes up", || {
+    wait_until("the dial comes up", || {
         endpoint.made.load(Ordering::SeqCst) >= 2
     });
     assert_eq!(endpoint.requests(), 0);
 }
 
 #[test]
-fn an_address_may_change_under_a_name() {
+fn an_endpoint_may_change_its_address() {
     let discovery = Discovery::start();
     let (before, after) = (
         Endpoint::start(|_| ok("before")),
@@ -153,7 +152,7 @@
         b"before"
     );
     discovery.publish(2, list(2, false, &[("s-1", after.address, "active")]));
-    discovery.await_watch(2);
+    discovery.wait_for_watch(2);
     assert_eq!(
         sidecar
             .ask(&request("book", "", ""))
@@ -163,10 +162,10 @@
     );
 }
 
-// Numbers of endpoints that are gone are given out anew: answers must still come from whom the list
+// Ids of removed endpoints are reused: answers must still come from the endpoint that the list
 // names.
 #[test]
-fn endpoints_replaced_over_and_over_are_told_apart() {
+fn repeatedly_replaced_endpoints_are_distinguished() {
     let discovery = Discovery::start();
     let endpoints: Vec<_> = (0..5)
         .map(|n| Endpoint::start(move |_| ok(&format!("from {n}"))))
@@ -182,14 +181,14 @@
                 (&*new, endpoints[n + 1].address, "active"),
             ];
             discovery.publish(version, list(version, false, &entries));
-            discovery.await_watch(version);
+            discovery.wait_for_watch(version);
         }
     }
     assert!(endpoints.iter().all(|e| e.requests() == 1));
 }
 
 #[test]
-fn discovery_that_fails_or_answers_nonsense_leaves_the_list_as_it_was() {
+fn a_discovery_that_fails_or_answers_invalidly_does_not_change_the_list() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| ok("served"));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
@@ -199,40 +198,40 @@
             .is_some_and(|a| a.status() == 200)
     };
     discovery.failing.store(true, Ordering::SeqCst);
-    await_that("the watch is taken up again", || {
+    wait_until("the watch is taken up again", || {
         discovery.calls().len() >= 3
     });
     assert!(served());
     discovery.failing.store(false, Ordering::SeqCst);
     let calls = discovery.calls().len();
     discovery.publish(2, r#"{"index":2,"endpoints":[{"name":7}]}"#.to_owned());
-    await_that("nonsense is asked for again", || {
+    wait_until("nonsense is asked for again", || {
         discovery.calls().len() >= calls + 3
     });
     assert!(served());
-    // A whole list without a single entry says no more than nonsense does.
+    // A whole list without entries is treated as invalid.
     let calls = discovery.calls().len();
     discovery.publish(3, list(3, true, &[]));
-    await_that("an empty list is asked for again", || {
+    wait_until("an empty list is asked for again", || {
         discovery.calls().len() >= calls + 3
     });
     assert!(served());
-    // And what comes after it counts.
+    // Later changes still count.
     discovery.publish(4, list(4, true, &[("s-1", endpoint.address, "leaving")]));
-    discovery.await_watch(4);
+    discovery.wait_for_watch(4);
     assert!(!served());
 }
 
-// The variables of the process still name the old address when the file names another.
+// The process's variables still have the old address when the file has another one.
 #[test]
-fn told_to_reload_it_follows_discovery_to_where_the_file_says() {
+fn a_reload_follows_discovery_to_the_address_in_the_file() {
     let (before, after) = (Discovery::start(), Discovery::start());
     let (old, new) = (
         Endpoint::start(|_| ok("old")),
         Endpoint::start(|_| ok("new")),
     );
     let mut sidecar = Sidecar::start(&before, &[("s-old", &old)]);
-    before.await_watch(1);
+    before.wait_for_watch(1);
     assert_eq!(
         sidecar
             .ask(&request("book", "", ""))
@@ -240,11 +239,11 @@
             .body,
         b"old"
     );
-    // Its versions are its own.
+    // The new agent has its own version numbers.
     after.publish(1, list(1, true, &[("s-new", new.address, "active")]));
     let [from, to] = [&before, &after].map(|d| format!("\"discovery\":\"{}\"", d.address));
     sidecar.reconfigure(|config| config.replace(&from, &to));
-    after.await_watch(1);
+    after.wait_for_watch(1);
     assert_eq!(
         sidecar
             .ask(&request("book", "", ""))
@@ -252,7 +251,7 @@
             .body,
         b"new"
     );
-    // A file that can't be used leaves everything as it is.
+    // An invalid file changes nothing.
     let calls = after.calls().len();
     sidecar.reconfigure(|config| {
         config
@@ -271,7 +270,7 @@
             ],
         ),
     );
-    after.await_watch(2);
+    after.wait_for_watch(2);
     assert_eq!(
         sidecar
             .ask(&request("book", "", ""))
--- a/tests/sidecar/main.rs
+++ b/tests/sidecar/main.rs
@@ -1,4 +1,4 @@
-//! The sidecar as its neighbours see it, over loopback sockets.
+//! The sidecar as seen by its peers, over loopback sockets.
 
 #[path = "../stubs/mod.rs"]
 mod stubs;
--- a/tests/sidecar/moves.rs
+++ b/tests/sidecar/moves.rs
@@ -1,14 +1,14 @@
-//! SIGHUP moves discovery while something is under way at the old address.
+//! SIGHUP moves discovery while calls to the old address are in progress.
 
 use crate::ok;
 use crate::stubs::*;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// After the signal what discovery has to tell counts as told in this time.
+/// The protocol assumes changes to be known this long after the signal.
 const TOLD: Duration = Duration::from_secs(4);
 
-/// Has the sidecar follow discovery at another address.
+/// Makes the sidecar follow discovery at another address.
 fn move_to(sidecar: &Sidecar, address: SocketAddr) {
     sidecar.reconfigure(|config| {
         let mut config: serde_json::Value = serde_json::from_str(&config).expect("JSON");
@@ -28,8 +28,7 @@
     )
 }
 
-/// The next call at an agent asks for the whole list and is answered; returns the watch that
-/// follows.
+/// Answers an agent's next call, which must be for the whole list; returns the watch that follows.
 fn follow(agent: &Agent, index: u64, body: &str) -> Call {
     let mut call = agent.call();
     assert_eq!(call.after(), None, "{}", call.start);
@@ -44,7 +43,7 @@
 }
 
 #[test]
-fn what_the_old_agent_says_after_a_move_changes_nothing() {
+fn answers_of_the_old_agent_after_a_move_change_nothing() {
     let (before, after) = (Agent::start(), Agent::start());
     let (old, new) = old_and_new();
     let sidecar = before.sidecar("pushed", &[("s-old", &old)]);
@@ -54,7 +53,7 @@
     assert_eq!(whole.after(), None);
     let mut stream = late.stream.try_clone().expect("a socket can be cloned");
     late.answer(&only(99, "s-old", &old));
-    assert!(await_close(&mut stream), "the old watch is closed");
+    assert!(wait_for_close(&mut stream), "the old watch is closed");
     whole.answer(&only(5, "s-new", &new));
     let watch = after.call();
     assert_eq!(
@@ -72,9 +71,9 @@
     assert_eq!(old.requests(), 0);
 }
 
-// The process is stopped while both come, so that it finds them in the same turn.
+// The process is suspended while both arrive, so that it sees them at the same time.
 #[test]
-fn an_answer_that_comes_with_the_signal_leaves_no_version_behind() {
+fn an_answer_that_arrives_with_the_signal_does_not_affect_the_version() {
     for _ in 0..5 {
         let (before, after) = (Agent::start(), Agent::start());
         let (old, new) = old_and_new();
@@ -96,8 +95,8 @@
     }
 }
 
-// Failures at the old address must not have the new one wait, nor failures at the new one pass the
-// time.
+// Failures at the old address must not delay the new one, nor must failures at the new one use up
+// the time.
 #[test]
 fn a_move_while_calls_fail_is_followed_in_time() {
     let (before, after) = (Agent::start(), Agent::start());
@@ -133,7 +132,7 @@
 fn moves_in_a_row_over_an_address_that_never_answers_and_back_are_followed() {
     let (first, last) = (Agent::start(), Agent::start());
     let (old, new) = old_and_new();
-    // With its queue full the system drops further openings.
+    // With a full backlog the system drops further attempts.
     let socket =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
@@ -152,7 +151,7 @@
     let sidecar = first.sidecar("pushed", &[("s-old", &old)]);
     let _held = first.call();
     move_to(&sidecar, hanging);
-    await_that("the new address is dialled", || being_dialled(hanging));
+    wait_until("the new address is dialled", || is_being_dialled(hanging));
     move_to(&sidecar, last.address);
     let _watch = follow(&last, 5, &only(5, "s-new", &new));
     assert_eq!(
@@ -162,7 +161,7 @@
             .body,
         b"new"
     );
-    // And back: its versions may have gone on.
+    // Back at the first agent, whose versions may have advanced.
     move_to(&sidecar, first.address);
     let _watch = follow(&first, 2, &only(2, "s-old", &old));
     assert_eq!(
@@ -174,10 +173,10 @@
     );
 }
 
-// A process that knows no list asks for the whole one; what it asks in vain is asked three times
-// within a second each.
+// A process without a list requests the whole one; a request that fails is repeated up to three
+// times, within a second each.
 #[test]
-fn the_first_list_of_a_new_process_comes_though_two_calls_are_lost() {
+fn a_new_process_gets_its_first_list_although_two_calls_fail() {
     let agent = Agent::start();
     let endpoint = Endpoint::start(|_| ok("served"));
     let sidecar = agent.sidecar_altered(&[], |config| {
--- a/tests/sidecar/odd_lists.rs
+++ b/tests/sidecar/odd_lists.rs
@@ -1,9 +1,9 @@
-//! Lists of which some entry cannot be read.
+//! Lists with entries that can't be read.
 
 use crate::ok;
 use crate::stubs::*;
 
-/// An entry with a name, as JSON, of which `odd` replaces a part.
+/// An entry with a name, as JSON, part of which is replaced by `odd`.
 fn entry(name: &str, endpoint: &Endpoint, part: &str, odd: &str) -> String {
     let text = list(1, true, &[(name, endpoint.address, "active")]);
     let entry = &text[text.find("[{").expect("an entry") + 1..text.len() - 2];
@@ -11,7 +11,7 @@
     entry.replace(part, odd)
 }
 
-/// The changes under that version: `s-old` leaves, and these entries.
+/// The changes of that version: `s-old` drains, and these entries.
 fn changes(index: u64, old: &Endpoint, entries: &[String]) -> String {
     let leaves = entry("s-old", old, "active", "leaving");
     format!(
@@ -20,7 +20,7 @@
     )
 }
 
-/// Has a sidecar take these changes in; they count only where it goes on from them.
+/// Makes a sidecar apply these changes; they were applied if it continues from their version.
 fn taken(endpoints: &[(&str, &Endpoint)], changes: &str) -> Sidecar {
     let agent = Agent::start();
     let sidecar = agent.sidecar("pushed", endpoints);
@@ -34,9 +34,9 @@
     panic!("it never went on from {changes}");
 }
 
-// Invariant: what cannot be read of one entry costs no other entry its change.
+// Invariant: an unreadable field of one entry does not affect the other entries.
 #[test]
-fn an_entry_that_cannot_be_read_costs_the_others_nothing() {
+fn an_unreadable_entry_does_not_affect_the_others() {
     let whole = [
         ("\"name\":\"s-odd\"", "\"name\":7"),
         ("\"name\":\"s-odd\",", ""),
@@ -71,7 +71,7 @@
     }
 }
 
-// One whose state or address cannot be read takes nothing: who sends there may be wrong.
+// An entry with an unreadable state or address gets nothing: sending there may be wrong.
 #[test]
 fn an_entry_without_a_readable_state_or_address_gets_nothing() {
     let address = |e: &Endpoint| format!("\"{}\"", e.address);
@@ -110,9 +110,9 @@
     }
 }
 
-// The known list comes from a lists of the same form: it must not keep a sidecar from starting.
+// The cached list has the same form: it must not keep a sidecar from starting.
 #[test]
-fn a_known_list_with_an_odd_entry_lets_it_start() {
+fn a_cached_list_with_an_unreadable_entry_does_not_prevent_the_start() {
     let (agent, known, other) = (
         Agent::start(),
         Endpoint::start(|_| ok("known")),
--- a/tests/sidecar/repeats.rs
+++ b/tests/sidecar/repeats.rs
@@ -1,5 +1,5 @@
-//! What may run twice, and until when: checked as bytes are about to go out, not only as the
-//! attempt is decided.
+//! What may be executed twice, and until when: checked when bytes are about to be sent, not only
+//! when the attempt is decided.
 
 use crate::ok;
 use crate::stubs::*;
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The window of these tests: long enough that a repeat is decided inside it.
+/// The deduplication window of these tests, long enough for a retry to be decided within it.
 const WINDOW: Duration = Duration::from_millis(2500);
 
 fn short_window(config: String) -> String {
@@ -18,49 +18,57 @@
         .replace("\"DialTimeoutUs\":5000000", "\"DialTimeoutUs\":20000000")
 }
 
-// A repeat is decided while the window is open, and its connection comes up only once it is over:
-// what is written then would run a second time.
+// A retry is decided within the window, but its connection is established only after it: a request
+// written then would be executed a second time.
 #[test]
-fn a_repeat_whose_window_ends_while_its_connection_comes_up_is_not_written() {
-    let (discovery, first, held) = (Discovery::start(), Holding::start(), Held::start());
+fn a_retry_whose_window_ends_during_the_dial_is_not_written() {
+    let (discovery, first, held) = (
+        Discovery::start(),
+        HoldingEndpoint::start(),
+        FullBacklog::start(),
+    );
     let sidecar =
         Sidecar::start_altered(&discovery, &[("s-1", &first.endpoint)], 1024, short_window);
     let mut client = sidecar.connect();
     client
         .write_all(request("pay", "", "{}").as_bytes())
         .expect("the sidecar takes it");
-    let over = first.await_request() + WINDOW;
+    let over = first.wait_for_request() + WINDOW;
     discovery.publish(2, list(2, false, &[("s-2", held.address, "active")]));
-    discovery.await_watch(2);
+    discovery.wait_for_watch(2);
     first.close();
-    await_that("the repeat's connection is under way", || {
-        being_dialled(held.address)
+    wait_until("the repeat's connection is under way", || {
+        is_being_dialled(held.address)
     });
     thread::sleep(over.saturating_duration_since(Instant::now()));
     let second = Endpoint::on(held.release(), |_| ok("twice"));
-    // Any endpoint would drop a repeat by its client, inside the window.
+    // Within the window, any endpoint would deduplicate the client's retry.
     assert_eq!(read_message(&mut client).expect("an answer").status(), 503);
     assert_eq!((first.endpoint.requests(), second.requests()), (1, 0));
 }
 
-// Half written as the window ends, it must not be written to its end: with its last byte it would
-// begin to run.
+// A retry that is half written at the end of the window must not be completed: it would be executed
+// with its last byte.
 #[test]
-fn a_repeat_half_written_as_its_window_ends_is_not_written_to_its_end() {
-    let (discovery, first, second) = (Discovery::start(), Holding::start(), narrow());
+fn a_retry_half_written_at_the_end_of_its_window_is_not_completed() {
+    let (discovery, first, second) = (
+        Discovery::start(),
+        HoldingEndpoint::start(),
+        listen_with_small_buffers(),
+    );
     let sidecar =
         Sidecar::start_altered(&discovery, &[("s-1", &first.endpoint)], 1024, short_window);
     let mut client = sidecar.connect();
     client
         .write_all(request("pay", "", &"b".repeat(60_000)).as_bytes())
         .expect("the sidecar takes it");
-    let over = first.await_request() + WINDOW;
+    let over = first.wait_for_request() + WINDOW;
     let address = second.local_addr().expect("an address");
     discovery.publish(2, list(2, false, &[("s-2", address, "active")]));
-    discovery.await_watch(2);
+    discovery.wait_for_watch(2);
     first.close();
     let (mut stream, _) = second.accept().expect("the repeat's connection");
-    // Nothing is read before the window is over: the rest of the body has to wait in the sidecar.
+    // Nothing is read before the end of the window: the rest of the body stays in the sidecar.
     thread::sleep(over.saturating_duration_since(Instant::now()));
     assert!(
         read_message(&mut stream).is_none(),
@@ -69,13 +77,12 @@
     assert_eq!(read_message(&mut client).expect("an answer").status(), 503);
 }
 
-/// A listener over whose connections the system takes only a part of a long request before it is
-/// read.
-fn narrow() -> TcpListener {
+/// A listener whose connections buffer only part of a long request before it is read.
+fn listen_with_small_buffers() -> TcpListener {
     let socket =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket.set_recv_buffer_size(2048).expect("a small buffer");
-    // The sender's buffer follows the size of the segments that the receiver takes.
+    // The sender's buffer depends on the receiver's segment size.
     socket.set_tcp_mss(536).expect("small segments");
     let any: std::net::SocketAddr = "127.0.0.1:0".parse().expect("an address");
     socket
@@ -85,11 +92,11 @@
     TcpListener::from(socket)
 }
 
-// Only the group in which a request may have run knows its key: that is the one that the endpoint
-// was in when it got the request, not one that a later list moved it to.
+// Only the group in which a request may have been executed knows its key: the endpoint's group when
+// it got the request, not the one that a later list assigns.
 #[test]
-fn a_repeat_goes_by_the_group_in_which_the_request_may_have_run() {
-    let (discovery, first) = (Discovery::start(), Holding::start());
+fn a_retry_depends_on_the_group_in_which_the_request_may_have_been_executed() {
+    let (discovery, first) = (Discovery::start(), HoldingEndpoint::start());
     let second = Endpoint::start(|_| ok("twice"));
     let in_cells =
         |config: String| config.replace("\"DedupScope\":\"all\"", "\"DedupScope\":\"cell\"");
@@ -98,7 +105,7 @@
     client
         .write_all(request("pay", "", "{}").as_bytes())
         .expect("the sidecar takes it");
-    first.await_request();
+    first.wait_for_request();
     let both = [
         ("s-1", first.endpoint.address, "active"),
         ("s-2", second.address, "active"),
@@ -107,17 +114,16 @@
         2,
         list(2, false, &both).replace("\"group\":1", "\"group\":2"),
     );
-    discovery.await_watch(2);
+    discovery.wait_for_watch(2);
     first.close();
     let status = read_message(&mut client).expect("an answer").status();
     assert!(status >= 500 && status != 503, "{status}");
     assert_eq!((first.endpoint.requests(), second.requests()), (1, 0));
 }
 
-// An answer that cannot be read as it is meant counts as one that may have run, whatever its head
-// promised.
+// A response that can't be read completely counts as possibly executed, whatever its head says.
 #[test]
-fn an_unsafe_request_turned_away_in_a_broken_answer_is_not_sent_again() {
+fn a_non_idempotent_request_rejected_in_an_incomplete_response_is_not_retried() {
     for (headers, body) in [
         (
             "X-Unprocessed: 1\r\nTransfer-Encoding: chunked\r\nX-Not-",
@@ -138,11 +144,11 @@
     }
 }
 
-// By the client's clock, which began with the head of its request: what an endpoint is told may not
-// be more.
+// By the client's clock, which starts with the head of its request: an endpoint must not be told
+// more time than is left.
 #[test]
-fn each_attempt_tells_no_more_time_than_its_client_has_left() {
-    let (discovery, first) = (Discovery::start(), Holding::start());
+fn no_attempt_is_given_more_time_than_its_client_has_left() {
+    let (discovery, first) = (Discovery::start(), HoldingEndpoint::start());
     let second = Endpoint::start(|_| ok("served"));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &first.endpoint)]);
     let mut client = sidecar.connect();
@@ -153,15 +159,15 @@
         .expect("the sidecar takes it");
     thread::sleep(Duration::from_millis(100));
     let head_read = Instant::now();
-    // Its head may be read late, but not later than its body.
+    // The head may be read late, but not later than the body.
     thread::sleep(Duration::from_millis(250));
     client
         .write_all(body.as_bytes())
         .expect("the sidecar takes it");
-    first.await_request();
+    first.wait_for_request();
     let held = head_read.elapsed();
     discovery.publish(2, list(2, false, &[("s-2", second.address, "active")]));
-    discovery.await_watch(2);
+    discovery.wait_for_watch(2);
     first.close();
     assert_eq!(
         read_message(&mut client).expect("an answer").body,
--- a/tests/sidecar/requests.rs
+++ b/tests/sidecar/requests.rs
@@ -1,4 +1,4 @@
-//! The way of a request and of its answer.
+//! Forwarding of requests and responses.
 
 use crate::ok;
 use crate::stubs::*;
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_request_goes_on_unchanged_and_the_answer_comes_back_unchanged() {
+fn a_request_and_its_response_are_forwarded_unchanged() {
     let (discovery, body) = (Discovery::start(), vec![0xA5; 40_000]);
     let answered = body.clone();
     let endpoint =
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn what_cannot_be_a_request_is_turned_away_and_reaches_nobody() {
+fn an_invalid_request_is_rejected_and_not_forwarded() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| ok("served"));
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
@@ -72,10 +72,10 @@
     assert_eq!(sidecar.ask(&good).expect("an answer").status(), 200);
 }
 
-// A broken connection says nothing of whether the request has run, so an unsafe one must neither go
-// out again nor be refused, which would invite the client to repeat it.
+// A broken connection does not tell whether the request was executed, so a non-idempotent one must
+// neither be sent again nor be rejected, which would make the client retry it.
 #[test]
-fn an_unsafe_request_that_may_have_run_is_sent_once_and_fails() {
+fn a_non_idempotent_request_that_may_have_been_executed_is_sent_once_and_fails() {
     for reply in [
         || Reply::Close,
         || Reply::Answer(500, "", Vec::new()),
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn an_unsafe_request_that_surely_never_ran_is_tried_elsewhere() {
+fn a_non_idempotent_request_that_was_certainly_not_executed_is_retried_elsewhere() {
     let turning = Endpoint::start(|_| Reply::Answer(503, "X-Unprocessed: 1\r\n", Vec::new()));
     let good = Endpoint::start(|_| ok("served"));
     let refusing = unused_address();
@@ -102,8 +102,8 @@
         let discovery = Discovery::start();
         let sidecar = Sidecar::start(&discovery, &[("s-1", &good)]);
         discovery.publish(2, list(2, false, &[("s-2", bad, "active")]));
-        discovery.await_watch(2);
-        // Two turns go round both endpoints.
+        discovery.wait_for_watch(2);
+        // Two rounds reach both endpoints.
         for _ in 0..2 {
             assert_eq!(
                 sidecar
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn without_an_endpoint_the_modules_refusal_comes_at_once() {
+fn without_an_endpoint_a_request_is_rejected_at_once() {
     let discovery = Discovery::start();
     let sidecar = Sidecar::start(&discovery, &[]);
     let asked = Instant::now();
@@ -130,14 +130,13 @@
             .status(),
         503
     );
-    // Its client would wait 19 s: half of that is far from at once, and far from held until then.
+    // The client would wait for 19 s; half of that is clearly not at once.
     assert!(asked.elapsed() < Duration::from_millis(9500));
 }
 
-// A machine that has vanished says nothing, ever: only the sidecar's own timers end what is out
-// there.
+// A machine that has vanished never answers: only the sidecar's own timers end its attempts.
 #[test]
-fn a_silent_endpoint_costs_no_client_its_answer() {
+fn a_silent_endpoint_does_not_prevent_answers() {
     for class in ["look", "book", "pay"] {
         let discovery = Discovery::start();
         let endpoint = Endpoint::start(|_| Reply::Silence);
@@ -148,9 +147,9 @@
             status != 200 && (class != "book" || status != 503),
             "{class}: {status}"
         );
-        // Giving up an attempt closes its connection, or the answer to it would meet the next
-        // request.
-        await_that("all connections are closed", || {
+        // Giving up an attempt closes its connection; otherwise its response would be taken for
+        // that of the next request.
+        wait_until("all connections are closed", || {
             let made = endpoint.made.load(Ordering::SeqCst);
             made >= 1 && endpoint.closed() == made
         });
@@ -158,23 +157,23 @@
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_attempt_along() {
+fn the_attempt_of_a_client_that_disconnects_is_cancelled() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| Reply::Silence);
     let sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
     let mut client = sidecar.connect();
-    // It would wait for longer than this test does: only its leaving can end the attempt.
+    // It would wait for longer than this test: only its disconnect can end the attempt.
     let patient = request("book", "", "{}").replace("19000m", "600000m");
     client
         .write_all(patient.as_bytes())
         .expect("the sidecar takes it");
-    await_that("the request is out", || endpoint.requests() == 1);
+    wait_until("the request is out", || endpoint.requests() == 1);
     client.shutdown(Shutdown::Both).expect("it closes");
-    await_that("the attempt is given up", || endpoint.closed() == 1);
+    wait_until("the attempt is given up", || endpoint.closed() == 1);
 }
 
 #[test]
-fn an_answer_that_is_too_long_or_breaks_off_is_a_failure() {
+fn a_response_that_is_too_long_or_incomplete_is_a_failure() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|message| match message.header("x-long") {
         Some(_) => Reply::Answer(200, "", vec![b'x'; 70_000]),
--- a/tests/sidecar/restarts.rs
+++ b/tests/sidecar/restarts.rs
@@ -1,4 +1,4 @@
-//! An endpoint's process that restarts at the same address.
+//! An endpoint whose process restarts at the same address.
 
 use crate::ok;
 use crate::stubs::*;
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// One entry of the list, whose process started then.
+/// One entry of the list, with the start time of its process.
 fn started(version: u64, endpoint: &Endpoint, since: SystemTime) -> String {
     let since = since
         .duration_since(UNIX_EPOCH)
@@ -16,31 +16,33 @@
         .replace("\"since_ms\":0", &format!("\"since_ms\":{since}"))
 }
 
-/// A sidecar for which a process is warm as soon as it has started: how much a cold one may be sent
-/// is not asked here.
+/// A sidecar with settings under which a process is warm at once, as slow start is not tested here.
 fn sidecar(discovery: &Discovery, endpoint: &Endpoint) -> Sidecar {
     Sidecar::start_altered(discovery, &[("s-1", endpoint)], 1024, |config| {
         config.replace("\"WarmWithinUs\":8900000", "\"WarmWithinUs\":1")
     })
 }
 
-// A machine that vanishes says nothing on its connections, and resets them once it is back: a
-// request that is written on one of them may have run, for all that can be told, and an unsafe one
-// fails.
+// A machine that vanishes leaves its connections open, and resets them once it is back: a request
+// written on one of them may have been executed, and a non-idempotent one fails.
 #[test]
-fn a_connection_from_before_a_restart_is_not_used_again() {
+fn a_connection_from_before_a_restart_is_not_reused() {
     let discovery = Discovery::start();
     let vanished = Arc::new(AtomicBool::new(false));
     let gone = Arc::clone(&vanished);
     let endpoint = Endpoint::start(move |message| match message.header("x-before") {
-        // What comes on this connection after the restart is reset.
+        // Requests on this connection after the restart are reset.
         Some(_) => {
             let gone = Arc::clone(&gone);
             Reply::By(Box::new(move |stream| {
                 answer(stream, 200, "", b"before");
                 let next = stream.peek(&mut [0]).unwrap_or(0);
                 let reset = next > 0 && gone.load(Ordering::SeqCst);
-                if reset { Then::Reset } else { Then::KeepOn }
+                if reset {
+                    Afterwards::Reset
+                } else {
+                    Afterwards::KeepOn
+                }
             }))
         }
         None => ok("after"),
@@ -51,11 +53,11 @@
         .expect("an answer");
     assert_eq!(before.body, b"before");
     vanished.store(true, Ordering::SeqCst);
-    // Later than its connection was made.
+    // Later than the connection was established.
     let restart = SystemTime::now() + Duration::from_millis(1);
     discovery.publish(2, started(2, &endpoint, restart));
-    discovery.await_watch(2);
-    // Longer than a connection rests: it would be used again.
+    discovery.wait_for_watch(2);
+    // Longer than the reuse delay: the connection would be reused.
     std::thread::sleep(Duration::from_millis(100));
     let after = sidecar.ask(&request("book", "", "")).expect("an answer");
     assert_eq!(
@@ -64,7 +66,7 @@
     );
 }
 
-// The news of a restart may come when connections to the new process are in use already.
+// A restart may be listed when connections to the new process are already in use.
 #[test]
 fn a_connection_from_after_a_restart_is_kept() {
     let discovery = Discovery::start();
@@ -79,9 +81,9 @@
                 .status(),
             200
         );
-        // The second time it is listed just as before.
+        // The second time it is listed as before.
         discovery.publish(version, started(version, &endpoint, restart));
-        discovery.await_watch(version);
+        discovery.wait_for_watch(version);
         std::thread::sleep(Duration::from_millis(100));
     }
     assert_eq!(
--- a/tests/sidecar/starting.rs
+++ b/tests/sidecar/starting.rs
@@ -1,4 +1,4 @@
-//! Starts that fail, and a log that nobody reads.
+//! Starts that fail, and a log without a reader.
 
 use crate::ok;
 use crate::stubs::*;
@@ -8,7 +8,7 @@
 use std::process::{Command, Stdio};
 
 #[test]
-fn a_configuration_that_cannot_be_used_ends_it_with_one_plain_line() {
+fn an_invalid_configuration_ends_the_start_with_a_one_line_message() {
     let address = "127.0.0.1:9".parse().expect("an address");
     let good = config(address, address, "null");
     let texts = [
@@ -37,9 +37,9 @@
     }
 }
 
-// Who reads the log may end; a sidecar that serves must not end with it.
+// The reader of the log may exit; a serving sidecar must not exit with it.
 #[test]
-fn a_standard_error_that_nobody_reads_any_more_does_not_end_it() {
+fn a_closed_standard_error_does_not_end_the_process() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| ok("served"));
     let mut sidecar = Sidecar::start_adapted(
@@ -52,14 +52,14 @@
         },
     );
     drop(sidecar.process.stderr.take().expect("it is a pipe"));
-    // Writes a line, as the file cannot be read.
+    // Writes a line, as the file can't be read.
     sidecar.reconfigure(|_| "{".to_owned());
-    // The reload that is followed shows that the line before it was written in vain.
+    // The successful reload shows that the line before it was written without a reader.
     let other = Discovery::start();
     other.publish(1, list(1, true, &[("s-1", endpoint.address, "active")]));
     let to = config(sidecar.address, other.address, "null");
     sidecar.reconfigure(|_| to.clone());
-    await_that("discovery is followed", || {
+    wait_until("discovery is followed", || {
         !other.calls().is_empty() || sidecar.process.id() == 0
     });
     assert_eq!(
@@ -71,14 +71,14 @@
     );
 }
 
-// A port that was noted and let go of would be found in use by some of the sidecars that are to
+// A port that was only looked up and released would be in use for some of the sidecars that should
 // listen there.
 #[test]
-fn an_unused_address_is_kept_from_others_until_a_sidecar_listens_there() {
+fn a_reserved_address_is_unavailable_to_others_until_a_sidecar_listens_there() {
     let at = unused_address();
     let refused = TcpStream::connect(at).expect_err("nobody listens").kind();
     assert_eq!(refused, ErrorKind::ConnectionRefused);
-    // Who does not allow reuse asks for a port as the system does that picks a free one.
+    // A process that does not set reuse asks for a port like the system does for a free one.
     let other = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     assert_eq!(
         other.bind(&at.into()).expect_err("it is kept").kind(),
--- a/tests/sidecar/stopping.rs
+++ b/tests/sidecar/stopping.rs
@@ -1,11 +1,11 @@
-//! How a sidecar that is told to stop ends.
+//! Shutdown of a sidecar.
 
 use crate::stubs::*;
 use std::io::Write;
 use std::time::Duration;
 
 #[test]
-fn told_to_stop_it_finishes_what_it_holds_and_takes_what_still_comes() {
+fn a_shutdown_completes_open_requests_and_accepts_late_ones() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| Reply::Later(Duration::from_millis(700), b"late".to_vec()));
     let mut sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
@@ -15,10 +15,10 @@
     assert_eq!(read_message(&mut idle).expect("an answer").status(), 200);
     held.write_all(request("book", "", "").as_bytes())
         .expect("the sidecar takes it");
-    await_that("the request is out", || endpoint.requests() == 1);
+    wait_until("the request is out", || endpoint.requests() == 1);
     sidecar.terminate();
-    assert!(await_close(&mut idle), "an idle connection stayed open");
-    // As it closes idle connections it has been told; new ones are still accepted.
+    assert!(wait_for_close(&mut idle), "an idle connection stayed open");
+    // It closes idle connections, so it was told; new ones are still accepted.
     assert_eq!(
         sidecar
             .ask(&request("look", "", ""))
@@ -31,35 +31,35 @@
         (answer.status(), answer.header("connection")),
         (200, Some("close"))
     );
-    assert!(await_close(&mut held));
-    assert_eq!(sidecar.await_end().code(), Some(0));
+    assert!(wait_for_close(&mut held));
+    assert_eq!(sidecar.wait_for_exit().code(), Some(0));
 }
 
 #[test]
-fn told_to_stop_it_ends_in_time_though_an_endpoint_says_nothing() {
+fn a_shutdown_ends_in_time_although_an_endpoint_is_silent() {
     let discovery = Discovery::start();
     let endpoint = Endpoint::start(|_| Reply::Silence);
     let mut sidecar = Sidecar::start(&discovery, &[("s-1", &endpoint)]);
     let mut held = sidecar.connect();
     held.write_all(request("book", "", "").as_bytes())
         .expect("the sidecar takes it");
-    await_that("the request is out", || endpoint.requests() == 1);
+    wait_until("the request is out", || endpoint.requests() == 1);
     sidecar.terminate();
     assert_eq!(read_message(&mut held).expect("an answer").status(), 502);
-    assert_eq!(sidecar.await_end().code(), Some(0));
+    assert_eq!(sidecar.wait_for_exit().code(), Some(0));
 }
 
-// What it still holds may be forwarded by the list until it ends.
+// Its open requests may be forwarded by the list until it exits.
 #[test]
-fn told_to_stop_it_still_follows_discovery_to_where_a_reload_says() {
+fn a_reload_during_the_shutdown_still_moves_discovery() {
     let (before, after) = (Discovery::start(), Discovery::start());
     let endpoint = Endpoint::start(|_| Reply::Silence);
     let sidecar = Sidecar::start(&before, &[("s-1", &endpoint)]);
-    before.await_watch(1);
+    before.wait_for_watch(1);
     let mut held = sidecar.connect();
     held.write_all(request("book", "", "").as_bytes())
         .expect("the sidecar takes it");
-    await_that("the request is out", || endpoint.requests() == 1);
+    wait_until("the request is out", || endpoint.requests() == 1);
     after.publish(1, list(1, true, &[("s-1", endpoint.address, "active")]));
     sidecar.terminate();
     sidecar.reconfigure(|config| {
--- a/tests/sidecar/two_settings.rs
+++ b/tests/sidecar/two_settings.rs
@@ -1,5 +1,5 @@
-//! One build under two settings, with the same servers and the same requests: what each
-//! deployment's clients and servers see follows its own settings, and nothing of the other's shows.
+//! One build under two settings, with the same servers and requests: the behaviour of each
+//! deployment follows its own settings.
 
 use crate::ok;
 use crate::stubs::*;
@@ -10,8 +10,8 @@
 use std::sync::mpsc;
 use std::thread;
 
-/// A freight terminal: four attempts, hold-offs are told, repeats are dropped everywhere and for
-/// long.
+/// A freight terminal: four attempts, Retry-After is sent, retries are deduplicated everywhere and
+/// for long.
 const FREIGHT: &str = r#"{"Balancers":3,"Discovery":"on_request","Index":0,
 "Lanes":[{"AimUs":2000000,"DeadlineUs":3000000,"Effect":"pure","Name":"status"},
 {"AimUs":2000000,"DeadlineUs":3000000,"Effect":"pure","Name":"manifest"},
@@ -23,8 +23,8 @@
 "Rules":{"AskWithinUs":2000000,"ColdShare":0.3,"OverloadFactor":3.0,"TipAfterUs":1500000,"WarmWithinUs":8900000},
 "Tenants":[{"Name":"north-line","QuotaPerS":98.0,"Share":1.0}],"TickUs":5000,"Zone":"quay","Zones":["quay","yard"]}"#;
 
-/// A hospital: two attempts, no hold-offs, repeats are dropped by the own cell alone, or for no
-/// time at all.
+/// A hospital: two attempts, no Retry-After, retries are deduplicated only in the own cell, or for
+/// no time at all.
 const CLINIC: &str = r#"{"Balancers":1,"Discovery":"pushed","Index":0,
 "Lanes":[{"AimUs":1000000,"DeadlineUs":1000000,"Effect":"side_effect","Name":"discharge"},
 {"AimUs":1000000,"DeadlineUs":1000000,"DedupScope":"all","Effect":"token","KeyTtlUs":5001,"Name":"tally"},
@@ -38,8 +38,8 @@
 
 const SERVERS: usize = 4;
 
-/// Four servers, each a cell of its own, that do what the request says, and two sidecars of one
-/// build before them.
+/// Four servers, each a cell of its own, which respond as the request says, and two sidecars of the
+/// same build.
 struct Two {
     servers: Vec<Endpoint>,
     freight: Sidecar,
@@ -47,7 +47,7 @@
     _discovery: [Discovery; 2],
 }
 
-/// What a client got, and which servers its request reached, one entry for each attempt.
+/// The client's result, and the servers that its request reached, one entry per attempt.
 #[derive(Debug)]
 struct Seen {
     status: u16,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// The same request at both.
+    /// Sends the same request to both.
     fn ask(&self, request: &str) -> [Seen; 2] {
         [&self.freight, &self.clinic].map(|sidecar| self.ask_at(sidecar, request))
     }
@@ -120,7 +120,7 @@
     }
 }
 
-/// The list that both know at their start: each server is a cell of its own.
+/// The cached list of both: each server is a cell of its own.
 fn known(servers: &[Endpoint]) -> String {
     let entries: Vec<(String, SocketAddr)> = servers
         .iter()
@@ -150,7 +150,7 @@
 const POST_WITH_KEY: &str = "pay";
 
 #[test]
-fn each_deployment_knows_its_own_classes_and_what_their_repeats_do() {
+fn each_deployment_has_its_own_classes_and_retry_rules() {
     let two = Two::start();
     for (class, form, statuses) in [
         ("status", GET, [200, 200]),
@@ -173,7 +173,7 @@
             );
         }
     }
-    // Whoever is no tenant here is served as one that has named none.
+    // A tenant that is unknown here is served like a request without one.
     for account in ["north-line", "delta-cargo", ""] {
         let seen = two.ask(&of("status", GET, "serve").replace("acme", account));
         assert_eq!([seen[0].status, seen[1].status], [200, 200], "{account}");
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn attempts_and_hold_offs_follow_the_limits_of_each_deployment() {
+fn attempts_and_retry_after_follow_the_limits_of_each_deployment() {
     let two = Two::start();
     let [freight, clinic] = two.ask(&of("status", GET, "turn-away"));
     assert_eq!(
@@ -190,8 +190,8 @@
         "{freight:?} {clinic:?}"
     );
     assert_eq!([freight.status, clinic.status], [503, 503]);
-    // A quarter of the latency objective, and at most what clients honour, where they are told one
-    // at all.
+    // A quarter of the latency objective, but at most what clients honour, where Retry-After is
+    // sent.
     assert_eq!(
         [freight.hold_off.as_deref(), clinic.hold_off.as_deref()],
         [Some("0.300"), None]
@@ -199,9 +199,9 @@
 }
 
 #[test]
-fn a_broken_connection_is_followed_by_what_the_effect_and_its_window_allow() {
+fn retries_after_a_broken_connection_follow_effect_and_window() {
     let two = Two::start();
-    // Unsafe at the one, safe at the other.
+    // Non-idempotent in one deployment, idempotent in the other.
     let once = two.ask_at(&two.freight, &of("release", POST, "break"));
     assert_eq!((once.status, once.reached.len()), (502, 1), "{once:?}");
     let again = two.ask_at(&two.clinic, &of("release", GET, "break"));
@@ -209,19 +209,19 @@
 }
 
 #[test]
-fn a_window_for_repeats_is_that_of_the_own_settings() {
+fn the_deduplication_window_is_that_of_the_deployment() {
     let two = Two::start();
-    // Long at the one; over before any retry at the other, whose backoff is 15 ms at least.
+    // Long in one; over before any retry in the other, whose backoff is at least 15 ms.
     let [freight, clinic] = two.ask(&of("tally", POST_WITH_KEY, "break"));
     assert!(freight.reached.len() > 1, "{freight:?}");
     assert_eq!(clinic.reached.len(), 1, "{clinic:?}");
 }
 
 #[test]
-fn the_servers_that_drop_repeats_are_those_of_the_own_settings() {
+fn the_deduplicating_servers_are_those_of_the_deployment() {
     let two = Two::start();
-    // Everywhere at the one; in the own cell alone at the other, whose client may then not come
-    // again elsewhere.
+    // Everywhere in one; only in the own cell in the other, whose client then must not retry
+    // elsewhere.
     let [freight, clinic] = two.ask(&of("order", POST_WITH_KEY, "break"));
     assert!(
         freight.servers() > 1 && freight.status == 503,
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn servers_see_the_same_of_both_but_for_the_time_left() {
+fn servers_receive_the_same_from_both_except_for_the_time_left() {
     let two = Two::start();
     let request = of("status", GET, "serve").replace("9b1f03aa", "the-same");
     let heads = [&two.freight, &two.clinic].map(|sidecar| {
@@ -256,10 +256,10 @@
     assert_eq!(heads[0], heads[1]);
 }
 
-// The time from SIGTERM to the end is that of the longest deadline: 1 s at the one, 3 s at the
+// The time from SIGTERM to exit follows the longest deadline: 1 s in one deployment, 3 s in the
 // other.
 #[test]
-fn a_stop_waits_as_long_as_the_own_deadlines_say() {
+fn a_shutdown_waits_for_the_longest_deadline_of_the_deployment() {
     let two = Two::start();
     let (order, ended) = mpsc::channel();
     let held: Vec<_> = [("freight", &two.freight), ("clinic", &two.clinic)]
@@ -274,14 +274,14 @@
             thread::spawn(move || order.send((name, read_message(&mut stream).map(|m| m.status()))))
         })
         .collect();
-    await_that("both requests are out", || {
+    wait_until("both requests are out", || {
         two.servers.iter().map(Endpoint::requests).sum::<usize>() >= 2
     });
     // The one with the longer deadline is told first.
     two.freight.terminate();
     two.clinic.terminate();
     let all: Vec<_> = (0..held.len())
-        .map(|_| ended.recv_timeout(LONG).expect("it ends"))
+        .map(|_| ended.recv_timeout(TEST_TIMEOUT).expect("it ends"))
         .collect();
     assert_eq!(
         all.iter().map(|(name, _)| *name).collect::<Vec<_>>(),
--- a/tests/sidecar/watches.rs
+++ b/tests/sidecar/watches.rs
@@ -1,13 +1,13 @@
-//! Calls to discovery that cross each other, fail or end in place of telling.
+//! Calls to discovery that overlap, fail, or end without an answer.
 
 use crate::ok;
 use crate::stubs::*;
 use std::time::{Duration, Instant};
 
-/// After this time a change counts as told, whatever calls failed since discovery had it.
+/// The protocol assumes a change to be known this long after discovery had it, whatever calls fail.
 const TOLD: Duration = Duration::from_secs(6);
 
-/// Where `s-new` has taken the place of `s-old`, as a change or as the whole list.
+/// `s-new` has replaced `s-old`, as a change or as the whole list.
 pub fn replaced(index: u64, snapshot: bool, old: &Endpoint, new: &Endpoint) -> String {
     let both = [
         ("s-old", old.address, "leaving"),
@@ -23,9 +23,9 @@
     )
 }
 
-/// Answers calls in this way until one asks for news after that version, which is given back.
+/// Answers calls in this way until one requests changes after that version, which is returned.
 pub fn tell(agent: &Agent, version: u64, answer: impl Fn(Call)) -> Call {
-    let until = Instant::now() + LONG;
+    let until = Instant::now() + TEST_TIMEOUT;
     while Instant::now() < until {
         let call = agent.call();
         if call.after() == Some(version) {
@@ -43,10 +43,10 @@
         .body
 }
 
-// Invariant: whatever the settings allow between two questions, discovery that failed is asked
-// again before what it has to tell counts as told.
+// Invariant: whatever interval between calls the settings permit, a discovery that failed is called
+// again before its changes are assumed to be known.
 #[test]
-fn a_discovery_that_failed_often_is_asked_again_before_a_change_counts_as_told() {
+fn a_discovery_that_failed_often_is_called_again_before_its_changes_are_assumed_known() {
     for within in ["30000000", "3600000000"] {
         let agent = Agent::start();
         let (old, new) = old_and_new();
@@ -68,10 +68,10 @@
     }
 }
 
-// A second holds at most ten waits of 100 ms or more and some shorter ones before them; a tight
-// loop holds hundreds.
+// One second has room for at most ten delays of 100 ms or more and a few shorter ones; a tight loop
+// makes hundreds of calls.
 #[test]
-fn settings_that_allow_no_time_between_two_questions_make_no_tight_loop() {
+fn settings_without_an_interval_between_calls_cause_no_tight_loop() {
     for within in ["0", "1"] {
         let agent = Agent::start();
         let endpoint = Endpoint::start(|_| ok("served"));
@@ -91,10 +91,10 @@
     }
 }
 
-// What ended the watch may have come in place of a change: it is asked for without a wait, so that
-// silence right then does not last as long as a watch.
+// The watch may have ended instead of a change: changes are requested without a wait, so that
+// another call without an answer takes less time than a watch.
 #[test]
-fn after_a_watch_that_broke_what_it_may_have_missed_is_asked_for_without_a_wait() {
+fn after_a_broken_watch_changes_are_requested_without_a_wait() {
     for mode in ["on_request", "pushed"] {
         let agent = Agent::start();
         let (old, new) = old_and_new();
@@ -106,7 +106,7 @@
             first.start
         );
         first.reset();
-        // Silent again directly after it was opened anew.
+        // No answer again, directly after the watch was reopened.
         let second = agent.call();
         assert_eq!(
             (second.after(), second.wait_ms()),
@@ -123,7 +123,7 @@
         let _watch = tell(&agent, 2, |call| {
             call.answer(&replaced(2, false, &old, &new))
         });
-        // What the given-up call brings now is not read.
+        // An answer to the abandoned call is not read.
         second.answer(&list(9, true, &[("s-old", old.address, "active")]));
         assert_eq!(
             (body(&sidecar), old.requests()),
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn watches_that_end_or_are_reset_in_place_of_an_answer_miss_no_change() {
+fn watches_that_end_without_an_answer_miss_no_change() {
     for reset in [false, true] {
         let agent = Agent::start();
         let (old, new) = old_and_new();
@@ -151,9 +151,9 @@
     }
 }
 
-// Each is asked for 50 ms after the one before at the earliest, as a watch goes on.
+// Calls are at least 50 ms apart while a watch continues.
 #[test]
-fn watches_that_end_at_once_without_news_make_no_tight_loop() {
+fn watches_that_end_at_once_without_changes_cause_no_tight_loop() {
     let agent = Agent::start();
     let (old, new) = old_and_new();
     let sidecar = agent.sidecar("pushed", &[("s-old", &old)]);
@@ -170,8 +170,8 @@
     assert_eq!((body(&sidecar), old.requests()), (b"new".to_vec(), 0));
 }
 
-// An agent that began anew numbers its versions anew: changes to what it held do not fit to what is
-// held here.
+// An agent that has started over has new version numbers: changes to its list do not apply to the
+// list that is held here.
 #[test]
 fn changes_under_a_lower_version_are_followed_by_the_whole_list() {
     let agent = Agent::start();
@@ -180,7 +180,7 @@
     let mut call = tell(&agent, 41, |call| {
         call.answer(&list(41, true, &[("s-old", old.address, "active")]))
     });
-    let until = Instant::now() + LONG;
+    let until = Instant::now() + TEST_TIMEOUT;
     while call.after() == Some(41) && Instant::now() < until {
         call.answer(&list(3, false, &[]));
         call = agent.call();
@@ -210,10 +210,10 @@
     assert_eq!((body(&sidecar), old.requests()), (b"new".to_vec(), 0));
 }
 
-// Clients may take no descriptor that discovery needs; where the system grants fewer than it says,
-// discovery is called again once there are some.
+// Clients can't use up the descriptors that discovery needs; if the system permits fewer than
+// configured, discovery is called again once there are some.
 #[test]
-fn discovery_is_called_again_though_idle_clients_fill_the_descriptors() {
+fn discovery_is_called_again_although_idle_clients_use_up_descriptors() {
     for granted in [64, 24] {
         let agent = Agent::start();
         let (old, new) = old_and_new();
@@ -224,20 +224,20 @@
                 .map_or(0, Iterator::count)
         };
         let before = held();
-        // Of 64 they may hold 20; from there on idle ones would make way for each other.
+        // They may use 20 of 64; beyond that, idle ones would be closed for each other.
         let clients: Vec<_> = (0..19).map(|_| sidecar.connect()).collect();
         if granted == 64 {
-            await_that("clients hold their part", || held() >= before + 15);
+            wait_until("clients hold their part", || held() >= before + 15);
             watch.reset();
             let second = agent.call();
             assert_eq!(second.after(), Some(1));
             second.answer(&replaced(2, false, &old, &new));
             drop(clients);
         } else {
-            await_that("no descriptor is left", || held() >= granted as usize);
+            wait_until("no descriptor is left", || held() >= granted as usize);
             watch.reset();
-            // Whoever gets it, a client or discovery, the other waits.
-            await_that("it is taken again", || held() >= granted as usize);
+            // Whichever gets the descriptor, a client or discovery, the other one waits.
+            wait_until("it is taken again", || held() >= granted as usize);
             drop(clients);
         }
         let _watch = tell(&agent, 2, |call| {
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -1,4 +1,4 @@
-//! The endpoint list while discovery's agent is silent, late or failing.
+//! The endpoint list while the discovery agent is silent, slow or failing.
 
 mod stubs;
 
@@ -7,12 +7,11 @@
 use std::thread;
 use stubs::*;
 
-/// When what a silent watch misses counts as told, in milliseconds after it fell silent (the
-/// protocol).
-const TOLD_MS: u64 = 6000;
+/// The protocol assumes a missed change to be known this long after a watch stops answering, in
+/// milliseconds.
+const CHANGE_DEADLINE_MS: u64 = 6000;
 
-/// An agent whose open watches are never answered; what it says to other calls is what it knows
-/// last.
+/// An agent that never answers open watches, and answers other calls with its latest list.
 struct Agent {
     address: SocketAddr,
     state: Arc<Mutex<Known>>,
@@ -20,13 +19,13 @@
 
 #[derive(Default)]
 struct Known {
-    /// The newest version, and the answer that tells it to one that has an older.
+    /// The latest version, and the answer to a call with an older one.
     version: u64,
     body: String,
-    /// Calls are answered with 503.
+    /// Whether calls are answered with 503.
     failing: bool,
     calls: Vec<String>,
-    /// Connections on which a call waits in vain.
+    /// Connections with an unanswered call.
     silent: Vec<TcpStream>,
 }
 
@@ -57,7 +56,7 @@
             } else if known.version > after {
                 answer(&mut stream, 200, "", known.body.clone().as_bytes());
             } else {
-                // Whoever waits for news hears nothing, whatever becomes known.
+                // A call that waits for changes is never answered.
                 known
                     .silent
                     .push(stream.try_clone().expect("a socket can be cloned"));
@@ -69,7 +68,7 @@
         self.state.lock().expect("no stub panics")
     }
 
-    /// Calls for news after that version so far.
+    /// Number of calls for changes after that version so far.
     fn watches(&self, version: u64) -> usize {
         self.known()
             .calls
@@ -88,7 +87,7 @@
     }
 }
 
-/// The number of that name in the query of a call.
+/// A numeric query parameter of a call.
 fn field(call: &str, name: &str) -> Option<u64> {
     let (_, query) = call.split_once('?')?;
     let value = query
@@ -97,10 +96,11 @@
     value?.parse().ok()
 }
 
-// Invariant: what a silent watch misses is in hand when it counts as told, even where the next call
-// fails too. So the wait that is asked for leaves time for three answers that take a second each.
+// Invariant: a change missed by a silent watch is received before it is assumed to be known, even
+// if the next call fails too. So the wait that is requested leaves time for three answers of a
+// second each.
 #[test]
-fn a_watch_that_falls_silent_is_opened_anew_before_what_it_misses_counts_as_told() {
+fn a_silent_watch_is_reopened_before_the_changes_it_misses_are_assumed_known() {
     for mode in ["pushed", "on_request"] {
         let agent = Agent::start();
         let (old, new) = (
@@ -108,14 +108,14 @@
             Endpoint::start(|_| served("new")),
         );
         let sidecar = agent.sidecar(mode, &[("s-old", &old)]);
-        await_that("the watch is open", || agent.watches(1) == 1);
+        wait_until("the watch is open", || agent.watches(1) == 1);
         let wait = agent
             .known()
             .calls
             .iter()
             .find_map(|call| field(call, "wait_ms"));
         assert!(
-            wait.is_some_and(|ms| ms > 0 && ms + 3000 <= TOLD_MS),
+            wait.is_some_and(|ms| ms > 0 && ms + 3000 <= CHANGE_DEADLINE_MS),
             "{mode}: {wait:?}"
         );
         {
@@ -126,12 +126,12 @@
             ];
             (known.version, known.body) = (2, list(2, false, &changes));
         }
-        await_that("the silent watch is given up and opened anew", || {
+        wait_until("the silent watch is given up and opened anew", || {
             agent.watches(2) == 1
         });
-        // It asks for what it missed, not for the whole list again.
+        // It requests what it missed, not the whole list again,
         assert_eq!(agent.watches(1), 2, "{mode}");
-        // And without a wait, or a second silence would last as long as the first.
+        // and without a wait; otherwise a second silence would last as long as the first.
         let waits: Vec<_> = agent
             .known()
             .calls
@@ -154,24 +154,24 @@
 }
 
 #[test]
-fn an_answer_to_a_watch_that_was_given_up_changes_nothing() {
+fn an_answer_to_an_abandoned_watch_changes_nothing() {
     let agent = Agent::start();
     let (old, new) = (
         Endpoint::start(|_| served("old")),
         Endpoint::start(|_| served("new")),
     );
     let sidecar = agent.sidecar("pushed", &[("s-old", &old)]);
-    await_that("the watch is open", || agent.watches(1) == 1);
+    wait_until("the watch is open", || agent.watches(1) == 1);
     {
         let mut known = agent.known();
         (known.version, known.body) = (3, list(3, true, &[("s-new", new.address, "active")]));
     }
-    await_that("the newer list is followed", || agent.watches(3) == 1);
+    wait_until("the newer list is followed", || agent.watches(3) == 1);
     // An older list, as the agent would have sent it while the watch was open.
     let late = list(2, true, &[("s-old", old.address, "active")]);
     let mut first = agent.known().silent.swap_remove(0);
     answer(&mut first, 200, "", late.as_bytes());
-    assert!(await_close(&mut first), "the given-up watch is closed");
+    assert!(wait_for_close(&mut first), "the given-up watch is closed");
     for _ in 0..5 {
         assert_eq!(
             sidecar
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn a_failed_call_keeps_the_list_and_is_made_again() {
+fn a_failed_call_does_not_change_the_list_and_is_repeated() {
     let agent = Agent::start();
     agent.known().failing = true;
     let (old, new) = (
@@ -193,7 +193,7 @@
         Endpoint::start(|_| served("new")),
     );
     let sidecar = agent.sidecar("pushed", &[("s-old", &old)]);
-    await_that("several calls have failed", || agent.watches(1) >= 3);
+    wait_until("several calls have failed", || agent.watches(1) >= 3);
     assert_eq!(
         sidecar
             .ask(&request("book", "", ""))
@@ -209,7 +209,7 @@
         ];
         (known.failing, known.version, known.body) = (false, 2, list(2, false, &changes));
     }
-    await_that("the list is followed again", || agent.watches(2) == 1);
+    wait_until("the list is followed again", || agent.watches(2) == 1);
     assert_eq!(
         sidecar
             .ask(&request("book", "", ""))
--- a/tests/stubs/agent.rs
+++ b/tests/stubs/agent.rs
@@ -1,6 +1,6 @@
-//! Discovery's agent driven by hand: each call waits until the test says what becomes of it.
+//! A discovery agent under the test's control: each call waits until the test answers it.
 
-use super::LONG;
+use super::TEST_TIMEOUT;
 use super::discovery::Discovery;
 use super::endpoint::Endpoint;
 use super::message::{Message, answer, read_message};
@@ -13,13 +13,13 @@
 use std::thread;
 use std::time::Duration;
 
-/// An agent that hands over its calls in the order in which they came.
+/// An agent that passes its calls to the test, in order.
 pub struct Agent {
     pub address: SocketAddr,
     calls: Mutex<Receiver<Call>>,
 }
 
-/// A call that waits for its answer. Dropped, it closes the connection without one.
+/// A call that waits for its answer. Dropping it closes the connection without one.
 pub struct Call {
     /// Its request line.
     pub start: String,
@@ -45,10 +45,10 @@
 
     /// The next call.
     pub fn call(&self) -> Call {
-        self.call_within(LONG).expect("no call came")
+        self.call_within(TEST_TIMEOUT).expect("no call came")
     }
 
-    /// The next call, where one comes in that time.
+    /// The next call, if one arrives within that time.
     pub fn call_within(&self, time: Duration) -> Option<Call> {
         self.calls
             .lock()
@@ -57,13 +57,13 @@
             .ok()
     }
 
-    /// A sidecar that follows it, and that knows these endpoints as version 1 of the list; `mode`
-    /// is what the settings say of how lists come.
+    /// Starts a sidecar that follows this agent and knows these endpoints as version 1 of the list;
+    /// `mode` is the setting of how lists are delivered.
     pub fn sidecar(&self, mode: &str, endpoints: &[(&str, &Endpoint)]) -> Sidecar {
         self.sidecar_altered(endpoints, |config| config.replace("on_request", mode))
     }
 
-    /// The same with a configuration that is altered first.
+    /// As above, with a modified configuration.
     pub fn sidecar_altered(
         &self,
         endpoints: &[(&str, &Endpoint)],
@@ -72,7 +72,7 @@
         self.sidecar_adapted(endpoints, alter, |_| {})
     }
 
-    /// The same with a process that is adapted first.
+    /// As above, with a modified command.
     pub fn sidecar_adapted(
         &self,
         endpoints: &[(&str, &Endpoint)],
@@ -82,7 +82,7 @@
         self.start_sidecar(endpoints, 1024, alter, adapt)
     }
 
-    /// One that the system grants so many file descriptors, and that is told of another number.
+    /// Starts a sidecar whose limit of file descriptors differs from the configured one.
     pub fn sidecar_granted(
         &self,
         endpoints: &[(&str, &Endpoint)],
@@ -114,12 +114,12 @@
 }
 
 impl Call {
-    /// The version after which news are asked for; `None` where the whole list is.
+    /// The version after which changes are requested; `None` if the whole list is.
     pub fn after(&self) -> Option<u64> {
         self.field("after")
     }
 
-    /// How long it may wait for news, in milliseconds.
+    /// How long the agent may wait for changes, in milliseconds.
     pub fn wait_ms(&self) -> Option<u64> {
         self.field("wait_ms")
     }
@@ -132,20 +132,20 @@
         value?.parse().ok()
     }
 
-    /// Answers it, and waits for the next on the same connection.
+    /// Answers the call, and reads the next one from the same connection.
     pub fn answer(self, body: &str) {
         self.answer_as(200, "", body);
     }
 
-    /// The same with a status and header lines.
+    /// As above, with a status and headers.
     pub fn answer_as(mut self, status: u16, headers: &str, body: &str) {
         answer(&mut self.stream, status, headers, body.as_bytes());
         read_next(self.stream, self.calls);
     }
 
-    /// Answers it byte for byte as given, and waits for the next on the same connection.
+    /// Answers the call with these bytes, and reads the next one from the same connection.
     pub fn answer_raw(mut self, bytes: &[u8]) {
-        // The sidecar may have given up on it.
+        // The sidecar may have closed the connection.
         let _ = self.stream.write_all(bytes);
         read_next(self.stream, self.calls);
     }
@@ -159,11 +159,11 @@
     }
 }
 
-/// Hands over the next message on a connection as a call.
+/// Passes on the next request of a connection as a call.
 fn read_next(mut stream: TcpStream, calls: Sender<Call>) {
     thread::spawn(move || {
         if let Some(Message { start, .. }) = read_message(&mut stream) {
-            // The test may be over.
+            // The test may have ended.
             let _ = calls.clone().send(Call {
                 start,
                 stream,
--- a/tests/stubs/discovery.rs
+++ b/tests/stubs/discovery.rs
@@ -1,18 +1,18 @@
 //! A stub of discovery.
 
 use super::message::{Message, answer, read_message};
-use super::{LONG, await_that};
+use super::{TEST_TIMEOUT, wait_until};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Condvar, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Discovery: answers watches when something newer is published.
+/// Discovery: answers a watch once a newer version is published.
 pub struct Discovery {
     pub address: SocketAddr,
     state: Arc<(Mutex<Listed>, Condvar)>,
-    /// Every call is answered with 503 while set.
+    /// Whether every call is answered with 503.
     pub failing: Arc<AtomicBool>,
 }
 
@@ -21,7 +21,7 @@
     version: u64,
     body: String,
     calls: Vec<String>,
-    /// Answers that the system has taken.
+    /// Answers that were written.
     answers: Vec<String>,
 }
 
@@ -63,7 +63,7 @@
             .nth(1)
             .and_then(|n| n.parse().ok())
             .unwrap_or(0);
-        let until = Instant::now() + LONG;
+        let until = Instant::now() + TEST_TIMEOUT;
         loop {
             if failing.load(Ordering::SeqCst) {
                 return (503, String::new());
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Publishes an answer, from which on `version` is the newest.
+    /// Publishes an answer with which `version` becomes the latest.
     pub fn publish(&self, version: u64, body: String) {
         let mut listed = self.state.0.lock().expect("no stub panics");
         (listed.version, listed.body) = (version, body);
@@ -96,9 +96,8 @@
         self.state.0.lock().expect("no stub panics").calls.clone()
     }
 
-    /// Waits until that version has been written to somebody's connection, whether it is read or
-    /// not.
-    pub fn await_told(&self, version: u64) {
+    /// Waits until that version has been written to a connection, whether it was read or not.
+    pub fn wait_until_sent(&self, version: u64) {
         let told = format!("\"index\":{version},");
         let written = || {
             self.state
@@ -109,20 +108,20 @@
                 .iter()
                 .any(|a| a.contains(&told))
         };
-        await_that("the news is written", written);
+        wait_until("the news is written", written);
     }
 
-    /// Waits until a watch for news after `version` is open: what came before has then been taken
-    /// in.
-    pub fn await_watch(&self, version: u64) {
+    /// Waits until a watch for changes after `version` is open: earlier answers have been applied
+    /// by then.
+    pub fn wait_for_watch(&self, version: u64) {
         let call = format!("after={version}&");
-        await_that("the watch goes on", || {
+        wait_until("the watch goes on", || {
             self.calls().iter().any(|c| c.contains(&call))
         });
     }
 }
 
-/// A list, or changes to one, as discovery writes it: name, address and status of each entry.
+/// A list, or changes to one, in discovery's format: name, address and status of each entry.
 pub fn list(index: u64, snapshot: bool, entries: &[(&str, SocketAddr, &str)]) -> String {
     let entry = |(name, address, status): &(&str, SocketAddr, &str)| {
         format!(
--- a/tests/stubs/endpoint.rs
+++ b/tests/stubs/endpoint.rs
@@ -9,50 +9,51 @@
 use std::thread;
 use std::time::Duration;
 
-/// What an endpoint does with a request.
+/// How an endpoint handles a request.
 pub enum Reply {
-    /// Status, further header lines, body.
+    /// Responds with status, further headers and body.
     Answer(u16, &'static str, Vec<u8>),
-    /// The same, and then it closes the connection without having said so.
+    /// Responds likewise, and closes the connection without announcing it.
     AnswerAndClose(u16, &'static str, Vec<u8>),
-    /// The same after a while.
+    /// Responds likewise after a delay.
     Later(Duration, Vec<u8>),
-    /// It keeps the connection and says nothing.
+    /// Keeps the connection open without a response.
     Silence,
-    /// It closes the connection.
+    /// Closes the connection.
     Close,
-    /// What the test does with the connection, and what becomes of it then.
-    By(Box<dyn FnOnce(&mut TcpStream) -> Then + Send>),
+    /// Passes the connection to a function of the test, which decides what happens to it
+    /// afterwards.
+    By(Box<dyn FnOnce(&mut TcpStream) -> Afterwards + Send>),
 }
 
-/// What becomes of a connection.
+/// What happens to a connection afterwards.
 #[derive(Clone, Copy)]
-pub enum Then {
+pub enum Afterwards {
     /// It serves the next request.
     KeepOn,
-    /// It ends as it should.
+    /// It is closed.
     Close,
     /// It is reset.
     Reset,
 }
 
 impl Reply {
-    /// These bytes, and what becomes of the connection then.
-    pub fn bytes(bytes: impl Into<Vec<u8>>, then: Then) -> Self {
+    /// Writes these bytes, and then handles the connection as given.
+    pub fn bytes(bytes: impl Into<Vec<u8>>, then: Afterwards) -> Self {
         let bytes = bytes.into();
         Self::By(Box::new(move |stream| {
-            // The sidecar may have given up on it.
+            // The sidecar may have closed the connection.
             let _ = stream.write_all(&bytes);
             then
         }))
     }
 }
 
-/// An endpoint that notes what reaches it.
+/// An endpoint that records the requests it receives.
 pub struct Endpoint {
     pub address: SocketAddr,
     pub seen: Arc<Mutex<Vec<Message>>>,
-    /// Connections that were made, and those that the sidecar has closed.
+    /// Numbers of accepted connections, and of those closed by the sidecar.
     pub made: Arc<AtomicUsize>,
     pub closed: Arc<AtomicUsize>,
 }
@@ -123,16 +124,16 @@
             Reply::Silence => {}
             Reply::Close => return,
             Reply::By(act) => match act(&mut stream) {
-                Then::KeepOn => {}
-                Then::Close => return,
-                Then::Reset => return reset(&stream),
+                Afterwards::KeepOn => {}
+                Afterwards::Close => return,
+                Afterwards::Reset => return reset(&stream),
             },
         }
     }
     closed.fetch_add(1, Ordering::SeqCst);
 }
 
-/// Has the connection end as a reset once it is dropped.
+/// Makes the connection end with a reset once it is dropped.
 fn reset(stream: &TcpStream) {
     SockRef::from(stream)
         .set_linger(Some(Duration::ZERO))
--- a/tests/stubs/held.rs
+++ b/tests/stubs/held.rs
@@ -1,17 +1,17 @@
-//! An address at which connections come up only once that is allowed.
+//! An address at which connections are established only when the test permits.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// A listener whose queue is full: the system drops further openings, and the other side tries
-/// again in a while.
-pub struct Held {
+/// A listener whose backlog is full: the system drops further connection attempts, and the client
+/// retries.
+pub struct FullBacklog {
     pub address: SocketAddr,
     listener: TcpListener,
     filler: TcpStream,
 }
 
-impl Held {
+impl FullBacklog {
     pub fn start() -> Self {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
             .expect("a socket");
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Empties the queue; what is accepted next may be the connection that filled it, which is
+    /// Empties the backlog; the next accepted connection may be the one that filled it, which is
     /// closed.
     pub fn release(self) -> TcpListener {
         drop(self.filler);
--- a/tests/stubs/holding.rs
+++ b/tests/stubs/holding.rs
@@ -1,25 +1,25 @@
-//! An endpoint that has a request, until it is told to break off.
+//! An endpoint that holds requests until told to close their connections.
 
-use super::await_that;
 use super::endpoint::{Endpoint, Reply};
+use super::wait_until;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Instant;
 
-/// Holds requests until told, and then closes their connections: they may have run.
-pub struct Holding {
+/// Holds requests, and closes their connections when told: they may have been executed.
+pub struct HoldingEndpoint {
     pub endpoint: Endpoint,
     reached: Arc<AtomicBool>,
     told: Arc<AtomicBool>,
 }
 
-impl Holding {
+impl HoldingEndpoint {
     pub fn start() -> Self {
         let [reached, told] = [(); 2].map(|()| Arc::new(AtomicBool::new(false)));
         let (arrived, go) = (reached.clone(), told.clone());
         let endpoint = Endpoint::start(move |_| {
             arrived.store(true, Ordering::SeqCst);
-            await_that("it is told to close", || go.load(Ordering::SeqCst));
+            wait_until("it is told to close", || go.load(Ordering::SeqCst));
             Reply::Close
         });
         Self {
@@ -29,13 +29,13 @@
         }
     }
 
-    /// Waits until a request has come; it was sent no later than the instant that is returned.
-    pub fn await_request(&self) -> Instant {
-        await_that("the request is out", || self.reached.load(Ordering::SeqCst));
+    /// Waits until a request has arrived; returns a time at which it had been sent.
+    pub fn wait_for_request(&self) -> Instant {
+        wait_until("the request is out", || self.reached.load(Ordering::SeqCst));
         Instant::now()
     }
 
-    /// Closes the connections of the requests that it holds, and of those that still come.
+    /// Closes the connections of all held and later requests.
     pub fn close(&self) {
         self.told.store(true, Ordering::SeqCst);
     }
--- a/tests/stubs/message.rs
+++ b/tests/stubs/message.rs
@@ -1,11 +1,11 @@
 //! HTTP messages as the stubs read and write them.
 
-use super::LONG;
+use super::TEST_TIMEOUT;
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// An HTTP message as it came in.
+/// A received HTTP message.
 #[derive(Clone, Debug)]
 pub struct Message {
     pub start: String,
@@ -30,13 +30,13 @@
     }
 }
 
-/// Reads one message; `None` once the other side has closed or reset the connection, or said
-/// nothing for long.
+/// Reads one message; `None` if the peer has closed or reset the connection, or was silent for too
+/// long.
 pub fn read_message(stream: &mut TcpStream) -> Option<Message> {
-    read_message_within(stream, LONG)
+    read_message_within(stream, TEST_TIMEOUT)
 }
 
-/// The same where nothing may be said for that long.
+/// As above, with a limit on silence.
 pub fn read_message_within(stream: &mut TcpStream, silence: Duration) -> Option<Message> {
     stream
         .set_read_timeout(Some(silence))
@@ -47,7 +47,7 @@
         match stream.read(&mut byte) {
             Ok(0) => return None,
             Ok(_) => head.push(byte[0]),
-            // A read with a time-out is not begun anew by the system.
+            // The system does not restart a read with a timeout after a signal.
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
             Err(_) => return None,
         }
@@ -70,18 +70,18 @@
     Some(message)
 }
 
-/// Writes an answer.
+/// Writes a response.
 pub fn answer(stream: &mut TcpStream, status: u16, headers: &str, body: &[u8]) {
     let head = format!(
         "HTTP/1.1 {status} stub\r\n{headers}Content-Length: {}\r\n\r\n",
         body.len()
     );
     let whole: Vec<u8> = head.bytes().chain(body.iter().copied()).collect();
-    // The sidecar may have given up on it.
+    // The sidecar may have closed the connection.
     let _ = stream.write_all(&whole);
 }
 
-/// A request of a class, with further header lines and a body.
+/// A request of a class, with further headers and a body.
 pub fn request(class: &str, headers: &str, body: &str) -> String {
     let (method, key) = match class {
         "look" => ("GET", ""),
@@ -96,10 +96,10 @@
     )
 }
 
-/// Waits until the other side has closed the connection.
-pub fn await_close(stream: &mut TcpStream) -> bool {
+/// Waits until the peer has closed the connection.
+pub fn wait_for_close(stream: &mut TcpStream) -> bool {
     stream
-        .set_read_timeout(Some(LONG))
+        .set_read_timeout(Some(TEST_TIMEOUT))
         .expect("a time-out can be set");
     let mut rest = [0; 1024];
     loop {
--- a/tests/stubs/mod.rs
+++ b/tests/stubs/mod.rs
@@ -26,48 +26,50 @@
 use std::time::{Duration, Instant};
 pub use stop::*;
 
-/// Generous: nothing here asserts speed.
-pub const LONG: Duration = Duration::from_secs(30);
+/// Generous, as no test here measures speed.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits until something holds.
-pub fn await_that(what: &str, holds: impl Fn() -> bool) {
-    let until = Instant::now() + LONG;
+/// Waits until a condition holds.
+pub fn wait_until(what: &str, holds: impl Fn() -> bool) {
+    let until = Instant::now() + TEST_TIMEOUT;
     while !holds() {
         assert!(Instant::now() < until, "it never came that {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Does something that may hang for good, for as long as anything here is waited for.
-pub fn within_long<T: Send + 'static>(what: &str, act: impl FnOnce() -> T + Send + 'static) -> T {
+/// Runs something that may hang, for at most as long as these tests wait for anything.
+pub fn run_with_timeout<T: Send + 'static>(
+    what: &str,
+    act: impl FnOnce() -> T + Send + 'static,
+) -> T {
     let (done, result) = mpsc::channel();
     thread::spawn(move || done.send(act()));
     result
-        .recv_timeout(LONG)
+        .recv_timeout(TEST_TIMEOUT)
         .unwrap_or_else(|_| panic!("it never came that {what}"))
 }
 
-/// The host of whatever listens for connections.
+/// The host of all listeners.
 const LOCALHOST: [u8; 4] = [127, 0, 0, 1];
-/// The host of whatever listens for datagrams at an address that was kept for it, and of nothing
-/// else.
-const DATAGRAMS: [u8; 4] = [127, 0, 0, 2];
+/// The host of all reserved datagram addresses, and of nothing else.
+const DATAGRAM_HOST: [u8; 4] = [127, 0, 0, 2];
 
 static STARTED: AtomicU64 = AtomicU64::new(0);
 
-/// Keeps an address: nobody listens there, and the system gives its port to nobody else.
+/// Reserves an address: nothing listens there, and the system gives its port to no other process.
 ///
-/// A port that was only noted and let go of may be given to another process before the one that it
-/// is meant for has started; and a process that is just being started still holds every socket of
-/// the one that starts it. So this is a bound socket that does not listen and allows reuse: a
-/// sidecar, which allows reuse as well, may listen there, again and again.
+/// A port that was only looked up and released may be given to another process before its intended
+/// user has started, and a process that is being started still has every socket of its parent. So
+/// this is a bound socket that does not listen and permits address reuse: a sidecar, which sets
+/// reuse as well, can listen there repeatedly.
 pub struct Reserved {
     pub address: SocketAddr,
     _socket: Socket,
 }
 
 impl Reserved {
-    /// Keeps an address of that loopback host.
+    /// Reserves an address of that loopback host.
     pub fn on(host: [u8; 4]) -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         socket
@@ -87,16 +89,15 @@
     }
 }
 
-/// An address at which nobody listens. It is kept until this process ends: no other socket takes
-/// the port.
+/// An address at which nothing listens. It is reserved until this process ends.
 pub fn unused_address() -> SocketAddr {
     kept(LOCALHOST)
 }
 
-/// An address at which nobody listens for datagrams. Whoever does so on this host has the port from
-/// here, and so from the system, which gives each one out once.
-pub fn unused_datagrams() -> SocketAddr {
-    kept(DATAGRAMS)
+/// An address at which nothing listens for datagrams. All users of this host get their ports here,
+/// and so from the system, which assigns each only once.
+pub fn unused_datagram_address() -> SocketAddr {
+    kept(DATAGRAM_HOST)
 }
 
 fn kept(host: [u8; 4]) -> SocketAddr {
@@ -107,22 +108,21 @@
     address
 }
 
-/// Whether some process here is trying to connect to that port (state 2 of the system's table: SYN
-/// sent).
-pub fn being_dialled(address: SocketAddr) -> bool {
+/// Whether a process here is connecting to that port (state 2 of the system's table: SYN sent).
+pub fn is_being_dialled(address: SocketAddr) -> bool {
     let table = std::fs::read_to_string("/proc/net/tcp").expect("the table of sockets");
     table
         .lines()
         .any(|l| l.contains(&format!(":{:04X} 02 ", address.port())))
 }
 
-/// The state in which the system's table has the connection's end at `local`, as its two digits
-/// there ("01": established); `None` once it is gone.
+/// The state of a connection's end at `local` in the system's table, as two digits ("01":
+/// established); `None` once it is gone.
 pub fn state_of(local: SocketAddr, remote: SocketAddr) -> Option<String> {
     entry(local, remote).map(|(state, _)| state)
 }
 
-/// How many bytes the system holds that were not read at that end.
+/// Number of bytes received but not read at that end.
 pub fn unread(local: SocketAddr, remote: SocketAddr) -> Option<usize> {
     entry(local, remote).map(|(_, unread)| unread)
 }
@@ -141,7 +141,7 @@
     ))
 }
 
-/// An address as the system's table has it.
+/// An address in the format of the system's table.
 fn written(address: SocketAddr) -> String {
     let SocketAddr::V4(address) = address else {
         panic!("these tests use no other addresses")
@@ -153,9 +153,9 @@
     )
 }
 
-/// Whether whoever listens there has a connection that is up (state 1), or a close of its own on
-/// the way (state 4: the other side's system has not confirmed it).
-pub fn holds_open(address: SocketAddr) -> bool {
+/// Whether the listener at that address has an established connection (state 1), or one that it has
+/// closed but whose peer has not confirmed it (state 4).
+pub fn has_open_connection(address: SocketAddr) -> bool {
     let table = std::fs::read_to_string("/proc/net/tcp").expect("the table of sockets");
     let SocketAddr::V4(at) = address else {
         panic!("{address} is not an address of IPv4")
--- a/tests/stubs/sidecar.rs
+++ b/tests/stubs/sidecar.rs
@@ -1,9 +1,9 @@
-//! A sidecar's process and its configuration.
+//! A sidecar process and its configuration.
 
 use super::discovery::{Discovery, list};
 use super::endpoint::Endpoint;
 use super::message::{Message, read_message, read_message_within};
-use super::{LOCALHOST, LONG, Reserved, STARTED, await_that};
+use super::{LOCALHOST, Reserved, STARTED, TEST_TIMEOUT, wait_until};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
@@ -12,7 +12,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The settings of these tests. Classes: `look` (safe), `book` (unsafe), `pay` (keyed).
+/// The settings of these tests. Classes: `look` (idempotent), `book` (non-idempotent), `pay`
+/// (idempotent by key).
 pub const SETTINGS: &str = r#"{"Balancers":1,"Discovery":"on_request","Index":0,
 "Lanes":[{"AimUs":8000000,"DeadlineUs":20000000,"Effect":"pure","Name":"look"},
 {"AimUs":8000000,"DeadlineUs":20000000,"Effect":"side_effect","Name":"book"},
@@ -21,18 +22,17 @@
 "Rules":{"AskWithinUs":2000000,"ColdShare":0.3,"OverloadFactor":3.0,"TipAfterUs":1500000,"WarmWithinUs":8900000},
 "Tenants":[{"Name":"acme","QuotaPerS":98.0,"Share":1.0}],"TickUs":5000,"WeightSource":"nominal","Zone":"a","Zones":["a"]}"#;
 
-/// Pause between two looks at a process.
-const LOOK: Duration = Duration::from_millis(5);
-/// How long one look at a sidecar that starts may take, so that a connection that is lost costs one
-/// look alone.
-const LOOK_WITHIN: Duration = Duration::from_secs(1);
+/// Interval of checks of a process.
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// Timeout of one check of a starting sidecar, so that a lost connection costs only one check.
+const CHECK_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A sidecar's process.
+/// A sidecar process.
 pub struct Sidecar {
     pub address: SocketAddr,
     pub process: Child,
     config: PathBuf,
-    /// Its address stays its own while it is down.
+    /// Keeps its address reserved while it is down.
     _reserved: Reserved,
 }
 
@@ -45,7 +45,7 @@
     path
 }
 
-/// A sidecar's configuration.
+/// The configuration of a sidecar.
 pub fn config(listen: SocketAddr, discovery: SocketAddr, known: &str) -> String {
     format!(
         r#"{{"name":"n0","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be964",
@@ -54,12 +54,12 @@
 }
 
 impl Sidecar {
-    /// Starts one that knows these endpoints, as version 1 of the list.
+    /// Starts a sidecar that knows these endpoints as version 1 of the list.
     pub fn start(discovery: &Discovery, endpoints: &[(&str, &Endpoint)]) -> Self {
         Self::start_with(discovery, endpoints, 1024, 1024)
     }
 
-    /// The same with so many file descriptors that the system grants it, and that it is told of.
+    /// As above, with a limit of file descriptors set in the system and one in the configuration.
     pub fn start_with(
         discovery: &Discovery,
         endpoints: &[(&str, &Endpoint)],
@@ -72,7 +72,7 @@
         })
     }
 
-    /// The same with a configuration that is altered first.
+    /// As above, with a modified configuration.
     pub fn start_altered(
         discovery: &Discovery,
         endpoints: &[(&str, &Endpoint)],
@@ -82,7 +82,7 @@
         Self::start_adapted(discovery, endpoints, granted, alter, |_| {})
     }
 
-    /// The same with a process that is adapted first: its arguments, variables and streams.
+    /// As above, with a modified command: its arguments, variables and streams.
     pub fn start_adapted(
         discovery: &Discovery,
         endpoints: &[(&str, &Endpoint)],
@@ -117,13 +117,13 @@
             config,
             _reserved: reserved,
         };
-        sidecar.await_up();
+        sidecar.wait_until_ready();
         sidecar
     }
 
-    /// Waits until it says that it is ready, which one that has ended never does.
-    fn await_up(&mut self) {
-        let until = Instant::now() + LONG;
+    /// Waits until it is ready; fails if it has exited.
+    fn wait_until_ready(&mut self) {
+        let until = Instant::now() + TEST_TIMEOUT;
         while self.up().is_none_or(|answer| answer.status() != 200) {
             let ended = self.process.try_wait().expect("its state");
             assert!(
@@ -135,21 +135,21 @@
                 Instant::now() < until,
                 "it never came that the sidecar is up"
             );
-            thread::sleep(LOOK);
+            thread::sleep(CHECK_INTERVAL);
         }
     }
 
     fn up(&self) -> Option<Message> {
-        let mut stream = TcpStream::connect_timeout(&self.address, LOOK_WITHIN).ok()?;
+        let mut stream = TcpStream::connect_timeout(&self.address, CHECK_TIMEOUT).ok()?;
         stream
             .write_all(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
             .ok()?;
-        read_message_within(&mut stream, LOOK_WITHIN)
+        read_message_within(&mut stream, CHECK_TIMEOUT)
     }
 
-    /// Waits until its process has ended by itself.
-    pub fn await_end(&mut self) -> ExitStatus {
-        let until = Instant::now() + LONG;
+    /// Waits until its process has exited.
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        let until = Instant::now() + TEST_TIMEOUT;
         loop {
             if let Some(status) = self.process.try_wait().expect("its state") {
                 return status;
@@ -158,11 +158,11 @@
                 Instant::now() < until,
                 "it never came that the sidecar ends"
             );
-            thread::sleep(LOOK);
+            thread::sleep(CHECK_INTERVAL);
         }
     }
 
-    /// One request on a connection of its own.
+    /// Sends one request on a connection of its own.
     pub fn ask(&self, request: &str) -> Option<Message> {
         let mut stream = self.connect();
         stream
@@ -175,7 +175,7 @@
         TcpStream::connect(self.address).expect("the sidecar accepts")
     }
 
-    /// Descriptors that the process holds.
+    /// Number of file descriptors of the process.
     pub fn descriptors(&self) -> usize {
         let held = std::fs::read_dir(format!("/proc/{}/fd", self.process.id()));
         held.expect("the process is there").count()
@@ -185,7 +185,7 @@
         self.signal("-TERM");
     }
 
-    /// Ends it and reads what it wrote to its piped standard error.
+    /// Kills it and reads what it wrote to its piped standard error.
     pub fn stop_and_read_log(&mut self) -> String {
         let mut log = self.process.stderr.take().expect("it is a pipe");
         self.process.kill().expect("it runs");
@@ -194,18 +194,18 @@
         said
     }
 
-    /// Puts another text in the place of its configuration file and tells it so.
+    /// Replaces its configuration file and tells it to reload.
     pub fn reconfigure(&self, alter: impl Fn(String) -> String) {
         let text = std::fs::read_to_string(&self.config).expect("the file is there");
         std::fs::rename(config_file(&alter(text)), &self.config).expect("the file can be replaced");
         self.signal("-HUP");
     }
 
-    /// Stops the process until it is told to go on.
+    /// Suspends the process.
     pub fn stop(&self) {
         self.signal("-STOP");
         let state = format!("/proc/{}/stat", self.process.id());
-        await_that("it has stopped", || {
+        wait_until("it has stopped", || {
             std::fs::read_to_string(&state).is_ok_and(|line| line.contains("(sidecar) T "))
         });
     }
--- a/tests/stubs/stop.rs
+++ b/tests/stubs/stop.rs
@@ -1,6 +1,6 @@
-//! A sidecar that is told to stop in the middle of something.
+//! Shutdowns of a sidecar while something is in progress.
 
-use super::message::{await_close, read_message};
+use super::message::{read_message, wait_for_close};
 use super::sidecar::Sidecar;
 use std::io::Write;
 use std::net::TcpStream;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// A connection on which one request has been answered.
-pub fn resting(sidecar: &Sidecar) -> TcpStream {
+pub fn idle_connection(sidecar: &Sidecar) -> TcpStream {
     let mut stream = sidecar.connect();
     stream
         .write_all(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -17,47 +17,47 @@
     stream
 }
 
-/// Something that is about to tell a sidecar to stop.
-pub struct Stopping {
+/// A process that will signal a sidecar to shut down.
+pub struct PendingShutdown {
     idle: TcpStream,
     process: Child,
 }
 
-impl Stopping {
-    /// Tells that sidecar, once it is to.
+impl PendingShutdown {
+    /// Prepares to signal that sidecar.
     pub fn prepare(sidecar: &Sidecar) -> Self {
         let script = format!("read line && kill -TERM {}", sidecar.process.id());
         let mut command = Command::new("/bin/sh");
         command.args(["-c", &script]).stdin(Stdio::piped());
         Self {
-            idle: resting(sidecar),
+            idle: idle_connection(sidecar),
             process: command.spawn().expect("a shell starts"),
         }
     }
 
-    /// Tells it, and waits until it has heard of that: it closes resting connections then.
+    /// Signals it, and waits until it has noticed, as it then closes idle connections.
     pub fn stop(mut self) {
         let mut line = self.process.stdin.take().expect("it is a pipe");
         line.write_all(b"\n").expect("the shell reads it");
         assert!(self.process.wait().expect("it ends").success());
         assert!(
-            await_close(&mut self.idle),
+            wait_for_close(&mut self.idle),
             "an idle connection stayed open"
         );
     }
 }
 
-/// Tells a sidecar to stop, and waits until it has heard of that.
+/// Signals a sidecar to shut down, and waits until it has noticed.
 pub fn stop(sidecar: &Sidecar) {
-    Stopping::prepare(sidecar).stop();
+    PendingShutdown::prepare(sidecar).stop();
 }
 
-/// Half of the time that a sidecar has patience: the rest is its own.
-pub const PATIENCE: Duration = Duration::from_millis(250);
+/// Half of the sidecar's grace period; leaves the rest for the sidecar.
+pub const HALF_GRACE_PERIOD: Duration = Duration::from_millis(250);
 
-/// Tries an order of events until it came about within the time that a sidecar waits for it, which
-/// the try tells. On a busy machine a try may take longer, and shows nothing then.
-pub fn in_time(attempt: impl Fn() -> bool) {
+/// Repeats a sequence of events until it was completed within the sidecar's grace period, which the
+/// attempt reports. On a busy machine an attempt may take too long and show nothing.
+pub fn repeat_until_in_time(attempt: impl Fn() -> bool) {
     assert!(
         (0..40).any(|_| attempt()),
         "the machine is too busy for this"
