--- a/benches/overhead.rs
+++ b/benches/overhead.rs
@@ -9,7 +9,7 @@
     Action, AttemptEnd, Balancer, EndpointStatus, Event, ListUpdate, ListedEndpoint, LoadReport,
     Micros, NewRequest, Outcome,
 };
-use load_balancer_common::metering::Figures;
+use load_balancer_common::metering::MetricsRegistry;
 use std::time::{Duration, Instant};
 
 /// Endpoints on the list: the size of the whole fleet.
@@ -80,7 +80,7 @@
 }
 
 fn main() {
-    let figures = Figures::new();
+    let figures = MetricsRegistry::new();
     let (attempts, requests) = (
         figures.counter("a_total", "", &[]),
         figures.counter("b_total", "", &[]),
@@ -99,7 +99,7 @@
     for _ in 0..PAIRS {
         let (alone, with) = (pass(|| {}), pass(counted));
         // As the sidecar does every few seconds.
-        std::hint::black_box(figures.text());
+        std::hint::black_box(figures.render());
         ratios.push(with.as_secs_f64() / alone.as_secs_f64());
     }
     ratios.sort_by(f64::total_cmp);
--- a/crates/affinity/src/section.rs
+++ b/crates/affinity/src/section.rs
@@ -4,7 +4,7 @@
 use crate::Micros;
 use crate::publishing::PublishRates;
 use crate::time::Times;
-use load_balancer_common::config::Contradiction;
+use load_balancer_common::config::InvalidSetting;
 use load_balancer_common::units::Time;
 use serde::{Deserialize, Serialize};
 
@@ -78,9 +78,9 @@
     ///
     /// # Errors
     /// The key, and why its value can't be used.
-    pub fn check(&self) -> Result<(), Contradiction> {
+    pub fn check(&self) -> Result<(), InvalidSetting> {
         let error = |key: &str, why: &str| {
-            Err(Contradiction::new(
+            Err(InvalidSetting::new(
                 &format!("fleet.affinity_entries.{key}"),
                 why,
             ))
--- a/crates/common/build.rs
+++ b/crates/common/build.rs
@@ -1,25 +1,25 @@
-//! Tells the programs which commit they were built from, where that can be known.
+//! Sets the commit that the programs are built from, if it is known.
 
 use std::path::Path;
 use std::process::Command;
 
 fn main() {
     println!("cargo::rerun-if-env-changed=LOAD_BALANCER_COMMIT");
-    // The log of HEAD changes with each commit and checkout; without it there is no commit to tell
-    // either.
+    // The log of HEAD changes with each commit and checkout; without a repository the commit is
+    // unknown.
     let log = Path::new("../../.git/logs/HEAD");
     if log.exists() {
         println!("cargo::rerun-if-changed={}", log.display());
     }
-    let given = std::env::var("LOAD_BALANCER_COMMIT")
+    let configured = std::env::var("LOAD_BALANCER_COMMIT")
         .ok()
         .filter(|commit| !commit.is_empty());
-    if let Some(commit) = given.or_else(asked) {
+    if let Some(commit) = configured.or_else(git_commit) {
         println!("cargo::rustc-env=LOAD_BALANCER_COMMIT={commit}");
     }
 }
 
-fn asked() -> Option<String> {
+fn git_commit() -> Option<String> {
     let output = Command::new("git")
         .args(["rev-parse", "--short=12", "HEAD"])
         .output()
--- a/crates/common/src/cli.rs
+++ b/crates/common/src/cli.rs
@@ -1,28 +1,27 @@
-//! Command line conventions that all programs share.
+//! Command line conventions shared by all programs.
 
 use std::process::ExitCode;
 
-/// How a program ends. The numbers are those of `sysexits.h` (4.3BSD), so that supervisors and
-/// scripts can tell a wrong call from a wrong file and both from trouble that may pass.
+/// Exit codes of the programs, as in `sysexits.h` (4.3BSD), so that supervisors and scripts can
+/// distinguish invalid arguments, invalid files and temporary failures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Exit {
-    /// It did what was asked.
+    /// Success.
     Done = 0,
-    /// It failed, or what it checked does not hold.
+    /// It failed, or a check did not pass.
     Failed = 1,
-    /// It was called in a way that it does not understand.
+    /// Its arguments are invalid.
     Usage = 64,
-    /// Data that it was given is not in the form it needs.
+    /// Its input has the wrong format.
     Data = 65,
-    /// Something that it needs cannot be had now: an address in use, a service that does not
-    /// answer.
+    /// Something it needs is unavailable: an address in use, a service that does not answer.
     Unavailable = 69,
-    /// A fault of its own.
+    /// An internal error.
     Software = 70,
     /// A file could not be read or written.
     Io = 74,
-    /// Its configuration cannot be used.
+    /// Its configuration is invalid.
     Config = 78,
 }
 
@@ -32,7 +31,7 @@
     }
 }
 
-/// The end of every `--help`.
+/// The text at the end of every `--help`.
 pub const EXIT_CODES: &str = "Exit codes:
   0   done
   1   failed, or what was checked does not hold
@@ -43,19 +42,18 @@
   74  a file cannot be read or written
   78  the configuration cannot be used";
 
-/// Version of the programs; they are released together.
+/// Version of the programs, which are released together.
 pub const VERSION: &str = env!("CARGO_PKG_VERSION");
-/// The commit they were built from, where that was known.
+/// The commit they were built from, if known.
 pub const COMMIT: Option<&str> = option_env!("LOAD_BALANCER_COMMIT");
 
-/// Reads the command line. Where the program is not to go on, the code to end with comes back: help
-/// and version have then been printed to standard output, or what is wrong with the call to
-/// standard error.
+/// Parses the command line. An error is the exit code to end with: help and version have been
+/// printed to standard output, or the error in the arguments to standard error.
 pub fn parse<T: clap::Parser>() -> Result<T, Exit> {
     parse_from(std::env::args_os())
 }
 
-/// The same with the words of `args`, of which the first is the program's name.
+/// As above, from `args`, the first of which is the program's name.
 pub fn parse_from<T: clap::Parser>(
     args: impl IntoIterator<Item = impl Into<std::ffi::OsString> + Clone>,
 ) -> Result<T, Exit> {
@@ -65,7 +63,7 @@
         .try_get_matches_from(args)
         .and_then(|matches| T::from_arg_matches(&matches));
     matches.map_err(|error| {
-        // A closed standard output is no reason to say more.
+        // A closed standard output needs no further message.
         let _ = error.print();
         if error.use_stderr() {
             Exit::Usage
--- a/crates/common/src/cli/tests.rs
+++ b/crates/common/src/cli/tests.rs
@@ -3,14 +3,15 @@
 use super::*;
 
 #[derive(clap::Parser, Debug)]
-struct Call {
+struct Arguments {
     #[arg(long)]
     config: Option<String>,
 }
 
 #[test]
-fn help_and_version_end_well_and_a_wrong_call_does_not() {
-    let exit = |words: &[&str]| parse_from::<Call>(words.iter().copied()).map(|c| c.config);
+fn help_and_version_succeed_and_invalid_arguments_do_not() {
+    let exit =
+        |arguments: &[&str]| parse_from::<Arguments>(arguments.iter().copied()).map(|c| c.config);
     assert_eq!(exit(&["p"]), Ok(None));
     assert_eq!(exit(&["p", "--config", "a"]), Ok(Some("a".to_owned())));
     assert_eq!(exit(&["p", "--help"]), Err(Exit::Done));
@@ -19,7 +20,7 @@
 }
 
 #[test]
-fn help_states_every_code() {
+fn the_help_lists_every_exit_code() {
     use Exit::*;
     for exit in [Done, Failed, Usage, Data, Unavailable, Software, Io, Config] {
         let stated = EXIT_CODES
--- a/crates/common/src/config/tests.rs
+++ b/crates/common/src/config/tests.rs
@@ -29,9 +29,9 @@
 }
 
 impl Configuration for Sample {
-    fn check(&self) -> Result<(), Contradiction> {
+    fn check(&self) -> Result<(), InvalidSetting> {
         if self.pump.least > self.pump.most {
-            return Err(Contradiction::new(
+            return Err(InvalidSetting::new(
                 "pump.least",
                 format!("above pump.most, {}", self.pump.most),
             ));
@@ -40,7 +40,7 @@
     }
 }
 
-fn said(text: &str) -> String {
+fn error_message(text: &str) -> String {
     let problem = parse::<Sample>(Path::new("a.toml"), text).expect_err(text);
     let line = problem.to_string();
     assert!(!line.contains('\n'), "{line}");
@@ -48,18 +48,18 @@
 }
 
 #[test]
-fn every_section_is_optional_and_units_are_read() {
+fn every_section_is_optional_and_units_are_parsed() {
     let read = |text| parse::<Sample>(Path::new("a.toml"), text).expect(text);
     assert_eq!(read(""), Sample::default());
     assert_eq!(read("[pump]\nmost = \"2s\"\n").pump.most, Time::ms(2000));
     assert_eq!(
-        read(&written(&read("[pump]\ntank = \"3KiB\"\n"))).pump.tank,
+        read(&to_toml(&read("[pump]\ntank = \"3KiB\"\n"))).pump.tank,
         Size(3072)
     );
 }
 
 #[test]
-fn what_is_wrong_is_one_line_with_file_line_and_key() {
+fn an_error_is_one_line_with_file_line_and_key() {
     for (text, place) in [
         (
             "[pump]\nmoost = \"2s\"\n",
@@ -90,11 +90,11 @@
         ("[pump]\nmost = \"2", "a.toml:2: "),
         ("[pump\n", "a.toml:1: "),
     ] {
-        let said = said(text);
+        let said = error_message(text);
         assert!(said.starts_with(place), "{said}");
     }
-    // The value that is left to its default has no line of its own.
-    assert!(said("[pump]\nmost = \"1ms\"\n").starts_with("a.toml:1: pump.least: above"));
+    // A value left to its default has no line of its own.
+    assert!(error_message("[pump]\nmost = \"1ms\"\n").starts_with("a.toml:1: pump.least: above"));
     let missing = load::<Sample>(Path::new("/nonexistent/a.toml")).expect_err("no file");
     assert!(
         missing
@@ -104,23 +104,23 @@
     );
 }
 
-// What a writer has got to when the signal comes.
+// A file as a writer may have it when the signal arrives.
 #[test]
-fn no_half_of_a_file_passes_for_another_configuration_of_known_keys() {
+fn no_truncated_file_is_accepted_as_a_different_configuration() {
     let whole = "[pump]\nleast = \"5ms\"\nmost = \"250ms\"\ntank = \"64KiB\"\n";
     for length in 0..whole.len() {
-        let half = parse::<Sample>(Path::new("a.toml"), &whole[..length]);
-        // Cut between lines it is a shorter file; anywhere else it must not be taken.
-        let between =
+        let truncated = parse::<Sample>(Path::new("a.toml"), &whole[..length]);
+        // Truncated between lines it is a shorter file; anything else must be rejected.
+        let at_line_end =
             whole[..length].ends_with('\n') || whole[length..].starts_with('\n') || length == 0;
-        assert_eq!(half.is_ok(), between, "{:?}", &whole[..length]);
+        assert_eq!(truncated.is_ok(), at_line_end, "{:?}", &whole[..length]);
     }
 }
 
 #[test]
 fn changed_keys_are_named() {
     let (old, mut new) = (Sample::default(), Sample::default());
-    assert!(changed(&old, &new).is_empty());
+    assert!(changed_keys(&old, &new).is_empty());
     (new.pump.tank, new.pump.most) = (Size(5), Time::ms(9));
-    assert_eq!(changed(&old, &new), ["pump.most", "pump.tank"]);
+    assert_eq!(changed_keys(&old, &new), ["pump.most", "pump.tank"]);
 }
--- a/crates/common/src/lib.rs
+++ b/crates/common/src/lib.rs
@@ -1,6 +1,6 @@
-//! What every program of the project shares: conventions of the command line, product
-//! configuration, structured logs and metrics. Knows no subsystem: sections of the configuration
-//! belong to whom they configure.
+//! Functions shared by all programs of the project: command line conventions, product
+//! configuration, structured logs and metrics. Independent of the subsystems, which define their
+//! own sections of the configuration.
 #![forbid(unsafe_code)]
 #![warn(missing_docs, clippy::too_many_lines, clippy::cognitive_complexity)]
 
--- a/crates/common/src/logging.rs
+++ b/crates/common/src/logging.rs
@@ -1,7 +1,7 @@
-//! Logging by the `[log]` section: text for people, JSON for machines.
+//! Logging as configured in the `[log]` section: text for people, JSON for machines.
 
-use crate::config::Contradiction;
-use crate::stderr::{Lines, Shared, Stderr};
+use crate::config::InvalidSetting;
+use crate::stderr::{LineBuffer, SharedLines, Stderr};
 use crate::units::Size;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -20,44 +20,44 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogSection {
-    /// Text for people, or JSON, one object a line.
+    /// Text for people, or JSON, one object per line.
     pub format: Format,
-    /// The least level that is written.
+    /// The lowest level that is written.
     pub level: Level,
-    /// The same for single targets, which are named in the reference, such as `"sidecar::request" =
+    /// The same for single targets, which the reference lists, such as `"sidecar::request" =
     /// "debug"`.
     pub targets: BTreeMap<String, Level>,
-    /// How much may wait for a standard error that takes nothing.
+    /// Most bytes that wait for a blocked standard error.
     pub buffer: Size,
 }
 
-/// What a line looks like.
+/// The format of a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Format {
-    /// `program: text`, as on-call engineers know it.
+    /// `program: text`.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// How much it matters.
+/// The severity of a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Level {
     /// Nothing is written.
     Off,
-    /// What ends the program.
+    /// The program ends.
     Error,
-    /// What somebody should look at.
+    /// An operator should take a look.
     Warn,
     /// Changes of state.
     Info,
-    /// Every request.
+    /// Details of every request.
     Debug,
 }
 
-/// Least buffer: one line of ordinary length must fit.
+/// Smallest buffer: one line of ordinary length must fit.
 const MIN_BUFFER: Size = Size(1024);
 
 impl Default for LogSection {
@@ -72,13 +72,13 @@
 }
 
 impl LogSection {
-    /// Finds what nothing could work with.
+    /// Rejects settings that can't work.
     ///
     /// # Errors
-    /// The buffer holds no line.
-    pub fn check(&self) -> Result<(), Contradiction> {
+    /// The buffer is too small for a line.
+    pub fn check(&self) -> Result<(), InvalidSetting> {
         if self.buffer < MIN_BUFFER {
-            return Err(Contradiction::new(
+            return Err(InvalidSetting::new(
                 "log.buffer",
                 format!("below {MIN_BUFFER}, which a line may need"),
             ));
@@ -86,14 +86,14 @@
         Ok(())
     }
 
-    /// Takes targets under a program's earlier name as those under its name of today. One that is
-    /// named both ways keeps today's level.
-    pub fn rename_targets(&mut self, earlier: &str, today: &str) {
+    /// Renames targets with a program's earlier name to its current one. A target given under both
+    /// names keeps the level of the current one.
+    pub fn rename_targets(&mut self, old_name: &str, current_name: &str) {
         for (target, level) in std::mem::take(&mut self.targets) {
-            match target.strip_prefix(earlier) {
-                Some(rest) if rest.is_empty() || rest.starts_with("::") => {
+            match target.strip_prefix(old_name) {
+                Some(suffix) if suffix.is_empty() || suffix.starts_with("::") => {
                     self.targets
-                        .entry(format!("{today}{rest}"))
+                        .entry(format!("{current_name}{suffix}"))
                         .or_insert(level);
                 }
                 _ => {
@@ -126,35 +126,35 @@
     }
 }
 
-/// The log of this process, to change levels while it runs.
+/// The log of this process; its levels can be changed at runtime.
 pub struct Log {
     filter: reload::Handle<Targets, Registry>,
-    lines: Shared<Stderr>,
+    lines: SharedLines<Stderr>,
 }
 
 impl Log {
-    /// Takes in other levels. Format and buffer stay as they were at the start.
+    /// Sets other levels. Format and buffer stay as they were at the start.
     pub fn set_levels(&self, section: &LogSection) {
         // Fails only once the log itself is gone, with the process.
         let _ = self.filter.reload(section.filter());
     }
 
-    /// Lines dropped so far as standard error did not take them.
+    /// Number of lines dropped so far because standard error was blocked.
     pub fn dropped(&self) -> u64 {
         self.lines.with(|lines| lines.dropped())
     }
 
-    /// Writes what still waits, as far as it is taken without a wait.
+    /// Writes buffered lines, as far as possible without blocking.
     pub fn flush(&self) {
-        self.lines.with(Lines::flush);
+        self.lines.with(LineBuffer::flush);
     }
 }
 
-/// Starts the log of the process; `program` stands before each line of text. Called once, first of
-/// all.
+/// Starts the log of the process; text lines begin with `program`. Must be called once, before
+/// anything is logged.
 pub fn start(section: &LogSection, program: &'static str) -> Log {
-    let most = usize::try_from(section.buffer.0).unwrap_or(usize::MAX);
-    let lines = Shared::new(Lines::new(Stderr, program, most));
+    let max_bytes = usize::try_from(section.buffer.0).unwrap_or(usize::MAX);
+    let lines = SharedLines::new(LineBuffer::new(Stderr, program, max_bytes));
     let (filter, handle) = reload::Layer::new(section.filter());
     let writer = MakeLine(lines.clone());
     let layer: Box<dyn Layer<Registry> + Send + Sync> = match section.format {
@@ -179,7 +179,7 @@
                 .boxed()
         }
     };
-    // Only a second start in one process finds a log there; the first one stays.
+    // Fails only if the process already has a log, which then stays.
     let _ = tracing_subscriber::registry()
         .with(layer.with_filter(filter))
         .try_init();
@@ -189,7 +189,7 @@
     }
 }
 
-/// `program: text key=value`, and the level before the text where it is not one of every day.
+/// `program: text key=value`, with the level before the text if it is debug.
 struct Text {
     program: &'static str,
 }
@@ -214,11 +214,11 @@
     }
 }
 
-/// Hands out a writer for each line, which is kept in whole or not at all.
-struct MakeLine(Shared<Stderr>);
+/// Creates a writer for each line, which is buffered completely or not at all.
+struct MakeLine(SharedLines<Stderr>);
 
 struct Line<'a> {
-    to: &'a Shared<Stderr>,
+    to: &'a SharedLines<Stderr>,
     bytes: Vec<u8>,
 }
 
@@ -247,7 +247,7 @@
 impl Drop for Line<'_> {
     fn drop(&mut self) {
         if !self.bytes.is_empty() {
-            self.to.with(|lines| lines.line(&self.bytes));
+            self.to.with(|lines| lines.write_line(&self.bytes));
         }
     }
 }
--- a/crates/common/src/logging/tests.rs
+++ b/crates/common/src/logging/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn levels_hold_by_target() {
+fn levels_apply_by_target() {
     let mut section = LogSection {
         level: Level::Warn,
         ..LogSection::default()
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn targets_under_an_earlier_program_name_count_as_todays() {
+fn targets_with_an_earlier_program_name_count_as_current_ones() {
     let targets = [
         ("old", Level::Warn),
         ("old::a", Level::Debug),
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_buffer_that_holds_no_line_is_refused() {
+fn a_buffer_too_small_for_a_line_is_rejected() {
     let section = LogSection {
         buffer: Size(10),
         ..LogSection::default()
--- a/crates/common/src/metering.rs
+++ b/crates/common/src/metering.rs
@@ -1,6 +1,7 @@
-//! Metrics in Prometheus text form, by the `[metrics]` section. [`crate::pages`] serves them.
+//! Metrics in the Prometheus text format, as configured in the `[metrics]` section;
+//! [`crate::pages`] serves them.
 
-use crate::config::Contradiction;
+use crate::config::InvalidSetting;
 use crate::process;
 use crate::units::Time;
 use metrics::{
@@ -17,13 +18,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct MetricsSection {
-    /// Whether figures are kept and handed out at all.
+    /// Whether metrics are recorded and served.
     pub enabled: bool,
-    /// Where they are read.
+    /// The address at which they are served.
     pub address: SocketAddr,
-    /// Readers that may be connected at once; further ones are closed.
+    /// Most concurrent readers; further connections are closed.
     pub readers: usize,
-    /// How long one reader may take, from connecting to the last byte of its answer.
+    /// Timeout of a reader, from connecting to the last byte of its answer.
     pub timeout: Time,
 }
 
@@ -40,19 +41,19 @@
 }
 
 impl MetricsSection {
-    /// Finds what nothing could work with.
+    /// Rejects settings that can't work.
     ///
     /// # Errors
-    /// There is no room or no time for a reader.
-    pub fn check(&self) -> Result<(), Contradiction> {
+    /// No readers, or no time for them.
+    pub fn check(&self) -> Result<(), InvalidSetting> {
         if self.readers == 0 {
-            return Err(Contradiction::new(
+            return Err(InvalidSetting::new(
                 "metrics.readers",
                 "0 lets nobody read; set metrics.enabled = false",
             ));
         }
         if self.timeout.0.is_zero() {
-            return Err(Contradiction::new(
+            return Err(InvalidSetting::new(
                 "metrics.timeout",
                 "0s leaves no time to answer",
             ));
@@ -61,33 +62,32 @@
     }
 }
 
-/// Bounds of the histograms' buckets, in seconds: from a fast answer on one machine to the longest
-/// deadline that the platform's settings know (4 s), each about twice the one before.
-const BUCKETS: [f64; 13] = [
+/// Upper bounds of the histograms' buckets, in seconds: from a fast answer on one machine to the
+/// longest deadline of the platform's settings (4 s), each about twice the previous one.
+const BUCKET_BOUNDS_S: [f64; 13] = [
     0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.35, 0.5, 0.8, 1.0, 2.0, 4.0,
 ];
-/// How often samples of histograms are taken out of their queue where nobody reads them, so that it
-/// stays short.
-const UPKEEP: Duration = Duration::from_secs(5);
+/// Interval at which histogram samples are taken out of their queues if nobody reads the metrics.
+const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
-/// All figures of one process.
-pub struct Figures {
+/// The metrics of one process.
+pub struct MetricsRegistry {
     recorder: PrometheusRecorder,
     handle: PrometheusHandle,
 }
 
-impl Default for Figures {
+impl Default for MetricsRegistry {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Figures {
-    /// None yet.
+impl MetricsRegistry {
+    /// An empty registry.
     pub fn new() -> Self {
         let builder = PrometheusBuilder::new();
-        // Refused only without a bucket.
-        let builder = match builder.set_buckets(&BUCKETS) {
+        // Fails only without buckets.
+        let builder = match builder.set_buckets(&BUCKET_BOUNDS_S) {
             Ok(builder) => builder,
             Err(_) => PrometheusBuilder::new(),
         };
@@ -96,56 +96,56 @@
         Self { recorder, handle }
     }
 
-    /// A count that only grows; its name ends with `_total`.
+    /// Registers a counter; its name ends with `_total`.
     pub fn counter(
         &self,
         name: &'static str,
-        what: &'static str,
+        help: &'static str,
         labels: &[(&'static str, &str)],
     ) -> Counter {
         self.recorder
-            .describe_counter(KeyName::from(name), None, SharedString::from(what));
+            .describe_counter(KeyName::from(name), None, SharedString::from(help));
         self.recorder
             .register_counter(&key(name, labels), &METADATA)
     }
 
-    /// A value that goes up and down.
+    /// Registers a gauge.
     pub fn gauge(
         &self,
         name: &'static str,
-        what: &'static str,
+        help: &'static str,
         labels: &[(&'static str, &str)],
     ) -> Gauge {
         self.recorder
-            .describe_gauge(KeyName::from(name), None, SharedString::from(what));
+            .describe_gauge(KeyName::from(name), None, SharedString::from(help));
         self.recorder.register_gauge(&key(name, labels), &METADATA)
     }
 
-    /// Times in seconds; its name ends with `_seconds`.
+    /// Registers a histogram of durations in seconds; its name ends with `_seconds`.
     pub fn seconds(
         &self,
         name: &'static str,
-        what: &'static str,
+        help: &'static str,
         labels: &[(&'static str, &str)],
     ) -> Histogram {
         self.recorder.describe_histogram(
             KeyName::from(name),
             Some(Unit::Seconds),
-            SharedString::from(what),
+            SharedString::from(help),
         );
         self.recorder
             .register_histogram(&key(name, labels), &METADATA)
     }
 
-    /// All of them in Prometheus text form, version 0.0.4, with the process's own brought up to
-    /// date.
-    pub fn text(&self) -> String {
+    /// Renders all metrics in the Prometheus text format, version 0.0.4, with current values of the
+    /// process's own metrics.
+    pub fn render(&self) -> String {
         let usage = process::usage();
-        for (name, what, value) in [
+        for (name, help, value) in [
             (
                 "process_resident_memory_bytes",
                 "Resident memory.",
-                usage.resident.map(|v| v as f64),
+                usage.resident_bytes.map(|v| v as f64),
             ),
             (
                 "process_open_fds",
@@ -155,25 +155,25 @@
             (
                 "process_max_fds",
                 "Descriptors that may be open.",
-                usage.most_descriptors.map(|v| v as f64),
+                usage.max_descriptors.map(|v| v as f64),
             ),
             (
                 "process_cpu_seconds",
                 "Processor time used.",
-                usage.processor,
+                usage.cpu_seconds,
             ),
         ] {
             if let Some(value) = value {
-                self.gauge(name, what, &[]).set(value);
+                self.gauge(name, help, &[]).set(value);
             }
         }
         self.handle.render()
     }
 
-    /// Keeps the queues of the histograms short. Runs for good.
+    /// Keeps the queues of the histograms short. Runs forever.
     pub async fn upkeep(self: Rc<Self>) {
         loop {
-            sleep(UPKEEP).await;
+            sleep(UPKEEP_INTERVAL).await;
             self.handle.run_upkeep();
         }
     }
--- a/crates/common/src/metering/tests.rs
+++ b/crates/common/src/metering/tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 #[test]
-fn figures_are_written_with_their_words_and_labels() {
-    let figures = Figures::new();
+fn metrics_are_rendered_with_their_help_and_labels() {
+    let figures = MetricsRegistry::new();
     figures
         .counter(
             "a_requests_total",
@@ -16,7 +16,7 @@
     times.record(0.15);
     times.record(3.0);
     figures.gauge("a_open", "Open.", &[]).set(2.0);
-    let text = figures.text();
+    let text = figures.render();
     for line in [
         "# TYPE a_requests_total counter",
         "a_requests_total{class=\"x\\\"y\",outcome=\"served\"} 3",
@@ -37,21 +37,24 @@
         )
         .increment(1);
     assert!(
-        figures.text().contains("outcome=\"served\"} 4"),
+        figures.render().contains("outcome=\"served\"} 4"),
         "the same figure goes on"
     );
 }
 
 #[test]
-fn contradictions_are_named() {
-    let none = MetricsSection {
+fn invalid_settings_are_named() {
+    let no_readers = MetricsSection {
         readers: 0,
         ..MetricsSection::default()
     };
-    assert_eq!(none.check().expect_err("no reader").key, "metrics.readers");
-    let hurried = MetricsSection {
+    assert_eq!(
+        no_readers.check().expect_err("no reader").key,
+        "metrics.readers"
+    );
+    let no_time = MetricsSection {
         timeout: Time::ms(0),
         ..MetricsSection::default()
     };
-    assert_eq!(hurried.check().expect_err("no time").key, "metrics.timeout");
+    assert_eq!(no_time.check().expect_err("no time").key, "metrics.timeout");
 }
--- a/crates/common/src/pages.rs
+++ b/crates/common/src/pages.rs
@@ -1,4 +1,4 @@
-//! Serves the pages at the metrics' address, and takes what may be posted there.
+//! Serves the HTTP pages at the metrics address.
 
 use crate::metering::MetricsSection;
 use bytes::Bytes;
@@ -19,100 +19,100 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Pause after a failed accept: with no descriptor to be had, the next one would fail as well.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
-/// Longest body that a reader may post.
+/// Delay after a failed accept: without a free descriptor the next one would fail as well.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Longest request body, in bytes.
 const MAX_BODY_BYTES: usize = 4 << 10;
 
-/// What a reader asks for.
-pub struct Ask {
+/// The request for a page.
+pub struct PageRequest {
     /// The path.
     pub path: String,
-    /// What it posts, if it does.
-    pub posted: Option<Bytes>,
+    /// The body of a POST request.
+    pub body: Option<Bytes>,
 }
 
-/// A page that is read at the address of the metrics.
+/// A page served at the metrics address.
 pub struct Page {
-    /// The status that it goes with.
+    /// The HTTP status.
     pub status: StatusCode,
     /// Its media type.
-    pub media: &'static str,
-    /// Its text.
+    pub media_type: &'static str,
+    /// The text.
     pub text: String,
 }
 
 impl Page {
-    /// Metrics in Prometheus text form.
+    /// Metrics in the Prometheus text format.
     pub fn metrics(text: String) -> Self {
-        let media = "text/plain; version=0.0.4; charset=utf-8";
+        let media_type = "text/plain; version=0.0.4; charset=utf-8";
         Self {
             status: StatusCode::OK,
-            media,
+            media_type,
             text,
         }
     }
 
-    /// Something as JSON; none where it cannot be written so.
-    pub fn json(status: StatusCode, what: &impl Serialize) -> Option<Self> {
-        let text = serde_json::to_string_pretty(what).ok()?;
+    /// A value as JSON; none if it can't be serialized.
+    pub fn json(status: StatusCode, value: &impl Serialize) -> Option<Self> {
+        let text = serde_json::to_string_pretty(value).ok()?;
         Some(Self {
             status,
-            media: "application/json",
+            media_type: "application/json",
             text: text + "\n",
         })
     }
 
-    /// The same for programs, without spaces.
-    pub fn compact(what: &impl Serialize) -> Option<Self> {
-        let text = serde_json::to_string(what).ok()?;
+    /// A value as JSON for programs, without whitespace.
+    pub fn compact(value: &impl Serialize) -> Option<Self> {
+        let text = serde_json::to_string(value).ok()?;
         Some(Self {
             status: StatusCode::OK,
-            media: "application/json",
+            media_type: "application/json",
             text: text + "\n",
         })
     }
 
-    /// Why a posted body cannot be used, and the key that is wrong.
-    pub fn refused(status: StatusCode, key: &str, reason: &str) -> Option<Self> {
+    /// Why a posted body is invalid, and the key that is wrong.
+    pub fn error(status: StatusCode, key: &str, reason: &str) -> Option<Self> {
         Self::json(status, &BTreeMap::from([("key", key), ("reason", reason)]))
     }
 }
 
-/// What may change while pages are handed out.
+/// The limits on readers, which can be changed while pages are served.
 #[derive(Clone)]
-pub struct Bounds(Rc<Cell<(usize, Duration)>>);
+pub struct Limits(Rc<Cell<(usize, Duration)>>);
 
-impl Bounds {
-    /// As the section has them.
-    pub fn of(section: &MetricsSection) -> Self {
+impl Limits {
+    /// The limits of the section.
+    pub fn new(section: &MetricsSection) -> Self {
         let bounds = Self(Rc::default());
         bounds.set(section);
         bounds
     }
 
-    /// Takes in others. Who is connected stays; new readers wait for fewer.
+    /// Sets other limits. Connected readers stay; new ones wait until there are fewer.
     pub fn set(&self, section: &MetricsSection) {
         self.0.set((section.readers, section.timeout.0));
     }
 }
 
-/// Hands out pages by their path until the process ends. A reader costs its connection at most: it
-/// is closed once it is answered, or its time is up, and one beyond the bound at once. Runs inside
-/// a `LocalSet`.
-pub async fn serve<F, P>(listener: TcpListener, bounds: Bounds, pages: P)
+/// Serves pages by their path until the process ends. A reader can occupy only its own connection:
+/// it is closed after the answer or the timeout, and at once if there are too many readers. Must
+/// run inside a `LocalSet`.
+pub async fn serve<F, P>(listener: TcpListener, limits: Limits, pages: P)
 where
-    P: Fn(Ask) -> F + Clone + 'static,
+    P: Fn(PageRequest) -> F + Clone + 'static,
     F: Future<Output = Option<Page>> + 'static,
 {
     let connected = Rc::new(Cell::new(0_usize));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            sleep(ACCEPT_PAUSE).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        let (most, time) = bounds.0.get();
-        if connected.get() >= most {
+        let (max_readers, time) = limits.0.get();
+        if connected.get() >= max_readers {
             continue;
         }
         connected.set(connected.get() + 1);
@@ -121,7 +121,7 @@
             let service = service_fn(move |request| answer(request, pages.clone()));
             let mut builder = http1::Builder::new();
             builder.timer(TokioTimer::new()).keep_alive(false);
-            // What is wrong with a reader is its own concern.
+            // Errors of a connection concern only its reader.
             let _ = timeout(
                 time,
                 builder.serve_connection(TokioIo::new(stream), service),
@@ -137,7 +137,7 @@
     pages: P,
 ) -> Result<Response<Full<Bytes>>, Infallible>
 where
-    P: Fn(Ask) -> F,
+    P: Fn(PageRequest) -> F,
     F: Future<Output = Option<Page>>,
 {
     let mut response = Response::new(Full::default());
@@ -145,7 +145,7 @@
         .headers_mut()
         .insert(CONNECTION, HeaderValue::from_static("close"));
     let path = request.uri().path().to_owned();
-    let posted = match *request.method() {
+    let body = match *request.method() {
         Method::GET => Ok(None),
         Method::POST if request.body().size_hint().lower() > MAX_BODY_BYTES as u64 => {
             Err(StatusCode::PAYLOAD_TOO_LARGE)
@@ -160,14 +160,14 @@
         },
         _ => Err(StatusCode::METHOD_NOT_ALLOWED),
     };
-    match posted {
+    match body {
         Err(status) => *response.status_mut() = status,
-        Ok(posted) => match pages(Ask { path, posted }).await {
+        Ok(posted) => match pages(PageRequest { path, body: posted }).await {
             Some(page) => {
                 *response.status_mut() = page.status;
                 response
                     .headers_mut()
-                    .insert(CONTENT_TYPE, HeaderValue::from_static(page.media));
+                    .insert(CONTENT_TYPE, HeaderValue::from_static(page.media_type));
                 *response.body_mut() = Full::new(Bytes::from(page.text));
             }
             None => *response.status_mut() = StatusCode::NOT_FOUND,
--- a/crates/common/src/stderr.rs
+++ b/crates/common/src/stderr.rs
@@ -6,127 +6,127 @@
 use std::os::fd::AsFd;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// A pipe that polls as writable takes this much at once (`PIPE_BUF`, pipe(7)).
-const AT_ONCE: usize = 4096;
-
-/// Where bytes go.
-pub trait Sink: Send {
-    /// Whether `AT_ONCE` bytes would be taken without a wait.
-    fn ready(&self) -> bool;
-    /// Writes some of them, and says how many.
-    fn take(&mut self, bytes: &[u8]) -> io::Result<usize>;
+/// Bytes that a pipe accepts at once when it polls as writable (`PIPE_BUF`, pipe(7)).
+const MAX_WRITE_BYTES: usize = 4096;
+
+/// The destination of log lines.
+pub trait LogSink: Send {
+    /// Whether `MAX_WRITE_BYTES` bytes can be written without blocking.
+    fn is_ready(&self) -> bool;
+    /// Writes some of the bytes; returns how many.
+    fn write(&mut self, bytes: &[u8]) -> io::Result<usize>;
 }
 
 /// The process's standard error.
 pub struct Stderr;
 
-impl Sink for Stderr {
-    fn ready(&self) -> bool {
+impl LogSink for Stderr {
+    fn is_ready(&self) -> bool {
         let stderr = io::stderr();
-        let mut one = [PollFd::from_borrowed_fd(stderr.as_fd(), PollFlags::OUT)];
-        matches!(poll(&mut one, Some(&Timespec { tv_sec: 0, tv_nsec: 0 })), Ok(n) if n > 0)
+        let mut descriptors = [PollFd::from_borrowed_fd(stderr.as_fd(), PollFlags::OUT)];
+        matches!(poll(&mut descriptors, Some(&Timespec { tv_sec: 0, tv_nsec: 0 })), Ok(n) if n > 0)
     }
 
-    fn take(&mut self, bytes: &[u8]) -> io::Result<usize> {
+    fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         io::stderr().write(bytes)
     }
 }
 
-/// Lines on their way to a sink: written at once where it takes them, else kept up to a bound and
-/// tried again with the next line. What does not fit is dropped, newest first, and counted; the
-/// count is written in their place.
-pub struct Lines<S> {
+/// Writes lines to a sink if it accepts them; otherwise buffers them up to a limit and retries with
+/// the next line. Lines that do not fit are dropped and counted, and the count is written in their
+/// place.
+pub struct LineBuffer<S> {
     sink: S,
     program: &'static str,
-    waiting: VecDeque<u8>,
-    most: usize,
-    unsaid: u64,
+    buffered: VecDeque<u8>,
+    max_bytes: usize,
+    unreported: u64,
     dropped: u64,
 }
 
-impl<S: Sink> Lines<S> {
-    /// At most `most` bytes wait for `sink`.
-    pub fn new(sink: S, program: &'static str, most: usize) -> Self {
+impl<S: LogSink> LineBuffer<S> {
+    /// Buffers at most `max_bytes` for `sink`.
+    pub fn new(sink: S, program: &'static str, max_bytes: usize) -> Self {
         Self {
             sink,
             program,
-            waiting: VecDeque::new(),
-            most,
-            unsaid: 0,
+            buffered: VecDeque::new(),
+            max_bytes,
+            unreported: 0,
             dropped: 0,
         }
     }
 
-    /// Writes or keeps a line, which ends with a line break.
-    pub fn line(&mut self, line: &[u8]) {
+    /// Writes or buffers a line, which ends with a line break.
+    pub fn write_line(&mut self, line: &[u8]) {
         self.flush();
-        if self.unsaid > 0 {
+        if self.unreported > 0 {
             let note = format!(
                 "{}: {} lines dropped, standard error did not take them\n",
-                self.program, self.unsaid
+                self.program, self.unreported
             );
-            if self.keep(note.as_bytes()) {
-                self.unsaid = 0;
+            if self.buffer(note.as_bytes()) {
+                self.unreported = 0;
             }
         }
-        if self.unsaid > 0 || !self.keep(line) {
-            self.unsaid += 1;
+        if self.unreported > 0 || !self.buffer(line) {
+            self.unreported += 1;
             self.dropped += 1;
         }
         self.flush();
     }
 
-    fn keep(&mut self, bytes: &[u8]) -> bool {
-        let fits = self.waiting.len() + bytes.len() <= self.most;
+    fn buffer(&mut self, bytes: &[u8]) -> bool {
+        let fits = self.buffered.len() + bytes.len() <= self.max_bytes;
         if fits {
-            self.waiting.extend(bytes);
+            self.buffered.extend(bytes);
         }
         fits
     }
 
-    /// Writes what the sink takes without a wait.
+    /// Writes what the sink accepts without blocking.
     pub fn flush(&mut self) {
-        while !self.waiting.is_empty() && self.sink.ready() {
-            let (front, _) = self.waiting.as_slices();
-            match self.sink.take(&front[..front.len().min(AT_ONCE)]) {
+        while !self.buffered.is_empty() && self.sink.is_ready() {
+            let (front, _) = self.buffered.as_slices();
+            match self.sink.write(&front[..front.len().min(MAX_WRITE_BYTES)]) {
                 Ok(0) => return,
-                Ok(written) => drop(self.waiting.drain(..written)),
+                Ok(written) => drop(self.buffered.drain(..written)),
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
-                // Closed for good: there is nobody to tell.
+                // Closed permanently: the lines are lost.
                 Err(_) => {
-                    self.dropped += self.waiting.iter().filter(|b| **b == b'\n').count() as u64;
-                    return self.waiting.clear();
+                    self.dropped += self.buffered.iter().filter(|b| **b == b'\n').count() as u64;
+                    return self.buffered.clear();
                 }
             }
         }
     }
 
-    /// Lines dropped so far.
+    /// Number of lines dropped so far.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
 }
 
-/// Lines that several threads write.
-pub struct Shared<S>(Arc<Mutex<Lines<S>>>);
+/// Lines written by several threads.
+pub struct SharedLines<S>(Arc<Mutex<LineBuffer<S>>>);
 
-impl<S> Clone for Shared<S> {
+impl<S> Clone for SharedLines<S> {
     fn clone(&self) -> Self {
         Self(Arc::clone(&self.0))
     }
 }
 
-impl<S: Sink> Shared<S> {
-    /// Shares them.
-    pub fn new(lines: Lines<S>) -> Self {
+impl<S: LogSink> SharedLines<S> {
+    /// Shares a buffer.
+    pub fn new(lines: LineBuffer<S>) -> Self {
         Self(Arc::new(Mutex::new(lines)))
     }
 
-    /// Does something with them.
-    pub fn with<T>(&self, what: impl FnOnce(&mut Lines<S>) -> T) -> T {
-        // A writer that panicked has left whole bytes behind: they are still good.
-        what(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
+    /// Runs an operation on the buffer.
+    pub fn with<T>(&self, operation: impl FnOnce(&mut LineBuffer<S>) -> T) -> T {
+        // A writer that panicked leaves only complete bytes behind.
+        operation(&mut self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
--- a/crates/common/src/units.rs
+++ b/crates/common/src/units.rs
@@ -1,18 +1,18 @@
-//! Times and sizes as configurations write them, always with a unit.
+//! Durations and sizes in configurations, always with a unit.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 use std::fmt;
 use std::time::Duration;
 
-/// A time: `"250ms"`, `"2s"`, `"1m 30s"`. A number without a unit is refused.
+/// A duration: `"250ms"`, `"2s"`, `"1m 30s"`. A number without a unit is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Time(pub Duration);
 
-/// A number of bytes: `"64KiB"`, `"1.5MiB"`, `"200B"`. A number without a unit is refused.
+/// A number of bytes: `"64KiB"`, `"1.5MiB"`, `"200B"`. A number without a unit is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Size(pub u64);
 
-/// Why a text is not a time.
+/// Why a text is not a duration.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{text:?} is not a time such as \"250ms\" or \"2s\": {reason}")]
 pub struct InvalidTime {
@@ -29,7 +29,7 @@
 }
 
 impl Time {
-    /// So many milliseconds.
+    /// That many milliseconds.
     pub const fn ms(ms: u64) -> Self {
         Self(Duration::from_millis(ms))
     }
@@ -43,7 +43,7 @@
             text: text.to_owned(),
             reason,
         };
-        // The crate takes a bare 0; nothing here is without a unit.
+        // humantime accepts a bare 0; here a unit is required.
         if text.trim().bytes().all(|b| b.is_ascii_digit()) {
             return Err(invalid("no unit".to_owned()));
         }
@@ -90,7 +90,7 @@
     }
 }
 
-macro_rules! as_text {
+macro_rules! serialize_as_text {
     ($name:ident, $what:literal) => {
         impl Serialize for $name {
             fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
@@ -118,8 +118,8 @@
     };
 }
 
-as_text!(Time, "a time with its unit, such as \"250ms\"");
-as_text!(Size, "a size with its unit, such as \"64KiB\"");
+serialize_as_text!(Time, "a time with its unit, such as \"250ms\"");
+serialize_as_text!(Size, "a size with its unit, such as \"64KiB\"");
 
 #[cfg(test)]
 mod tests;
--- a/crates/common/src/units/tests.rs
+++ b/crates/common/src/units/tests.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn a_unit_is_needed_and_must_be_known() {
+fn a_unit_is_required_and_must_be_known() {
     for (text, ms) in [("250ms", 250), ("2s", 2000), ("1m 30s", 90_000), ("0s", 0)] {
         assert_eq!(text.parse(), Ok(Time::ms(ms)), "{text}");
     }
@@ -35,7 +35,7 @@
 }
 
 proptest! {
-    // `--check` prints what would hold: read again, it must be the same.
+    // `--check` prints the effective configuration, which must be the same when it is parsed again.
     #[test]
     fn what_is_written_reads_the_same(us in 0u64..1 << 50, bytes in 0u64..1 << 50, shift in 0u32..20) {
         let time = Time(Duration::from_micros(us));
--- a/crates/coordinator/src/config/check.rs
+++ b/crates/coordinator/src/config/check.rs
@@ -1,7 +1,7 @@
 //! Validates a configuration: bounds of single values, and contradictions between values.
 
 use super::{CoordinatorSection, ObservationSection, Sections};
-use load_balancer_common::config::{Configuration, Contradiction};
+use load_balancer_common::config::{Configuration, InvalidSetting};
 use load_balancer_common::units::Time;
 use std::ops::RangeInclusive;
 
@@ -20,7 +20,7 @@
 const MAX_TIME: Time = Time::ms(60_000);
 
 impl Configuration for Sections {
-    fn check(&self) -> Result<(), Contradiction> {
+    fn check(&self) -> Result<(), InvalidSetting> {
         self.log.check()?;
         self.metrics.check()?;
         self.check_members()?;
@@ -37,12 +37,12 @@
             .check_period(self.budget.evidence_bound_ms)?;
         self.budget
             .check()
-            .map_err(|e| Contradiction::new(&format!("disruption_budget.{}", e.key), e.reason))
+            .map_err(|e| InvalidSetting::new(&format!("disruption_budget.{}", e.key), e.reason))
     }
 }
 
 impl Sections {
-    fn check_members(&self) -> Result<(), Contradiction> {
+    fn check_members(&self) -> Result<(), InvalidSetting> {
         let name = &self.coordinator.name;
         let fits = (1..=MAX_NAME_BYTES).contains(&name.len());
         if !fits || !name.bytes().all(|b| b.is_ascii_graphic()) {
@@ -63,7 +63,7 @@
         Ok(())
     }
 
-    fn check_times(&self) -> Result<(), Contradiction> {
+    fn check_times(&self) -> Result<(), InvalidSetting> {
         for (key, time) in [
             ("coordinator.timeout", self.coordinator.timeout),
             ("platform.timeout", self.platform.timeout),
@@ -79,7 +79,7 @@
 }
 
 impl CoordinatorSection {
-    fn check(&self) -> Result<(), Contradiction> {
+    fn check(&self) -> Result<(), InvalidSetting> {
         if !(MIN_TIME..=MAX_HEARTBEAT).contains(&self.heartbeat) {
             return contradiction(
                 "coordinator.heartbeat",
@@ -103,7 +103,7 @@
 }
 
 impl ObservationSection {
-    fn check_agree(&self) -> Result<(), Contradiction> {
+    fn check_agree(&self) -> Result<(), InvalidSetting> {
         if self.agree == 0 || self.agree > self.ask {
             return contradiction(
                 "observations.agree",
@@ -114,7 +114,7 @@
     }
 
     /// Checks the polling interval against the maximum staleness of observations, in milliseconds.
-    fn check_period(&self, max_staleness_ms: i64) -> Result<(), Contradiction> {
+    fn check_period(&self, max_staleness_ms: i64) -> Result<(), InvalidSetting> {
         let period_ms = i64::try_from(self.period.0.as_millis()).unwrap_or(i64::MAX);
         if period_ms >= max_staleness_ms {
             return contradiction(
@@ -126,6 +126,6 @@
     }
 }
 
-fn contradiction(key: &str, reason: String) -> Result<(), Contradiction> {
-    Err(Contradiction::new(key, reason))
+fn contradiction(key: &str, reason: String) -> Result<(), InvalidSetting> {
+    Err(InvalidSetting::new(key, reason))
 }
--- a/crates/coordinator/src/main.rs
+++ b/crates/coordinator/src/main.rs
@@ -83,7 +83,7 @@
     };
     sections.log.rename_targets(EARLIER_TARGET, NAME);
     if check {
-        let _ = write!(std::io::stdout(), "{}", files::written(&sections));
+        let _ = write!(std::io::stdout(), "{}", files::to_toml(&sections));
         return Exit::Done.into();
     }
     let log = logging::start(&sections.log, NAME);
--- a/crates/coordinator/src/metrics.rs
+++ b/crates/coordinator/src/metrics.rs
@@ -4,7 +4,7 @@
 use crate::log_thread::PublishedStatus;
 use crate::peers::Peers;
 use crate::poller::Poller;
-use load_balancer_common::metering::Figures;
+use load_balancer_common::metering::MetricsRegistry;
 use load_balancer_common::pages::Page;
 use load_balancer_maintenance::State;
 use std::rc::Rc;
@@ -14,7 +14,7 @@
 /// The sources of the metrics.
 #[derive(Clone)]
 pub struct Sources {
-    pub figures: Rc<Figures>,
+    pub figures: Rc<MetricsRegistry>,
     pub status: watch::Receiver<Arc<PublishedStatus>>,
     pub calls: PendingCalls,
     pub peers: Peers,
@@ -120,6 +120,6 @@
                 &[],
             )
             .absolute(self.calls.dropped_inputs());
-        Page::metrics(figures.text())
+        Page::metrics(figures.render())
     }
 }
--- a/crates/coordinator/src/run.rs
+++ b/crates/coordinator/src/run.rs
@@ -11,8 +11,8 @@
 use crate::poller::Poller;
 use crate::{joining, serve};
 use load_balancer_common::cli::Exit;
-use load_balancer_common::metering::Figures;
-use load_balancer_common::pages::{self, Ask, Bounds};
+use load_balancer_common::metering::MetricsRegistry;
+use load_balancer_common::pages::{self, Limits, PageRequest};
 use load_balancer_coordinator::core::Input;
 use std::rc::Rc;
 use std::time::Duration;
@@ -68,7 +68,7 @@
         peers.clone(),
     );
     if sections.metrics.enabled {
-        let (figures, address) = (Rc::new(Figures::new()), sections.metrics.address);
+        let (figures, address) = (Rc::new(MetricsRegistry::new()), sections.metrics.address);
         let metrics_listener = TcpListener::bind(address).await;
         let metrics = metrics_listener
             .map_err(|e| unavailable(format!("cannot listen on metrics.address {address}: {e}")))?;
@@ -81,11 +81,11 @@
             peers: peers.clone(),
             poller,
         };
-        let page = move |ask: Ask| {
+        let page = move |ask: PageRequest| {
             let sources = sources.clone();
-            async move { (ask.path == "/metrics" && ask.posted.is_none()).then(|| sources.page()) }
+            async move { (ask.path == "/metrics" && ask.body.is_none()).then(|| sources.page()) }
         };
-        spawn_local(pages::serve(metrics, Bounds::of(&sections.metrics), page));
+        spawn_local(pages::serve(metrics, Limits::new(&sections.metrics), page));
     }
     let answer = move |request, from_coordinator| pages.clone().answer(request, from_coordinator);
     spawn_local(serve::serve(
--- a/crates/coordinator/tests/core/world.rs
+++ b/crates/coordinator/tests/core/world.rs
@@ -99,11 +99,11 @@
         let (id, run) = (self.random.u64(1..), self.random.u64(..));
         let names: Vec<String> = self.hosts.iter().map(|slot| slot.name.clone()).collect();
         let slot = &mut self.hosts[place];
-        let store = match Store::on(slot.disk.clone(), &slot.name) {
+        let store = match Store::open_backend(slot.disk.clone(), &slot.name) {
             Ok(store) => store,
             Err(OpenError::Corruption(_)) => {
                 slot.disk = Disk::new();
-                Store::on(slot.disk.clone(), &slot.name).expect("a new disk")
+                Store::open_backend(slot.disk.clone(), &slot.name).expect("a new disk")
             }
             Err(refusal) => panic!("{refusal}"),
         };
--- a/crates/coordinator/tests/replicated_log/faults.rs
+++ b/crates/coordinator/tests/replicated_log/faults.rs
@@ -71,7 +71,7 @@
             32..36 if self.host_without_vote.is_none() && all_have_votes(self) => {
                 self.crash(place);
                 let bit = self.random.u64(..);
-                self.hosts[place].disk.flip(bit);
+                self.hosts[place].disk.flip_bit(bit);
                 self.host_without_vote = Some(place);
                 self.start(place, false);
                 // The flipped bit may be unused.
--- a/crates/coordinator/tests/replicated_log/world.rs
+++ b/crates/coordinator/tests/replicated_log/world.rs
@@ -79,13 +79,13 @@
     pub fn start(&mut self, place: usize, is_founder: bool) {
         let (id, run) = (self.random.u64(1..), self.random.u64(..));
         let slot = &mut self.hosts[place];
-        let store = match Store::on(slot.disk.clone(), &slot.name) {
+        let store = match Store::open_backend(slot.disk.clone(), &slot.name) {
             Ok(store) => store,
             Err(OpenError::Corruption(_)) => {
                 // A corrupt store is replaced, as opening the file does.
                 self.counts.refused_disks += 1;
                 slot.disk = Disk::new();
-                Store::on(slot.disk.clone(), &slot.name).expect("a new disk")
+                Store::open_backend(slot.disk.clone(), &slot.name).expect("a new disk")
             }
             Err(refusal) => panic!("{refusal}"),
         };
--- a/crates/emulator/src/bin/fleet-emulator/main.rs
+++ b/crates/emulator/src/bin/fleet-emulator/main.rs
@@ -108,7 +108,7 @@
                 sim.servers.unwrap_or(t.servers),
             );
             config::Configuration::check(&experiment)
-                .map_err(|c| say(&format!("{}: {}", c.key, c.what), Exit::Usage))?;
+                .map_err(|c| say(&format!("{}: {}", c.key, c.reason), Exit::Usage))?;
             played(&experiment, &sim.played, None).await
         }
         What::Compare(both) => {
--- a/crates/emulator/src/bin/fleet-emulator/up.rs
+++ b/crates/emulator/src/bin/fleet-emulator/up.rs
@@ -38,7 +38,7 @@
         ..Variant::default()
     }];
     config::Configuration::check(&experiment)
-        .map_err(|c| say(&format!("{}: {}", c.key, c.what), Exit::Usage))?;
+        .map_err(|c| say(&format!("{}: {}", c.key, c.reason), Exit::Usage))?;
     let launch = kept(program(up.program)?, Time(READY_WITHIN));
     let folder =
         tempfile::tempdir().map_err(|e| say(&format!("cannot make a folder: {e}"), Exit::Io))?;
--- a/crates/emulator/src/comparison.rs
+++ b/crates/emulator/src/comparison.rs
@@ -13,7 +13,7 @@
 use crate::statistics::Interval;
 use crate::tally::Tally;
 use judge::judge;
-use load_balancer_common::config::Problem;
+use load_balancer_common::config::InvalidConfig;
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -129,7 +129,7 @@
     /// A run could not be run.
     Play(RunError),
     /// A variant's configuration cannot be used.
-    Config(Problem),
+    Config(InvalidConfig),
     /// The machine was too slow, time and again.
     Late {
         /// How late requests left, one in a hundred, in milliseconds.
--- a/crates/emulator/src/experiment/check.rs
+++ b/crates/emulator/src/experiment/check.rs
@@ -1,7 +1,7 @@
 //! Validates an experiment's file against the limits of the emulator.
 
 use super::{Carried, Experiment, FaultKind};
-use load_balancer_common::config::{Configuration, Contradiction};
+use load_balancer_common::config::{Configuration, InvalidSetting};
 
 const MAX_SIDECARS: usize = 10_000;
 const MAX_SERVERS: usize = 1000;
@@ -13,8 +13,8 @@
         clippy::too_many_lines,
         reason = "one condition after the other, each with its message"
     )]
-    fn check(&self) -> Result<(), Contradiction> {
-        let wrong = |key: &str, what: &str| Err(Contradiction::new(key, what));
+    fn check(&self) -> Result<(), InvalidSetting> {
+        let wrong = |key: &str, what: &str| Err(InvalidSetting::new(key, what));
         let (t, l) = (&self.topology, &self.load);
         let part = |x: f64| (0.0..=1.0).contains(&x);
         if self.name.is_empty()
--- a/crates/emulator/src/experiment/mix.rs
+++ b/crates/emulator/src/experiment/mix.rs
@@ -1,7 +1,7 @@
 //! The part of an experiment's file on mixed fleets: which sidecars run an earlier revision, and
 //! when they change over.
 
-use load_balancer_common::config::Contradiction;
+use load_balancer_common::config::InvalidSetting;
 use load_balancer_common::units::Time;
 use serde::{Deserialize, Serialize};
 use std::path::PathBuf;
@@ -52,13 +52,13 @@
 }
 
 impl Mix {
-    pub(super) fn check(&self, lasts: Time) -> Result<(), Contradiction> {
+    pub(super) fn check(&self, lasts: Time) -> Result<(), InvalidSetting> {
         let part = |x: f64| (0.0..=1.0).contains(&x);
         if !part(self.part) || !self.roll.iter().all(|roll| part(roll.part)) {
-            return Err(Contradiction::new("variant.mix", "part from 0 to 1"));
+            return Err(InvalidSetting::new("variant.mix", "part from 0 to 1"));
         }
         if self.roll.iter().any(|roll| roll.at >= lasts) {
-            return Err(Contradiction::new(
+            return Err(InvalidSetting::new(
                 "variant.mix.roll",
                 "at must lie before load.lasts",
             ));
--- a/crates/emulator/src/pairs/histories.rs
+++ b/crates/emulator/src/pairs/histories.rs
@@ -6,7 +6,7 @@
 use crate::experiment::{Experiment, Fault, FaultKind, Variant, Way};
 use crate::sim::simulate_tapped;
 use crate::{SECOND, Us};
-use load_balancer_common::config::Problem;
+use load_balancer_common::config::InvalidConfig;
 use load_balancer_common::units::Time;
 use serde::{Deserialize, Serialize};
 
@@ -143,7 +143,7 @@
 ///
 /// # Errors
 /// Never, as a history has no product configuration.
-pub fn history(number: u64) -> Result<Written, Problem> {
+pub fn history(number: u64) -> Result<Written, InvalidConfig> {
     let experiment = experiment(number);
     let plan = draw(&experiment, number);
     let names: Vec<String> = plan
--- a/crates/emulator/src/pairs/pins.rs
+++ b/crates/emulator/src/pairs/pins.rs
@@ -2,7 +2,7 @@
 //! are intended; docs/versions.md says how the file is moved on.
 
 use super::histories::Kind;
-use load_balancer_common::config::{self, Configuration, Contradiction, Problem};
+use load_balancer_common::config::{self, Configuration, InvalidConfig, InvalidSetting};
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
 
@@ -89,8 +89,8 @@
 const COMMIT: usize = 40;
 
 impl Configuration for Pins {
-    fn check(&self) -> Result<(), Contradiction> {
-        let wrong = |key: &str, what: &str| Err(Contradiction::new(key, what));
+    fn check(&self) -> Result<(), InvalidSetting> {
+        let wrong = |key: &str, what: &str| Err(InvalidSetting::new(key, what));
         let commit =
             |text: &str| text.len() == COMMIT && text.bytes().all(|b| b.is_ascii_hexdigit());
         for (number, revision) in self.revision.iter().enumerate() {
@@ -147,7 +147,7 @@
     ///
     /// # Errors
     /// It cannot be read or used.
-    pub fn load(file: &Path) -> Result<Self, Problem> {
+    pub fn load(file: &Path) -> Result<Self, InvalidConfig> {
         config::load(file)
     }
 
--- a/crates/emulator/src/sim.rs
+++ b/crates/emulator/src/sim.rs
@@ -22,7 +22,7 @@
 use event::What;
 use instance::{Instance, Open, address, sections};
 use load_balancer::{AttemptIndex, Event, Micros, RequestId};
-use load_balancer_common::config::Problem;
+use load_balancer_common::config::InvalidConfig;
 use load_balancer_gossip::core::{ACTIVE_TICK, Core};
 use load_balancer_gossip::section::FleetSection;
 use std::cmp::Reverse;
@@ -73,7 +73,11 @@
 ///
 /// # Errors
 /// The variant's configuration cannot be used.
-pub fn simulate(experiment: &Experiment, plan: &Plan, variant: &Variant) -> Result<Tally, Problem> {
+pub fn simulate(
+    experiment: &Experiment,
+    plan: &Plan,
+    variant: &Variant,
+) -> Result<Tally, InvalidConfig> {
     simulate_tapped(experiment, plan, variant, None)
 }
 
@@ -86,7 +90,7 @@
     plan: &'a Plan,
     variant: &Variant,
     tap: Option<&'a mut dyn Tap>,
-) -> Result<Tally, Problem> {
+) -> Result<Tally, InvalidConfig> {
     let mut sim = Sim {
         sections: sections(variant, plan)?,
         by_address: (0..plan.sidecars.len())
--- a/crates/emulator/src/sim/instance.rs
+++ b/crates/emulator/src/sim/instance.rs
@@ -8,7 +8,7 @@
 use crate::plan::Plan;
 use crate::run::FLEET;
 use load_balancer::{AttemptIndex, Balancer, RequestId};
-use load_balancer_common::config::{self, Configuration, Contradiction, Problem};
+use load_balancer_common::config::{self, Configuration, InvalidConfig, InvalidSetting};
 use load_balancer_gossip::core::Core;
 use load_balancer_gossip::section::FleetSection;
 use serde::{Deserialize, Serialize};
@@ -50,7 +50,7 @@
 }
 
 impl Configuration for Sections {
-    fn check(&self) -> Result<(), Contradiction> {
+    fn check(&self) -> Result<(), InvalidSetting> {
         self.fleet.check()
     }
 }
@@ -62,7 +62,7 @@
 }
 
 /// Each sidecar's section, where the variant has any.
-pub(super) fn sections(variant: &Variant, plan: &Plan) -> Result<Vec<FleetSection>, Problem> {
+pub(super) fn sections(variant: &Variant, plan: &Plan) -> Result<Vec<FleetSection>, InvalidConfig> {
     if !variant.config.contains(FLEET) {
         return Ok(Vec::new());
     }
--- a/crates/emulator/src/supervisor.rs
+++ b/crates/emulator/src/supervisor.rs
@@ -196,8 +196,8 @@
     fn account(&mut self) {
         let Some(process) = self.id() else { return };
         let usage = usage_of(process);
-        self.spent.processor += usage.processor.unwrap_or(0.0);
-        self.spent.resident = usage.resident.unwrap_or(0);
+        self.spent.processor += usage.cpu_seconds.unwrap_or(0.0);
+        self.spent.resident = usage.resident_bytes.unwrap_or(0);
     }
 
     /// Kills it and waits for its end.
--- a/crates/gossip/benches/cost.rs
+++ b/crates/gossip/benches/cost.rs
@@ -62,7 +62,7 @@
         "members  bytes/s  datagrams/s  us/s  MB/member  (per member; 10 attempts a second, two endpoints of {ENDPOINTS} silent)"
     );
     for members in [60, 300, 1000, 10_000] {
-        let memory = usage().resident.unwrap_or(0);
+        let memory = usage().resident_bytes.unwrap_or(0);
         let all: Vec<Member> = (0..members).map(member).collect();
         let by_address: HashMap<SocketAddr, usize> = all
             .iter()
@@ -141,8 +141,9 @@
             (b + c.counts().sent_bytes, d + c.counts().sent)
         });
         let each = (cores.len() as i64 * COUNTED) as f64;
-        let memory =
-            usage().resident.unwrap_or(0).saturating_sub(memory) as f64 / cores.len() as f64 / 1e6;
+        let memory = usage().resident_bytes.unwrap_or(0).saturating_sub(memory) as f64
+            / cores.len() as f64
+            / 1e6;
         assert!(
             cores.iter().all(|c| c.members() == members - 1),
             "somebody was lost"
--- a/crates/gossip/src/section.rs
+++ b/crates/gossip/src/section.rs
@@ -3,7 +3,7 @@
 use crate::Micros;
 use ipnet::{IpNet, Ipv4Net};
 use load_balancer_affinity::section::AffinityEntriesSection;
-use load_balancer_common::config::Contradiction;
+use load_balancer_common::config::InvalidSetting;
 use load_balancer_common::units::Time;
 use serde::{Deserialize, Serialize};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -153,8 +153,8 @@
     ///
     /// # Errors
     /// Returns the first invalid value.
-    pub fn check(&self) -> Result<(), Contradiction> {
-        let contradiction = |key: &str, what: &str| Err(Contradiction::new(key, what));
+    pub fn check(&self) -> Result<(), InvalidSetting> {
+        let contradiction = |key: &str, what: &str| Err(InvalidSetting::new(key, what));
         if self.cluster.is_empty() || self.cluster.len() > MAX_NAME_BYTES {
             return contradiction("fleet.cluster", "1 to 32 bytes");
         }
--- a/crates/record_store/src/disk.rs
+++ b/crates/record_store/src/disk.rs
@@ -1,37 +1,37 @@
-//! A disk in memory that fails as disks do, for tests of what is built on record stores.
+//! A disk in memory with the faults of real disks, for tests of code on top of record stores.
 //!
-//! What is written is in the cache; a sync makes it durable. A crash keeps, of what was not synced,
-//! any part in units of a sector, in any order: lost, whole or torn.
+//! Written data is cached until a sync makes it durable. A crash keeps any part of the data that
+//! was not synced, in units of a sector and in any order: it is lost, complete or torn.
 
 use std::io::{Error, ErrorKind};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 
-/// What a disk writes whole or not at all, in bytes.
-pub const SECTOR: usize = 512;
+/// The unit that a disk writes atomically, in bytes.
+pub const SECTOR_BYTES: usize = 512;
 
 #[derive(Debug, Default)]
 struct Inner {
     durable: Vec<u8>,
     cache: Vec<u8>,
-    /// Writes to go until the disk takes no more; none counts while it is `None`.
-    budget: Option<u64>,
+    /// Number of writes until the disk accepts no more; unlimited if `None`.
+    writes_left: Option<u64>,
     writes: u64,
-    broken: Option<DiskFault>,
-    held: bool,
+    fault: Option<DiskFault>,
+    blocks_syncs: bool,
 }
 
-/// What a disk does no more: each such call is answered with an input/output error.
+/// A class of operations that fail with an input/output error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskFault {
-    /// Reading.
+    /// Reads.
     Reads,
-    /// Writing, and changing the file's length.
+    /// Writes, and changes of the file's length.
     Writes,
-    /// Syncing.
+    /// Syncs.
     Syncs,
 }
 
-/// A handle to the disk; clones are the same disk.
+/// A handle to the disk; clones refer to the same disk.
 #[derive(Clone, Debug, Default)]
 pub struct Disk(Arc<(Mutex<Inner>, Condvar)>);
 
@@ -46,9 +46,9 @@
         self.0.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// One that holds these bytes.
+    /// A disk with these contents.
     #[must_use]
-    pub fn holding(bytes: Vec<u8>) -> Self {
+    pub fn with_bytes(bytes: Vec<u8>) -> Self {
         let inner = Inner {
             cache: bytes.clone(),
             durable: bytes,
@@ -57,62 +57,61 @@
         Self(Arc::new((Mutex::new(inner), Condvar::new())))
     }
 
-    /// What would be there after a sync.
+    /// The contents after a sync.
     #[must_use]
     pub fn bytes(&self) -> Vec<u8> {
         self.inner().cache.clone()
     }
 
-    /// From now on it no longer does this; `None` mends it.
-    pub fn break_down(&self, what: Option<DiskFault>) {
-        self.inner().broken = what;
+    /// Makes a class of operations fail from now on; `None` repairs the disk.
+    pub fn set_fault(&self, fault: Option<DiskFault>) {
+        self.inner().fault = fault;
     }
 
-    /// While it is held, a sync does not come back.
-    pub fn hold(&self, held: bool) {
-        self.inner().held = held;
+    /// Blocks or unblocks syncs.
+    pub fn block_syncs(&self, blocked: bool) {
+        self.inner().blocks_syncs = blocked;
         self.0.1.notify_all();
     }
 
-    fn works(inner: &Inner, call: DiskFault) -> Result<(), Error> {
-        if inner.broken == Some(call) {
+    fn check_fault(inner: &Inner, call: DiskFault) -> Result<(), Error> {
+        if inner.fault == Some(call) {
             Err(Error::other("input/output error"))
         } else {
             Ok(())
         }
     }
 
-    /// Power off and on: `keep` is asked for every sector that was not synced, whether it got to
-    /// the disk. The file's length is that of the cache or the old one, as `keep` says too. A new
-    /// disk with what is left comes back, so that whoever still holds the old handle can change
-    /// nothing; that one takes no more writes.
+    /// Simulates a power loss: `is_kept` decides for each sector that was not synced whether it
+    /// reached the disk, and whether the file's length is the cached or the durable one. Returns a
+    /// new disk with the remaining contents; the old one accepts no more writes.
     #[must_use]
-    pub fn crash(&self, mut keep: impl FnMut() -> bool) -> Self {
+    pub fn crash(&self, mut is_kept: impl FnMut() -> bool) -> Self {
         let mut inner = self.inner();
-        let length = if keep() {
+        let length = if is_kept() {
             inner.cache.len()
         } else {
             inner.durable.len()
         };
-        let mut left = inner.durable.clone();
-        left.resize(length, 0);
-        for at in (0..length.min(inner.cache.len())).step_by(SECTOR) {
-            let end = (at + SECTOR).min(length).min(inner.cache.len());
-            if left[at..end] != inner.cache[at..end] && keep() {
-                left[at..end].copy_from_slice(&inner.cache[at..end]);
+        let mut contents = inner.durable.clone();
+        contents.resize(length, 0);
+        for at in (0..length.min(inner.cache.len())).step_by(SECTOR_BYTES) {
+            let end = (at + SECTOR_BYTES).min(length).min(inner.cache.len());
+            if contents[at..end] != inner.cache[at..end] && is_kept() {
+                contents[at..end].copy_from_slice(&inner.cache[at..end]);
             }
         }
-        inner.budget = Some(0);
-        Self::holding(left)
+        inner.writes_left = Some(0);
+        Self::with_bytes(contents)
     }
 
-    /// Takes `writes` more writes and syncs, then none: a full or broken disk.
+    /// Accepts that many more writes and syncs, then none, like a full or broken disk.
     pub fn fail_after(&self, writes: u64) {
-        self.inner().budget = Some(writes);
+        self.inner().writes_left = Some(writes);
     }
 
-    /// Flips a bit, in cache and on the disk; the bit is taken modulo the length.
-    pub fn flip(&self, bit: u64) {
+    /// Flips a bit in cache and durable data; the bit is taken modulo the length.
+    pub fn flip_bit(&self, bit: u64) {
         let mut inner = self.inner();
         let bits = inner.cache.len() as u64 * 8;
         if let Some(bit) = bit.checked_rem(bits) {
@@ -124,20 +123,20 @@
         }
     }
 
-    /// Bytes that would be there after a sync.
+    /// Length of the contents after a sync, in bytes.
     #[must_use]
     pub fn length(&self) -> u64 {
         self.inner().cache.len() as u64
     }
 
-    /// Writes and syncs that were taken.
+    /// Number of accepted writes and syncs.
     #[must_use]
     pub fn writes(&self) -> u64 {
         self.inner().writes
     }
 
     fn write_allowed(inner: &mut Inner) -> Result<(), Error> {
-        if let Some(budget) = &mut inner.budget {
+        if let Some(budget) = &mut inner.writes_left {
             *budget = budget
                 .checked_sub(1)
                 .ok_or_else(|| Error::from(ErrorKind::StorageFull))?;
@@ -147,7 +146,7 @@
     }
 }
 
-fn place(offset: u64, length: usize) -> Result<std::ops::Range<usize>, Error> {
+fn byte_range(offset: u64, length: usize) -> Result<std::ops::Range<usize>, Error> {
     let start = usize::try_from(offset).map_err(|_| Error::from(ErrorKind::InvalidInput))?;
     Ok(start
         ..start
@@ -162,8 +161,8 @@
 
     fn read(&self, offset: u64, out: &mut [u8]) -> Result<(), Error> {
         let inner = self.inner();
-        Self::works(&inner, DiskFault::Reads)?;
-        let range = place(offset, out.len())?;
+        Self::check_fault(&inner, DiskFault::Reads)?;
+        let range = byte_range(offset, out.len())?;
         let found = inner
             .cache
             .get(range)
@@ -174,19 +173,19 @@
 
     fn set_len(&self, len: u64) -> Result<(), Error> {
         let mut inner = self.inner();
-        Self::works(&inner, DiskFault::Writes)?;
+        Self::check_fault(&inner, DiskFault::Writes)?;
         Self::write_allowed(&mut inner)?;
-        let length = place(len, 0)?.start;
+        let length = byte_range(len, 0)?.start;
         inner.cache.resize(length, 0);
         Ok(())
     }
 
     fn sync_data(&self) -> Result<(), Error> {
         let mut inner = self.inner();
-        while inner.held {
+        while inner.blocks_syncs {
             inner = self.0.1.wait(inner).unwrap_or_else(PoisonError::into_inner);
         }
-        Self::works(&inner, DiskFault::Syncs)?;
+        Self::check_fault(&inner, DiskFault::Syncs)?;
         Self::write_allowed(&mut inner)?;
         inner.durable = inner.cache.clone();
         Ok(())
@@ -194,9 +193,9 @@
 
     fn write(&self, offset: u64, data: &[u8]) -> Result<(), Error> {
         let mut inner = self.inner();
-        Self::works(&inner, DiskFault::Writes)?;
+        Self::check_fault(&inner, DiskFault::Writes)?;
         Self::write_allowed(&mut inner)?;
-        let range = place(offset, data.len())?;
+        let range = byte_range(offset, data.len())?;
         let target = inner
             .cache
             .get_mut(range)
--- a/crates/record_store/src/lib.rs
+++ b/crates/record_store/src/lib.rs
@@ -1,9 +1,9 @@
-//! Checked records on disk, in tables that are committed together, and numbers that are never
-//! reused.
+//! Checksummed records on disk, in collections that are committed together, and numbers that are
+//! never reused.
 //!
-//! Every record carries a format version, its owner's name and a checksum over all of it and its
-//! place. All are checked when a store is opened: a store of which one record fails is quarantined
-//! whole under another name, never deleted and never half used.
+//! Every record has a format version, its owner's name and a checksum over its contents and its
+//! key. All records are checked when a store is opened: a store with one invalid record is
+//! quarantined as a whole under another name, and never deleted or partly used.
 #![forbid(unsafe_code)]
 #![warn(missing_docs, clippy::too_many_lines, clippy::cognitive_complexity)]
 
--- a/crates/record_store/src/record.rs
+++ b/crates/record_store/src/record.rs
@@ -1,30 +1,29 @@
-//! The format of one record and the checks on it.
+//! The format of a record and its checks.
 
 use std::fmt;
 use xxhash_rust::xxh3::Xxh3;
 
-/// The version of the format that is written. Older ones that can be read will be read beside it;
-/// newer ones are refused, as nobody knows what they mean.
+/// The format version that is written. Newer versions are rejected, as their meaning is unknown.
 pub const FORMAT: u16 = 1;
-/// Longest name of an owner, in bytes: its length is one byte of the record.
+/// Longest name of an owner, in bytes: its length is stored in one byte.
 pub const MAX_OWNER_BYTES: usize = 255;
-/// First bytes of every record, so that other data is told from a record of ours.
-const MARK: [u8; 2] = *b"lp";
-/// Mark, format, length of the owner's name, checksum.
-const HEAD: usize = 2 + 2 + 1 + 8;
+/// First bytes of every record, to distinguish it from other data.
+const MAGIC: [u8; 2] = *b"lp";
+/// Length of the header: magic, format, length of the owner's name, checksum.
+const HEADER_BYTES: usize = 2 + 2 + 1 + 8;
 
-/// Why a record is not believed.
+/// Why a record is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Corruption {
-    /// It is not a record, or its end is missing.
+    /// It is not a record, or is truncated.
     Form,
-    /// Its format is not one that this program reads.
+    /// Its format is unknown.
     Format(u16),
-    /// It belongs to somebody else.
+    /// It belongs to another owner.
     Owner(String),
-    /// Its bytes or its place are not those that were written.
+    /// Its contents or its key differ from what was written.
     Checksum,
-    /// The file under the records does not hold together.
+    /// The database file is corrupt.
     File(String),
 }
 
@@ -47,7 +46,7 @@
 
 fn checksum(format: u16, owner: &[u8], collection: &str, number: u64, payload: &[u8]) -> u64 {
     let mut sum = Xxh3::new();
-    // Lengths go in too: no byte can move from one part to the next unseen.
+    // Includes the lengths, so that no byte can move from one part to the next undetected.
     for part in [
         &format.to_le_bytes()[..],
         owner,
@@ -61,12 +60,12 @@
     sum.digest()
 }
 
-/// The record of `payload` at its place. The owner's name is at most [`MAX_OWNER_BYTES`] bytes, which
-/// [`crate::Store`] has seen to.
-pub(crate) fn seal(owner: &str, collection: &str, number: u64, payload: &[u8]) -> Vec<u8> {
+/// Encodes the record of a payload. The owner's name must have at most [`MAX_OWNER_BYTES`] bytes,
+/// which [`crate::Store`] checks.
+pub(crate) fn encode(owner: &str, collection: &str, number: u64, payload: &[u8]) -> Vec<u8> {
     let owner = owner.as_bytes();
-    let mut record = Vec::with_capacity(HEAD + owner.len() + payload.len());
-    record.extend(MARK);
+    let mut record = Vec::with_capacity(HEADER_BYTES + owner.len() + payload.len());
+    record.extend(MAGIC);
     record.extend(FORMAT.to_le_bytes());
     record.push(u8::try_from(owner.len()).unwrap_or(u8::MAX));
     record.extend(checksum(FORMAT, owner, collection, number, payload).to_le_bytes());
@@ -75,15 +74,17 @@
     record
 }
 
-/// The payload of the record at its place.
-pub(crate) fn open<'r>(
+/// Decodes and checks a record; returns its payload.
+pub(crate) fn decode<'r>(
     owner: &str,
     collection: &str,
     number: u64,
     record: &'r [u8],
 ) -> Result<&'r [u8], Corruption> {
-    let (head, rest) = record.split_at_checked(HEAD).ok_or(Corruption::Form)?;
-    if head[..2] != MARK {
+    let (head, rest) = record
+        .split_at_checked(HEADER_BYTES)
+        .ok_or(Corruption::Form)?;
+    if head[..2] != MAGIC {
         return Err(Corruption::Form);
     }
     let format = u16::from_le_bytes([head[2], head[3]]);
--- a/crates/record_store/src/record/tests.rs
+++ b/crates/record_store/src/record/tests.rs
@@ -3,31 +3,31 @@
 use super::*;
 
 #[test]
-fn a_record_with_any_bit_flipped_cut_short_or_moved_is_not_believed() {
-    let record = seal("a", "log", 7, b"posted");
-    assert_eq!(open("a", "log", 7, &record), Ok(&b"posted"[..]));
+fn a_record_that_was_altered_truncated_or_moved_is_rejected() {
+    let record = encode("a", "log", 7, b"posted");
+    assert_eq!(decode("a", "log", 7, &record), Ok(&b"posted"[..]));
     for bit in 0..record.len() * 8 {
         let mut flipped = record.clone();
         flipped[bit / 8] ^= 1 << (bit % 8);
-        assert!(open("a", "log", 7, &flipped).is_err(), "bit {bit}");
+        assert!(decode("a", "log", 7, &flipped).is_err(), "bit {bit}");
     }
     for length in 0..record.len() {
         assert!(
-            open("a", "log", 7, &record[..length]).is_err(),
+            decode("a", "log", 7, &record[..length]).is_err(),
             "{length} bytes"
         );
     }
-    assert_eq!(open("a", "log", 8, &record), Err(Corruption::Checksum));
-    assert_eq!(open("a", "hard", 7, &record), Err(Corruption::Checksum));
+    assert_eq!(decode("a", "log", 8, &record), Err(Corruption::Checksum));
+    assert_eq!(decode("a", "hard", 7, &record), Err(Corruption::Checksum));
     assert_eq!(
-        open("b", "log", 7, &record),
+        decode("b", "log", 7, &record),
         Err(Corruption::Owner("a".to_owned()))
     );
 }
 
 #[test]
-fn a_newer_format_is_named() {
-    let mut record = seal("a", "log", 7, b"posted");
+fn a_newer_format_is_reported() {
+    let mut record = encode("a", "log", 7, b"posted");
     record[2] = 2;
-    assert_eq!(open("a", "log", 7, &record), Err(Corruption::Format(2)));
+    assert_eq!(decode("a", "log", 7, &record), Err(Corruption::Format(2)));
 }
--- a/crates/record_store/src/store.rs
+++ b/crates/record_store/src/store.rs
@@ -1,4 +1,4 @@
-//! Tables of records over one redb database.
+//! Collections of records in a redb database.
 
 use crate::record::{self, Corruption, MAX_OWNER_BYTES};
 use redb::{
@@ -8,21 +8,22 @@
 use std::io::ErrorKind;
 use std::path::Path;
 
-/// All records: by room, then number.
+/// All records, by collection and number.
 const RECORDS: TableDefinition<(&str, u64), &[u8]> = TableDefinition::new("records");
-/// The room whose only record says whose store it is: one without any other record is checked too.
+/// The collection whose only record identifies the owner, so that a store without other records is
+/// checked too.
 const OWNER: &str = ".owner";
-/// Memory for pages, in bytes: callers keep what they use themselves, records are read at the start
-/// alone.
-const CACHE: usize = 1 << 20;
+/// Memory for the page cache, in bytes; small, as callers keep what they use, and records are read
+/// only at the start.
+const CACHE_BYTES: usize = 1 << 20;
 
-/// The disk did not do what was asked. What was to be committed may or may not be kept: the caller
-/// must not go on as if it knew.
+/// The disk did not perform an operation. A commit may or may not be durable then, and the caller
+/// must not rely on either.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreError(pub String);
 
 impl StoreError {
-    pub(crate) fn of(what: impl fmt::Display) -> Self {
+    pub(crate) fn from_display(what: impl fmt::Display) -> Self {
         Self(what.to_string())
     }
 }
@@ -38,9 +39,9 @@
 /// Why a store was not opened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OpenError {
-    /// What is kept cannot be believed: set it aside and begin anew.
+    /// Its contents are corrupt: quarantine it and start a new one.
     Corruption(Corruption),
-    /// The disk cannot be used, or another process uses the store: what is kept may be whole.
+    /// The disk can't be used, or another process uses the store; its contents may be intact.
     StoreError(StoreError),
 }
 
@@ -57,32 +58,33 @@
 
 impl From<DatabaseError> for OpenError {
     fn from(error: DatabaseError) -> Self {
-        let file = |what: &dyn fmt::Display| Self::Corruption(Corruption::File(what.to_string()));
+        let file_error =
+            |what: &dyn fmt::Display| Self::Corruption(Corruption::File(what.to_string()));
         match &error {
-            DatabaseError::Storage(StorageError::Corrupted(what)) => file(what),
+            DatabaseError::Storage(StorageError::Corrupted(what)) => file_error(what),
             DatabaseError::Storage(StorageError::Io(e))
                 if matches!(e.kind(), ErrorKind::InvalidData | ErrorKind::UnexpectedEof) =>
             {
-                file(e)
+                file_error(e)
             }
-            DatabaseError::UpgradeRequired(_) | DatabaseError::RepairAborted => file(&error),
-            _ => Self::StoreError(StoreError::of(error)),
+            DatabaseError::UpgradeRequired(_) | DatabaseError::RepairAborted => file_error(&error),
+            _ => Self::StoreError(StoreError::from_display(error)),
         }
     }
 }
 
-/// One step of a commit.
+/// One operation of a commit.
 #[derive(Clone, Copy, Debug)]
 pub enum Change<'a> {
-    /// Keeps a payload at a place, over what was there.
+    /// Stores a payload under a key, replacing any previous one.
     Put(&'a str, u64, &'a [u8]),
-    /// Removes what a room holds from this number on, itself included.
+    /// Removes the records of a collection from this number on.
     RemoveFrom(&'a str, u64),
-    /// Removes what a room holds below this number.
+    /// Removes the records of a collection below this number.
     RemoveBelow(&'a str, u64),
 }
 
-/// An open store, all of whose records were found whole.
+/// An open store, all of whose records passed their checks.
 #[derive(Debug)]
 pub struct Store {
     records: Database,
@@ -90,22 +92,25 @@
 }
 
 impl Store {
-    /// Opens what a backend holds, or begins in an empty one, for `owner`.
+    /// Opens a store on a backend for `owner`, or creates it if the backend is empty.
     ///
     /// # Errors
-    /// [`OpenError::Corruption`] where a page, a record or the owner's name is not as written;
-    /// [`OpenError::StoreError`] where the backend fails or the owner's name is longer than
+    /// [`OpenError::Corruption`] if a page, a record or the owner's name is wrong;
+    /// [`OpenError::StoreError`] if the backend fails or the owner's name is longer than
     /// [`MAX_OWNER_BYTES`] bytes.
-    pub fn on(backend: impl redb::StorageBackend, owner: &str) -> Result<Self, OpenError> {
-        Self::checked(builder().create_with_backend(backend)?, owner)
+    pub fn open_backend(
+        backend: impl redb::StorageBackend,
+        owner: &str,
+    ) -> Result<Self, OpenError> {
+        Self::open_database(builder().create_with_backend(backend)?, owner)
     }
 
-    /// The same in a file.
-    pub(crate) fn at(path: &Path, owner: &str) -> Result<Self, OpenError> {
-        Self::checked(builder().create(path)?, owner)
+    /// As above, in a file.
+    pub(crate) fn open_file(path: &Path, owner: &str) -> Result<Self, OpenError> {
+        Self::open_database(builder().create(path)?, owner)
     }
 
-    fn checked(records: Database, owner: &str) -> Result<Self, OpenError> {
+    fn open_database(records: Database, owner: &str) -> Result<Self, OpenError> {
         if owner.len() > MAX_OWNER_BYTES {
             let what = format!("the owner's name is longer than {MAX_OWNER_BYTES} bytes");
             return Err(OpenError::StoreError(StoreError(what)));
@@ -114,7 +119,7 @@
             records,
             owner: owner.to_owned(),
         };
-        match store.check() {
+        match store.check_records() {
             Ok(0) => {
                 store
                     .commit(&[Change::Put(OWNER, 0, &[])])
@@ -126,100 +131,121 @@
         }
     }
 
-    /// Checks every record; how many there are.
-    fn check(&self) -> Result<usize, OpenError> {
-        let trouble = |e: redb::Error| match e {
+    /// Checks every record; returns their number.
+    fn check_records(&self) -> Result<usize, OpenError> {
+        let open_error = |e: redb::Error| match e {
             redb::Error::Corrupted(what) => OpenError::Corruption(Corruption::File(what)),
-            e => OpenError::StoreError(StoreError::of(e)),
+            e => OpenError::StoreError(StoreError::from_display(e)),
         };
-        let read = self.records.begin_read().map_err(|e| trouble(e.into()))?;
-        let table = match read.open_table(RECORDS) {
+        let transaction = self
+            .records
+            .begin_read()
+            .map_err(|e| open_error(e.into()))?;
+        let table = match transaction.open_table(RECORDS) {
             Ok(table) => table,
             Err(redb::TableError::TableDoesNotExist(_)) => return Ok(0),
             Err(e) => return Err(OpenError::Corruption(Corruption::File(e.to_string()))),
         };
         let mut count = 0;
-        for row in table.iter().map_err(|e| trouble(e.into()))? {
-            let (place, record) = row.map_err(|e| trouble(e.into()))?;
-            let (collection, number) = place.value();
-            record::open(&self.owner, collection, number, record.value())
+        for row in table.iter().map_err(|e| open_error(e.into()))? {
+            let (key, record) = row.map_err(|e| open_error(e.into()))?;
+            let (collection, number) = key.value();
+            record::decode(&self.owner, collection, number, record.value())
                 .map_err(OpenError::Corruption)?;
             count += 1;
         }
         Ok(count)
     }
 
-    /// The payload at a place.
+    /// The payload of a record.
     ///
     /// # Errors
-    /// The disk cannot be read, or the record is no longer what was checked at the start.
+    /// The disk can't be read, or the record has changed since it was checked.
     pub fn get(&self, collection: &str, number: u64) -> Result<Option<Vec<u8>>, StoreError> {
-        let read = self.records.begin_read().map_err(StoreError::of)?;
-        let table = read.open_table(RECORDS).map_err(StoreError::of)?;
-        let Some(record) = table.get((collection, number)).map_err(StoreError::of)? else {
+        let transaction = self
+            .records
+            .begin_read()
+            .map_err(StoreError::from_display)?;
+        let table = transaction
+            .open_table(RECORDS)
+            .map_err(StoreError::from_display)?;
+        let Some(record) = table
+            .get((collection, number))
+            .map_err(StoreError::from_display)?
+        else {
             return Ok(None);
         };
-        record::open(&self.owner, collection, number, record.value())
+        record::decode(&self.owner, collection, number, record.value())
             .map(|p| Some(p.to_vec()))
-            .map_err(StoreError::of)
+            .map_err(StoreError::from_display)
     }
 
-    /// All that a room holds, in the order of its numbers.
+    /// The records of a collection, in the order of their numbers.
     ///
     /// # Errors
     /// As [`Store::get`].
     pub fn collection(&self, collection: &str) -> Result<Vec<(u64, Vec<u8>)>, StoreError> {
-        let read = self.records.begin_read().map_err(StoreError::of)?;
-        let table = read.open_table(RECORDS).map_err(StoreError::of)?;
+        let transaction = self
+            .records
+            .begin_read()
+            .map_err(StoreError::from_display)?;
+        let table = transaction
+            .open_table(RECORDS)
+            .map_err(StoreError::from_display)?;
         let rows = table
             .range((collection, 0)..=(collection, u64::MAX))
-            .map_err(StoreError::of)?;
+            .map_err(StoreError::from_display)?;
         rows.map(|row| {
-            let (place, record) = row.map_err(StoreError::of)?;
-            let number = place.value().1;
-            let payload = record::open(&self.owner, collection, number, record.value())
-                .map_err(StoreError::of)?;
+            let (key, record) = row.map_err(StoreError::from_display)?;
+            let number = key.value().1;
+            let payload = record::decode(&self.owner, collection, number, record.value())
+                .map_err(StoreError::from_display)?;
             Ok((number, payload.to_vec()))
         })
         .collect()
     }
 
-    /// Makes all changes or none, in their order. They are on the disk when this returns.
+    /// Performs all changes in order, or none. They are durable when this returns.
     ///
     /// # Errors
-    /// The disk does not take them; whether it keeps them is not known then.
+    /// The commit failed; whether it is durable is unknown.
     pub fn commit(&self, changes: &[Change<'_>]) -> Result<(), StoreError> {
-        let write = self.records.begin_write().map_err(StoreError::of)?;
+        let transaction = self
+            .records
+            .begin_write()
+            .map_err(StoreError::from_display)?;
         {
-            let mut table = write.open_table(RECORDS).map_err(StoreError::of)?;
+            let mut table = transaction
+                .open_table(RECORDS)
+                .map_err(StoreError::from_display)?;
             for change in changes {
                 match *change {
                     Change::Put(collection, number, payload) => {
-                        let record = record::seal(&self.owner, collection, number, payload);
+                        let record = record::encode(&self.owner, collection, number, payload);
                         table
                             .insert((collection, number), record.as_slice())
-                            .map_err(StoreError::of)?;
+                            .map_err(StoreError::from_display)?;
                     }
                     Change::RemoveFrom(collection, first) => table
                         .retain_in((collection, first)..=(collection, u64::MAX), |_, _| false)
-                        .map_err(StoreError::of)?,
+                        .map_err(StoreError::from_display)?,
                     Change::RemoveBelow(collection, end) => {
                         table
                             .retain_in((collection, 0)..(collection, end), |_, _| false)
-                            .map_err(StoreError::of)?;
+                            .map_err(StoreError::from_display)?;
                     }
                 }
             }
         }
-        write.commit().map_err(StoreError::of)
+        transaction.commit().map_err(StoreError::from_display)
     }
 }
 
 fn builder() -> redb::Builder {
     let mut builder = Database::builder();
-    // Every page of the trees is compared with its checksum before anything is believed.
+    // The checksum of every page is verified before anything is used.
     builder
-        .set_cache_size(CACHE)
+        .set_cache_size(CACHE_BYTES)
         .set_check_integrity_on_open(true);
     builder
 }
--- a/crates/snapshot/src/bin/snapshot-inspect.rs
+++ b/crates/snapshot/src/bin/snapshot-inspect.rs
@@ -1,10 +1,10 @@
-//! The program `snapshot-inspect`: shows, verifies and exports a state directory. It only reads.
+//! The program `snapshot-inspect`: shows, verifies and exports a snapshot directory. It only reads.
 #![forbid(unsafe_code)]
 #![warn(clippy::too_many_lines, clippy::cognitive_complexity)]
 
 use clap::{Parser, Subcommand};
 use load_balancer_common::cli::{self, Exit};
-use load_balancer_snapshot::{Contents, Micros, SCHEMA, contents};
+use load_balancer_snapshot::{Contents, Micros, SCHEMA, read_directory};
 use serde_json::{Value, json};
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -15,7 +15,7 @@
 /// there.
 #[derive(Parser)]
 #[command(name = "snapshot-inspect", after_help = cli::EXIT_CODES)]
-struct Call {
+struct Arguments {
     #[command(subcommand)]
     what: What,
 }
@@ -40,7 +40,7 @@
 }
 
 fn main() -> ExitCode {
-    let call: Call = match cli::parse() {
+    let call: Arguments = match cli::parse() {
         Ok(call) => call,
         Err(exit) => return exit.into(),
     };
@@ -49,13 +49,13 @@
         .unwrap_or_default();
     let now = Micros::try_from(unix.as_micros()).unwrap_or(Micros::MAX);
     let (What::Show { dir } | What::Verify { dir } | What::Export { dir }) = &call.what;
-    let found = contents(dir, now);
+    let found = read_directory(dir, now);
     let page = match call.what {
         What::Show { .. } => summary(dir, &found, now),
         What::Verify { .. } => json!({"owner": found.owner, "problems": found.problems}),
-        What::Export { .. } => whole(&found),
+        What::Export { .. } => export(&found),
     };
-    // A closed standard output is no fault of the directory.
+    // A closed standard output is not a fault of the directory.
     let _ = writeln!(std::io::stdout(), "{page:#}");
     if found.problems.is_empty() {
         Exit::Done.into()
@@ -65,16 +65,16 @@
 }
 
 fn summary(dir: &Path, found: &Contents, now: Micros) -> Value {
-    let age = |seen: Micros| now.saturating_sub(seen) as f64 / 1e6;
+    let age_s = |seen: Micros| now.saturating_sub(seen) as f64 / 1e6;
     let known = &found.known;
     let list = known
         .list
         .as_ref()
-        .map(|list| json!({"index": list.index, "age_s": age(list.seen), "endpoints": list.entries.len()}));
+        .map(|list| json!({"index": list.index, "age_s": age_s(list.seen), "endpoints": list.entries.len()}));
     let processes = known.processes.as_ref().map(|processes| {
         let open: Vec<&str> =
             processes.all.iter().filter(|p| p.open).map(|p| p.name.as_str()).collect();
-        json!({"age_s": age(processes.seen), "listed": processes.listed, "known": processes.all.len(), "open": open})
+        json!({"age_s": age_s(processes.seen), "listed": processes.listed, "known": processes.all.len(), "open": open})
     });
     json!({
         "directory": dir, "form": SCHEMA, "owner": found.owner, "incarnation": found.incarnation,
@@ -83,7 +83,7 @@
     })
 }
 
-fn whole(found: &Contents) -> Value {
+fn export(found: &Contents) -> Value {
     let known = &found.known;
     json!({
         "form": SCHEMA, "owner": found.owner, "incarnation": found.incarnation, "list": known.list,
@@ -92,7 +92,7 @@
     })
 }
 
-/// Files that were quarantined there.
+/// The quarantined files in the directory.
 fn quarantined(dir: &Path) -> Vec<String> {
     let entries = std::fs::read_dir(dir).into_iter().flatten().flatten();
     let names = entries.filter_map(|entry| entry.file_name().into_string().ok());
--- a/crates/snapshot/src/directory.rs
+++ b/crates/snapshot/src/directory.rs
@@ -1,24 +1,24 @@
-//! The files of a state directory, which one process at a time may use.
+//! The files of a snapshot directory, which only one process at a time may use.
 
 use load_balancer_record_store::{Opened, StoreError};
 use std::fmt;
 use std::fs::{self, File, TryLockError};
 use std::path::{Path, PathBuf};
 
-/// Who has the directory holds a lock on this file.
-const LOCK: &str = "lock";
+/// The process that uses the directory holds a lock on this file.
+const LOCK_FILE: &str = "lock";
 
-/// The files: what is lost with one leaves the other.
+/// The files of a directory; the loss of one does not affect the other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileKind {
-    /// What is known.
+    /// The stored state.
     Snapshot,
-    /// Numbers that are never used again.
+    /// Numbers that are never reused.
     Numbers,
 }
 
 impl FileKind {
-    /// Its name in the directory.
+    /// The file's name in the directory.
     pub fn name(self) -> &'static str {
         match self {
             Self::Snapshot => "known",
@@ -27,7 +27,7 @@
     }
 }
 
-/// Another process has the directory.
+/// Another process uses the directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InUse(pub PathBuf);
 
@@ -37,12 +37,12 @@
     }
 }
 
-/// Why a directory cannot be used.
+/// Why a directory can't be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DirectoryError {
-    /// Another process has it.
+    /// Another process uses it.
     InUse(InUse),
-    /// The disk does not do what is asked.
+    /// The disk failed.
     StoreError(StoreError),
 }
 
@@ -57,53 +57,53 @@
 
 impl std::error::Error for DirectoryError {}
 
-/// Where stores lie: a directory, or disks in memory in tests.
+/// The location of the stores: a directory, or disks in memory in tests.
 pub trait StateStorage: Send {
-    /// Opens a store, setting aside what cannot be believed.
+    /// Opens a store, and quarantines corrupt contents.
     ///
     /// # Errors
-    /// The disk does not do what is asked.
+    /// The disk failed.
     fn open(&self, file: FileKind, owner: &str) -> Result<Opened, StoreError>;
 
-    /// Sets a store aside that nobody has open, and says where it lies now.
+    /// Quarantines a store that is not open; returns its new path.
     ///
     /// # Errors
-    /// The disk does not do what is asked.
+    /// The disk failed.
     fn quarantine(&self, file: FileKind) -> Result<PathBuf, StoreError>;
 }
 
-/// A directory that this process has.
+/// A directory locked by this process.
 #[derive(Debug)]
 pub struct Directory {
     path: PathBuf,
-    /// Held as long as it is open.
+    /// Keeps the lock while the directory is used.
     _lock: File,
 }
 
 impl Directory {
-    /// Takes it, and makes it where it is missing.
+    /// Locks the directory, and creates it if necessary.
     ///
     /// # Errors
-    /// Another process has it, or it cannot be used.
-    pub fn take(path: &Path) -> Result<Self, DirectoryError> {
-        let trouble = |e: &dyn fmt::Display| {
+    /// Another process uses it, or it can't be used.
+    pub fn lock(path: &Path) -> Result<Self, DirectoryError> {
+        let store_error = |e: &dyn fmt::Display| {
             DirectoryError::StoreError(StoreError(format!("{}: {e}", path.display())))
         };
-        fs::create_dir_all(path).map_err(|e| trouble(&e))?;
+        fs::create_dir_all(path).map_err(|e| store_error(&e))?;
         let mut options = File::options();
         let lock = options
             .create(true)
             .truncate(false)
             .write(true)
-            .open(path.join(LOCK));
-        let lock = lock.map_err(|e| trouble(&e))?;
+            .open(path.join(LOCK_FILE));
+        let lock = lock.map_err(|e| store_error(&e))?;
         match lock.try_lock() {
             Ok(()) => Ok(Self {
                 path: path.to_owned(),
                 _lock: lock,
             }),
             Err(TryLockError::WouldBlock) => Err(DirectoryError::InUse(InUse(path.to_owned()))),
-            Err(TryLockError::Error(e)) => Err(trouble(&e)),
+            Err(TryLockError::Error(e)) => Err(store_error(&e)),
         }
     }
 }
--- a/crates/snapshot/src/previous_encoding.rs
+++ b/crates/snapshot/src/previous_encoding.rs
@@ -1,14 +1,14 @@
-//! The form before the one that is written, as far as it was another, and what becomes of it.
-//! Changes when the form does: this one then goes.
+//! The previous schema, as far as it differs from the current one, and its conversion. Replaced
+//! with the next change of the schema.
 
 use crate::Micros;
 use crate::snapshot;
 use serde::Deserialize;
 
-/// Its version.
+/// The version of the previous schema.
 pub(crate) const SCHEMA: u16 = 1;
 
-/// See [`known::Processes`].
+/// See [`snapshot::Processes`].
 #[derive(Deserialize)]
 pub(crate) struct Processes {
     seen: Micros,
@@ -16,7 +16,7 @@
     all: Vec<Process>,
 }
 
-/// See [`known::Process`]. How often a circuit had opened was not kept.
+/// See [`snapshot::Process`]. The number of openings was not stored.
 #[derive(Deserialize)]
 struct Process {
     name: String,
--- a/crates/snapshot/src/reader.rs
+++ b/crates/snapshot/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads a state directory without touching it: each file is copied into memory and read there.
+//! Reads a snapshot directory without modifying it: each file is copied into memory and read there.
 
 use crate::Micros;
 use crate::directory::FileKind;
@@ -10,33 +10,33 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// A file that is being written may be copied half old, half new: it is copied so often in all, so
-/// long apart.
-const COPIES: usize = 10;
-const APART: Duration = Duration::from_millis(20);
+/// A file that is being written may be copied inconsistently, so it is copied up to this many
+/// times, at this interval.
+const MAX_COPIES: usize = 10;
+const COPY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a directory holds.
+/// The contents of a directory.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Contents {
-    /// Whose it is, cluster and name.
+    /// Its owner: cluster and name.
     pub owner: Option<String>,
-    /// The highest incarnation that was given.
+    /// The highest incarnation that was issued.
     pub incarnation: Option<u64>,
-    /// What is kept.
+    /// The stored state.
     pub known: Snapshot,
-    /// What a start would not believe, file by file.
+    /// Why a start would reject files.
     pub problems: Vec<String>,
 }
 
-/// Why a file of a state directory cannot be read.
+/// Why a file of a snapshot directory can't be read.
 #[derive(Debug, thiserror::Error)]
 #[error("{path}: {error}", path = path.display())]
-struct Unread {
+struct UnreadableFile {
     path: PathBuf,
     error: CopyError,
 }
 
-/// Why a copy of a file cannot be read.
+/// Why a copy of a file can't be read.
 #[derive(Debug, thiserror::Error)]
 enum CopyError {
     #[error(transparent)]
@@ -52,19 +52,19 @@
 }
 
 impl CopyError {
-    /// Whether the bytes are at fault, and not the access to them.
+    /// Whether the contents are at fault, and not the access to them.
     fn is_of_content(&self) -> bool {
         !matches!(self, Self::Io(_))
     }
 }
 
-/// Reads a directory, of a sidecar that runs or a copied one.
-pub fn contents(directory: &Path, now: Micros) -> Contents {
+/// Reads the directory of a running sidecar, or a copy of one.
+pub fn read_directory(directory: &Path, now: Micros) -> Contents {
     let mut contents = Contents::default();
-    let known = copied(directory, FileKind::Snapshot, |store| {
+    let known = read_copy(directory, FileKind::Snapshot, |store| {
         read_plausible(store, now).map_err(CopyError::from)
     });
-    let numbers = copied(directory, FileKind::Numbers, |store| {
+    let numbers = read_copy(directory, FileKind::Numbers, |store| {
         last_incarnation(store).map_err(CopyError::from)
     });
     match known {
@@ -87,39 +87,41 @@
     contents
 }
 
-/// What is read of a copy of a file, and whose it is.
-fn copied<T>(
+/// Reads a copy of a file; returns the owner and the result.
+fn read_copy<T>(
     directory: &Path,
     file: FileKind,
     read: impl Fn(&Store) -> Result<T, CopyError>,
-) -> Result<(String, T), Unread> {
+) -> Result<(String, T), UnreadableFile> {
     let path = directory.join(file.name());
     let mut copies = 0;
     loop {
         let found = std::fs::read(&path)
             .map_err(CopyError::from)
-            .and_then(|bytes| opened(&bytes))
+            .and_then(|bytes| open_copy(&bytes))
             .and_then(|(owner, store)| read(&store).map(|it| (owner, it)));
         copies += 1;
         match found {
             Ok(found) => return Ok(found),
-            // Copied while it was written, or unreadable: a further copy tells.
-            Err(error) if error.is_of_content() && copies < COPIES => std::thread::sleep(APART),
-            Err(error) => return Err(Unread { path, error }),
+            // Copied while it was being written, or corrupt: another copy tells.
+            Err(error) if error.is_of_content() && copies < MAX_COPIES => {
+                std::thread::sleep(COPY_INTERVAL)
+            }
+            Err(error) => return Err(UnreadableFile { path, error }),
         }
     }
 }
 
-/// The store in these bytes, and whose it is: the record that is refused to nobody says so.
-fn opened(bytes: &[u8]) -> Result<(String, Store), CopyError> {
+/// Opens the store in these bytes; returns its owner, which the error of a wrong owner reveals.
+fn open_copy(bytes: &[u8]) -> Result<(String, Store), CopyError> {
     if bytes.is_empty() {
         return Err(CopyError::Empty);
     }
-    let owner = match Store::on(Disk::holding(bytes.to_vec()), "") {
+    let owner = match Store::open_backend(Disk::with_bytes(bytes.to_vec()), "") {
         Err(OpenError::Corruption(Corruption::Owner(owner))) => owner,
         Err(refusal) => return Err(refusal.into()),
         Ok(_) => String::new(),
     };
-    let store = Store::on(Disk::holding(bytes.to_vec()), &owner)?;
+    let store = Store::open_backend(Disk::with_bytes(bytes.to_vec()), &owner)?;
     Ok((owner, store))
 }
--- a/crates/snapshot/src/section.rs
+++ b/crates/snapshot/src/section.rs
@@ -1,8 +1,8 @@
-//! The `[snapshot]` section of a product configuration; docs/configuration.md is its reference.
+//! The `[snapshot]` section of a product configuration; docs/configuration.md is the reference.
 
 use crate::Micros;
-use crate::validation::Bounds;
-use load_balancer_common::config::Contradiction;
+use crate::validation::StalenessBounds;
+use load_balancer_common::config::InvalidSetting;
 use load_balancer_common::units::Time;
 use serde::{Deserialize, Serialize};
 use std::path::PathBuf;
@@ -11,16 +11,16 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct SnapshotSection {
-    /// The directory, this sidecar's own; without one nothing is kept.
+    /// The directory of this sidecar; without one nothing is stored.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub dir: Option<PathBuf>,
-    /// How often it is looked for something new to keep.
+    /// Interval of the checks for changes to store.
     #[serde(alias = "every")]
     pub interval: Time,
-    /// The age from which the list is not believed.
+    /// Age from which the list is not used.
     #[serde(alias = "list_bound")]
     pub list_max_staleness: Time,
-    /// The age from which ejections and latency ratios are not believed.
+    /// Age from which ejections and latency ratios are not used.
     #[serde(alias = "verdicts_bound")]
     pub health_max_staleness: Time,
     /// How long a start waits for the disk.
@@ -32,48 +32,48 @@
     fn default() -> Self {
         Self {
             dir: None,
-            // Half of the longest latency objective: a server that died has cost a request or two
-            // by then.
+            // Half of the longest latency objective: a failed server has caused one or two failed
+            // requests by then.
             interval: Time::ms(500),
-            // An image, a reboot and the checks of a file system lie in it; servers that were
-            // replaced meanwhile refuse the connection, and discovery's first answer names them.
+            // Covers an image, a reboot and a file system check; servers replaced in the meantime
+            // refuse the connection, and discovery's first answer lists them.
             list_max_staleness: Time::ms(600_000),
-            // Four times as long as a circuit stays open at the most (8 s and a quarter).
+            // Four times the longest time for which a circuit stays open (8 s and a quarter).
             health_max_staleness: Time::ms(60_000),
-            // Less than the platform's own look for a sidecar that has started takes.
+            // Less than the platform's own check of a starting sidecar takes.
             start_timeout: Time::ms(200),
         }
     }
 }
 
-/// Shortest time between two writes: more often than a disk may take to sync.
+/// Shortest interval between two writes; a sync of a disk may take longer.
 const MIN_INTERVAL: Time = Time::ms(50);
 
 impl SnapshotSection {
-    /// Finds what nothing could work with.
+    /// Rejects settings that can't work.
     ///
     /// # Errors
-    /// The first such value.
-    pub fn check(&self) -> Result<(), Contradiction> {
-        let wrong = |key: &str, what: &str| Err(Contradiction::new(key, what));
+    /// The first invalid setting.
+    pub fn check(&self) -> Result<(), InvalidSetting> {
+        let invalid = |key: &str, what: &str| Err(InvalidSetting::new(key, what));
         if self
             .dir
             .as_ref()
             .is_some_and(|dir| dir.as_os_str().is_empty())
         {
-            return wrong("snapshot.dir", "a directory's name");
+            return invalid("snapshot.dir", "a directory's name");
         }
         if self.interval < MIN_INTERVAL {
-            return wrong("snapshot.interval", "at least 50ms");
+            return invalid("snapshot.interval", "at least 50ms");
         }
         if self.health_max_staleness.0 < self.interval.0 * 2 {
-            return wrong(
+            return invalid(
                 "snapshot.health_max_staleness",
                 "at least twice snapshot.interval, or none is ever believed",
             );
         }
         if self.list_max_staleness < self.health_max_staleness {
-            return wrong(
+            return invalid(
                 "snapshot.list_max_staleness",
                 "at least snapshot.health_max_staleness: a verdict is on a listed one",
             );
@@ -81,10 +81,10 @@
         Ok(())
     }
 
-    /// The ages from which things are not believed.
-    pub fn bounds(&self) -> Bounds {
+    /// The ages from which stored state is not used.
+    pub fn bounds(&self) -> StalenessBounds {
         let micros = |time: Time| Micros::try_from(time.0.as_micros()).unwrap_or(Micros::MAX);
-        Bounds {
+        StalenessBounds {
             list: micros(self.list_max_staleness),
             processes: micros(self.health_max_staleness),
         }
--- a/crates/snapshot/src/section/tests.rs
+++ b/crates/snapshot/src/section/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn defaults_hold_together_and_contradictions_are_named() {
+fn the_defaults_are_valid_and_invalid_settings_are_named() {
     assert_eq!(SnapshotSection::default().check(), Ok(()));
     let key = |change: fn(&mut SnapshotSection)| {
         let mut section = SnapshotSection::default();
--- a/crates/snapshot/src/snapshot.rs
+++ b/crates/snapshot/src/snapshot.rs
@@ -1,97 +1,97 @@
-//! What is stored of one sidecar; `form.rs` holds its encoding.
+//! The stored state of a sidecar; `encoding.rs` has its encoding.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// An entry of the list, as discovery told it.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
     /// The endpoint's name.
     pub name: String,
-    /// Where this sidecar reaches it.
+    /// The address at which this sidecar reaches it.
     pub address: Option<SocketAddr>,
     /// Its zone.
     pub zone: Option<String>,
-    /// Its kind of machine.
+    /// Its machine type.
     pub kind: Option<String>,
     /// Its group.
     pub group: u64,
-    /// It finishes what it has.
+    /// Whether it drains.
     pub leaving: bool,
-    /// Its size.
+    /// Its capacity weight.
     pub weight: f64,
-    /// Unix time in milliseconds of its last start; 0 is long ago.
+    /// When its process started, in milliseconds of Unix time; 0 if long ago.
     pub since_ms: i64,
 }
 
-/// The list.
+/// The endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct List {
     /// Its version.
     pub index: u64,
-    /// When discovery last said so, or that nothing has changed.
+    /// When discovery last confirmed it.
     pub seen: Micros,
     /// Its entries.
     pub entries: Vec<Entry>,
 }
 
-/// What was known of an endpoint process.
+/// The state of an endpoint process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Process {
     /// Its endpoint's name.
     pub name: String,
-    /// When it started; nothing is long ago.
+    /// When it started; none if long ago.
     pub started: Option<Micros>,
-    /// When it was last heard of.
+    /// When it last had an outcome.
     pub seen: Micros,
-    /// Its circuit was open.
+    /// Whether its circuit was open.
     pub open: bool,
-    /// Times that it has opened since it was last well.
+    /// How often the circuit has opened since the process was last healthy.
     pub openings: u32,
-    /// Time that it takes for a unit of work, in such units.
+    /// Its latency per unit of work, relative to that unit.
     pub slow: f64,
-    /// Requests that it might have in flight.
+    /// Its concurrency limit.
     pub cap: f64,
 }
 
-/// What was known of all of them at one time.
+/// The state of all endpoint processes at one time.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Processes {
-    /// When.
+    /// The time.
     pub seen: Micros,
-    /// Endpoints on the list then.
+    /// Number of listed endpoints at that time.
     pub listed: u32,
-    /// Those that something was known of.
+    /// The processes with any state.
     pub all: Vec<Process>,
 }
 
 /// An incarnation of the sidecar.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IncarnationRecord {
-    /// Its incarnation.
+    /// Its number.
     pub incarnation: u64,
     /// When it began.
     pub began: Micros,
-    /// When it was told to stop: the mark of a clean end. One that crashed has none.
+    /// When it was told to shut down, which marks a clean end; none after a crash.
     pub ended: Option<Micros>,
 }
 
-/// All that is kept.
+/// The stored state.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
-    /// The list as last told.
+    /// The latest endpoint list.
     pub list: Option<List>,
-    /// Ejections and latency ratios.
+    /// Circuits and latency ratios.
     pub processes: Option<Processes>,
-    /// The product configuration that the last incarnation ran with, as it would be written.
+    /// The product configuration of the last incarnation, as TOML.
     pub configuration: Option<String>,
     /// The last incarnation.
     pub incarnation_record: Option<IncarnationRecord>,
 }
 
-/// What is to be kept anew; nothing leaves what is kept as it is. A later one takes the place of an
-/// earlier one, part by part, so that what waits for a slow disk does not grow.
+/// Changes to store; absent parts stay as they are. A later change replaces an earlier one part by
+/// part, so that the queue for a slow disk does not grow.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Changes {
     /// See [`Snapshot`].
@@ -105,20 +105,20 @@
 }
 
 impl Changes {
-    /// Takes in later ones.
-    pub fn then(&mut self, later: Self) {
-        fn over<T>(mine: &mut Option<T>, later: Option<T>) {
+    /// Merges later changes.
+    pub fn merge(&mut self, later: Self) {
+        fn replace<T>(current: &mut Option<T>, later: Option<T>) {
             if later.is_some() {
-                *mine = later;
+                *current = later;
             }
         }
-        over(&mut self.list, later.list);
-        over(&mut self.processes, later.processes);
-        over(&mut self.configuration, later.configuration);
-        over(&mut self.incarnation_record, later.incarnation_record);
+        replace(&mut self.list, later.list);
+        replace(&mut self.processes, later.processes);
+        replace(&mut self.configuration, later.configuration);
+        replace(&mut self.incarnation_record, later.incarnation_record);
     }
 
-    /// Whether there is nothing to keep.
+    /// Whether there is nothing to store.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
--- a/crates/snapshot/src/snapshot_store.rs
+++ b/crates/snapshot/src/snapshot_store.rs
@@ -1,4 +1,4 @@
-//! The stored state over two stores: begins an incarnation, and commits changes.
+//! The stored state in two stores: starts an incarnation, and commits changes.
 
 use crate::Micros;
 use crate::directory::{FileKind, StateStorage};
@@ -7,50 +7,50 @@
 use load_balancer_record_store::{Change, Store, StoreError};
 use std::path::PathBuf;
 
-/// Where the highest incarnation that was ever given lies among the numbers.
+/// The collection of the highest incarnation that was ever issued.
 const INCARNATION: &str = "incarnation";
 
-/// Something that was quarantined.
+/// A quarantined file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QuarantinedFile {
-    /// Where it lies now.
+    /// Its new path.
     pub file: PathBuf,
-    /// Why.
-    pub why: String,
+    /// Why it was quarantined.
+    pub reason: String,
 }
 
-/// What a start found.
+/// The result of a start.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Found {
-    /// What was kept and is plausible.
+    /// The stored state that is plausible.
     pub known: Snapshot,
-    /// This incarnation's number: the clock's time in microseconds, or one more than any that was
-    /// given before where that is higher. It is on the disk.
+    /// This incarnation's number: the clock's time in microseconds, or one more than any issued
+    /// before if that is higher. It is durable.
     pub incarnation: u64,
-    /// What was quarantined.
+    /// The quarantined files.
     pub quarantined: Vec<QuarantinedFile>,
 }
 
-/// The stores of one owner, in an incarnation that has begun.
+/// The stores of one owner, in a started incarnation.
 #[derive(Debug)]
 pub struct SnapshotStore {
     store: Store,
 }
 
 impl SnapshotStore {
-    /// Begins an incarnation at this time: reads what is kept, quarantines what cannot be, and
-    /// reserves its incarnation.
+    /// Starts an incarnation at this time: reads the stored state, quarantines what can't be read,
+    /// and reserves the incarnation's number.
     ///
     /// # Errors
-    /// The disk does not do what is asked; what it has kept stays.
+    /// The disk failed; stored state is unchanged.
     pub fn begin(
         storage: &dyn StateStorage,
         owner: &str,
         now: Micros,
     ) -> Result<(Self, Found), StoreError> {
         let mut quarantined = Vec::new();
-        let incarnation = incarnation(storage, owner, now, &mut quarantined)?;
-        let store = opened(storage, FileKind::Snapshot, owner, &mut quarantined)?;
+        let incarnation = reserve_incarnation(storage, owner, now, &mut quarantined)?;
+        let store = open_store(storage, FileKind::Snapshot, owner, &mut quarantined)?;
         let (store, known) = match read_plausible(&store, now) {
             Ok(known) => (store, known),
             Err(ReadError::Store(error)) => return Err(error),
@@ -58,10 +58,10 @@
                 drop(store);
                 quarantined.push(QuarantinedFile {
                     file: storage.quarantine(FileKind::Snapshot)?,
-                    why: why.to_string(),
+                    reason: why.to_string(),
                 });
                 (
-                    opened(storage, FileKind::Snapshot, owner, &mut quarantined)?,
+                    open_store(storage, FileKind::Snapshot, owner, &mut quarantined)?,
                     Snapshot::default(),
                 )
             }
@@ -76,17 +76,17 @@
         ))
     }
 
-    /// Keeps changes, all or none; how many bytes of payload they were. They are on the disk when
+    /// Commits all changes or none; returns the number of bytes of payload. They are durable when
     /// this returns.
     ///
     /// # Errors
-    /// The disk does not take them. Whether they are kept is not known then: begin anew.
+    /// The disk failed. Whether the changes are durable is unknown: start again.
     pub fn commit(&self, changes: &Changes) -> Result<u64, StoreError> {
         encoding::write(&self.store, changes)
     }
 }
 
-fn opened(
+fn open_store(
     storage: &dyn StateStorage,
     file: FileKind,
     owner: &str,
@@ -95,29 +95,29 @@
     let opened = storage.open(file, owner)?;
     quarantined.extend(opened.quarantined.map(|quarantined| QuarantinedFile {
         file: quarantined.file,
-        why: quarantined.why.to_string(),
+        reason: quarantined.why.to_string(),
     }));
     Ok(opened.store)
 }
 
-/// One that was never given before, on the disk before anybody hears of it.
-fn incarnation(
+/// Reserves a number that was never issued before; it is durable when this returns.
+fn reserve_incarnation(
     storage: &dyn StateStorage,
     owner: &str,
     now: Micros,
     quarantined: &mut Vec<QuarantinedFile>,
 ) -> Result<u64, StoreError> {
-    let store = opened(storage, FileKind::Numbers, owner, quarantined)?;
+    let store = open_store(storage, FileKind::Numbers, owner, quarantined)?;
     let last = last_incarnation(&store)?;
     let next = last
         .checked_add(1)
         .ok_or_else(|| StoreError("all incarnations are used up".to_owned()))?;
-    let given = next.max(now.max(0).unsigned_abs());
-    store.commit(&[Change::Put(INCARNATION, 0, &given.to_le_bytes())])?;
-    Ok(given)
+    let number = next.max(now.max(0).unsigned_abs());
+    store.commit(&[Change::Put(INCARNATION, 0, &number.to_le_bytes())])?;
+    Ok(number)
 }
 
-/// The highest that was ever given; 0 before any.
+/// The highest number that was ever issued; 0 if none.
 pub(crate) fn last_incarnation(store: &Store) -> Result<u64, StoreError> {
     let Some(bytes) = store.get(INCARNATION, 0)? else {
         return Ok(0);
--- a/crates/snapshot/src/write_queue.rs
+++ b/crates/snapshot/src/write_queue.rs
@@ -1,4 +1,4 @@
-//! The coalescing queue between those who store something and the writer thread, with its counts
+//! The coalescing queue between the users of the snapshot and the writer thread, with its counts
 //! and log lines.
 
 use crate::snapshot::Changes;
@@ -6,31 +6,31 @@
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Lines that may wait to be said; further ones are dropped, as they say the same.
-const MAX_LINES: usize = 16;
+/// Most log lines that wait; further ones are dropped, as they say the same.
+const MAX_LOG_LINES: usize = 16;
 
-/// What the writer has done.
+/// What the writer thread has done.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Commits, each with a sync.
     pub commits: u64,
-    /// Bytes of payload in them.
+    /// Bytes of payload in the commits.
     pub bytes: u64,
-    /// Changes that took the place of others that still waited.
+    /// Changes that replaced others still waiting.
     pub coalesced: u64,
-    /// Times that the disk did not do what was asked.
+    /// Number of disk failures.
     pub failures: u64,
     /// Files quarantined.
     pub quarantined: u64,
-    /// It does not now.
+    /// Whether the disk is failing now.
     pub failing: bool,
 }
 
 #[derive(Default)]
 pub(crate) struct WriteQueue {
     pending: Mutex<PendingChanges>,
-    /// Something has come into the tray.
-    came: Condvar,
+    /// Changes are available.
+    available: Condvar,
     counts: [AtomicU64; 5],
     failing: AtomicBool,
     lines: Mutex<Vec<String>>,
@@ -39,8 +39,8 @@
 #[derive(Default)]
 pub(crate) struct PendingChanges {
     pub(crate) changes: Changes,
-    /// Nothing comes any more.
-    last: bool,
+    /// Whether no more changes will follow.
+    is_last: bool,
 }
 
 pub(crate) const COMMITS: usize = 0;
@@ -54,73 +54,73 @@
         self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(crate) fn count(&self, what: usize, more: u64) {
-        self.counts[what].fetch_add(more, Ordering::Relaxed);
+    pub(crate) fn add_count(&self, counter: usize, amount: u64) {
+        self.counts[counter].fetch_add(amount, Ordering::Relaxed);
     }
 
     pub(crate) fn log(&self, line: String) {
         let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
-        if lines.len() < MAX_LINES {
+        if lines.len() < MAX_LOG_LINES {
             lines.push(line);
         }
     }
 
-    /// One line when it begins, one when it is over.
-    pub(crate) fn failed(&self, what: &dyn std::fmt::Display) {
-        self.count(FAILURES, 1);
+    /// Records a failure; logs a line if it is the first in a row.
+    pub(crate) fn record_failure(&self, error: &dyn std::fmt::Display) {
+        self.add_count(FAILURES, 1);
         if !self.failing.swap(true, Ordering::Relaxed) {
-            self.log(format!("nothing is kept for now: {what}"));
+            self.log(format!("nothing is kept for now: {error}"));
         }
     }
 
-    pub(crate) fn recovered(&self) {
+    pub(crate) fn record_recovery(&self) {
         if self.failing.swap(false, Ordering::Relaxed) {
             self.log("what is known is kept again".to_owned());
         }
     }
 
-    /// Takes in changes; the last ones close it.
-    pub(crate) fn enqueue(&self, changes: Changes, last: bool) {
+    /// Adds changes; the last ones close the queue.
+    pub(crate) fn enqueue(&self, changes: Changes, is_last: bool) {
         let mut pending = self.pending();
-        if pending.last || (changes.is_empty() && !last) {
+        if pending.is_last || (changes.is_empty() && !is_last) {
             return;
         }
         if !pending.changes.is_empty() {
-            self.count(COALESCED, 1);
+            self.add_count(COALESCED, 1);
         }
-        pending.changes.then(changes);
-        pending.last = last;
-        self.came.notify_one();
+        pending.changes.merge(changes);
+        pending.is_last = is_last;
+        self.available.notify_one();
     }
 
-    /// Waits for changes, and where the disk failed until it is to be tried again; whether they are
-    /// the last. Nothing where the last cannot be written.
-    pub(crate) fn next(&self, not_before: Option<Instant>) -> Option<(Changes, bool)> {
+    /// Waits for changes and, after a failure, for the retry; returns them and whether they are the
+    /// last. None if the last ones can't be written.
+    pub(crate) fn take_next(&self, retry_at: Option<Instant>) -> Option<(Changes, bool)> {
         let mut pending = self.pending();
         loop {
-            let left = not_before.map_or(Duration::ZERO, |at| {
+            let delay = retry_at.map_or(Duration::ZERO, |at| {
                 at.saturating_duration_since(Instant::now())
             });
-            if pending.last && !left.is_zero() {
+            if pending.is_last && !delay.is_zero() {
                 return None;
             }
-            if left.is_zero() && (pending.last || !pending.changes.is_empty()) {
-                return Some((std::mem::take(&mut pending.changes), pending.last));
+            if delay.is_zero() && (pending.is_last || !pending.changes.is_empty()) {
+                return Some((std::mem::take(&mut pending.changes), pending.is_last));
             }
-            pending = if left.is_zero() {
-                self.came
+            pending = if delay.is_zero() {
+                self.available
                     .wait(pending)
                     .unwrap_or_else(PoisonError::into_inner)
             } else {
-                self.came
-                    .wait_timeout(pending, left)
+                self.available
+                    .wait_timeout(pending, delay)
                     .unwrap_or_else(PoisonError::into_inner)
                     .0
             };
         }
     }
 
-    /// What it has done.
+    /// The counts so far.
     pub(crate) fn counts(&self) -> Counts {
         let [commits, bytes, coalesced, failures, quarantined] =
             [COMMITS, BYTES, COALESCED, FAILURES, QUARANTINED]
@@ -136,8 +136,8 @@
         }
     }
 
-    /// What there is to say to the on-call engineers, taken away with that.
-    pub(crate) fn lines(&self) -> Vec<String> {
+    /// Removes and returns the log lines.
+    pub(crate) fn take_log_lines(&self) -> Vec<String> {
         std::mem::take(&mut self.lines.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
--- a/crates/snapshot/src/writer.rs
+++ b/crates/snapshot/src/writer.rs
@@ -1,5 +1,5 @@
-//! The one thread that reads and writes the stored state. Nobody waits for it: while the disk is
-//! busy a newer change takes the place of one that waits.
+//! The thread that reads and writes the stored state. No caller waits for it: while the disk is
+//! busy, a newer change replaces a waiting one.
 
 use crate::Micros;
 use crate::directory::{DirectoryError, StateStorage};
@@ -10,118 +10,122 @@
 use std::sync::mpsc::{RecvTimeoutError, SyncSender, sync_channel};
 use std::time::{Duration, Instant};
 
-/// How a start came out.
+/// The result of a start.
 #[derive(Debug)]
-pub enum Begun {
-    /// What was found.
+pub enum StartResult {
+    /// The stored state.
     Found(Box<Found>),
-    /// Another process has the directory.
+    /// Another process uses the directory.
     InUse(String),
-    /// The disk does not do what is asked, or not in time: serve without. It is tried again.
-    Without,
+    /// The disk failed or was too slow: the sidecar serves without stored state, and the thread
+    /// retries.
+    Unavailable,
 }
 
-/// A handle to the writer's thread, which ends with the process, or once the last was handed over
-/// and written.
+/// A handle to the writer thread, which ends with the process or after the last changes were
+/// written.
 #[derive(Clone)]
 pub struct Writer(Arc<WriteQueue>);
 
 impl Writer {
-    /// Starts the thread, which takes the place and begins an incarnation there, and waits for that
-    /// for so long at the most. Where it cannot write, it tries again after `again`.
+    /// Starts the thread, which opens the storage and starts an incarnation, and waits for that up
+    /// to `start_timeout`. After a failure the thread retries after `retry_delay`.
     pub fn start<P: StateStorage + 'static>(
-        take: impl Fn() -> Result<P, DirectoryError> + Send + 'static,
+        open_storage: impl Fn() -> Result<P, DirectoryError> + Send + 'static,
         owner: String,
         now: impl Fn() -> Micros + Send + 'static,
-        wait: Duration,
-        again: Duration,
-    ) -> (Self, Begun) {
+        start_timeout: Duration,
+        retry_delay: Duration,
+    ) -> (Self, StartResult) {
         let queue = Arc::new(WriteQueue::default());
-        let (tell, told) = sync_channel(1);
-        let thread = Thread {
+        let (start_sender, start_receiver) = sync_channel(1);
+        let thread = WriterThread {
             queue: Arc::clone(&queue),
-            take,
+            open_storage,
             owner,
             now,
-            again,
+            retry_delay,
         };
         let started = std::thread::Builder::new()
             .name("state".to_owned())
-            .spawn(move || thread.run(&tell));
-        let begun = match started {
-            Ok(_) => told.recv_timeout(wait).unwrap_or_else(|e| {
-                if e == RecvTimeoutError::Timeout {
-                    queue.failed(&format!(
-                        "the disk was not ready within {} ms",
-                        wait.as_millis()
-                    ));
-                }
-                Begun::Without
-            }),
+            .spawn(move || thread.run(&start_sender));
+        let result = match started {
+            Ok(_) => start_receiver
+                .recv_timeout(start_timeout)
+                .unwrap_or_else(|e| {
+                    if e == RecvTimeoutError::Timeout {
+                        queue.record_failure(&format!(
+                            "the disk was not ready within {} ms",
+                            start_timeout.as_millis()
+                        ));
+                    }
+                    StartResult::Unavailable
+                }),
             Err(e) => {
-                queue.failed(&e);
-                Begun::Without
+                queue.record_failure(&e);
+                StartResult::Unavailable
             }
         };
-        (Self(queue), begun)
+        (Self(queue), result)
     }
 
-    /// Hands over changes; what still waits is replaced by them, part by part. Never waits for the
-    /// disk.
+    /// Queues changes, which replace waiting ones part by part. Never waits for the disk.
     pub fn commit(&self, changes: Changes) {
         self.0.enqueue(changes, false);
     }
 
-    /// Hands over the last ones: the thread writes them, lets go of the files and ends. Never waits
-    /// for that.
+    /// Queues the last changes: the thread writes them, closes the files and ends. Never waits for
+    /// that.
     pub fn commit_last(&self, changes: Changes) {
         self.0.enqueue(changes, true);
     }
 
-    /// What it has done.
+    /// The counts so far.
     pub fn counts(&self) -> Counts {
         self.0.counts()
     }
 
-    /// What there is to say to the on-call engineers, taken away with that.
-    pub fn lines(&self) -> Vec<String> {
-        self.0.lines()
+    /// Removes and returns the log lines.
+    pub fn take_log_lines(&self) -> Vec<String> {
+        self.0.take_log_lines()
     }
 }
 
-struct Thread<T, N> {
+struct WriterThread<T, N> {
     queue: Arc<WriteQueue>,
-    take: T,
+    open_storage: T,
     owner: String,
     now: N,
-    again: Duration,
+    retry_delay: Duration,
 }
 
-impl<P: StateStorage, T: Fn() -> Result<P, DirectoryError>, N: Fn() -> Micros> Thread<T, N> {
-    fn run(self, tell: &SyncSender<Begun>) {
+impl<P: StateStorage, T: Fn() -> Result<P, DirectoryError>, N: Fn() -> Micros> WriterThread<T, N> {
+    fn run(self, start_sender: &SyncSender<StartResult>) {
         let queue = &self.queue;
         let mut storage = None;
         let mut snapshot_store = None;
         match self.begin(&mut storage) {
             Ok((begun, found)) => {
                 snapshot_store = Some(begun);
-                let _ = tell.try_send(Begun::Found(Box::new(found)));
-                queue.recovered();
+                let _ = start_sender.try_send(StartResult::Found(Box::new(found)));
+                queue.record_recovery();
             }
             Err(DirectoryError::InUse(used)) => {
-                let _ = tell.try_send(Begun::InUse(used.to_string()));
-                queue.failed(&used);
+                let _ = start_sender.try_send(StartResult::InUse(used.to_string()));
+                queue.record_failure(&used);
             }
             Err(DirectoryError::StoreError(trouble)) => {
-                queue.failed(&trouble);
-                let _ = tell.try_send(Begun::Without);
+                queue.record_failure(&trouble);
+                let _ = start_sender.try_send(StartResult::Unavailable);
             }
         }
-        let mut tried = Instant::now();
-        while let Some((changes, last)) =
-            queue.next(snapshot_store.is_none().then_some(tried + self.again))
-        {
-            let kept = match &snapshot_store {
+        let mut last_attempt = Instant::now();
+        while let Some((changes, is_last)) = queue.take_next(
+            snapshot_store
+                .is_none()
+                .then_some(last_attempt + self.retry_delay),
+        ) {
+            let result = match &snapshot_store {
                 Some(snapshot_store) => snapshot_store
                     .commit(&changes)
                     .map_err(DirectoryError::StoreError),
@@ -131,42 +135,42 @@
                     kept
                 }),
             };
-            match kept {
+            match result {
                 Ok(bytes) => {
-                    queue.count(COMMITS, 1);
-                    queue.count(BYTES, bytes);
-                    queue.recovered();
+                    queue.add_count(COMMITS, 1);
+                    queue.add_count(BYTES, bytes);
+                    queue.record_recovery();
                 }
                 Err(why) => {
-                    // Nobody knows what is kept now.
+                    // What is durable now is unknown.
                     snapshot_store = None;
-                    tried = Instant::now();
-                    queue.failed(&why);
+                    last_attempt = Instant::now();
+                    queue.record_failure(&why);
                     let mut pending = queue.pending();
-                    let later = std::mem::replace(&mut pending.changes, changes);
-                    pending.changes.then(later);
+                    let newer = std::mem::replace(&mut pending.changes, changes);
+                    pending.changes.merge(newer);
                 }
             }
-            if last {
+            if is_last {
                 return;
             }
         }
     }
 
     fn begin(&self, storage: &mut Option<P>) -> Result<(SnapshotStore, Found), DirectoryError> {
-        let taken = match storage.take() {
+        let opened = match storage.take() {
             Some(taken) => taken,
-            None => (self.take)()?,
+            None => (self.open_storage)()?,
         };
-        let begun = SnapshotStore::begin(storage.insert(taken), &self.owner, (self.now)())
+        let begun = SnapshotStore::begin(storage.insert(opened), &self.owner, (self.now)())
             .map_err(DirectoryError::StoreError)?;
         self.queue
-            .count(QUARANTINED, begun.1.quarantined.len() as u64);
+            .add_count(QUARANTINED, begun.1.quarantined.len() as u64);
         for quarantined in &begun.1.quarantined {
             self.queue.log(format!(
                 "set aside as {}: {}",
                 quarantined.file.display(),
-                quarantined.why
+                quarantined.reason
             ));
         }
         Ok(begun)
--- a/crates/snapshot/tests/common/mod.rs
+++ b/crates/snapshot/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Two disks in memory in the place of a directory, and state to store.
+//! Two disks in memory that replace a directory, and state to store.
 #![allow(dead_code)]
 
 use load_balancer_record_store::disk::Disk;
@@ -10,7 +10,7 @@
 pub const SECOND: Micros = 1_000_000;
 pub const NOW: Micros = 1_790_000_000 * SECOND;
 pub const OWNER: &str = "linenproxy/n1";
-pub const BOUNDS: Bounds = Bounds {
+pub const BOUNDS: StalenessBounds = StalenessBounds {
     list: 600 * SECOND,
     processes: 60 * SECOND,
 };
@@ -22,7 +22,7 @@
     quarantined: Vec<Disk>,
 }
 
-/// The place; clones are the same.
+/// Storage on disks in memory; clones share them.
 #[derive(Clone, Default)]
 pub struct Disks(Arc<Mutex<Files>>);
 
@@ -49,13 +49,13 @@
         self.with(|files| files.quarantined.len())
     }
 
-    /// Both take so many more writes and syncs.
+    /// Makes both disks fail after that many more writes and syncs.
     pub fn fail_after(&self, writes: u64) {
         self.disk(FileKind::Snapshot).fail_after(writes);
         self.disk(FileKind::Numbers).fail_after(writes);
     }
 
-    /// Power off and on.
+    /// Simulates a power loss.
     pub fn crash(&self, random: &mut fastrand::Rng) {
         for file in [FileKind::Snapshot, FileKind::Numbers] {
             let left = self.disk(file).crash(|| random.bool());
@@ -66,7 +66,7 @@
 
 impl StateStorage for Disks {
     fn open(&self, file: FileKind, owner: &str) -> Result<Opened, StoreError> {
-        match Store::on(self.disk(file), owner) {
+        match Store::open_backend(self.disk(file), owner) {
             Ok(store) => Ok(Opened {
                 store,
                 quarantined: None,
@@ -74,8 +74,8 @@
             Err(OpenError::StoreError(trouble)) => Err(trouble),
             Err(OpenError::Corruption(why)) => {
                 let quarantined = self.quarantine(file)?;
-                let store =
-                    Store::on(self.disk(file), owner).map_err(|e| StoreError(e.to_string()))?;
+                let store = Store::open_backend(self.disk(file), owner)
+                    .map_err(|e| StoreError(e.to_string()))?;
                 Ok(Opened {
                     store,
                     quarantined: Some(load_balancer_record_store::Quarantined {
@@ -124,7 +124,7 @@
     }
 }
 
-/// What a sidecar of so many endpoints knows at a time, one in five of them sick.
+/// The state of a sidecar with that many endpoints, one in five of them unhealthy.
 pub fn changes(endpoints: usize, now: Micros) -> Changes {
     let entries = (0..endpoints).map(entry).collect();
     let all = (0..endpoints)
--- a/crates/snapshot/tests/crashes.rs
+++ b/crates/snapshot/tests/crashes.rs
@@ -1,21 +1,21 @@
-//! What a loss of power does to the stored state.
+//! Effects of a power loss on the stored state.
 //!
-//! The invariants: what was kept is found whole or in one of the states that were under way; no
-//! incarnation is given twice, whatever the clock does; a start always goes on.
+//! Invariants: committed state is found complete, or in one of the states that were being
+//! committed; no incarnation is issued twice, whatever the clock does; a start never fails.
 
 mod common;
 use common::*;
 use load_balancer_snapshot::*;
 
-/// Lives in a row, each of which loses power at any write: also of a start, where nothing was kept
-/// yet. `lives` in all; how many began.
-fn histories(seed: u64, lives: u32) -> u32 {
+/// Runs incarnations in a row, each of which loses power at some write, possibly during the start.
+/// Returns how many started.
+fn run_history(seed: u64, incarnations: u32) -> u32 {
     let mut random = fastrand::Rng::with_seed(seed);
     let (mut now, mut last, mut begun) = (NOW, 0, 0);
     let disks = Disks::default();
-    let (mut kept, mut tried): (Option<Changes>, Vec<Changes>) = (None, Vec::new());
-    for _ in 0..lives {
-        // A clock goes on, or jumps back a day, or is put right again.
+    let (mut stored, mut attempted): (Option<Changes>, Vec<Changes>) = (None, Vec::new());
+    for _ in 0..incarnations {
+        // The clock advances, or jumps by a day in either direction.
         now += match random.u32(0..10) {
             0 => -86_400 * SECOND,
             1 => 86_400 * SECOND,
@@ -32,40 +32,41 @@
             );
             last = found.incarnation;
             let empty = Snapshot::default();
-            let is = |changes: &Changes| {
+            let matches = |changes: &Changes| {
                 found.known.processes == changes.processes
                     && found.known.list == changes.list
                     && found.known.configuration == changes.configuration
             };
-            let none = found.known == empty;
-            let known = kept.iter().chain(&tried).any(is);
-            // Where power was lost before anything was kept, or the clock was put back, there may
-            // be nothing.
-            let future = kept
-                .iter()
-                .chain(&tried)
-                .any(|c| c.list.as_ref().is_some_and(|l| l.seen > now + SKEW));
+            let is_empty = found.known == empty;
+            let known = stored.iter().chain(&attempted).any(matches);
+            // There may be nothing if power was lost before the first commit, or if the clock was
+            // set back.
+            let future = stored.iter().chain(&attempted).any(|c| {
+                c.list
+                    .as_ref()
+                    .is_some_and(|l| l.seen > now + MAX_CLOCK_SKEW_US)
+            });
             assert!(
-                known || (none && (kept.is_none() || future)),
+                known || (is_empty && (stored.is_none() || future)),
                 "{:?}",
                 found.known.list
             );
-            if none {
-                (kept, tried) = (None, Vec::new());
+            if is_empty {
+                (stored, attempted) = (None, Vec::new());
             } else {
-                kept = kept
+                stored = stored
                     .take()
                     .into_iter()
-                    .chain(tried.drain(..))
-                    .find(|c| is(c));
+                    .chain(attempted.drain(..))
+                    .find(|c| matches(c));
             }
-            for turn in 0..random.usize(0..4) {
-                let changes = changes(3 + turn * 4, now + turn as Micros);
+            for commit in 0..random.usize(0..4) {
+                let changes = changes(3 + commit * 4, now + commit as Micros);
                 if snapshot_store.commit(&changes).is_err() {
-                    tried.push(changes);
+                    attempted.push(changes);
                     break;
                 }
-                (kept, tried) = (Some(changes), Vec::new());
+                (stored, attempted) = (Some(changes), Vec::new());
             }
         }
         drop(begins);
@@ -74,34 +75,34 @@
     begun
 }
 
-/// Some hundred crashes; with `CRASHES` in the environment as many as it says.
+/// Some hundred crashes; the environment variable `CRASHES` sets another number.
 #[test]
-fn what_is_kept_survives_any_crash_and_no_incarnation_is_given_twice() {
-    let wanted: u64 = std::env::var("CRASHES")
+fn committed_state_survives_any_crash_and_no_incarnation_is_issued_twice() {
+    let crashes: u64 = std::env::var("CRASHES")
         .ok()
         .and_then(|n| n.parse().ok())
         .unwrap_or(400);
-    let begun: u32 = (0..wanted.div_ceil(20))
-        .map(|seed| histories(seed, 20))
+    let begun: u32 = (0..crashes.div_ceil(20))
+        .map(|seed| run_history(seed, 20))
         .sum();
     assert!(
-        u64::from(begun) > wanted / 3,
-        "{begun} of {wanted} lives began"
+        u64::from(begun) > crashes / 3,
+        "{begun} of {crashes} lives began"
     );
 }
 
 #[test]
-fn a_thousand_restarts_keep_what_is_known_and_the_files_do_not_grow() {
+fn a_thousand_restarts_keep_the_state_and_the_files_do_not_grow() {
     let disks = Disks::default();
     let (mut length, mut last) = (0, 0);
-    for incarnation_record in 0..1000 {
-        let now = NOW + incarnation_record * SECOND;
+    for restart in 0..1000 {
+        let now = NOW + restart * SECOND;
         let (snapshot_store, found) = SnapshotStore::begin(&disks, OWNER, now).expect("begins");
         assert!(found.incarnation > last && found.quarantined.is_empty());
-        assert_eq!(found.known.list.is_some(), incarnation_record > 0);
+        assert_eq!(found.known.list.is_some(), restart > 0);
         last = found.incarnation;
         snapshot_store.commit(&changes(50, now)).expect("kept");
-        if incarnation_record == 20 {
+        if restart == 20 {
             length =
                 disks.disk(FileKind::Snapshot).length() + disks.disk(FileKind::Numbers).length();
         }
@@ -114,7 +115,7 @@
 }
 
 #[test]
-fn a_clock_that_was_put_back_a_day_costs_what_was_known_and_no_number() {
+fn a_clock_set_back_by_a_day_loses_the_state_but_reuses_no_incarnation() {
     let disks = Disks::default();
     let (snapshot_store, first) = SnapshotStore::begin(&disks, OWNER, NOW).expect("begins");
     snapshot_store.commit(&changes(5, NOW)).expect("kept");
@@ -131,7 +132,7 @@
         (first.incarnation + 1, 1, 1)
     );
     assert!(
-        found.quarantined[0].why.contains("future"),
+        found.quarantined[0].reason.contains("future"),
         "{:?}",
         found.quarantined
     );
--- a/crates/snapshot/tests/migration.rs
+++ b/crates/snapshot/tests/migration.rs
@@ -1,28 +1,28 @@
 //! Files of other versions.
 //!
-//! `files/known-form-1.sectors` was written by the version before: 512 bytes of the file each,
-//! behind the number of their place as four bytes; all others are zero.
+//! `files/known-form-1.sectors` was written by the previous version: sectors of 512 bytes, each
+//! preceded by its number as four bytes; all other sectors are zero.
 
 mod common;
 use common::*;
-use load_balancer_record_store::disk::{Disk, SECTOR};
+use load_balancer_record_store::disk::{Disk, SECTOR_BYTES};
 use load_balancer_record_store::{Change, Store};
 use load_balancer_snapshot::*;
 
 const LENGTH: usize = 73_728;
 
-/// The disk of the version before, as it was recorded.
-fn before() -> Disk {
+/// The recorded disk of the previous version.
+fn previous_disk() -> Disk {
     let mut bytes = vec![0; LENGTH];
-    for record in include_bytes!("files/known-form-1.sectors").chunks_exact(4 + SECTOR) {
+    for record in include_bytes!("files/known-form-1.sectors").chunks_exact(4 + SECTOR_BYTES) {
         let (storage, sector) = record.split_first_chunk().expect("four bytes");
-        let at = u32::from_le_bytes(*storage) as usize * SECTOR;
-        bytes[at..at + SECTOR].copy_from_slice(sector);
+        let at = u32::from_le_bytes(*storage) as usize * SECTOR_BYTES;
+        bytes[at..at + SECTOR_BYTES].copy_from_slice(sector);
     }
-    Disk::holding(bytes)
+    Disk::with_bytes(bytes)
 }
 
-fn held(found: &Snapshot) -> Changes {
+fn as_changes(found: &Snapshot) -> Changes {
     let Snapshot {
         list,
         processes,
@@ -38,13 +38,13 @@
 }
 
 #[test]
-fn the_form_before_is_read_as_if_it_were_this_one() {
+fn the_previous_form_is_read_like_the_current_one() {
     let disks = Disks::default();
-    disks.put(FileKind::Snapshot, before());
+    disks.put(FileKind::Snapshot, previous_disk());
     let (snapshot_store, found) = SnapshotStore::begin(&disks, OWNER, NOW).expect("begins");
     assert!(found.quarantined.is_empty(), "{:?}", found.quarantined);
-    assert_eq!(held(&found.known), changes(10, NOW));
-    // What is kept from now on is in the new form, part by part.
+    assert_eq!(as_changes(&found.known), changes(10, NOW));
+    // Parts that are stored from now on have the new form.
     snapshot_store
         .commit(&Changes {
             processes: changes(10, NOW).processes,
@@ -53,24 +53,24 @@
         .expect("kept");
     drop(snapshot_store);
     let (_, again) = SnapshotStore::begin(&disks, OWNER, NOW).expect("begins");
-    assert_eq!(held(&again.known), changes(10, NOW));
+    assert_eq!(as_changes(&again.known), changes(10, NOW));
 }
 
 #[test]
-fn power_may_go_at_any_write_of_a_migration() {
+fn a_migration_survives_a_power_loss_at_any_write() {
     let mut random = fastrand::Rng::with_seed(5);
     for writes in 0..60 {
         let disks = Disks::default();
-        // Its numbers were there; a file that was never whole may be quarantined.
+        // The numbers exist; a file that was never complete may be quarantined.
         drop(SnapshotStore::begin(&disks, OWNER, NOW - SECOND).expect("begins"));
-        disks.put(FileKind::Snapshot, before());
+        disks.put(FileKind::Snapshot, previous_disk());
         disks.fail_after(writes);
         if let Ok((snapshot_store, _)) = SnapshotStore::begin(&disks, OWNER, NOW) {
             let _ = snapshot_store.commit(&changes(10, NOW + SECOND));
         }
         disks.crash(&mut random);
         let (_, found) = SnapshotStore::begin(&disks, OWNER, NOW + SECOND).expect("begins");
-        let known = held(&found.known);
+        let known = as_changes(&found.known);
         let (list, quarantined) = (known.list.as_ref().map(|l| l.index), &found.quarantined);
         assert!(
             known == changes(10, NOW) || known == changes(10, NOW + SECOND),
@@ -81,10 +81,10 @@
 }
 
 #[test]
-fn a_newer_form_is_set_aside_as_it_is() {
+fn a_newer_form_is_quarantined_unchanged() {
     let disks = Disks::default();
     drop(SnapshotStore::begin(&disks, OWNER, NOW).expect("begins"));
-    let store = Store::on(disks.disk(FileKind::Snapshot), OWNER).expect("whole");
+    let store = Store::open_backend(disks.disk(FileKind::Snapshot), OWNER).expect("whole");
     let newer = (SCHEMA + 1).to_le_bytes();
     store
         .commit(&[Change::Put("list", 0, &newer)])
@@ -96,7 +96,7 @@
         (Snapshot::default(), 1, 1)
     );
     assert!(
-        found.quarantined[0].why.contains("form 3"),
+        found.quarantined[0].reason.contains("form 3"),
         "{:?}",
         found.quarantined
     );
--- a/crates/snapshot/tests/tool.rs
+++ b/crates/snapshot/tests/tool.rs
@@ -1,5 +1,5 @@
-//! The program that inspects a state directory changes nothing, and believes nothing that a start
-//! would not.
+//! The program that inspects a snapshot directory modifies nothing, and rejects what a start would
+//! reject.
 
 mod common;
 use common::*;
@@ -22,11 +22,11 @@
 }
 
 #[test]
-fn it_reads_a_live_and_a_copied_directory_and_changes_neither() {
+fn a_live_and_a_copied_directory_are_read_and_not_changed() {
     let directory = tempfile::tempdir().expect("a directory");
     let (live, copy) = (directory.path().join("live"), directory.path().join("copy"));
-    let taken = Directory::take(&live).expect("taken");
-    // A real clock is past this time; nothing in it is from the future.
+    let taken = Directory::lock(&live).expect("taken");
+    // A real clock is later than this time, so nothing is from the future.
     let (snapshot_store, _) =
         SnapshotStore::begin(&taken, OWNER, NOW - 1_000_000_000 * SECOND).expect("begins");
     snapshot_store
@@ -51,14 +51,14 @@
         assert_eq!(run("verify", dir).status.code(), Some(0));
         assert_eq!(bytes(dir), before);
     }
-    // The sidecar still has it.
+    // The sidecar still uses the directory.
     snapshot_store.commit(&changes(11, NOW)).expect("kept");
 }
 
 #[test]
-fn what_a_start_would_set_aside_is_named() {
+fn files_that_a_start_would_quarantine_are_reported() {
     let directory = tempfile::tempdir().expect("a directory");
-    let taken = Directory::take(directory.path()).expect("taken");
+    let taken = Directory::lock(directory.path()).expect("taken");
     drop(SnapshotStore::begin(&taken, OWNER, NOW).expect("begins"));
     let known = directory.path().join("known");
     let mut bytes = std::fs::read(&known).expect("it is there");
--- a/src/bin/sidecar/affinity_pages.rs
+++ b/src/bin/sidecar/affinity_pages.rs
@@ -6,7 +6,7 @@
 use load_balancer_affinity::drain_phase::DrainError;
 use load_balancer_affinity::report::AffinitySummary;
 use load_balancer_affinity::{Process, hash};
-use load_balancer_common::pages::{Ask, Page};
+use load_balancer_common::pages::{Page, PageRequest};
 use load_balancer_gossip::connectivity::AffinityEntries as Permission;
 use serde::{Deserialize, Serialize};
 
@@ -76,8 +76,8 @@
 }
 
 /// The page at that path; none if it is not a page on affinity.
-pub fn page(host: &AffinityHost, request: &Ask) -> Option<Page> {
-    match (request.path.as_str(), &request.posted) {
+pub fn page(host: &AffinityHost, request: &PageRequest) -> Option<Page> {
+    match (request.path.as_str(), &request.body) {
         ("/fleet/bindings", None) => Page::json(StatusCode::OK, &affinity_status(host)),
         ("/fleet/bindings/dump", None) => Page::compact(&affinity_dump(host)),
         ("/fleet/leaving", Some(body)) => drain_page(body, |process, epoch| {
@@ -94,10 +94,10 @@
             })
         }),
         ("/fleet/leaving" | "/fleet/stays", None) => {
-            Page::refused(StatusCode::METHOD_NOT_ALLOWED, "method", "this is posted")
+            Page::error(StatusCode::METHOD_NOT_ALLOWED, "method", "this is posted")
         }
         ("/fleet/bindings" | "/fleet/bindings/dump", Some(_)) => {
-            Page::refused(StatusCode::METHOD_NOT_ALLOWED, "method", "this is read")
+            Page::error(StatusCode::METHOD_NOT_ALLOWED, "method", "this is read")
         }
         _ => None,
     }
@@ -131,16 +131,16 @@
 ) -> Option<Page> {
     let (process, epoch) = match parse_drain_request(body) {
         Ok(parsed) => parsed,
-        Err((key, reason)) => return Page::refused(StatusCode::BAD_REQUEST, key, &reason),
+        Err((key, reason)) => return Page::error(StatusCode::BAD_REQUEST, key, &reason),
     };
     match apply(process, epoch) {
         Ok(response) => Page::json(StatusCode::OK, &response),
-        Err(DrainError::EpochEnded) => Page::refused(
+        Err(DrainError::EpochEnded) => Page::error(
             StatusCode::CONFLICT,
             "epoch",
             "a later one has begun for this process",
         ),
-        Err(DrainError::TooManyDraining) => Page::refused(
+        Err(DrainError::TooManyDraining) => Page::error(
             StatusCode::TOO_MANY_REQUESTS,
             "server",
             "as many processes leave already as members can tell of",
--- a/src/bin/sidecar/observer.rs
+++ b/src/bin/sidecar/observer.rs
@@ -5,7 +5,7 @@
 
 use crate::messages::{Answer, EngineSummary, OutgoingRequest};
 use load_balancer::{AttemptIndex, Micros, Outcome};
-use load_balancer_common::metering::Figures;
+use load_balancer_common::metering::MetricsRegistry;
 use series::{ANSWER_LABELS, RequestMetrics, outcome_label};
 use std::rc::Rc;
 use tokio::time::Instant;
@@ -34,7 +34,7 @@
     }
 
     /// An observer that records into `figures`, by class.
-    pub fn enabled(figures: Rc<Figures>, classes: &[String]) -> Self {
+    pub fn enabled(figures: Rc<MetricsRegistry>, classes: &[String]) -> Self {
         Self(Some(Rc::new(RequestMetrics::register(figures, classes))))
     }
 
@@ -120,11 +120,11 @@
             .list_age
             .set(metrics.list_received_at.get().elapsed().as_secs_f64());
         metrics.lines_dropped.absolute(dropped_lines);
-        Some(metrics.figures.text())
+        Some(metrics.figures.render())
     }
 
     /// The metrics that it records into.
-    pub fn figures(&self) -> Option<Rc<Figures>> {
+    pub fn figures(&self) -> Option<Rc<MetricsRegistry>> {
         self.0.as_ref().map(|seen| Rc::clone(&seen.figures))
     }
 }
--- a/src/bin/sidecar/observer/series.rs
+++ b/src/bin/sidecar/observer/series.rs
@@ -2,7 +2,7 @@
 
 use load_balancer::Outcome;
 use load_balancer_common::cli;
-use load_balancer_common::metering::Figures;
+use load_balancer_common::metering::MetricsRegistry;
 use metrics::{Counter, Gauge, Histogram};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -26,7 +26,7 @@
 
 /// All metrics except those of gossip.
 pub(super) struct RequestMetrics {
-    pub figures: Rc<Figures>,
+    pub figures: Rc<MetricsRegistry>,
     pub classes: Vec<ClassMetrics>,
     /// By outcome, in the order of [`outcome_label`].
     pub attempts: [AttemptMetrics; OUTCOMES.len()],
@@ -67,7 +67,7 @@
 
 impl RequestMetrics {
     /// Registers the metrics in `figures`, and the build's version.
-    pub fn register(figures: Rc<Figures>, classes: &[String]) -> Self {
+    pub fn register(figures: Rc<MetricsRegistry>, classes: &[String]) -> Self {
         register_build(&figures);
         let f = &figures;
         let gauge = |name, help| f.gauge(name, help, &[]);
@@ -122,7 +122,7 @@
     }
 }
 
-fn register_build(figures: &Figures) {
+fn register_build(figures: &MetricsRegistry) {
     let labels = [
         ("version", cli::VERSION),
         ("commit", cli::COMMIT.unwrap_or("unknown")),
@@ -135,7 +135,7 @@
     build.set(1.0);
 }
 
-fn class_metrics(figures: &Figures, class: &str) -> ClassMetrics {
+fn class_metrics(figures: &MetricsRegistry, class: &str) -> ClassMetrics {
     ClassMetrics {
         ended: ANSWER_LABELS.map(|outcome| {
             let labels = [("class", class), ("outcome", outcome)];
@@ -153,7 +153,7 @@
     }
 }
 
-fn attempt_metrics(figures: &Figures, label: &str) -> AttemptMetrics {
+fn attempt_metrics(figures: &MetricsRegistry, label: &str) -> AttemptMetrics {
     let labels = [("outcome", label)];
     AttemptMetrics {
         ended: figures.counter(
--- a/src/bin/sidecar/pages.rs
+++ b/src/bin/sidecar/pages.rs
@@ -7,7 +7,7 @@
 use crate::snapshot::SnapshotHost;
 use hyper::StatusCode;
 use load_balancer_common::logging::Log;
-use load_balancer_common::pages::{Ask, Page};
+use load_balancer_common::pages::{Page, PageRequest};
 use std::rc::Rc;
 
 /// The sources of the pages.
@@ -27,15 +27,15 @@
 
 impl Pages {
     /// Renders the requested page; none if there is no such page.
-    pub async fn render(self, request: Ask) -> Option<Page> {
+    pub async fn render(self, request: PageRequest) -> Option<Page> {
         if let Some(host) = self.fleet.as_ref().and_then(Fleet::affinity)
             && let Some(page) = affinity_pages::page(host, &request)
         {
             return Some(page);
         }
         match request.path.as_str() {
-            "/fleet" | "/fleet/servers" | "/metrics" if request.posted.is_some() => {
-                Page::refused(StatusCode::METHOD_NOT_ALLOWED, "method", "this is read")
+            "/fleet" | "/fleet/servers" | "/metrics" if request.body.is_some() => {
+                Page::error(StatusCode::METHOD_NOT_ALLOWED, "method", "this is read")
             }
             "/fleet" => Page::json(StatusCode::OK, &self.fleet?.summary()),
             "/fleet/servers" => Page::compact(&self.fleet?.servers()),
--- a/src/bin/sidecar/product.rs
+++ b/src/bin/sidecar/product.rs
@@ -17,8 +17,8 @@
 use load_balancer_common::cli::{self, Exit};
 use load_balancer_common::config;
 use load_balancer_common::logging::{self, Log};
-use load_balancer_common::metering::Figures;
-use load_balancer_common::pages::{self, Bounds};
+use load_balancer_common::metering::MetricsRegistry;
+use load_balancer_common::pages::{self, Limits};
 use std::io::Write;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -50,7 +50,7 @@
     /// The configuration in effect.
     sections: Sections,
     log: Rc<Log>,
-    bounds: Bounds,
+    bounds: Limits,
 }
 
 impl Product {
@@ -79,7 +79,7 @@
         let log = Rc::new(logging::start(&sections.log, "sidecar"));
         Ok(Self {
             file,
-            bounds: Bounds::of(&sections.metrics),
+            bounds: Limits::new(&sections.metrics),
             sections,
             log,
         })
@@ -88,7 +88,7 @@
     /// The observer of the engine, by class.
     pub fn observer(&self, classes: &[String]) -> Observer {
         match self.sections.metrics.enabled {
-            true => Observer::enabled(Rc::new(Figures::new()), classes),
+            true => Observer::enabled(Rc::new(MetricsRegistry::new()), classes),
             false => Observer::disabled(),
         }
     }
@@ -154,7 +154,7 @@
         snapshot: Option<&SnapshotHost>,
     ) -> Result<(), ExitError> {
         if let Some(state) = snapshot {
-            state.start_storing(inputs, config::written(&self.sections));
+            state.start_storing(inputs, config::to_toml(&self.sections));
         }
         let Some(figures) = observer.figures() else {
             return Ok(());
@@ -211,13 +211,13 @@
                 keys.join(", ")
             }
         };
-        let waiting = config::changed(&self.sections, &new_sections);
+        let waiting = config::changed_keys(&self.sections, &new_sections);
         let note = if waiting.is_empty() {
             String::new()
         } else {
             format!("; {} for a restart", waiting_keys(&waiting))
         };
-        let taken = join_keys(config::changed(&previous, &self.sections));
+        let taken = join_keys(config::changed_keys(&previous, &self.sections));
         say!(
             info,
             "sidecar",
--- a/src/bin/sidecar/product_sections.rs
+++ b/src/bin/sidecar/product_sections.rs
@@ -2,7 +2,7 @@
 
 use crate::config::Config;
 use crate::config_error::ConfigError;
-use load_balancer_common::config::{self, Configuration, Contradiction, Problem};
+use load_balancer_common::config::{self, Configuration, InvalidConfig, InvalidSetting};
 use load_balancer_common::logging::LogSection;
 use load_balancer_common::metering::MetricsSection;
 use load_balancer_gossip::section::FleetSection;
@@ -31,7 +31,7 @@
 }
 
 impl Configuration for Sections {
-    fn check(&self) -> Result<(), Contradiction> {
+    fn check(&self) -> Result<(), InvalidSetting> {
         self.log.check()?;
         self.metrics.check()?;
         self.fleet.check()?;
@@ -41,7 +41,7 @@
 
 impl Sections {
     /// Loads a product configuration; log targets may use the program's earlier name.
-    pub fn load(file: &Path) -> Result<Self, Problem> {
+    pub fn load(file: &Path) -> Result<Self, InvalidConfig> {
         let mut sections: Self = config::load(file)?;
         sections
             .log
@@ -60,7 +60,7 @@
 pub fn print_effective(sections: &Sections) -> Result<(), ConfigError> {
     let mut text = format!(
         "# The product configuration that would hold.\n{}",
-        config::written(sections)
+        config::to_toml(sections)
     );
     if std::env::var_os("LB_CONFIG").is_some() {
         let platform = Config::from_env()?;
--- a/src/bin/sidecar/snapshot.rs
+++ b/src/bin/sidecar/snapshot.rs
@@ -12,8 +12,8 @@
 use crate::stored_form::{StoredList, to_named, to_process};
 use load_balancer_common::cli::Exit;
 use load_balancer_snapshot::{
-    Begun, Changes, Directory, Found, IncarnationRecord, Micros, Process, Processes,
-    SnapshotSection, ValidSnapshot, Writer, validate,
+    Changes, Directory, Found, IncarnationRecord, Micros, Process, Processes, SnapshotSection,
+    StartResult, ValidSnapshot, Writer, validate,
 };
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -63,7 +63,7 @@
             return Err(ExitError::new(what, Exit::Config));
         }
         let owner = format!("{cluster}/{}", config.name);
-        let open_directory = move || Directory::take(&dir);
+        let open_directory = move || Directory::lock(&dir);
         let (writer, begun) = Writer::start(
             open_directory,
             owner,
@@ -73,12 +73,12 @@
         );
         let now = clock.now();
         let (incarnation_record, valid) = match begun {
-            Begun::InUse(what) => {
+            StartResult::InUse(what) => {
                 let what = format!("snapshot.dir: {what}");
                 return Err(ExitError::new(what, Exit::Unavailable));
             }
-            Begun::Without => (None, ValidSnapshot::default()),
-            Begun::Found(found) => {
+            StartResult::Unavailable => (None, ValidSnapshot::default()),
+            StartResult::Found(found) => {
                 let incarnation_record = IncarnationRecord {
                     incarnation: found.incarnation,
                     began: now,
@@ -201,7 +201,7 @@
 
     /// Logs the writer's messages.
     fn log_writer_lines(&self) {
-        for line in self.0.writer.lines() {
+        for line in self.0.writer.take_log_lines() {
             say!(warn, "sidecar::state", "{line}");
         }
     }
@@ -221,7 +221,7 @@
     let endpoints = valid.list.as_ref().map_or(0, |list| list.entries.len());
     let open = valid.processes.iter().filter(|p| p.open).count();
     let left_out: String = valid
-        .left_out
+        .omitted
         .iter()
         .map(|what| format!(", {what}"))
         .collect();
--- a/src/bin/sidecar/snapshot/metrics.rs
+++ b/src/bin/sidecar/snapshot/metrics.rs
@@ -1,11 +1,11 @@
 //! The metrics of the snapshot.
 
 use super::SnapshotHost;
-use load_balancer_common::metering::Figures;
+use load_balancer_common::metering::MetricsRegistry;
 
 impl SnapshotHost {
     /// Updates the metrics.
-    pub fn update_metrics(&self, figures: &Figures) {
+    pub fn update_metrics(&self, figures: &MetricsRegistry) {
         let counts = self.0.writer.counts();
         for (name, help, total) in [
             (
