--- a/crates/emulator/src/bin/fleet-emulator/up.rs
+++ b/crates/emulator/src/bin/fleet-emulator/up.rs
@@ -11,7 +11,7 @@
 use load_balancer_emulator::outcome::Measure;
 use load_balancer_emulator::record::Record;
 use load_balancer_emulator::report::figure;
-use load_balancer_emulator::run::{Progress, play};
+use load_balancer_emulator::run::{Progress, run};
 use load_balancer_emulator::supervisor::READY_WITHIN;
 use std::io::{IsTerminal, Write};
 use std::sync::Arc;
@@ -45,7 +45,7 @@
     let plan = Arc::new(draw(&experiment, fastrand::u64(..)));
     let (sender, _progress) = watch::channel(Progress::default());
     let record = Record::default();
-    let played = play(
+    let played = run(
         &experiment,
         &plan,
         &experiment.variant[0],
--- a/crates/emulator/src/comparison.rs
+++ b/crates/emulator/src/comparison.rs
@@ -8,7 +8,7 @@
 use crate::experiment::{Experiment, MeasureBound};
 use crate::outcome::Measure;
 use crate::record::Record;
-use crate::run::{Launch, Progress, RunError, play};
+use crate::run::{Launch, Progress, RunError, run};
 use crate::sim::simulate;
 use crate::statistics::Interval;
 use crate::tally::Tally;
@@ -194,7 +194,7 @@
                         })?;
                         let (sender, mut progress) = watch::channel(Progress::default());
                         let record = Record::default();
-                        let played = play(
+                        let played = run(
                             experiment, &plan, variant, launch, &folder, &sender, &record,
                         );
                         tokio::pin!(played);
--- a/crates/emulator/src/draw/faults.rs
+++ b/crates/emulator/src/draw/faults.rs
@@ -121,7 +121,7 @@
     /// Who is concerned: a part, drawn anew for each fault, of all or of those in the zone.
     fn chosen(&mut self, fault: &Fault) -> Vec<usize> {
         let there = |zone: usize| fault.zone.is_none_or(|z| z == zone);
-        let mut all: Vec<usize> = match fault.kind.of_sidecars() {
+        let mut all: Vec<usize> = match fault.kind.concerns_sidecars() {
             true => (0..self.sidecars.len())
                 .filter(|i| there(self.sidecars[*i].zone))
                 .collect(),
--- a/crates/emulator/src/experiment.rs
+++ b/crates/emulator/src/experiment.rs
@@ -1,5 +1,5 @@
-//! The form of an experiment's file: topology, load, faults, variants, bounds; docs/emulator.md is
-//! its reference.
+//! The format of an experiment's file: topology, load, faults, variants, bounds; docs/emulator.md
+//! is the reference.
 
 mod check;
 mod fault;
@@ -22,129 +22,129 @@
 pub struct Experiment {
     /// Its name.
     pub name: String,
-    /// What it shows, in a sentence.
+    /// What it shows, in one sentence.
     pub about: String,
-    /// Who is there.
+    /// Sidecars, servers and zones.
     pub topology: Topology,
-    /// What clients ask for.
+    /// The clients' requests.
     pub load: Load,
-    /// The network when nothing is wrong.
+    /// The network without faults.
     pub network: Network,
-    /// What goes wrong, and when.
+    /// The faults, and when they occur.
     pub fault: Vec<Fault>,
-    /// Maintenance that is wanted.
+    /// The requested maintenance windows.
     pub window: Vec<Window>,
-    /// The capacity that was agreed to stay.
+    /// The capacity floor.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub agreement: Option<Agreed>,
-    /// Who is asked for windows.
+    /// The coordinators that are asked for windows.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[serde(alias = "stewards")]
     pub coordinators: Option<Coordinators>,
-    /// What is compared; the first is what the others are held against.
+    /// The variants that are compared; the first one is the reference.
     pub variant: Vec<Variant>,
-    /// What has to hold.
+    /// The bounds that must hold.
     pub bounds: Bounds,
 }
 
-/// Who is there.
+/// Sidecars, servers and zones.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Topology {
-    /// Sidecars, each with an application of its own.
+    /// Number of sidecars, each with an application of its own.
     pub sidecars: usize,
-    /// Servers.
+    /// Number of servers.
     pub servers: usize,
-    /// Zones, over which both are spread in turn; 1 to 3.
+    /// Number of zones, 1 to 3, to which sidecars and servers are assigned in turn.
     pub zones: usize,
-    /// Servers in a group; a group lies in one zone.
+    /// Servers per group; a group is in one zone.
     pub group: usize,
-    /// Part of the groups that share a limit.
+    /// Share of the groups that have a common limit.
     pub limited: f64,
-    /// Connections that a server holds.
+    /// Most connections of a server.
     pub connections: usize,
 }
 
-/// What clients ask for.
+/// The clients' requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Load {
-    /// Requests a second of the mean sidecar.
+    /// Mean number of requests per second and sidecar.
     pub rate: f64,
-    /// How unevenly they are spread over sidecars: 0 all alike; 1 a few have several times the
-    /// mean.
+    /// How unevenly they are distributed over the sidecars: 0 is even; at 1 a few have several
+    /// times the mean.
     pub uneven: f64,
-    /// How far each sidecar's rate wanders around its own mean, as a part of it.
+    /// How far each sidecar's rate varies around its own mean, as a share of it.
     pub wander: f64,
-    /// How long requests come.
+    /// How long requests are sent.
     pub lasts: Time,
-    /// Requests in this first time count for nothing.
+    /// Requests in this first period are not counted.
     pub warmup: Time,
-    /// Keys that requests carry, a few far more popular than the rest.
+    /// Number of keys in requests; a few are far more popular than the rest.
     pub keys: usize,
-    /// Work of requests, as a multiple of the site's.
+    /// Work per request, as a multiple of the site's.
     pub work: f64,
 }
 
-/// The network when nothing is wrong.
+/// The network without faults.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Network {
-    /// One way inside a zone.
+    /// One-way delay inside a zone.
     pub inside: Time,
-    /// One way between zones.
+    /// One-way delay between zones.
     pub between: Time,
-    /// More, at most, drawn for each fragment.
+    /// Largest additional delay, random for each segment.
     pub jitter: Time,
-    /// How late changes of the list reach a sidecar, at least and at most.
+    /// Smallest and largest delay of list changes on their way to a sidecar.
     pub list_delay: [Time; 2],
 }
 
-/// A build or a configuration that is compared.
+/// A build or configuration that is compared.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Variant {
     /// Its name.
     pub name: String,
-    /// The program of its sidecars; the one on the command line where this is left out.
+    /// The program of its sidecars; by default the one given on the command line.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub program: Option<PathBuf>,
     /// Its product configuration, as the text of a file.
     pub config: String,
-    /// Who carries the experiment's windows out.
+    /// How the experiment's windows are carried out.
     pub windows: Carried,
     /// Which of its sidecars run an earlier version.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub mix: Option<Mix>,
 }
 
-/// What has to hold.
+/// The bounds that must hold.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Bounds {
-    /// A run whose requests came later than this, one in a hundred, is void: the machine was too
+    /// A run is invalid if one request in a hundred was sent later than this: the machine was too
     /// slow.
     pub lateness: Time,
-    /// Bounds on single measures.
+    /// Bounds on measures.
     pub measure: Vec<MeasureBound>,
 }
 
-/// A bound on a measure's mean over the runs.
+/// A bound on the mean of a measure over the runs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MeasureBound {
     /// The measure.
     pub measure: Measure,
-    /// The variant; every one where this is left out.
+    /// The variant; by default every one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub variant: Option<String>,
-    /// Held against that variant: the bounds are then on the quotient of the two means.
+    /// The variant to compare with: the bounds then apply to the quotient of the two means.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub against: Option<String>,
-    /// At least this.
+    /// Lower bound.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub least: Option<f64>,
-    /// At most this.
+    /// Upper bound.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub most: Option<f64>,
 }
--- a/crates/emulator/src/experiment/check/tests.rs
+++ b/crates/emulator/src/experiment/check/tests.rs
@@ -5,11 +5,11 @@
 use std::path::Path;
 
 #[test]
-fn bad_files_get_one_plain_line_with_the_place() {
+fn invalid_files_get_a_one_line_message_with_the_position() {
     let good = "name = \"a\"\n[[variant]]\nname = \"today\"\n";
-    let read =
+    let parse_experiment =
         |text: &str| parse::<Experiment>(Path::new("a.toml"), text).map_err(|p| p.to_string());
-    assert_eq!(read(good).map(|e| e.variant.len()), Ok(1));
+    assert_eq!(parse_experiment(good).map(|e| e.variant.len()), Ok(1));
     for (more, place) in [
         ("[topology]\nzones = 9\n", "a.toml:5: topology.zones: "),
         (
@@ -35,7 +35,7 @@
             "a.toml:4: bounds.measure: ",
         ),
     ] {
-        let said = read(&format!("{good}{more}")).expect_err(more);
-        assert!(said.starts_with(place) && !said.contains('\n'), "{said}");
+        let error = parse_experiment(&format!("{good}{more}")).expect_err(more);
+        assert!(error.starts_with(place) && !error.contains('\n'), "{error}");
     }
 }
--- a/crates/emulator/src/experiment/fault.rs
+++ b/crates/emulator/src/experiment/fault.rs
@@ -3,26 +3,27 @@
 use load_balancer_common::units::Time;
 use serde::{Deserialize, Serialize};
 
-/// Something that goes wrong.
+/// A fault.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// What.
+    /// The kind.
     pub kind: FaultKind,
-    /// When it begins, since the first request.
+    /// When it begins, from the first request.
     pub at: Time,
     /// How long it lasts.
     pub lasts: Time,
-    /// The zone that it concerns.
+    /// The zone that it affects.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<usize>,
-    /// The part of all (or of those in the zone) that it concerns, drawn from the seed.
+    /// The share of all targets (or of those in the zone) that it affects, chosen by the seed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub part: Option<f64>,
-    /// How strong: times slower, share of errors or of resets, or more delay in milliseconds.
+    /// Its strength: factor of slowness, share of errors or resets, or additional delay in
+    /// milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub size: Option<f64>,
-    /// Cuts: one way only, and which.
+    /// The direction of a partition.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub way: Option<Way>,
 }
@@ -31,59 +32,56 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Servers' processes die; they come back cold when it ends.
+    /// Server processes crash; they restart cold at the end.
     ServersDie,
-    /// Servers take requests and answer none.
+    /// Servers accept requests and never answer.
     ServersSilent,
     /// Servers are `size` times slower.
     ServersSlow,
     /// Servers answer a `size` share of requests with an error.
     ServersFail,
     /// Servers are replaced one after the other: each drains and leaves, and a cold one with
-    /// another name comes.
+    /// another name joins.
     ServersReplace,
-    /// Sidecars are told that servers leave; when it ends they drain, and are gone once they have
-    /// had time for that.
+    /// Servers are announced to leave; at the end they drain, and stop after the time for that.
     ServersLeave,
-    /// Servers that a platform returns do not come back.
+    /// Servers that the platform returns do not come back.
     ReturnsNever,
     /// They come back `size` milliseconds late.
     ReturnsLate,
-    /// They come back, and a moment later once more, under another start.
+    /// They come back, and shortly afterwards again with another start time.
     ReturnsTwice,
-    /// Nothing passes between the zone and the others.
+    /// The zone is partitioned from the others.
     ZoneCut,
-    /// Everything between sidecars and servers takes `size` milliseconds longer.
+    /// Delays between sidecars and servers are `size` milliseconds longer.
     NetworkSlow,
-    /// A `size` share of the fragments that pass break their connection.
+    /// A `size` share of the segments resets its connection.
     NetworkResets,
-    /// Sidecars are killed at once; they start again when it ends.
+    /// Sidecars are killed at once and restarted at the end.
     SidecarsKill,
-    /// Sidecars are stopped by SIGTERM one after the other, and each starts again once it has
-    /// ended.
+    /// Sidecars are shut down by SIGTERM one after the other, each restarting once it has exited.
     SidecarsRoll,
-    /// Sidecars are stopped and continued (SIGSTOP, SIGCONT).
+    /// Sidecars are suspended and resumed (SIGSTOP, SIGCONT).
     SidecarsPause,
-    /// Sidecars' clocks are off by `size` milliseconds, from their start on.
+    /// Sidecars' clocks are off by `size` milliseconds from their start on.
     SidecarsClock,
-    /// Datagrams between sidecars: a `size` share is lost.
+    /// A `size` share of the datagrams between sidecars is lost.
     DatagramsLost,
-    /// Datagrams between sidecars: a `size` share comes twice.
+    /// A `size` share of the datagrams between sidecars is duplicated.
     DatagramsRepeated,
-    /// Datagrams between sidecars: a `size` share is held up, so that later ones come before.
+    /// A `size` share of the datagrams between sidecars is delayed and so reordered.
     DatagramsLate,
-    /// A member of the fleet in that zone, beside the sidecars, says of all servers that they are
-    /// dead; with real processes only.
+    /// A Byzantine member in that zone reports all servers as dead; only with real processes.
     MemberLies,
-    /// Discovery says nothing.
+    /// Discovery does not answer.
     DiscoverySilent,
-    /// Discovery answers nonsense.
+    /// Discovery sends invalid answers.
     DiscoveryGarbled,
-    /// Discovery answers with an empty whole list.
+    /// Discovery sends an empty whole list.
     DiscoveryEmpty,
 }
 
-/// Which way a cut lets nothing through.
+/// The direction that a partition blocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Way {
@@ -96,8 +94,8 @@
 }
 
 impl FaultKind {
-    /// Whether it concerns sidecars rather than servers.
-    pub fn of_sidecars(self) -> bool {
+    /// Whether it affects sidecars rather than servers.
+    pub fn concerns_sidecars(self) -> bool {
         matches!(
             self,
             Self::SidecarsKill | Self::SidecarsRoll | Self::SidecarsPause | Self::SidecarsClock
--- a/crates/emulator/src/experiment/maintenance.rs
+++ b/crates/emulator/src/experiment/maintenance.rs
@@ -1,35 +1,35 @@
-//! The part of an experiment's file on maintenance: windows, who carries them out, the capacity
-//! floor.
+//! The part of an experiment's file on maintenance: windows, how they are carried out, and the
+//! capacity floor.
 
 use load_balancer_common::units::Time;
 use serde::{Deserialize, Serialize};
 
-/// A wish for maintenance of servers.
+/// A request for maintenance of servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Window {
-    /// When it is asked for, since the first request; the earliest start too.
+    /// When it is requested, from the first request on; also the earliest start.
     pub at: Time,
-    /// Its zone; all of them where this is left out.
+    /// The zone of its servers; by default all zones.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<usize>,
-    /// How many servers, drawn from the seed; each server is in one window at most.
+    /// Number of servers, chosen by the seed; each server is in at most one window.
     pub servers: usize,
-    /// So many windows alike, each with servers of its own.
+    /// Number of such windows, each with servers of its own.
     #[serde(default = "once")]
     pub times: usize,
-    /// How long each is away, from its drain to its return.
+    /// How long each server is away, from its drain to its return.
     pub length: Time,
-    /// How much longer it may be.
+    /// How much longer it may take.
     #[serde(default = "none")]
     pub overrun: Time,
-    /// Latest end, since the first request; the end of the load where this is left out.
+    /// Latest end, from the first request on; by default the end of the load.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub latest: Option<Time>,
-    /// Higher goes first.
+    /// Windows of a higher priority go first.
     #[serde(default)]
     pub priority: u8,
-    /// Whether its servers may go in waves.
+    /// Whether its servers may be split into waves.
     #[serde(default = "split")]
     pub split: bool,
 }
@@ -46,74 +46,73 @@
     true
 }
 
-/// The capacity that was agreed to stay, as parts of what is there at the beginning.
+/// The capacity floor, as shares of the initial capacity.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Agreed {
-    /// Of all zones together.
+    /// For all zones together.
     pub keep: f64,
-    /// Of each zone by itself.
+    /// For each zone.
     #[serde(default)]
     pub keep_zone: f64,
-    /// Servers away at once, by grant or dead.
+    /// Most servers away at once, whether admitted or dead.
     pub most_away: usize,
-    /// How soon a death must be known and answered: the bound on observations and the time to act
-    /// on it.
+    /// Time within which a death must be detected and acted on: the maximum age of observations,
+    /// and the time to act.
     #[serde(default = "answered_within")]
     pub answered_within: Time,
-    /// Times in which nothing may be away by grant.
+    /// Times during which no server may be away for maintenance.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub blackout: Vec<Blackout>,
-    /// Whether the overrun of a window may reach into one.
+    /// Whether the overrun of a window may overlap a blackout.
     #[serde(default)]
     pub overrun_may_enter_blackout: bool,
 }
 
-/// A time in which nothing may be away by grant.
+/// A time during which no server may be away for maintenance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Blackout {
-    /// Its beginning, since the first request.
+    /// Its start, from the first request on.
     pub at: Time,
-    /// How long it lasts.
+    /// Its length.
     pub lasts: Time,
 }
 
-/// Five seconds that observations may be old, a second between two looks, and two to act.
+/// Five seconds for the maximum age of observations, one between two polls, and two to act.
 fn answered_within() -> Time {
     Time::ms(8000)
 }
 
-/// Who carries windows out.
+/// How windows are carried out.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Carried {
-    /// Nobody: there is no maintenance.
+    /// Not at all: there is no maintenance.
     #[default]
     Not,
-    /// A crew that drains all servers of a window at once when it is due, whatever else is away.
+    /// All servers of a window are drained at once when it is due, whatever else is away.
     Blind,
-    /// A crew that has one server away at a time, over all windows.
+    /// One server at a time is away, over all windows.
     OneByOne,
-    /// Coordinators, who are asked for each window.
+    /// Coordinators are asked for each window.
     Asked,
 }
 
-/// The coordinators of a variant whose windows are asked for.
+/// The coordinators of a variant whose windows are requested.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Coordinators {
-    /// How many.
+    /// Number of coordinators.
     pub count: usize,
-    /// More of the configuration of each, as the text of a file, beside addresses, files and the
-    /// agreement.
+    /// Further configuration of each, as the text of a file, besides addresses, files and the
+    /// disruption budget.
     pub config: String,
-    /// What goes wrong with them.
+    /// The faults of coordinators.
     pub fault: Vec<CoordinatorFault>,
-    /// By how much the clock of each is off, the first one's first, in milliseconds; of the rest by
-    /// nothing.
+    /// Clock offset of each, in milliseconds, in order; 0 for the rest.
     pub clock_offset_ms: Vec<i64>,
-    /// By how much each one's disk is slower, the first one's first; the rest are as they are.
+    /// Additional delay of each one's disk, in order; none for the rest.
     pub disk_delay: Vec<Time>,
 }
 
@@ -130,18 +129,18 @@
     }
 }
 
-/// Something that goes wrong with coordinators.
+/// A fault of coordinators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CoordinatorFault {
-    /// What.
+    /// The kind.
     pub kind: CoordinatorFaultKind,
-    /// Whom it meets.
+    /// The affected coordinators.
     pub who: Who,
-    /// Earliest time, since the first request.
+    /// The earliest time, from the first request on.
     pub at: Time,
-    /// It waits from then on until a server's seat has come to that state: `booked`, `draining`,
-    /// `clear`, `away`, `returning`, `closed`.
+    /// The state of a server's slot that it then waits for: `booked`, `draining`, `clear`, `away`,
+    /// `returning`, `closed`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub on: Option<String>,
     /// How long it lasts.
@@ -152,27 +151,27 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CoordinatorFaultKind {
-    /// Killed, and started again when it ends.
+    /// Killed, and restarted at the end.
     Kill,
-    /// Stopped and continued (SIGSTOP, SIGCONT).
+    /// Suspended and resumed (SIGSTOP, SIGCONT).
     Stop,
-    /// Killed, its disk emptied, and started again when it ends.
+    /// Killed, its disk erased, and restarted at the end.
     EmptyDisk,
-    /// Killed, its largest file torn in the middle, and started again when it ends.
+    /// Killed, its largest file truncated in the middle, and restarted at the end.
     TearDisk,
-    /// Nothing can be written to any file while it lasts.
+    /// No file can be written during the fault.
     FullDisk,
 }
 
-/// Which coordinators a fault meets.
+/// The coordinators affected by a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Who {
-    /// The one that leads at that moment.
+    /// The leader at that time.
     Leader,
-    /// One that does not.
+    /// One that is not the leader.
     Follower,
-    /// More than half, the leader among them.
+    /// More than half, including the leader.
     Majority,
     /// All.
     All,
--- a/crates/emulator/src/experiment/mix.rs
+++ b/crates/emulator/src/experiment/mix.rs
@@ -10,51 +10,52 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Mix {
-    /// The earlier one, by its name among the pinned revisions.
+    /// The earlier version, by its name among the pinned revisions.
     pub revision: String,
-    /// Its program; the one that was built of the revision where this is left out.
+    /// Its program; by default the one built from the revision.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub program: Option<PathBuf>,
-    /// The part of the sidecars that begin with it, the first ones in an order drawn from the seed.
+    /// The share of the sidecars that start with it: the first ones in an order derived from the
+    /// seed.
     pub part: f64,
-    /// Its product configuration; the variant's where this is left out.
+    /// Its product configuration; by default the variant's.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub config: Option<String>,
-    /// Changes from one to the other.
+    /// Changes from one version to the other.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub roll: Vec<Roll>,
 }
 
-/// Sidecars are stopped by SIGTERM one after the other, and each starts again in that version once
-/// it has ended.
+/// A rolling restart: sidecars are shut down by SIGTERM one after the other, each restarting in
+/// that version once it has exited.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Roll {
-    /// The version.
+    /// The new version.
     pub to: Version,
-    /// When it begins, since the first request.
+    /// When it begins, from the first request on.
     pub at: Time,
-    /// Until the last one is told to stop.
+    /// Time until the last sidecar is told to shut down.
     pub lasts: Time,
-    /// The part of the sidecars, the first ones in the same order.
+    /// The share of the sidecars: the first ones in the same order.
     pub part: f64,
 }
 
-/// One of the two.
+/// One of the two versions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Version {
-    /// The earlier one.
+    /// The earlier version.
     Old,
-    /// The variant's own.
+    /// The variant's own version.
     #[default]
     New,
 }
 
 impl Mix {
     pub(super) fn check(&self, lasts: Time) -> Result<(), InvalidSetting> {
-        let part = |x: f64| (0.0..=1.0).contains(&x);
-        if !part(self.part) || !self.roll.iter().all(|roll| part(roll.part)) {
+        let is_share = |x: f64| (0.0..=1.0).contains(&x);
+        if !is_share(self.part) || !self.roll.iter().all(|roll| is_share(roll.part)) {
             return Err(InvalidSetting::new("variant.mix", "part from 0 to 1"));
         }
         if self.roll.iter().any(|roll| roll.at >= lasts) {
--- a/crates/emulator/src/health_pages.rs
+++ b/crates/emulator/src/health_pages.rs
@@ -40,7 +40,9 @@
         let well = |server: usize| {
             self.servers.with(|world, at, done| {
                 world.advance(at, done);
-                world.answers(server).then(|| world.warmth(server, at))
+                world
+                    .is_responding(server)
+                    .then(|| world.warmth(server, at))
             })
         };
         let seen = |server: usize| {
--- a/crates/emulator/src/pairs/histories.rs
+++ b/crates/emulator/src/pairs/histories.rs
@@ -4,7 +4,7 @@
 use super::wire::Written;
 use crate::draw::draw;
 use crate::experiment::{Experiment, Fault, FaultKind, Variant, Way};
-use crate::sim::simulate_tapped;
+use crate::sim::simulate_observed;
 use crate::{SECOND, Us};
 use load_balancer_common::config::InvalidConfig;
 use load_balancer_common::units::Time;
@@ -152,6 +152,6 @@
         .map(|server| server.name.clone())
         .collect();
     let mut written = Written::new(names);
-    simulate_tapped(&experiment, &plan, &Variant::default(), Some(&mut written))?;
+    simulate_observed(&experiment, &plan, &Variant::default(), Some(&mut written))?;
     Ok(written)
 }
--- a/crates/emulator/src/pairs/wire.rs
+++ b/crates/emulator/src/pairs/wire.rs
@@ -1,7 +1,7 @@
 //! Records the events and actions of a decision module on the simulator's wire (WIRE), so that any
 //! version of it can be given the same.
 
-use crate::sim::Tap;
+use crate::sim::SimulationObserver;
 use crate::site::{CLASSES, KINDS, ZONES};
 use load_balancer::{Action, EndpointStatus, Event, ListUpdate, ListedEndpoint, Micros, Outcome};
 use std::fmt::Write as _;
@@ -172,7 +172,7 @@
     }
 }
 
-impl Tap for Written {
+impl SimulationObserver for Written {
     fn started(&mut self, instance: usize, now: Micros, seed: u64, settings: &str) {
         self.batch(
             now,
@@ -181,7 +181,7 @@
         );
     }
 
-    fn told(&mut self, instance: usize, now: Micros, event: &Event, actions: &[Action]) {
+    fn handled(&mut self, instance: usize, now: Micros, event: &Event, actions: &[Action]) {
         if let Some(told) = self.event(instance, event) {
             let answered: String = actions
                 .iter()
--- a/crates/emulator/src/platform.rs
+++ b/crates/emulator/src/platform.rs
@@ -233,7 +233,7 @@
             let told = held.since.saturating_add(self.told_within) <= now;
             let runs = self
                 .servers
-                .with(|world, _, _| (world.up(i), world.held(i)));
+                .with(|world, _, _| (world.is_up(i), world.job_count(i)));
             let in_flight = (held.place != Place::Draining || told).then_some(runs.1);
             // One that was never started, or left for good, is none of the platform's.
             let listed = held.place != Place::Serving || !gone.contains(&i);
--- a/crates/emulator/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -1,4 +1,4 @@
-//! One run with real processes: starts servers, agents, sidecars and clients, injects the faults,
+//! A run with real processes: starts servers, agents, sidecars and clients, injects the faults,
 //! stops everything, and returns the record.
 
 mod build;
@@ -25,30 +25,30 @@
 use tokio::sync::watch;
 use tokio::task::AbortHandle;
 
-/// A sidecar that lives in the emulator's own process, such as a faulty one that an auditor is to
-/// catch.
-pub type Within =
+/// A sidecar implemented in the emulator's process, such as a faulty one that an auditor must
+/// detect.
+pub type InProcessSidecar =
     Arc<dyn Fn(PlatformConfig) -> Pin<Box<dyn Future<Output = ()> + Send>> + Send + Sync>;
 
-/// What takes the sidecars' place.
+/// How sidecars are launched.
 #[derive(Clone)]
 pub enum Launch {
-    /// Processes, brought up in this way.
+    /// As processes, with these options.
     Program(LaunchOptions),
-    /// Tasks of the emulator's own.
-    Within(Within),
+    /// As tasks of the emulator.
+    InProcess(InProcessSidecar),
 }
 
-/// Why a run could not be run.
+/// Why a run failed.
 #[derive(Debug)]
 pub enum RunError {
-    /// Sockets or files could not be had.
+    /// Sockets or files could not be created.
     Io(String, io::Error),
-    /// The coordinators did not begin to lead.
+    /// The coordinators elected no leader.
     Coordinators(String),
-    /// The program of an earlier revision is not there.
+    /// The program of an earlier revision is missing.
     Unbuilt(String),
-    /// A sidecar did not start.
+    /// A sidecar failed to start.
     Start(usize, String),
 }
 
@@ -67,22 +67,22 @@
 
 impl std::error::Error for RunError {}
 
-/// What is seen of a run while it goes on.
+/// The progress of a run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Progress {
-    /// Requests sent, and requests in all.
+    /// Number of requests sent, and in total.
     pub sent: usize,
     /// See `sent`.
     pub all: usize,
 }
 
-/// Tasks that end with a run, however it ends.
+/// Tasks that are aborted at the end of a run, however it ends.
 #[derive(Default)]
 struct Tasks(Vec<AbortHandle>);
 
 impl Tasks {
-    fn spawn(&mut self, what: impl Future<Output = ()> + Send + 'static) {
-        self.0.push(tokio::spawn(what).abort_handle());
+    fn spawn(&mut self, task: impl Future<Output = ()> + Send + 'static) {
+        self.0.push(tokio::spawn(task).abort_handle());
     }
 }
 
@@ -92,11 +92,11 @@
     }
 }
 
-/// Runs one variant; what is seen goes into `record`, which is taken at the end.
+/// Runs one variant; events are recorded in `record`, which is emptied at the end.
 ///
 /// # Errors
-/// Sockets or files cannot be had, or a sidecar does not start.
-pub async fn play(
+/// Sockets or files can't be created, or a sidecar fails to start.
+pub async fn run(
     experiment: &Experiment,
     plan: &Arc<Plan>,
     variant: &Variant,
@@ -106,26 +106,26 @@
     record: &Record,
 ) -> Result<Tally, RunError> {
     let mut tasks = Tasks::default();
-    let stage = Arc::new(
+    let fleet = Arc::new(
         build(
             experiment, plan, variant, launch, folder, record, &mut tasks,
         )
         .await?,
     );
-    stage.clock.begin();
-    tasks.spawn(Arc::clone(&stage.servers).run());
-    tasks.spawn(Arc::clone(&stage).watch_over());
+    fleet.clock.begin();
+    tasks.spawn(Arc::clone(&fleet.servers).run());
+    tasks.spawn(Arc::clone(&fleet).restart_exited());
     tasks.spawn({
-        let (stage, plan) = (Arc::clone(&stage), Arc::clone(plan));
+        let (stage, plan) = (Arc::clone(&fleet), Arc::clone(plan));
         async move {
             for (at, step) in &plan.steps {
                 stage.clock.until(*at).await;
-                stage.step(*step).await;
+                stage.apply(*step).await;
             }
         }
     });
     if let Some(mix) = &variant.mix {
-        let (stage, changes) = (Arc::clone(&stage), mix::changes(mix, plan));
+        let (stage, changes) = (Arc::clone(&fleet), mix::version_changes(mix, plan));
         tasks.spawn(async move {
             for (at, sidecar, to) in changes {
                 stage.clock.until(at).await;
@@ -133,49 +133,57 @@
             }
         });
     }
-    let (clock, platform) = (stage.clock.clone(), Arc::clone(&stage.platform));
+    let (clock, platform) = (fleet.clock.clone(), Arc::clone(&fleet.platform));
     tasks.spawn(carry_out(
         Arc::clone(plan),
         clock,
         platform,
         variant.windows,
     ));
-    if let (Some(coordinators), Some(asked)) = (&stage.coordinators, &experiment.coordinators) {
+    if let (Some(coordinators), Some(coordinator_settings)) =
+        (&fleet.coordinators, &experiment.coordinators)
+    {
         tasks.spawn(ask_for_windows(Arc::clone(coordinators)));
-        tasks.spawn(trouble(Arc::clone(coordinators), asked.fault.clone()));
+        tasks.spawn(trouble(
+            Arc::clone(coordinators),
+            coordinator_settings.fault.clone(),
+        ));
     }
     let apps = Arc::new(Apps {
         plan: Arc::clone(plan),
-        clock: stage.clock.clone(),
-        record: stage.record.clone(),
-        sidecars: stage.sidecars.iter().map(Sidecar::address).collect(),
-        servers: Arc::clone(&stage.servers),
+        clock: fleet.clock.clone(),
+        record: fleet.record.clone(),
+        sidecars: fleet.sidecars.iter().map(Sidecar::address).collect(),
+        servers: Arc::clone(&fleet.servers),
     });
     let all = plan.arrivals.len();
     let lateness = apps
         .run(|sent| progress.send_modify(|p| *p = Progress { sent, all }))
         .await;
-    // Faults that last longer than the requests have nothing left to disturb.
+    // Faults that outlast the requests have no further effect.
     drop(tasks);
-    stage.end().await;
-    let record = stage.record.take();
-    let (work, savable, fallen) = stage
+    fleet.shut_down().await;
+    let record = fleet.record.take();
+    let (work, savable, fallen) = fleet
         .servers
-        .with(|world, _, _| (world.work(), world.savable(), world.fallen().len()));
+        .with(|world, _, _| (world.work(), world.savable(), world.collapsed().len()));
     let mut findings = audit(plan, &record);
     if variant.windows == Carried::Asked {
         findings.extend(audit_windows(plan, &record));
     }
     if variant.config.contains(BINDINGS) {
-        findings.extend(audit_bindings(plan, stage.clock.began_ms(), &record));
+        findings.extend(audit_bindings(plan, fleet.clock.began_ms(), &record));
     }
-    let mut spent = Vec::new();
-    for sidecar in 0..stage.sidecars.len() {
-        if let Some(process) = stage.process(sidecar) {
-            spent.push(process.lock().await.spent());
+    let mut cpu_times = Vec::new();
+    for sidecar in 0..fleet.sidecars.len() {
+        if let Some(process) = fleet.process(sidecar) {
+            cpu_times.push(process.lock().await.spent());
         }
     }
-    let fleet_bytes = stage.fronts.as_ref().map_or(0, MemberAddresses::bytes);
+    let fleet_bytes = fleet
+        .member_addresses
+        .as_ref()
+        .map_or(0, MemberAddresses::bytes);
     Ok(tally(
         plan,
         &record,
@@ -185,17 +193,17 @@
             fallen,
             lateness,
             fleet_bytes,
-            spent,
+            spent: cpu_times,
         },
         findings,
     ))
 }
 
-/// What stands in a variant's configuration for the address of a sidecar's pages, which the
+/// Placeholder in a variant's configuration for the address of a sidecar's pages, which the
 /// emulator then reads.
 pub const METRICS: &str = "{metrics}";
-/// What stands in a variant's configuration for a directory of the sidecar's own, which outlives
-/// its processes.
+/// Placeholder in a variant's configuration for a directory of the sidecar that outlives its
+/// processes.
 pub const STATE: &str = "{state}";
-/// What stands in a variant's configuration for the addresses of a sidecar in its fleet.
+/// Placeholder in a variant's configuration for the addresses of a sidecar in its fleet.
 pub const FLEET: &str = "{fleet}";
--- a/crates/emulator/src/run/build.rs
+++ b/crates/emulator/src/run/build.rs
@@ -1,6 +1,6 @@
-//! Starts everything that a run needs.
+//! Starts the parts of a run.
 
-use super::mix::begins_old;
+use super::mix::starts_with_old;
 use super::running_fleet::{RunningFleet, Sidecar};
 use super::{FLEET, Launch, METRICS, RunError, STATE, Tasks};
 use crate::affinity_dumps::{BINDINGS, follow};
@@ -27,7 +27,7 @@
 use std::sync::Arc;
 use tokio::sync::{Mutex, watch};
 
-/// Hosts of the loopback range that one run uses, by purpose.
+/// A host of the loopback range, by purpose, distinct for each run.
 fn host(purpose: u8, number: usize) -> IpAddr {
     let process = std::process::id();
     let low = (number % 250 + 1) as u8;
@@ -39,7 +39,7 @@
     ))
 }
 
-/// Builds the stage; what runs on it ends with `tasks`.
+/// Starts the parts of a run; their tasks end with `tasks`.
 #[expect(
     clippy::too_many_lines,
     reason = "starts every part of a run in order; to be split by part"
@@ -53,12 +53,12 @@
     record: &Record,
     tasks: &mut Tasks,
 ) -> Result<RunningFleet, RunError> {
-    let io = |what: &str| {
-        let what = what.to_owned();
-        move |e| RunError::Io(what, e)
+    let io_error = |what: &str| {
+        let message = what.to_owned();
+        move |e| RunError::Io(message, e)
     };
     let (clock, record) = (Clock::default(), record.clone());
-    let (net, mood) = (Net::new(&experiment.network), watch::channel(Mood::Well).0);
+    let (net, agent_mode) = (Net::new(&experiment.network), watch::channel(Mood::Well).0);
     let servers = Servers::new(
         Arc::clone(plan),
         clock.clone(),
@@ -73,23 +73,23 @@
         Arc::clone(&servers),
         catalogue.clone(),
     );
-    let (datagrams, lies) = (
+    let (datagrams, lying) = (
         watch::channel(Datagrams::default()).0,
         watch::channel(false).0,
     );
     let byzantine_member = experiment
         .fault
         .iter()
-        .find(|f| f.kind == FaultKind::MemberLies);
-    // Only who asks for a fleet has its sockets.
-    let fronts = match variant.config.contains(FLEET) {
+        .find(|fault| fault.kind == FaultKind::MemberLies);
+    // Only variants that configure a fleet get its sockets.
+    let member_addresses = match variant.config.contains(FLEET) {
         true => {
             let mut zones: Vec<usize> = plan.sidecars.iter().map(|spec| spec.zone).collect();
-            // The last one is nobody's but a Byzantine member's.
+            // The last address is reserved for a Byzantine member.
             zones.push(byzantine_member.and_then(|fault| fault.zone).unwrap_or(0));
             let hosts = |sidecar| (host(3, sidecar), host(4, sidecar));
             let opened = MemberAddresses::open(&zones, hosts, &net, &datagrams.subscribe()).await;
-            let (fronts, handles) = opened.map_err(io("no socket between sidecars"))?;
+            let (fronts, handles) = opened.map_err(io_error("no socket between sidecars"))?;
             tasks.0.extend(handles);
             if let Some(zone) = byzantine_member.map(|_| zones[plan.sidecars.len()]) {
                 let others = fronts.addresses[..plan.sidecars.len()]
@@ -103,7 +103,7 @@
                     site::ZONES[zone],
                     servers,
                     others,
-                    lies.subscribe(),
+                    lying.subscribe(),
                 ));
             }
             Some(fronts)
@@ -111,11 +111,11 @@
         false => None,
     };
     let (mut sidecars, mut pages, mut reserved) = (Vec::new(), Vec::new(), Vec::new());
-    for (sidecar, spec) in plan.sidecars.iter().enumerate() {
+    for (sidecar, sidecar_spec) in plan.sidecars.iter().enumerate() {
         let mut addresses = Vec::new();
         for server in 0..plan.servers.len() {
             let listener = servers.listener(host(0, server), &net, sidecar, server);
-            let (address, task) = listener.map_err(io("no socket for a server"))?;
+            let (address, task) = listener.map_err(io_error("no socket for a server"))?;
             addresses.push(address);
             tasks.0.push(task);
         }
@@ -125,90 +125,103 @@
             record.clone(),
             sidecar,
             Arc::new(addresses),
-            (mood.subscribe(), catalogue.clone()),
+            (agent_mode.subscribe(), catalogue.clone()),
         );
         let (discovery, task) = agent
             .listen(host(1, sidecar))
-            .map_err(io("no socket for an agent"))?;
+            .map_err(io_error("no socket for an agent"))?;
         tasks.0.push(task);
-        let kept = Reserved::on(host(2, sidecar)).map_err(io("no address for a sidecar"))?;
-        let listen = kept.address();
-        reserved.push(kept);
-        let told = PlatformConfig::new(
+        let reserved_address =
+            Reserved::on(host(2, sidecar)).map_err(io_error("no address for a sidecar"))?;
+        let listen = reserved_address.address();
+        reserved.push(reserved_address);
+        let platform_config = PlatformConfig::new(
             (sidecar, plan.sidecars.len()),
-            spec.zone,
+            sidecar_spec.zone,
             listen,
             discovery,
             agent.known(),
         );
         sidecars.push(match launch {
-            Launch::Program(bringing) => {
-                let mut bringing = bringing.clone();
-                bringing.program = variant.program.clone().unwrap_or(bringing.program);
-                let program = bringing.program.clone();
+            Launch::Program(launch_options) => {
+                let mut options = launch_options.clone();
+                options.program = variant.program.clone().unwrap_or(options.program);
+                let program = options.program.clone();
                 let mut variant = variant.clone();
-                let kept = Reserved::on(host(5, sidecar))
-                    .map_err(io("no address for a sidecar's pages"))?;
-                let metrics = kept.address();
-                reserved.push(kept);
+                let reserved_pages = Reserved::on(host(5, sidecar))
+                    .map_err(io_error("no address for a sidecar's pages"))?;
+                let metrics = reserved_pages.address();
+                reserved.push(reserved_pages);
                 pages.push(metrics);
-                let section = fronts
+                let section = member_addresses
                     .as_ref()
-                    .map(|f| f.section(sidecar, spec.clock_offset_ms));
-                // Nothing of an earlier run, but all of earlier lives in this one.
+                    .map(|f| f.section(sidecar, sidecar_spec.clock_offset_ms));
+                // Nothing remains of an earlier run, but the state of earlier incarnations in this
+                // one does.
                 let state = folder.join(format!("n{sidecar}-state"));
-                emptied(&state).map_err(io("cannot empty a sidecar's state"))?;
-                let filled = |config: &str| {
+                remove_directory(&state).map_err(io_error("cannot empty a sidecar's state"))?;
+                let fill_placeholders = |config: &str| {
                     let config = config.replace(METRICS, &metrics.to_string());
                     let config = config.replace(STATE, &state.display().to_string());
                     section
                         .as_ref()
                         .map_or(config.clone(), |section| config.replace(FLEET, section))
                 };
-                let whole = std::mem::take(&mut variant.config);
-                variant.config = filled(&whole);
-                let asked = variant.windows == Carried::Asked && !whole.contains(METRICS);
-                if asked {
+                let template = std::mem::take(&mut variant.config);
+                variant.config = fill_placeholders(&template);
+                let needs_health_pages =
+                    variant.windows == Carried::Asked && !template.contains(METRICS);
+                if needs_health_pages {
                     let listener = tokio::net::TcpListener::bind(metrics).await;
-                    let listener = listener.map_err(io("no socket for a sidecar's pages"))?;
+                    let listener = listener.map_err(io_error("no socket for a sidecar's pages"))?;
                     let (plan, platform) = (Arc::clone(plan), Arc::clone(&platform));
-                    let truth = Truth {
+                    let true_health = Truth {
                         plan,
                         clock: clock.clone(),
                         servers: Arc::clone(&servers),
                         platform,
                     };
-                    tasks.spawn(truth.tell(sidecar, listener));
+                    tasks.spawn(true_health.tell(sidecar, listener));
                 }
-                if whole.contains(METRICS) && whole.contains(BINDINGS) {
-                    let both = (clock.clone(), record.clone());
-                    tasks.spawn(follow(sidecar, metrics, Arc::clone(plan), both.0, both.1));
+                if template.contains(METRICS) && template.contains(BINDINGS) {
+                    let context = (clock.clone(), record.clone());
+                    tasks.spawn(follow(
+                        sidecar,
+                        metrics,
+                        Arc::clone(plan),
+                        context.0,
+                        context.1,
+                    ));
                 }
-                if whole.contains(METRICS) {
+                if template.contains(METRICS) {
                     tasks.spawn(observe(sidecar, metrics, clock.clone(), record.clone()));
                 }
                 let seed = plan.seed.wrapping_add(sidecar as u64);
-                let both = (clock.clone(), record.clone());
-                let supervised = Supervised::new(told, bringing, &variant, folder, seed, both);
-                let mut supervised = supervised.map_err(io("cannot write a sidecar's files"))?;
+                let context = (clock.clone(), record.clone());
+                let supervised =
+                    Supervised::new(platform_config, options, &variant, folder, seed, context);
+                let mut supervised =
+                    supervised.map_err(io_error("cannot write a sidecar's files"))?;
                 if let Some(mix) = &variant.mix {
                     let program = mix
                         .program
                         .clone()
                         .ok_or_else(|| RunError::Unbuilt(mix.revision.clone()))?;
-                    let config = filled(mix.config.as_deref().unwrap_or(&whole));
-                    let beside = supervised.beside(program, &config, folder);
-                    beside.map_err(io("cannot write a sidecar's files"))?;
-                    if begins_old(mix, plan, sidecar) {
+                    let config = fill_placeholders(mix.config.as_deref().unwrap_or(&template));
+                    let prepared = supervised.beside(program, &config, folder);
+                    prepared.map_err(io_error("cannot write a sidecar's files"))?;
+                    if starts_with_old(mix, plan, sidecar) {
                         supervised.turn(Version::Old);
                     }
                 }
-                let cannot = || format!("cannot start {}", program.display());
-                supervised.start().map_err(|e| RunError::Io(cannot(), e))?;
+                let start_error = || format!("cannot start {}", program.display());
+                supervised
+                    .start()
+                    .map_err(|e| RunError::Io(start_error(), e))?;
                 Sidecar::Process(listen, Box::new(Mutex::new(supervised)))
             }
-            Launch::Within(within) => {
-                tasks.spawn(within(told));
+            Launch::InProcess(in_process) => {
+                tasks.spawn(in_process(platform_config));
                 Sidecar::Task(listen)
             }
         });
@@ -224,54 +237,58 @@
         }
     }
     let coordinators = match (&experiment.coordinators, launch) {
-        (Some(asked), Launch::Program(bringing)) if variant.windows == Carried::Asked => {
+        (Some(coordinator_settings), Launch::Program(launch_options))
+            if variant.windows == Carried::Asked =>
+        {
             let listener = tokio::net::TcpListener::bind((host(8, 0), 0)).await;
-            let listener = listener.map_err(io("no socket for the platform"))?;
+            let listener = listener.map_err(io_error("no socket for the platform"))?;
             let at = listener
                 .local_addr()
-                .map_err(io("no address for the platform"))?;
+                .map_err(io_error("no address for the platform"))?;
             tasks.spawn(Arc::clone(&platform).listen(listener));
-            let mut bringing = bringing.clone();
+            let mut bringing = launch_options.clone();
             bringing.program = bringing.program.with_file_name("coordinator");
-            let around = Around {
+            let environment = Around {
                 net: &net,
                 platform: (Arc::clone(&platform), at),
                 sidecars: &pages,
                 host,
                 folder,
             };
-            let both = (plan, &clock, &record);
-            let started = Coordinators::start(asked, &bringing, around, both).await;
-            let (coordinators, handles) = started.map_err(io("cannot start the coordinators"))?;
+            let context = (plan, &clock, &record);
+            let started =
+                Coordinators::start(coordinator_settings, &bringing, environment, context).await;
+            let (coordinators, handles) =
+                started.map_err(io_error("cannot start the coordinators"))?;
             tasks.0.extend(handles);
             coordinators.ready().await.map_err(RunError::Coordinators)?;
             Some(coordinators)
         }
         _ => None,
     };
-    let binds = variant.config.contains(METRICS) && variant.config.contains(BINDINGS);
+    let uses_affinity = variant.config.contains(METRICS) && variant.config.contains(BINDINGS);
     Ok(RunningFleet {
         plan: Arc::clone(plan),
-        binds: binds.then_some(pages),
-        asking: Mutex::default(),
+        affinity_pages: uses_affinity.then_some(pages),
+        drain_queries: Mutex::default(),
         coordinators,
         clock,
         record,
         net,
         servers,
         platform,
-        mood,
+        agent_mode,
         datagrams,
-        lies,
-        fronts,
+        lying,
+        member_addresses,
         sidecars,
         _reserved: reserved,
-        under_way: Mutex::default(),
+        pending_restarts: Mutex::default(),
     })
 }
 
-/// Removes a directory, where there is one.
-fn emptied(directory: &Path) -> io::Result<()> {
+/// Removes a directory, if it exists.
+fn remove_directory(directory: &Path) -> io::Result<()> {
     match std::fs::remove_dir_all(directory) {
         Err(e) if e.kind() != io::ErrorKind::NotFound => Err(e),
         _ => Ok(()),
--- a/crates/emulator/src/run/mix/tests.rs
+++ b/crates/emulator/src/run/mix/tests.rs
@@ -6,7 +6,7 @@
 use load_balancer_common::units::Time;
 
 #[test]
-fn a_larger_part_holds_a_smaller_one_and_a_way_back_concerns_the_same() {
+fn a_larger_share_includes_a_smaller_one_and_rolling_back_concerns_the_same_sidecars() {
     let plan = draw(
         &Experiment {
             name: "a".to_owned(),
@@ -28,23 +28,23 @@
         config: None,
         roll: roll.clone(),
     };
-    let old = |part| {
+    let old_sidecars = |part| {
         (0..6)
-            .filter(|s| begins_old(&mix(part), &plan, *s))
+            .filter(|s| starts_with_old(&mix(part), &plan, *s))
             .collect::<Vec<_>>()
     };
-    let (third, all) = (old(1.0 / 3.0), old(1.0));
-    assert_eq!((third.len(), old(0.5).len(), all.len()), (2, 3, 6));
-    assert!(third.iter().all(|s| old(0.5).contains(s)));
-    let changes = changes(&mix(1.0), &plan);
+    let (third, all) = (old_sidecars(1.0 / 3.0), old_sidecars(1.0));
+    assert_eq!((third.len(), old_sidecars(0.5).len(), all.len()), (2, 3, 6));
+    assert!(third.iter().all(|s| old_sidecars(0.5).contains(s)));
+    let changes = version_changes(&mix(1.0), &plan);
     let at: Vec<Us> = changes.iter().map(|(at, ..)| *at / 1000).collect();
     assert_eq!(at, [1000, 1300, 1600, 5000, 5300, 5600]);
-    let who = |to| {
+    let restarted = |to| {
         changes
             .iter()
             .filter(|c| c.2 == to)
             .map(|c| c.1)
             .collect::<Vec<_>>()
     };
-    assert_eq!(who(Version::New), who(Version::Old));
+    assert_eq!(restarted(Version::New), restarted(Version::Old));
 }
--- a/crates/emulator/src/run/running_fleet.rs
+++ b/crates/emulator/src/run/running_fleet.rs
@@ -1,4 +1,4 @@
-//! The running parts of a run, and what each step does to them.
+//! The running parts of a run, and the effect of each step on them.
 
 use crate::coordinators::Coordinators;
 use crate::datagrams::Datagrams;
@@ -20,34 +20,34 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// A sidecar, by where it listens.
+/// A sidecar, with the address it listens on.
 pub(super) enum Sidecar {
     Process(SocketAddr, Box<Mutex<Supervised>>),
     Task(SocketAddr),
 }
 
-/// Where a run takes place.
+/// The running parts.
 pub(super) struct RunningFleet {
     pub(super) clock: Clock,
     pub(super) record: Record,
     pub(super) net: Net,
     pub(super) servers: Arc<Servers>,
     pub(super) platform: Arc<Platform>,
-    pub(super) mood: watch::Sender<Mood>,
+    pub(super) agent_mode: watch::Sender<Mood>,
     pub(super) datagrams: watch::Sender<Datagrams>,
-    pub(super) lies: watch::Sender<bool>,
-    pub(super) fronts: Option<MemberAddresses>,
+    pub(super) lying: watch::Sender<bool>,
+    pub(super) member_addresses: Option<MemberAddresses>,
     pub(super) coordinators: Option<Arc<Coordinators>>,
     pub(super) sidecars: Vec<Sidecar>,
-    /// Their addresses, which stay their own while they are down.
+    /// Keeps the sidecars' addresses reserved while they are down.
     pub(super) _reserved: Vec<Reserved>,
     pub(super) plan: Arc<Plan>,
-    /// Where sidecars' pages are, where they bind keys.
-    pub(super) binds: Option<Vec<SocketAddr>>,
-    /// Whoever asks whether servers are clear.
-    pub(super) asking: Mutex<JoinSet<()>>,
-    /// Faults that take their time, such as a stop.
-    pub(super) under_way: Mutex<JoinSet<()>>,
+    /// Addresses of the sidecars' pages, if these use key affinity.
+    pub(super) affinity_pages: Option<Vec<SocketAddr>>,
+    /// Tasks that query whether servers are clear.
+    pub(super) drain_queries: Mutex<JoinSet<()>>,
+    /// Pending restarts.
+    pub(super) pending_restarts: Mutex<JoinSet<()>>,
 }
 
 impl Sidecar {
@@ -58,11 +58,11 @@
     }
 }
 
-/// How often the emulator looks whether a sidecar has ended by itself.
-const WATCH: Duration = Duration::from_millis(50);
+/// Interval of the checks whether a sidecar has exited.
+const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 impl RunningFleet {
-    pub(super) async fn step(self: &Arc<Self>, step: Step) {
+    pub(super) async fn apply(self: &Arc<Self>, step: Step) {
         match step {
             Step::ServerDown(server) => self.servers.stop(server),
             Step::ServerUp(server) if self.platform.may_start(server) => self.servers.start(server),
@@ -72,20 +72,20 @@
             Step::ServerSilent(server, on) => self.servers.silence(server, on),
             Step::ServerSlow(server, times) => self.servers.with(|world, now, done| {
                 world.advance(now, done);
-                world.slow_down(server, times);
+                world.set_slowdown(server, times);
             }),
-            Step::ServerFails(server, share) => {
-                self.servers.with(|world, _, _| world.fail(server, share))
-            }
+            Step::ServerFails(server, share) => self
+                .servers
+                .with(|world, _, _| world.set_error_share(server, share)),
             Step::Cut(zone, way, on) => self.net.cut(zone, way, on),
             Step::Slow(more) => self.net.slow(more),
             Step::Resets(share) => self.net.resets(share),
             Step::Datagrams(kind, share) => {
                 self.datagrams.send_modify(|faults| faults.set(kind, share))
             }
-            Step::Lies(on) => drop(self.lies.send_replace(on)),
-            Step::ServerLeaves(server) => self.leaves(server).await,
-            Step::Agents(mood) => drop(self.mood.send_replace(mood)),
+            Step::Lies(on) => drop(self.lying.send_replace(on)),
+            Step::ServerLeaves(server) => self.query_drain(server).await,
+            Step::Agents(mood) => drop(self.agent_mode.send_replace(mood)),
             Step::SidecarPause(sidecar, on) => {
                 if let Some(process) = self.process(sidecar) {
                     process
@@ -104,11 +104,13 @@
         }
     }
 
-    /// Asks a sidecar whether a server is clear, where sidecars say so. Other steps do not wait.
-    async fn leaves(&self, server: usize) {
-        let Some(pages) = &self.binds else { return };
+    /// Starts to query a sidecar whether a server is clear, if sidecars use key affinity.
+    async fn query_drain(&self, server: usize) {
+        let Some(pages) = &self.affinity_pages else {
+            return;
+        };
         let (token, name) = (server as u64 + 1, self.plan.servers[server].name.clone());
-        let asks = ask_until_clear(
+        let query = ask_until_clear(
             Leaves {
                 server,
                 name,
@@ -118,15 +120,15 @@
             self.clock.clone(),
             self.record.clone(),
         );
-        self.asking.lock().await.spawn(asks);
+        self.drain_queries.lock().await.spawn(query);
     }
 
-    /// Starts a sidecar, in that version where one is named, after a planned stop where it runs.
-    /// Both take their time, and other steps do not wait.
+    /// Starts a sidecar, optionally in another version, after shutting it down if it runs. Does not
+    /// wait for either.
     pub(super) async fn restart(self: &Arc<Self>, sidecar: usize, stop: bool, to: Option<Version>) {
-        let this = Arc::clone(self);
-        self.under_way.lock().await.spawn(async move {
-            let Some(process) = this.process(sidecar) else {
+        let fleet = Arc::clone(self);
+        self.pending_restarts.lock().await.spawn(async move {
+            let Some(process) = fleet.process(sidecar) else {
                 return;
             };
             let mut process = process.lock().await;
@@ -136,7 +138,7 @@
             if let Some(to) = to {
                 process.turn(to);
             }
-            this.start(sidecar, &mut process).await;
+            fleet.start(sidecar, &mut process).await;
         });
     }
 
@@ -158,16 +160,16 @@
         }
     }
 
-    /// Notes sidecars that end by themselves, and starts them anew, as a platform does. Runs for
-    /// good.
-    pub(super) async fn watch_over(self: Arc<Self>) {
+    /// Records sidecars that exit by themselves, and restarts them, as a platform does. Runs
+    /// forever.
+    pub(super) async fn restart_exited(self: Arc<Self>) {
         loop {
-            sleep(WATCH).await;
+            sleep(EXIT_CHECK_INTERVAL).await;
             for sidecar in 0..self.sidecars.len() {
                 let Some(process) = self.process(sidecar) else {
                     continue;
                 };
-                // Who is being stopped or started is being looked after.
+                // One that is being stopped or started is skipped.
                 let Ok(mut process) = process.try_lock() else {
                     continue;
                 };
@@ -188,19 +190,19 @@
         }
     }
 
-    /// Ends every sidecar: what is paused goes on first, and all are stopped at once.
-    pub(super) async fn end(self: &Arc<Self>) {
-        let mut under_way = std::mem::take(&mut *self.under_way.lock().await);
+    /// Shuts down all sidecars at the same time; suspended ones are resumed first.
+    pub(super) async fn shut_down(self: &Arc<Self>) {
+        let mut under_way = std::mem::take(&mut *self.pending_restarts.lock().await);
         while under_way.join_next().await.is_some() {}
-        self.asking.lock().await.shutdown().await;
+        self.drain_queries.lock().await.shutdown().await;
         if let Some(coordinators) = &self.coordinators {
             coordinators.end().await;
         }
         let mut ends = JoinSet::new();
         for sidecar in 0..self.sidecars.len() {
-            let this = Arc::clone(self);
+            let fleet = Arc::clone(self);
             ends.spawn(async move {
-                if let Some(process) = this.process(sidecar) {
+                if let Some(process) = fleet.process(sidecar) {
                     let mut process = process.lock().await;
                     process.signal(Signal::CONT);
                     process.stop().await;
--- a/crates/emulator/src/servers.rs
+++ b/crates/emulator/src/servers.rs
@@ -96,9 +96,9 @@
         let mut done = Vec::new();
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let (world, waiting) = &mut *state;
-        let fallen = world.fallen().len();
+        let fallen = world.collapsed().len();
         let result = what(world, waiting, self.clock.now(), &mut done);
-        let fell: Vec<usize> = world.fallen()[fallen..]
+        let fell: Vec<usize> = world.collapsed()[fallen..]
             .iter()
             .map(|(_, server)| *server)
             .collect();
@@ -138,7 +138,7 @@
 
     /// It takes requests and answers none, or no longer so.
     pub fn silence(&self, server: usize, on: bool) {
-        self.lose(|world| world.silence(server, on));
+        self.lose(|world| world.set_silent(server, on));
         self.record
             .note(self.clock.now(), Seen::ServerSilent { server, on });
     }
@@ -154,7 +154,7 @@
                 }
             }
             what(world);
-            waiting.retain(|job, _| world.holds(*job));
+            waiting.retain(|job, _| world.contains_job(*job));
         });
     }
 
--- a/crates/emulator/src/servers/answering.rs
+++ b/crates/emulator/src/servers/answering.rs
@@ -109,8 +109,8 @@
             class: arrival.class,
             work: arrival.work,
             key: arrival.key,
-            once,
-            fresh,
+            idempotency_key: once,
+            is_new_connection: fresh,
         };
         let answered = |status: u16, unprocessed| {
             self.record.note(
@@ -123,12 +123,12 @@
             );
         };
         let (admitted, waits) = if full {
-            (Admission::Refused, None)
+            (Admission::Rejected, None)
         } else {
             self.submit(server, job)
         };
         let served = match admitted {
-            Admission::Refused => {
+            Admission::Rejected => {
                 answered(503, true);
                 let mut refused = plain(StatusCode::SERVICE_UNAVAILABLE);
                 refused
@@ -136,9 +136,9 @@
                     .insert("x-unprocessed", HeaderValue::from_static("1"));
                 return Ok(refused);
             }
-            Admission::Repeated => Some(true),
+            Admission::Deduplicated => Some(true),
             Admission::Swallowed => None,
-            Admission::Taken => match waits {
+            Admission::Accepted => match waits {
                 Some(waits) => waits.await.ok(),
                 None => None,
             },
@@ -165,7 +165,7 @@
     fn submit(&self, server: usize, job: Job) -> (Admission, Option<oneshot::Receiver<bool>>) {
         self.with_waiting(|world, waiting, now, done| {
             let admitted = world.submit(now, server, job, done);
-            if admitted != Admission::Taken {
+            if admitted != Admission::Accepted {
                 return (admitted, None);
             }
             let (sender, receiver) = oneshot::channel();
@@ -178,7 +178,7 @@
         self.record.note(self.clock.now(), Seen::Probe { server });
         let held = self.with(|world, now, done| {
             world.probe(now, server, done);
-            world.held(server)
+            world.job_count(server)
         });
         Response::new(Full::new(Bytes::from(format!("inflight={held},eps=0"))))
     }
--- a/crates/emulator/src/sim.rs
+++ b/crates/emulator/src/sim.rs
@@ -1,5 +1,5 @@
-//! Runs an experiment with the decision module itself in simulated time: no process, no socket, the
-//! same bytes out for the same seed, at sizes that no machine holds.
+//! Runs an experiment with the decision module in simulated time: without processes and sockets,
+//! with the same result for the same seed, and at sizes beyond the machine's.
 
 mod attempts;
 mod clients;
@@ -19,8 +19,8 @@
 use crate::tally::{Beside, Tally, tally};
 use crate::world::World;
 use crate::{SECOND, Us};
-use event::What;
-use instance::{Instance, Open, address, sections};
+use event::SimEvent;
+use instance::{Instance, OpenRequest, address, sections};
 use load_balancer::{AttemptIndex, Event, Micros, RequestId};
 use load_balancer_common::config::InvalidConfig;
 use load_balancer_gossip::core::{ACTIVE_TICK, Core};
@@ -28,119 +28,122 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::net::SocketAddr;
-pub use tap::Tap;
+pub use tap::SimulationObserver;
 
-/// The module's clock at the beginning of a run: far from 0, as Unix time is.
-const EPOCH: Micros = 1_000_000_000_000;
-/// A connection that does not come up has failed after this, as the settings have it.
-const DIAL_TIMEOUT: Us = 120_000;
-/// How long an idle connection is kept: an eighth less than servers do.
-const IDLE: Us = site::IDLE_CLOSE / 8 * 7;
-/// How long a sidecar is away at a planned restart.
-const AWAY: Us = SECOND / 2;
-/// Longest that a run goes on after its last request: every deadline is over by then.
-const TAIL: Us = 10 * SECOND;
+/// The module's clock at the start of a run, in microseconds: far from 0, like Unix time.
+const START_US: Micros = 1_000_000_000_000;
+/// Time after which a connection attempt fails, as in the settings.
+const DIAL_TIMEOUT_US: Us = 120_000;
+/// How long an idle connection is kept: an eighth less than by servers.
+const MAX_IDLE_US: Us = site::IDLE_CLOSE / 8 * 7;
+/// How long a sidecar is down in a planned restart.
+const RESTART_TIME_US: Us = SECOND / 2;
+/// Longest time that a run continues after its last request; every deadline is over by then.
+const MAX_TAIL_US: Us = 10 * SECOND;
 
-struct Sim<'a> {
+struct Simulation<'a> {
     experiment: &'a Experiment,
     plan: &'a Plan,
     now: Us,
-    order: u64,
-    queue: BinaryHeap<Reverse<(Us, u64, What)>>,
+    sequence: u64,
+    queue: BinaryHeap<Reverse<(Us, u64, SimEvent)>>,
     world: World,
     instances: Vec<Instance>,
     current: Vec<Option<usize>>,
-    open: BTreeMap<Try, Open>,
-    /// Attempts that servers hold, by their number.
-    held: BTreeMap<u64, (usize, RequestId, AttemptIndex)>,
+    open: BTreeMap<Try, OpenRequest>,
+    /// Attempts in progress at servers, by number.
+    at_servers: BTreeMap<u64, (usize, RequestId, AttemptIndex)>,
     attempts: u64,
-    cuts: Vec<(usize, Way)>,
-    slow: Us,
-    resets: f64,
+    partitions: Vec<(usize, Way)>,
+    extra_delay: Us,
+    reset_share: f64,
     rng: fastrand::Rng,
     record: Vec<Entry>,
     sections: Vec<FleetSection>,
     by_address: HashMap<SocketAddr, usize>,
-    faults: Datagrams,
-    /// Datagrams under way, with who sent them.
-    mail: HashMap<u64, (SocketAddr, Vec<u8>)>,
-    mailed: u64,
-    mailed_bytes: u64,
-    tap: Option<&'a mut dyn Tap>,
+    datagram_faults: Datagrams,
+    /// Datagrams in transit, with their senders.
+    datagrams: HashMap<u64, (SocketAddr, Vec<u8>)>,
+    datagrams_sent: u64,
+    datagram_bytes: u64,
+    tap: Option<&'a mut dyn SimulationObserver>,
 }
 
-/// Runs it.
+/// Runs a variant of an experiment.
 ///
 /// # Errors
-/// The variant's configuration cannot be used.
+/// The variant's configuration is invalid.
 pub fn simulate(
     experiment: &Experiment,
     plan: &Plan,
     variant: &Variant,
 ) -> Result<Tally, InvalidConfig> {
-    simulate_tapped(experiment, plan, variant, None)
+    simulate_observed(experiment, plan, variant, None)
 }
 
-/// Runs it, and tells `tap` whatever passes between the sidecars and their modules.
+/// As above, reporting the events and actions of the decision modules to `observer`.
 ///
 /// # Errors
-/// The variant's configuration cannot be used.
-pub fn simulate_tapped<'a>(
+/// The variant's configuration is invalid.
+pub fn simulate_observed<'a>(
     experiment: &'a Experiment,
     plan: &'a Plan,
     variant: &Variant,
-    tap: Option<&'a mut dyn Tap>,
+    observer: Option<&'a mut dyn SimulationObserver>,
 ) -> Result<Tally, InvalidConfig> {
-    let mut sim = Sim {
+    let mut sim = Simulation {
         sections: sections(variant, plan)?,
         by_address: (0..plan.sidecars.len())
             .map(|sidecar| (address(sidecar), sidecar))
             .collect(),
-        faults: Datagrams::default(),
-        mail: HashMap::new(),
-        mailed: 0,
-        mailed_bytes: 0,
+        datagram_faults: Datagrams::default(),
+        datagrams: HashMap::new(),
+        datagrams_sent: 0,
+        datagram_bytes: 0,
         experiment,
         plan,
         now: 0,
-        order: 0,
+        sequence: 0,
         queue: BinaryHeap::new(),
         world: World::new(plan),
         instances: Vec::new(),
         current: vec![None; plan.sidecars.len()],
         open: BTreeMap::new(),
-        held: BTreeMap::new(),
+        at_servers: BTreeMap::new(),
         attempts: 0,
-        cuts: Vec::new(),
-        slow: 0,
-        resets: 0.0,
+        partitions: Vec::new(),
+        extra_delay: 0,
+        reset_share: 0.0,
         rng: fastrand::Rng::with_seed(plan.seed ^ 0x5157),
         record: Vec::new(),
-        tap,
+        tap: observer,
     };
     (0..plan.sidecars.len()).for_each(|sidecar| sim.start(sidecar));
     for (number, (at, _)) in plan.steps.iter().enumerate() {
-        sim.at(*at, What::Fault(number));
+        sim.schedule(*at, SimEvent::Fault(number));
     }
     let mut next = 0;
-    while sim.now < plan.lasts + TAIL {
-        // Arrivals are drawn ahead: only the next one waits in the queue.
+    while sim.now < plan.lasts + MAX_TAIL_US {
+        // Arrivals are generated in advance: only the next one is in the queue.
         if next < plan.arrivals.len() {
-            sim.at(plan.arrivals[next].at, What::Ask(next, 0));
+            sim.schedule(plan.arrivals[next].at, SimEvent::ClientRequest(next, 0));
             next += 1;
         }
-        let until = plan.arrivals.get(next).map_or(plan.lasts + TAIL, |a| a.at);
+        let until = plan
+            .arrivals
+            .get(next)
+            .map_or(plan.lasts + MAX_TAIL_US, |a| a.at);
         sim.run(until);
     }
     let (work, savable, fallen) = (
         sim.world.work(),
         sim.world.savable(),
-        sim.world.fallen().len(),
+        sim.world.collapsed().len(),
     );
     let mut record = sim.record;
     record.sort_by_key(|(at, _)| *at);
     let findings = audit(plan, &record);
-    let fleet_bytes = sim.mailed_bytes;
+    let fleet_bytes = sim.datagram_bytes;
     Ok(tally(
         plan,
         &record,
@@ -155,18 +158,18 @@
     ))
 }
 
-impl Sim<'_> {
-    fn at(&mut self, at: Us, what: What) {
-        self.order += 1;
+impl Simulation<'_> {
+    fn schedule(&mut self, at: Us, event: SimEvent) {
+        self.sequence += 1;
         self.queue
-            .push(Reverse((at.max(self.now), self.order, what)));
+            .push(Reverse((at.max(self.now), self.sequence, event)));
     }
 
-    fn note(&mut self, seen: Seen) {
-        self.record.push((self.now, seen));
+    fn record_event(&mut self, observed: Seen) {
+        self.record.push((self.now, observed));
     }
 
-    /// Goes on until there is nothing left before that instant.
+    /// Processes everything before that time.
     fn run(&mut self, until: Us) {
         loop {
             let event = self.queue.peek().map(|Reverse((at, ..))| *at);
@@ -179,83 +182,88 @@
             self.now = self.now.max(next);
             let mut done = Vec::new();
             self.world.advance(self.now, &mut done);
-            self.served(done);
+            self.complete_jobs(done);
             if event.is_some_and(|at| at <= self.now)
                 && let Some(Reverse((.., what))) = self.queue.pop()
             {
-                self.happen(what);
+                self.handle(what);
             }
         }
         self.now = self.now.max(until);
     }
 
-    fn happen(&mut self, what: What) {
-        let mail = match what {
-            What::Mail { number, .. } if self.instance_runs(&what) => self.mail.remove(&number),
+    fn handle(&mut self, event: SimEvent) {
+        let datagram = match event {
+            SimEvent::Datagram { number, .. } if self.is_delivered_now(&event) => {
+                self.datagrams.remove(&number)
+            }
             _ => None,
         };
-        let instance = match what {
-            What::Reach { instance, .. }
-            | What::Back { instance, .. }
-            | What::TimeOut { instance, .. }
-            | What::Timer { instance, .. }
-            | What::Mail { instance, .. }
-            | What::Beat { instance } => Some(instance),
+        let instance = match event {
+            SimEvent::ServerArrival { instance, .. }
+            | SimEvent::AttemptResult { instance, .. }
+            | SimEvent::AttemptTimeout { instance, .. }
+            | SimEvent::Timer { instance, .. }
+            | SimEvent::Datagram { instance, .. }
+            | SimEvent::MemberTick { instance } => Some(instance),
             _ => None,
         };
         if let Some(instance) = instance.map(|i| &mut self.instances[i]) {
             if instance.dead {
                 return;
             }
-            // What is under way to a server goes on whether its sender runs or not.
-            if let Some(waiting) = instance
-                .frozen
+            // A request in transit arrives whether its sender is suspended or not.
+            if let Some(deferred) = instance
+                .deferred
                 .as_mut()
-                .filter(|_| !matches!(what, What::Reach { .. }))
+                .filter(|_| !matches!(event, SimEvent::ServerArrival { .. }))
             {
-                return waiting.push(what);
+                return deferred.push(event);
             }
         }
-        match what {
-            What::Ask(arrival, attempt) => self.ask(arrival, attempt),
-            What::Impatient(request) => self.impatient(request),
-            What::Reach {
+        match event {
+            SimEvent::ClientRequest(arrival, attempt) => self.send_request(arrival, attempt),
+            SimEvent::ClientTimeout(request) => self.give_up(request),
+            SimEvent::ServerArrival {
                 instance,
                 request,
                 attempt,
                 dialled,
-            } => self.reach(instance, request, attempt, dialled),
-            What::Back {
+            } => self.arrive_at_server(instance, request, attempt, dialled),
+            SimEvent::AttemptResult {
                 instance,
                 request,
                 attempt,
                 outcome,
-            } => self.back(instance, request, attempt, outcome),
-            What::TimeOut {
+            } => self.receive_result(instance, request, attempt, outcome),
+            SimEvent::AttemptTimeout {
                 instance,
                 request,
                 attempt,
-            } => self.timed_out(instance, request, attempt),
-            What::Timer { instance, token } => self.tell(instance, Event::Timer(token)),
-            What::Mail { instance, .. } => {
-                if let Some((from, bytes)) = mail {
-                    self.member(instance, |core, now| {
+            } => self.time_out(instance, request, attempt),
+            SimEvent::Timer { instance, token } => self.notify(instance, Event::Timer(token)),
+            SimEvent::Datagram { instance, .. } => {
+                if let Some((from, bytes)) = datagram {
+                    self.update_member(instance, |core, now| {
                         core.handle_datagram(now, from, &bytes)
                     });
                 }
             }
-            What::Beat { instance } => {
-                self.member(instance, Core::tick);
+            SimEvent::MemberTick { instance } => {
+                self.update_member(instance, Core::tick);
                 if self.instances[instance].member.is_some() {
-                    self.at(self.now + ACTIVE_TICK as Us, What::Beat { instance });
+                    self.schedule(
+                        self.now + ACTIVE_TICK as Us,
+                        SimEvent::MemberTick { instance },
+                    );
                 }
             }
-            What::List(sidecar) => self.listed(sidecar),
-            What::Fault(number) => self.fault(self.plan.steps[number].1),
-            What::Return(sidecar) => {
+            SimEvent::ListUpdate(sidecar) => self.update_list(sidecar),
+            SimEvent::Fault(number) => self.apply_fault(self.plan.steps[number].1),
+            SimEvent::SidecarStart(sidecar) => {
                 if self.current[sidecar].is_none() {
                     self.start(sidecar);
-                    self.note(Seen::SidecarUp { sidecar });
+                    self.record_event(Seen::SidecarUp { sidecar });
                 }
             }
         }
--- a/crates/emulator/src/sim/attempts.rs
+++ b/crates/emulator/src/sim/attempts.rs
@@ -1,8 +1,8 @@
 //! Attempts in simulated time, from a sidecar to a server and back.
 
-use super::event::{Came, What};
-use super::instance::Out;
-use super::{DIAL_TIMEOUT, IDLE, Sim};
+use super::event::{ResultKind, SimEvent};
+use super::instance::InFlight;
+use super::{DIAL_TIMEOUT_US, MAX_IDLE_US, Simulation};
 use crate::Us;
 use crate::record::Seen;
 use crate::servers::{arrival_of, try_number};
@@ -10,8 +10,8 @@
 use crate::world::{Admission, Done, Job};
 use load_balancer::{AttemptIndex, Micros, Outcome, RequestId};
 
-impl Sim<'_> {
-    pub(super) fn send(
+impl Simulation<'_> {
+    pub(super) fn start_attempt(
         &mut self,
         instance: usize,
         request: RequestId,
@@ -20,40 +20,41 @@
     ) {
         let (now, number) = (self.now, self.attempts);
         self.attempts += 1;
-        let i = &mut self.instances[instance];
-        let sidecar = i.sidecar;
-        let sends = i.sends.entry(request).or_default();
-        let attempt = *sends;
-        *sends += 1;
-        i.out.insert(
+        let sender = &mut self.instances[instance];
+        let sidecar = sender.sidecar;
+        let sent_count = sender.attempt_counts.entry(request).or_default();
+        let attempt = *sent_count;
+        *sent_count += 1;
+        sender.in_flight.insert(
             (request, attempt),
-            Out {
+            InFlight {
                 server,
-                sent: now,
+                sent_at: now,
                 number,
             },
         );
-        let idle = i.idle.entry(server).or_default();
-        idle.retain(|since| now - since < IDLE);
-        let dialled = idle.pop().is_none();
-        self.at(
+        let idle = sender.idle_connections.entry(server).or_default();
+        idle.retain(|since| now - since < MAX_IDLE_US);
+        let needs_dial = idle.pop().is_none();
+        self.schedule(
             now + timeout.max(1) as Us,
-            What::TimeOut {
+            SimEvent::AttemptTimeout {
                 instance,
                 request,
                 attempt,
             },
         );
-        let (from, to) = (
+        let (from_zone, to_zone) = (
             self.plan.sidecars[sidecar].zone,
             self.plan.servers[server].zone,
         );
-        let opens = self.passes(from, to) && self.passes(to, from);
-        if dialled && !opens {
-            let outcome = Came::ConnectFailed;
-            return self.at(
-                now + DIAL_TIMEOUT,
-                What::Back {
+        let can_connect =
+            self.is_reachable(from_zone, to_zone) && self.is_reachable(to_zone, from_zone);
+        if needs_dial && !can_connect {
+            let outcome = ResultKind::ConnectFailed;
+            return self.schedule(
+                now + DIAL_TIMEOUT_US,
+                SimEvent::AttemptResult {
                     instance,
                     request,
                     attempt,
@@ -61,16 +62,16 @@
                 },
             );
         }
-        let there_and_back = if dialled {
-            self.delay(from, to) + self.delay(to, from)
+        let handshake_delay = if needs_dial {
+            self.delay(from_zone, to_zone) + self.delay(to_zone, from_zone)
         } else {
             0
         };
-        if dialled && !self.world.up(server) {
-            let outcome = Came::ConnectFailed;
-            return self.at(
-                now + there_and_back,
-                What::Back {
+        if needs_dial && !self.world.is_up(server) {
+            let outcome = ResultKind::ConnectFailed;
+            return self.schedule(
+                now + handshake_delay,
+                SimEvent::AttemptResult {
                     instance,
                     request,
                     attempt,
@@ -78,107 +79,109 @@
                 },
             );
         }
-        // What is written into a cut goes nowhere.
-        if self.passes(from, to) {
-            let arrives = now + there_and_back + self.delay(from, to);
-            self.at(
+        // What is sent into a partition is lost.
+        if self.is_reachable(from_zone, to_zone) {
+            let arrives = now + handshake_delay + self.delay(from_zone, to_zone);
+            self.schedule(
                 arrives,
-                What::Reach {
+                SimEvent::ServerArrival {
                     instance,
                     request,
                     attempt,
-                    dialled,
+                    dialled: needs_dial,
                 },
             );
         }
     }
 
-    pub(super) fn reach(
+    pub(super) fn arrive_at_server(
         &mut self,
         instance: usize,
         request: RequestId,
         attempt: AttemptIndex,
         dialled: bool,
     ) {
-        let Some(out) = self.instances[instance].out.get(&(request, attempt)) else {
-            // It was given up on the way.
+        let Some(out) = self.instances[instance].in_flight.get(&(request, attempt)) else {
+            // It was given up in the meantime.
             return;
         };
-        let (server, number, sent) = (out.server, out.number, out.sent);
+        let (server, number, sent_at) = (out.server, out.number, out.sent_at);
         let sidecar = self.instances[instance].sidecar;
         let arrival = &self.plan.arrivals[arrival_of(request)];
         if dialled {
-            self.note(Seen::Handshake { sidecar, server });
+            self.record_event(Seen::Handshake { sidecar, server });
         }
-        if self.resets > 0.0 && self.rng.f64() < self.resets {
-            return self.reply(instance, request, attempt, Came::Reset);
+        if self.reset_share > 0.0 && self.rng.f64() < self.reset_share {
+            return self.send_result(instance, request, attempt, ResultKind::Reset);
         }
-        if !self.world.up(server) {
-            return self.reply(instance, request, attempt, Came::Reset);
+        if !self.world.is_up(server) {
+            return self.send_result(instance, request, attempt, ResultKind::Reset);
         }
-        self.note(Seen::Attempt {
+        self.record_event(Seen::Attempt {
             number,
             request: Some(request),
             sidecar,
             server,
-            began: sent,
+            began: sent_at,
         });
-        let keyed = CLASSES[arrival.class].repeat == Repeat::Keyed;
-        let once = keyed.then(|| try_number(arrival_of(request), 15));
+        let is_keyed = CLASSES[arrival.class].repeat == Repeat::Keyed;
+        let idempotency_key = is_keyed.then(|| try_number(arrival_of(request), 15));
         let (class, work, key) = (arrival.class, arrival.work, arrival.key);
         let job = Job {
             id: number,
             class,
             work,
             key,
-            once,
-            fresh: dialled,
+            idempotency_key,
+            is_new_connection: dialled,
         };
         let mut done = Vec::new();
         let admitted = self.world.submit(self.now, server, job, &mut done);
-        self.served(done);
+        self.complete_jobs(done);
         match admitted {
-            Admission::Taken => drop(self.held.insert(number, (instance, request, attempt))),
-            Admission::Swallowed => self.note(Seen::AttemptSwallowed { number }),
-            Admission::Repeated => {
-                self.note(Seen::AttemptAnswered {
+            Admission::Accepted => {
+                self.at_servers.insert(number, (instance, request, attempt));
+            }
+            Admission::Swallowed => self.record_event(Seen::AttemptSwallowed { number }),
+            Admission::Deduplicated => {
+                self.record_event(Seen::AttemptAnswered {
                     number,
                     status: 200,
                     unprocessed: false,
                 });
-                self.reply(instance, request, attempt, Came::Ok);
+                self.send_result(instance, request, attempt, ResultKind::Ok);
             }
-            Admission::Refused => {
-                self.note(Seen::AttemptAnswered {
+            Admission::Rejected => {
+                self.record_event(Seen::AttemptAnswered {
                     number,
                     status: 503,
                     unprocessed: true,
                 });
-                self.reply(instance, request, attempt, Came::Rejected);
+                self.send_result(instance, request, attempt, ResultKind::Rejected);
             }
         }
     }
 
-    /// Sends back how an attempt ended, where anything passes that way.
-    pub(super) fn reply(
+    /// Sends the result of an attempt back, if the sidecar is reachable.
+    pub(super) fn send_result(
         &mut self,
         instance: usize,
         request: RequestId,
         attempt: AttemptIndex,
-        outcome: Came,
+        outcome: ResultKind,
     ) {
-        let Some(out) = self.instances[instance].out.get(&(request, attempt)) else {
+        let Some(out) = self.instances[instance].in_flight.get(&(request, attempt)) else {
             return;
         };
         let (from, to) = (
             self.plan.servers[out.server].zone,
             self.plan.sidecars[self.instances[instance].sidecar].zone,
         );
-        if self.passes(from, to) {
+        if self.is_reachable(from, to) {
             let at = self.now + self.delay(from, to);
-            self.at(
+            self.schedule(
                 at,
-                What::Back {
+                SimEvent::AttemptResult {
                     instance,
                     request,
                     attempt,
@@ -188,60 +191,66 @@
         }
     }
 
-    pub(super) fn served(&mut self, done: Vec<Done>) {
+    pub(super) fn complete_jobs(&mut self, done: Vec<Done>) {
         for Done { job, served, .. } in done {
-            let Some((instance, request, attempt)) = self.held.remove(&job) else {
+            let Some((instance, request, attempt)) = self.at_servers.remove(&job) else {
                 continue;
             };
             let (status, outcome) = if served {
-                (200, Came::Ok)
+                (200, ResultKind::Ok)
             } else {
-                (500, Came::Error)
+                (500, ResultKind::Error)
             };
-            self.note(Seen::AttemptAnswered {
+            self.record_event(Seen::AttemptAnswered {
                 number: job,
                 status,
                 unprocessed: false,
             });
-            self.reply(instance, request, attempt, outcome);
+            self.send_result(instance, request, attempt, outcome);
         }
     }
 
-    pub(super) fn back(
+    pub(super) fn receive_result(
         &mut self,
         instance: usize,
         request: RequestId,
         attempt: AttemptIndex,
-        outcome: Came,
+        outcome: ResultKind,
     ) {
-        let Some(out) = self.instances[instance].out.remove(&(request, attempt)) else {
+        let Some(out) = self.instances[instance]
+            .in_flight
+            .remove(&(request, attempt))
+        else {
             return;
         };
         let outcome = match outcome {
-            Came::Ok => Outcome::Ok,
-            Came::Error => Outcome::Error,
-            Came::Rejected => Outcome::Rejected,
-            Came::ConnectFailed => Outcome::ConnectFailed,
-            Came::Reset => Outcome::Reset,
+            ResultKind::Ok => Outcome::Ok,
+            ResultKind::Error => Outcome::Error,
+            ResultKind::Rejected => Outcome::Rejected,
+            ResultKind::ConnectFailed => Outcome::ConnectFailed,
+            ResultKind::Reset => Outcome::Reset,
         };
         if matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Rejected) {
             self.instances[instance]
-                .idle
+                .idle_connections
                 .entry(out.server)
                 .or_default()
                 .push(self.now);
         }
         if outcome == Outcome::Ok {
-            self.answer(request, 200, 0);
+            self.answer_client(request, 200, 0);
         }
-        let end = self.end(request, attempt, &out, outcome);
-        self.tell(instance, end);
+        let end = self.attempt_end(request, attempt, &out, outcome);
+        self.notify(instance, end);
     }
 
-    pub(super) fn timed_out(&mut self, instance: usize, request: RequestId, attempt: AttemptIndex) {
-        if let Some(out) = self.instances[instance].out.remove(&(request, attempt)) {
-            let end = self.end(request, attempt, &out, Outcome::TimedOut);
-            self.tell(instance, end);
+    pub(super) fn time_out(&mut self, instance: usize, request: RequestId, attempt: AttemptIndex) {
+        if let Some(out) = self.instances[instance]
+            .in_flight
+            .remove(&(request, attempt))
+        {
+            let end = self.attempt_end(request, attempt, &out, Outcome::TimedOut);
+            self.notify(instance, end);
         }
     }
 }
--- a/crates/emulator/src/sim/event.rs
+++ b/crates/emulator/src/sim/event.rs
@@ -4,48 +4,48 @@
 use load_balancer::{AttemptIndex, RequestId};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum What {
-    /// A client's try begins.
-    Ask(usize, u32),
-    /// Its client's patience is over.
-    Impatient(Try),
-    /// An attempt reaches its server, or finds that it cannot.
-    Reach {
+pub(super) enum SimEvent {
+    /// A client sends a request or a retry: arrival and attempt.
+    ClientRequest(usize, u32),
+    /// A client's timeout.
+    ClientTimeout(Try),
+    /// An attempt arrives at its server, or finds that it can't.
+    ServerArrival {
         instance: usize,
         request: RequestId,
         attempt: AttemptIndex,
         dialled: bool,
     },
-    /// Its end comes back.
-    Back {
+    /// The result of an attempt arrives at the sidecar.
+    AttemptResult {
         instance: usize,
         request: RequestId,
         attempt: AttemptIndex,
-        outcome: Came,
+        outcome: ResultKind,
     },
-    /// The sidecar stops waiting for it.
-    TimeOut {
+    /// A sidecar's timeout of an attempt.
+    AttemptTimeout {
         instance: usize,
         request: RequestId,
         attempt: AttemptIndex,
     },
-    /// A timer of the module's.
+    /// A timer of the decision module.
     Timer { instance: usize, token: u64 },
-    /// A datagram from another member has come.
-    Mail { instance: usize, number: u64 },
-    /// A member's clock beats.
-    Beat { instance: usize },
-    /// The list has news for a sidecar.
-    List(usize),
-    /// A fault.
+    /// A datagram from another member arrives.
+    Datagram { instance: usize, number: u64 },
+    /// A member's periodic tick.
+    MemberTick { instance: usize },
+    /// Changes of the list reach a sidecar.
+    ListUpdate(usize),
+    /// A fault, by index.
     Fault(usize),
-    /// A sidecar is there again.
-    Return(usize),
+    /// A sidecar starts again.
+    SidecarStart(usize),
 }
 
-/// How an attempt came back.
+/// The result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Came {
+pub(super) enum ResultKind {
     Ok,
     Error,
     Rejected,
--- a/crates/emulator/src/sim/instance.rs
+++ b/crates/emulator/src/sim/instance.rs
@@ -1,7 +1,7 @@
 //! One incarnation of a sidecar in simulated time, and the part of its configuration that applies
-//! there.
+//! to it.
 
-use super::event::What;
+use super::event::SimEvent;
 use crate::Us;
 use crate::experiment::Variant;
 use crate::member_addresses::{Address, section};
@@ -16,33 +16,33 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
 
-/// One life of a sidecar.
+/// One incarnation of a sidecar.
 pub(super) struct Instance {
     pub(super) sidecar: usize,
     pub(super) balancer: Balancer,
     pub(super) member: Option<Box<Core>>,
-    pub(super) heard: usize,
-    pub(super) out: BTreeMap<(RequestId, AttemptIndex), Out>,
-    pub(super) sends: BTreeMap<RequestId, AttemptIndex>,
-    pub(super) idle: BTreeMap<usize, Vec<Us>>,
-    /// Stopped: what comes waits.
-    pub(super) frozen: Option<Vec<What>>,
+    pub(super) list_version: usize,
+    pub(super) in_flight: BTreeMap<(RequestId, AttemptIndex), InFlight>,
+    pub(super) attempt_counts: BTreeMap<RequestId, AttemptIndex>,
+    pub(super) idle_connections: BTreeMap<usize, Vec<Us>>,
+    /// Events deferred while the process is suspended.
+    pub(super) deferred: Option<Vec<SimEvent>>,
     pub(super) dead: bool,
 }
 
-pub(super) struct Out {
+pub(super) struct InFlight {
     pub(super) server: usize,
-    pub(super) sent: Us,
+    pub(super) sent_at: Us,
     pub(super) number: u64,
 }
 
-pub(super) struct Open {
+pub(super) struct OpenRequest {
     pub(super) instance: usize,
     pub(super) arrival: usize,
     pub(super) attempt: u32,
 }
 
-/// What of a product configuration has a meaning here.
+/// The sections of a product configuration that apply here.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 struct Sections {
@@ -55,28 +55,28 @@
     }
 }
 
-/// Where a sidecar's datagrams would arrive: nobody listens there.
+/// The address of a sidecar's datagrams; nothing listens there.
 pub(super) fn address(sidecar: usize) -> SocketAddr {
     let [_, a, b, c] = (sidecar as u32 + 1).to_be_bytes();
     SocketAddr::from((Ipv4Addr::new(127, a, b, c), 7946))
 }
 
-/// Each sidecar's section, where the variant has any.
+/// The fleet section of each sidecar, if the variant has one.
 pub(super) fn sections(variant: &Variant, plan: &Plan) -> Result<Vec<FleetSection>, InvalidConfig> {
     if !variant.config.contains(FLEET) {
         return Ok(Vec::new());
     }
-    let both = |sidecar| Address {
+    let both_addresses = |sidecar| Address {
         own: address(sidecar),
         front: address(sidecar),
     };
-    let addresses: Vec<Address> = (0..plan.sidecars.len()).map(both).collect();
+    let addresses: Vec<Address> = (0..plan.sidecars.len()).map(both_addresses).collect();
     let name = Path::new(&variant.name);
-    let of = |(sidecar, spec): (usize, &crate::plan::SidecarSpec)| {
+    let section_of = |(sidecar, spec): (usize, &crate::plan::SidecarSpec)| {
         let text = variant
             .config
             .replace(FLEET, &section(&addresses, sidecar, spec.clock_offset_ms));
         Ok(config::parse::<Sections>(name, &text)?.fleet)
     };
-    plan.sidecars.iter().enumerate().map(of).collect()
+    plan.sidecars.iter().enumerate().map(section_of).collect()
 }
--- a/crates/emulator/src/sim/network.rs
+++ b/crates/emulator/src/sim/network.rs
@@ -1,8 +1,8 @@
-//! The network of simulated time, and the members' datagrams on it.
+//! The network in simulated time, and the members' datagrams.
 
-use super::event::What;
+use super::event::SimEvent;
 use super::instance::address;
-use super::{EPOCH, Sim};
+use super::{START_US, Simulation};
 use crate::Us;
 use crate::datagrams::HELD_UP;
 use crate::experiment::Way;
@@ -11,9 +11,9 @@
 use load_balancer_gossip::health_status;
 use std::net::SocketAddr;
 
-impl Sim<'_> {
-    pub(super) fn passes(&self, from: usize, to: usize) -> bool {
-        !self.cuts.iter().any(|(zone, way)| {
+impl Simulation<'_> {
+    pub(super) fn is_reachable(&self, from: usize, to: usize) -> bool {
+        !self.partitions.iter().any(|(zone, way)| {
             let (out, into) = (*zone == from && *zone != to, *zone == to && *zone != from);
             (out && *way != Way::In) || (into && *way != Way::Out)
         })
@@ -21,64 +21,74 @@
 
     pub(super) fn delay(&mut self, from: usize, to: usize) -> Us {
         let network = &self.experiment.network;
-        let us =
+        let micros =
             |time: load_balancer_common::units::Time| Us::try_from(time.0.as_micros()).unwrap_or(0);
-        let base = us(if from == to {
+        let base = micros(if from == to {
             network.inside
         } else {
             network.between
         });
-        base + self.rng.u64(0..=us(network.jitter)) + self.slow
+        base + self.rng.u64(0..=micros(network.jitter)) + self.extra_delay
     }
 
-    /// Whether what it concerns takes it in now: neither dead nor stopped.
-    pub(super) fn instance_runs(&self, what: &What) -> bool {
-        let What::Mail { instance, .. } = what else {
+    /// Whether a datagram is delivered now, rather than deferred for a suspended process.
+    pub(super) fn is_delivered_now(&self, event: &SimEvent) -> bool {
+        let SimEvent::Datagram { instance, .. } = event else {
             return false;
         };
         let i = &self.instances[*instance];
-        i.dead || i.frozen.is_none()
+        i.dead || i.deferred.is_none()
     }
 
-    /// Does something with an instance's member, and tells its module of the words that come of it.
-    pub(super) fn member(&mut self, instance: usize, what: impl FnOnce(&mut Core, Micros)) {
-        let words = self.with_member(instance, what);
-        if !words.is_empty() {
-            self.tell(instance, Event::Ejections(words));
+    /// Runs an operation on an instance's gossip member, and passes resulting ejections to its
+    /// module.
+    pub(super) fn update_member(
+        &mut self,
+        instance: usize,
+        operation: impl FnOnce(&mut Core, Micros),
+    ) {
+        let ejections = self.with_member(instance, operation);
+        if !ejections.is_empty() {
+            self.notify(instance, Event::Ejections(ejections));
         }
     }
 
     pub(super) fn with_member(
         &mut self,
         instance: usize,
-        what: impl FnOnce(&mut Core, Micros),
+        operation: impl FnOnce(&mut Core, Micros),
     ) -> Vec<EjectionUpdate> {
         let sidecar = self.instances[instance].sidecar;
         let offset = Micros::from(self.plan.sidecars[sidecar].clock_offset_ms) * 1000;
-        let now = EPOCH + self.now as Micros + offset;
+        let now = START_US + self.now as Micros + offset;
         let Some(core) = self.instances[instance].member.as_deref_mut() else {
             return Vec::new();
         };
-        what(core, now);
+        operation(core, now);
         let effects = core.take_effects();
         for (to, bytes) in effects.datagrams {
-            self.post(sidecar, to, bytes);
+            self.send_datagram(sidecar, to, bytes);
         }
-        let update = |update: load_balancer_gossip::core::EjectionUpdate| EjectionUpdate {
-            endpoint: update.endpoint,
-            status: match update.status {
-                health_status::EjectionStatus::NotEjected => EjectionStatus::NotEjected,
-                health_status::EjectionStatus::Ejected => EjectionStatus::Ejected,
-                health_status::EjectionStatus::TrialDue => EjectionStatus::TrialDue,
-                health_status::EjectionStatus::Recovered => EjectionStatus::Recovered,
-            },
-            expires: update.expires - offset,
-        };
-        effects.ejections.into_iter().map(update).collect()
+        let to_balancer_update =
+            |update: load_balancer_gossip::core::EjectionUpdate| EjectionUpdate {
+                endpoint: update.endpoint,
+                status: match update.status {
+                    health_status::EjectionStatus::NotEjected => EjectionStatus::NotEjected,
+                    health_status::EjectionStatus::Ejected => EjectionStatus::Ejected,
+                    health_status::EjectionStatus::TrialDue => EjectionStatus::TrialDue,
+                    health_status::EjectionStatus::Recovered => EjectionStatus::Recovered,
+                },
+                expires: update.expires - offset,
+            };
+        effects
+            .ejections
+            .into_iter()
+            .map(to_balancer_update)
+            .collect()
     }
 
-    pub(super) fn post(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
-        self.mailed_bytes += bytes.len() as u64;
+    pub(super) fn send_datagram(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
+        self.datagram_bytes += bytes.len() as u64;
         let Some(to) = self.by_address.get(&to).copied() else {
             return;
         };
@@ -86,30 +96,30 @@
         let Some(instance) = self.current[to] else {
             return;
         };
-        if !self.passes(from_zone, to_zone) || self.rng.f64() < self.faults.lost {
+        if !self.is_reachable(from_zone, to_zone) || self.rng.f64() < self.datagram_faults.lost {
             return;
         }
-        let copies = if self.rng.f64() < self.faults.repeated {
+        let copies = if self.rng.f64() < self.datagram_faults.repeated {
             2
         } else {
             1
         };
         for _ in 0..copies {
-            let held_up = self.rng.f64() < self.faults.held_up;
-            let held_up = if held_up {
+            let is_held_up = self.rng.f64() < self.datagram_faults.held_up;
+            let delay = if is_held_up {
                 (self.rng.f64() * HELD_UP.as_micros() as f64) as Us
             } else {
                 0
             };
-            let at = self.now + self.delay(from_zone, to_zone) + held_up;
-            self.mailed += 1;
-            self.mail
-                .insert(self.mailed, (address(from), bytes.clone()));
-            self.at(
+            let at = self.now + self.delay(from_zone, to_zone) + delay;
+            self.datagrams_sent += 1;
+            self.datagrams
+                .insert(self.datagrams_sent, (address(from), bytes.clone()));
+            self.schedule(
                 at,
-                What::Mail {
+                SimEvent::Datagram {
                     instance,
-                    number: self.mailed,
+                    number: self.datagrams_sent,
                 },
             );
         }
--- a/crates/emulator/src/sim/sidecars.rs
+++ b/crates/emulator/src/sim/sidecars.rs
@@ -1,8 +1,8 @@
 //! Sidecars in simulated time: starts, lists, and the events and actions of their decision modules.
 
-use super::event::What;
-use super::instance::{Instance, Out};
-use super::{EPOCH, Sim};
+use super::event::SimEvent;
+use super::instance::{InFlight, Instance};
+use super::{START_US, Simulation};
 use crate::Us;
 use crate::directory::State;
 use crate::listing;
@@ -17,7 +17,7 @@
 use load_balancer_gossip::observation_table::ObservedHealth;
 use std::collections::{BTreeMap, VecDeque};
 
-impl Sim<'_> {
+impl Simulation<'_> {
     pub(super) fn start(&mut self, sidecar: usize) {
         let settings = site::settings(
             self.plan.sidecars.len(),
@@ -45,7 +45,7 @@
                     affinity_slack,
                 });
                 let spec = &self.plan.sidecars[sidecar];
-                let now = EPOCH + self.now as Micros + Micros::from(spec.clock_offset_ms) * 1000;
+                let now = START_US + self.now as Micros + Micros::from(spec.clock_offset_ms) * 1000;
                 let (name, zone) = (
                     format!("n{sidecar}"),
                     site::ZONES[spec.zone % site::ZONES.len()],
@@ -60,14 +60,14 @@
                 ))
             });
         if member.is_some() {
-            // Members' clocks do not beat together.
-            let beat = self.now + self.rng.u64(0..ACTIVE_TICK as Us);
-            self.at(beat, What::Beat { instance: number });
+            // Members' ticks are not synchronized.
+            let first_tick = self.now + self.rng.u64(0..ACTIVE_TICK as Us);
+            self.schedule(first_tick, SimEvent::MemberTick { instance: number });
         }
         if let Some(tap) = self.tap.as_deref_mut() {
             tap.started(
                 number,
-                EPOCH + self.now as Micros,
+                START_US + self.now as Micros,
                 seed,
                 &settings.to_string(),
             );
@@ -76,45 +76,46 @@
             sidecar,
             balancer,
             member,
-            heard: 0,
-            out: BTreeMap::new(),
-            sends: BTreeMap::new(),
-            idle: BTreeMap::new(),
-            frozen: None,
+            list_version: 0,
+            in_flight: BTreeMap::new(),
+            attempt_counts: BTreeMap::new(),
+            idle_connections: BTreeMap::new(),
+            deferred: None,
             dead: false,
         });
         self.current[sidecar] = Some(number);
-        self.list_for_member(number, 0);
-        let known = self.listings(&self.plan.directory.whole(0));
-        self.tell(number, Event::Endpoints(ListUpdate::Cached(known)));
-        self.listed(sidecar);
+        self.update_member_list(number, 0);
+        let cached_list = self.listed_endpoints(&self.plan.directory.whole(0));
+        self.notify(number, Event::Endpoints(ListUpdate::Cached(cached_list)));
+        self.update_list(sidecar);
     }
 
-    pub(super) fn list_for_member(&mut self, instance: usize, heard: usize) {
+    pub(super) fn update_member_list(&mut self, instance: usize, list_version: usize) {
         if self.instances[instance].member.is_none() {
             return;
         }
-        let listed = |l: ListedEndpoint| ObservedEndpoint {
+        let to_observed = |l: ListedEndpoint| ObservedEndpoint {
             endpoint: l.endpoint,
             name: self.plan.servers[l.endpoint].name.clone(),
             started: l.started,
             ready: l.status == EndpointStatus::Ready,
         };
         let list = self
-            .listings(&self.plan.directory.whole(heard))
+            .listed_endpoints(&self.plan.directory.whole(list_version))
             .into_iter()
-            .map(listed)
+            .map(to_observed)
             .collect();
-        self.member(instance, |core, now| core.set_endpoints(now, list));
+        self.update_member(instance, |core, now| core.set_endpoints(now, list));
     }
 
-    pub(super) fn listings(&self, entries: &[(usize, State)]) -> Vec<ListedEndpoint> {
+    pub(super) fn listed_endpoints(&self, entries: &[(usize, State)]) -> Vec<ListedEndpoint> {
         let listing = |(server, state): &(usize, State)| {
             let spec = &self.plan.servers[*server];
             let (status, started) = match state {
-                State::Active { since } => {
-                    (EndpointStatus::Ready, since.map(|at| EPOCH + at as Micros))
-                }
+                State::Active { since } => (
+                    EndpointStatus::Ready,
+                    since.map(|at| START_US + at as Micros),
+                ),
                 State::Leaving => (EndpointStatus::Draining, None),
                 State::Left => (EndpointStatus::Removed, None),
             };
@@ -132,48 +133,48 @@
         entries.iter().map(listing).collect()
     }
 
-    pub(super) fn listed(&mut self, sidecar: usize) {
+    pub(super) fn update_list(&mut self, sidecar: usize) {
         let lag = self.plan.sidecars[sidecar].list_lag;
-        let heard = self.plan.directory.heard(self.now, lag);
+        let version = self.plan.directory.heard(self.now, lag);
         if let Some(number) = self.current[sidecar]
-            && self.instances[number].heard < heard
+            && self.instances[number].list_version < version
         {
             let entries = self
                 .plan
                 .directory
-                .between(self.instances[number].heard, heard);
-            self.instances[number].heard = heard;
+                .between(self.instances[number].list_version, version);
+            self.instances[number].list_version = version;
             for (server, state) in &entries {
-                self.note(Seen::PlatformConfig {
+                self.record_event(Seen::PlatformConfig {
                     sidecar,
                     server: *server,
                     state: *state,
                 });
                 if !matches!(state, State::Active { .. }) {
-                    self.instances[number].idle.remove(server);
+                    self.instances[number].idle_connections.remove(server);
                 }
             }
-            let listings = self.listings(&entries);
-            self.list_for_member(number, heard);
-            self.tell_or_wait(number, Event::Endpoints(ListUpdate::Delta(listings)));
+            let changes = self.listed_endpoints(&entries);
+            self.update_member_list(number, version);
+            self.notify_if_running(number, Event::Endpoints(ListUpdate::Delta(changes)));
         }
-        if let Some(next) = self.plan.directory.next(heard, lag) {
-            self.at(next, What::List(sidecar));
+        if let Some(next) = self.plan.directory.next(version, lag) {
+            self.schedule(next, SimEvent::ListUpdate(sidecar));
         }
     }
 
-    /// Tells a module of an event and carries out what it asks for.
-    pub(super) fn tell(&mut self, instance: usize, event: Event) {
+    /// Passes an event to a module, and performs its actions.
+    pub(super) fn notify(&mut self, instance: usize, event: Event) {
         let mut events = VecDeque::from([event]);
         let mut actions = Vec::new();
         while let Some(event) = events.pop_front() {
-            let now = EPOCH + self.now as Micros;
-            let heard = self.tap.as_ref().map(|_| event.clone());
+            let now = START_US + self.now as Micros;
+            let observed_event = self.tap.as_ref().map(|_| event.clone());
             self.instances[instance]
                 .balancer
                 .handle(now, event, &mut actions);
-            if let (Some(tap), Some(event)) = (self.tap.as_deref_mut(), heard) {
-                tap.told(instance, now, &event, &actions);
+            if let (Some(tap), Some(event)) = (self.tap.as_deref_mut(), observed_event) {
+                tap.handled(instance, now, &event, &actions);
             }
             for action in actions.drain(..) {
                 match action {
@@ -182,37 +183,44 @@
                         endpoint,
                         timeout,
                         ..
-                    } => self.send(instance, request, endpoint, timeout),
+                    } => self.start_attempt(instance, request, endpoint, timeout),
                     Action::Reject {
                         request,
                         retry_after,
-                    } => self.answer(request, 503, retry_after),
-                    Action::Fail(request) => self.answer(request, 502, 0),
+                    } => self.answer_client(request, 503, retry_after),
+                    Action::Fail(request) => self.answer_client(request, 502, 0),
                     Action::Cancel { request, attempt } => {
-                        if let Some(out) = self.instances[instance].out.remove(&(request, attempt))
+                        if let Some(attempt_in_flight) = self.instances[instance]
+                            .in_flight
+                            .remove(&(request, attempt))
                         {
-                            events.push_back(self.end(request, attempt, &out, Outcome::Cancelled));
+                            events.push_back(self.attempt_end(
+                                request,
+                                attempt,
+                                &attempt_in_flight,
+                                Outcome::Cancelled,
+                            ));
                         }
                     }
                     Action::SetTimer { after, token } => {
-                        self.at(
+                        self.schedule(
                             self.now + after.max(0) as Us,
-                            What::Timer { instance, token },
+                            SimEvent::Timer { instance, token },
                         );
                     }
                     Action::CloseIdle(endpoint) => {
-                        drop(self.instances[instance].idle.remove(&endpoint))
+                        drop(self.instances[instance].idle_connections.remove(&endpoint))
                     }
                     Action::ReportHealth { endpoint, served } => {
-                        let sign = if served {
+                        let health = if served {
                             ObservedHealth::Healthy
                         } else {
                             ObservedHealth::Unhealthy
                         };
-                        let words = self
-                            .with_member(instance, |core, now| core.observe(now, endpoint, sign));
-                        if !words.is_empty() {
-                            events.push_back(Event::Ejections(words));
+                        let ejections = self
+                            .with_member(instance, |core, now| core.observe(now, endpoint, health));
+                        if !ejections.is_empty() {
+                            events.push_back(Event::Ejections(ejections));
                         }
                     }
                     Action::Probe(_)
@@ -225,19 +233,19 @@
         }
     }
 
-    pub(super) fn end(
+    pub(super) fn attempt_end(
         &self,
         request: RequestId,
         attempt: AttemptIndex,
-        out: &Out,
+        attempt_in_flight: &InFlight,
         outcome: Outcome,
     ) -> Event {
         Event::AttemptEnded(AttemptEnd {
             request,
             attempt,
-            endpoint: out.server,
+            endpoint: attempt_in_flight.server,
             outcome,
-            elapsed: (self.now - out.sent) as Micros,
+            elapsed: (self.now - attempt_in_flight.sent_at) as Micros,
             request_answered: !self.open.contains_key(&request),
             load: LoadReport::default(),
         })
--- a/crates/emulator/src/sim/tests.rs
+++ b/crates/emulator/src/sim/tests.rs
@@ -1,4 +1,4 @@
-//! Whole runs in simulated time: the same bytes for a seed, no rule broken.
+//! Whole runs in simulated time: the same result for a seed, and no rule violated.
 
 use super::*;
 use crate::draw::draw;
@@ -13,21 +13,21 @@
     };
     experiment.load.lasts = Time::ms(12_000);
     experiment.load.work = 0.5;
-    let sized = matches!(kind, Some(FaultKind::ServersSlow | FaultKind::NetworkSlow));
+    let has_size = matches!(kind, Some(FaultKind::ServersSlow | FaultKind::NetworkSlow));
     experiment.fault.extend(kind.map(|kind| Fault {
         kind,
         at: Time::ms(4000),
         lasts: Time::ms(3000),
         zone: None,
         part: Some(0.25),
-        size: sized.then_some(3.0),
+        size: has_size.then_some(3.0),
         way: (kind == FaultKind::ZoneCut).then_some(Way::Both),
     }));
     experiment
 }
 
 #[test]
-fn a_seed_gives_the_same_bytes_twice() {
+fn a_seed_determines_the_result() {
     let experiment = experiment(Some(FaultKind::ServersSilent));
     let bytes = |seed| {
         let plan = draw(&experiment, seed);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn no_rule_is_broken_under_any_fault_and_without_faults_nearly_all_is_served() {
+fn no_rule_is_violated_under_any_fault_and_without_faults_nearly_all_requests_are_served() {
     use FaultKind::*;
     let kinds = [
         None,
@@ -59,8 +59,8 @@
             let tally = tally.expect("it can be played");
             let (findings, served) = (&tally.findings, tally.measures[&Measure::Served]);
             assert!(findings.is_empty(), "{kind:?}, seed {seed}: {findings:?}");
-            let least = if kind.is_none() { 0.9 } else { 0.5 };
-            assert!(served > least, "{kind:?}, seed {seed}: {served}");
+            let min_served = if kind.is_none() { 0.9 } else { 0.5 };
+            assert!(served > min_served, "{kind:?}, seed {seed}: {served}");
             let swallowed = tally.measures[&Measure::Swallowed];
             assert!(
                 kind != Some(ServersSilent) || swallowed > 0.0,
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -1,8 +1,8 @@
-//! The model of servers and their work, without sockets and clock, for real and for simulated time.
+//! The model of servers and their work, without sockets and clock, for real and simulated time.
 //!
-//! Running requests share a server's cores, one each; the rest wait in turn. All running requests
-//! of a limited group are slowed down together where their servers would do more than the group may
-//! (processor sharing).
+//! Running requests use one core of a server each; the rest are queued. If the servers of a limited
+//! group would do more work than the group may, all running requests of the group are slowed down
+//! together (processor sharing).
 
 #[cfg(test)]
 mod tests;
@@ -16,79 +16,79 @@
 /// A request at a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Job {
-    /// Given back when it is done.
+    /// Its number, returned when it is done.
     pub id: u64,
     /// Its class.
     pub class: usize,
-    /// Its work in microseconds on a core of speed 1.
+    /// Its work, in microseconds on a core of speed 1.
     pub work: f64,
-    /// What it concerns.
+    /// The key that it is about.
     pub key: u64,
-    /// Its idempotency key, where it has one.
-    pub once: Option<u64>,
-    /// It came over a new connection.
-    pub fresh: bool,
+    /// Its idempotency key, if it has one.
+    pub idempotency_key: Option<u64>,
+    /// Whether it arrived on a new connection.
+    pub is_new_connection: bool,
 }
 
-/// What becomes of a request that has come in.
+/// What a server does with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It runs or waits.
-    Taken,
-    /// It has run before and is answered without work.
-    Repeated,
-    /// Turned away unseen.
-    Refused,
-    /// Nothing will ever come of it.
+    /// It is executed or queued.
+    Accepted,
+    /// It was executed before and is answered without work.
+    Deduplicated,
+    /// It is rejected without being executed.
+    Rejected,
+    /// It will never be answered.
     Swallowed,
 }
 
-/// A request that is done.
+/// A completed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Done {
     /// The server.
     pub server: usize,
-    /// The request.
+    /// The request's number.
     pub job: u64,
-    /// It was served, rather than failed.
+    /// Whether it was served rather than failed.
     pub served: bool,
 }
 
 #[derive(Debug)]
 struct Running {
     job: Job,
-    left: f64,
+    remaining_work: f64,
 }
 
 #[derive(Debug)]
 struct Server {
-    up: bool,
-    silent: bool,
-    slow: f64,
-    fails: f64,
-    /// Since when it is cold; none once it counts as warm from long ago.
+    is_up: bool,
+    is_silent: bool,
+    slowdown: f64,
+    error_share: f64,
+    /// When the process started, if it may still be cold; none if it has been warm for long.
     started: Option<Us>,
     running: Vec<Running>,
     waiting: VecDeque<Job>,
-    remembered: HashMap<u64, Us>,
-    by_age: VecDeque<(Us, u64)>,
-    ran: HashMap<u64, Us>,
-    ran_by_age: VecDeque<(Us, u64)>,
-    crowded_since: Option<Us>,
+    cached_keys: HashMap<u64, Us>,
+    cached_by_age: VecDeque<(Us, u64)>,
+    executed_keys: HashMap<u64, Us>,
+    executed_by_age: VecDeque<(Us, u64)>,
+    overloaded_since: Option<Us>,
     idle_since: Option<Us>,
-    overdriven: bool,
-    /// Work sent while cold, within the time after which it falls over.
-    sent: VecDeque<(Us, f64)>,
-    sent_sum: f64,
-    fallen: bool,
+    is_degraded: bool,
+    /// Recent work sent to the cold server, within the period that decides whether it collapses.
+    cold_work: VecDeque<(Us, f64)>,
+    cold_work_sum: f64,
+    has_collapsed: bool,
 }
 
 #[derive(Debug)]
 struct Group {
     limit: f64,
     members: Vec<usize>,
-    /// How far its servers have come, and when something is done there next.
-    at: Us,
+    /// Time up to which its servers are simulated, and time of the next completion.
+    advanced_to: Us,
     next: Option<Us>,
 }
 
@@ -99,44 +99,44 @@
     groups: Vec<Group>,
     servers: Vec<Server>,
     now: Us,
-    /// When something is done next in each busy group: only who has something to do costs time.
+    /// Time of the next completion in each busy group.
     next: BTreeSet<(Us, usize)>,
     rng: fastrand::Rng,
-    /// Work done so far, and work that warm keys saved.
+    /// Work done so far, and work saved by cached keys.
     work_done: f64,
     work_saved: f64,
-    /// What would have been saved had each request gone where its key was known best.
+    /// Work that would have been saved if each request had gone to the best cache of its key.
     work_savable: f64,
-    fallen: Vec<(Us, usize)>,
+    collapsed: Vec<(Us, usize)>,
 }
 
-/// Requests that wait for each core from which a server counts as crowded.
-const CROWDED: usize = 3;
-/// A cold server's speed is brought up to date this often.
-const WARMING: Us = 50_000;
+/// Queued requests per core above which a server counts as overloaded.
+const OVERLOADED_QUEUE_PER_CORE: usize = 3;
+/// Interval at which a cold server's speed is updated, in microseconds.
+const WARMUP_STEP_US: Us = 50_000;
 
 impl World {
-    /// As a run begins: the first servers are up and warm.
+    /// The state at the start of a run: the initial servers are up and warm.
     pub fn new(plan: &Plan) -> Self {
         let groups = plan.limits.len();
         let server = |spec: &ServerSpec| Server {
-            up: spec.first,
-            silent: false,
-            slow: 1.0,
-            fails: 0.0,
+            is_up: spec.first,
+            is_silent: false,
+            slowdown: 1.0,
+            error_share: 0.0,
             started: None,
             running: Vec::new(),
             waiting: VecDeque::new(),
-            remembered: HashMap::new(),
-            by_age: VecDeque::new(),
-            ran: HashMap::new(),
-            ran_by_age: VecDeque::new(),
-            crowded_since: None,
+            cached_keys: HashMap::new(),
+            cached_by_age: VecDeque::new(),
+            executed_keys: HashMap::new(),
+            executed_by_age: VecDeque::new(),
+            overloaded_since: None,
             idle_since: None,
-            overdriven: false,
-            sent: VecDeque::new(),
-            sent_sum: 0.0,
-            fallen: false,
+            is_degraded: false,
+            cold_work: VecDeque::new(),
+            cold_work_sum: 0.0,
+            has_collapsed: false,
         };
         let in_group = |g| {
             (0..plan.servers.len())
@@ -146,7 +146,7 @@
         let group = |g| Group {
             limit: plan.limits[g],
             members: in_group(g),
-            at: 0,
+            advanced_to: 0,
             next: None,
         };
         Self {
@@ -159,49 +159,49 @@
             work_done: 0.0,
             work_saved: 0.0,
             work_savable: 0.0,
-            fallen: Vec::new(),
+            collapsed: Vec::new(),
         }
     }
 
-    /// Whether its process runs.
-    pub fn up(&self, server: usize) -> bool {
-        self.servers[server].up
+    /// Whether the server's process runs.
+    pub fn is_up(&self, server: usize) -> bool {
+        self.servers[server].is_up
     }
 
-    /// Whether it answers what it is sent.
-    pub fn answers(&self, server: usize) -> bool {
-        self.servers[server].up && !self.servers[server].silent
+    /// Whether the server answers requests.
+    pub fn is_responding(&self, server: usize) -> bool {
+        self.servers[server].is_up && !self.servers[server].is_silent
     }
 
-    /// Servers that were pushed over while cold, and when.
-    pub fn fallen(&self) -> &[(Us, usize)] {
-        &self.fallen
+    /// Servers that collapsed while cold, with the time.
+    pub fn collapsed(&self) -> &[(Us, usize)] {
+        &self.collapsed
     }
 
-    /// Work done, and work that warm keys have saved, in microseconds on a core of speed 1.
+    /// Work done and work saved by cached keys, in microseconds on a core of speed 1.
     pub fn work(&self) -> (f64, f64) {
         (self.work_done, self.work_saved)
     }
 
-    /// Work that would have been saved had each request gone where its key was known best.
+    /// Work that would have been saved if each request had gone to the best cache of its key.
     pub fn savable(&self) -> f64 {
         self.work_savable
     }
 
-    /// Requests that a server holds.
-    pub fn held(&self, server: usize) -> usize {
+    /// Number of requests at a server.
+    pub fn job_count(&self, server: usize) -> usize {
         self.servers[server].running.len() + self.servers[server].waiting.len()
     }
 
-    /// Whether some server still holds this request.
-    pub fn holds(&self, job: u64) -> bool {
-        let runs = |s: &Server| s.running.iter().any(|r| r.job.id == job);
+    /// Whether some server still has this request.
+    pub fn contains_job(&self, job: u64) -> bool {
+        let is_running = |s: &Server| s.running.iter().any(|r| r.job.id == job);
         self.servers
             .iter()
-            .any(|s| runs(s) || s.waiting.iter().any(|w| w.id == job))
+            .any(|s| is_running(s) || s.waiting.iter().any(|w| w.id == job))
     }
 
-    /// Part of its speed that a server has at an instant: from the cold share it grows evenly.
+    /// The share of its speed that a server has at a time; grows linearly from the cold share.
     pub fn warmth(&self, server: usize, now: Us) -> f64 {
         let Some(started) = self.servers[server].started else {
             return 1.0;
@@ -210,55 +210,54 @@
         (site::COLD_SHARE + (1.0 - site::COLD_SHARE) * age).min(1.0)
     }
 
-    /// Its process starts, cold.
+    /// Starts the server's process, cold.
     pub fn start(&mut self, server: usize) {
         let now = self.now;
         self.change(server, |s| {
-            (s.up, s.silent, s.overdriven, s.started) = (true, false, false, Some(now));
-            (s.crowded_since, s.idle_since, s.sent_sum) = (None, None, 0.0);
-            s.sent.clear();
-            s.remembered.clear();
-            s.by_age.clear();
+            (s.is_up, s.is_silent, s.is_degraded, s.started) = (true, false, false, Some(now));
+            (s.overloaded_since, s.idle_since, s.cold_work_sum) = (None, None, 0.0);
+            s.cold_work.clear();
+            s.cached_keys.clear();
+            s.cached_by_age.clear();
         });
     }
 
-    /// Its process ends, with all that it held.
+    /// Stops the server's process; its requests are lost.
     pub fn stop(&mut self, server: usize) {
         self.change(server, |s| {
-            s.up = false;
+            s.is_up = false;
             s.running.clear();
             s.waiting.clear();
         });
     }
 
-    /// It takes requests and answers none; what it holds when that begins is never answered either.
-    pub fn silence(&mut self, server: usize, on: bool) {
+    /// Makes the server accept requests and never answer them, including those it already has.
+    pub fn set_silent(&mut self, server: usize, silent: bool) {
         self.change(server, |s| {
-            s.silent = on;
-            if on {
+            s.is_silent = silent;
+            if silent {
                 s.running.clear();
                 s.waiting.clear();
             }
         });
     }
 
-    /// It is so many times slower.
-    pub fn slow_down(&mut self, server: usize, times: f64) {
-        self.change(server, |s| s.slow = times.max(0.01));
+    /// Makes the server slower by a factor.
+    pub fn set_slowdown(&mut self, server: usize, factor: f64) {
+        self.change(server, |s| s.slowdown = factor.max(0.01));
     }
 
-    /// It answers so many with an error.
-    pub fn fail(&mut self, server: usize, share: f64) {
-        self.servers[server].fails = share;
+    /// Makes the server answer a share of requests with an error.
+    pub fn set_error_share(&mut self, server: usize, share: f64) {
+        self.servers[server].error_share = share;
     }
 
-    /// Something else than its work changes at a server. The world has been brought on to that
-    /// instant.
-    fn change(&mut self, server: usize, what: impl FnOnce(&mut Server)) {
+    /// Changes a server's state other than by its work. The model must have advanced to this time.
+    fn change(&mut self, server: usize, update: impl FnOnce(&mut Server)) {
         let group = self.specs[server].group;
-        // Nothing is done before now: this only brings the work on.
-        self.step(group, self.now, &mut Vec::new());
-        what(&mut self.servers[server]);
-        self.plan_ahead(group);
+        // Completes nothing: only advances the work.
+        self.advance_group(group, self.now, &mut Vec::new());
+        update(&mut self.servers[server]);
+        self.schedule_next(group);
     }
 }
--- a/crates/emulator/src/world/work.rs
+++ b/crates/emulator/src/world/work.rs
@@ -1,262 +1,283 @@
-//! The work of one server: what is queued, what runs, what is done.
+//! The work of a server: queued, running and completed requests.
 
-use super::{Admission, CROWDED, Done, Group, Job, Running, Server, WARMING, World};
+use super::{
+    Admission, Done, Group, Job, OVERLOADED_QUEUE_PER_CORE, Running, Server, WARMUP_STEP_US, World,
+};
 use crate::Us;
 use crate::plan::ServerSpec;
 use crate::site::{self, Repeat};
 
 impl World {
-    /// Speed of one core of a server, before what its group may do.
-    pub(super) fn speed(&self, i: usize, now: Us) -> f64 {
-        let (spec, s) = (&self.specs[i], &self.servers[i]);
-        let overdriven = if s.overdriven { spec.slowed } else { 1.0 };
-        spec.speed * self.warmth(i, now) / (s.slow * overdriven)
+    /// Speed of one core of a server, before the limit of its group.
+    pub(super) fn core_speed(&self, server: usize, now: Us) -> f64 {
+        let (spec, state) = (&self.specs[server], &self.servers[server]);
+        let degradation = if state.is_degraded { spec.slowed } else { 1.0 };
+        spec.speed * self.warmth(server, now) / (state.slowdown * degradation)
     }
 
-    /// How many times slower a group's requests run as the group is limited, 1 where it is not.
-    pub(super) fn throttle(&self, group: &Group) -> f64 {
+    /// The factor by which a group's limit slows its requests down, 1 without a limit.
+    pub(super) fn throttle_factor(&self, group: &Group) -> f64 {
         if group.limit >= 1.0 {
             return 1.0;
         }
-        let (mut most, mut wanted) = (0.0, 0.0);
+        let (mut capacity, mut demand) = (0.0, 0.0);
         for i in group
             .members
             .iter()
             .copied()
-            .filter(|i| self.servers[*i].up)
+            .filter(|i| self.servers[*i].is_up)
         {
-            most += f64::from(self.specs[i].cores) * self.specs[i].speed;
-            wanted += self.servers[i].running.len() as f64 * self.speed(i, group.at);
+            capacity += f64::from(self.specs[i].cores) * self.specs[i].speed;
+            demand += self.servers[i].running.len() as f64 * self.core_speed(i, group.advanced_to);
         }
-        if wanted > group.limit * most {
-            group.limit * most / wanted
+        if demand > group.limit * capacity {
+            group.limit * capacity / demand
         } else {
             1.0
         }
     }
 
-    /// When something is done next, if nothing else comes.
+    /// Time of the next completion, if nothing else happens.
     pub fn next(&self) -> Option<Us> {
         self.next.first().map(|(at, _)| *at)
     }
 
-    /// Reckons when something is done next in a group.
-    pub(super) fn plan_ahead(&mut self, number: usize) {
-        let group = &self.groups[number];
-        let (mut first, mut warming) = (f64::INFINITY, false);
-        let throttle = self.throttle(group);
+    /// Computes the time of the next completion in a group.
+    pub(super) fn schedule_next(&mut self, group_index: usize) {
+        let group = &self.groups[group_index];
+        let (mut soonest, mut is_warming) = (f64::INFINITY, false);
+        let throttle = self.throttle_factor(group);
         for i in group
             .members
             .iter()
             .copied()
             .filter(|i| !self.servers[*i].running.is_empty())
         {
-            let speed = (self.speed(i, group.at) * throttle).max(1e-6);
-            warming |= self.warmth(i, group.at) < 1.0;
-            first = self.servers[i]
+            let speed = (self.core_speed(i, group.advanced_to) * throttle).max(1e-6);
+            is_warming |= self.warmth(i, group.advanced_to) < 1.0;
+            soonest = self.servers[i]
                 .running
                 .iter()
-                .map(|r| r.left / speed)
-                .fold(first, f64::min);
+                .map(|r| r.remaining_work / speed)
+                .fold(soonest, f64::min);
         }
-        let first = if warming {
-            first.min(WARMING as f64)
+        let first = if is_warming {
+            soonest.min(WARMUP_STEP_US as f64)
         } else {
-            first
+            soonest
         };
         let next = first
             .is_finite()
-            .then(|| group.at + (first.ceil() as Us).max(1));
-        if let Some(old) = std::mem::replace(&mut self.groups[number].next, next) {
-            self.next.remove(&(old, number));
+            .then(|| group.advanced_to + (first.ceil() as Us).max(1));
+        if let Some(previous) = std::mem::replace(&mut self.groups[group_index].next, next) {
+            self.next.remove(&(previous, group_index));
         }
-        self.next.extend(next.map(|next| (next, number)));
+        self.next.extend(next.map(|next| (next, group_index)));
     }
 
-    /// Goes on to `now` and appends what is done until then.
+    /// Advances to `now` and appends the completed requests.
     pub fn advance(&mut self, now: Us, done: &mut Vec<Done>) {
         while let Some((next, group)) = self.next.first().copied().filter(|(next, _)| *next <= now)
         {
             self.now = self.now.max(next);
-            self.step(group, next, done);
-            self.plan_ahead(group);
+            self.advance_group(group, next, done);
+            self.schedule_next(group);
         }
         self.now = self.now.max(now);
     }
 
-    /// Brings a group on to an instant before which nothing is done there.
-    pub(super) fn step(&mut self, number: usize, to: Us, done: &mut Vec<Done>) {
-        let throttle = self.throttle(&self.groups[number]);
-        let from = self.groups[number].at;
-        let passed = to.saturating_sub(from) as f64;
-        for place in 0..self.groups[number].members.len() {
-            let i = self.groups[number].members[place];
-            let speed = self.speed(i, from) * throttle;
-            let s = &mut self.servers[i];
-            s.running.iter_mut().for_each(|r| r.left -= passed * speed);
-            self.work_done += s.running.len() as f64 * passed * speed;
+    /// Advances a group to a time before which nothing is completed there.
+    pub(super) fn advance_group(&mut self, group_index: usize, to: Us, done: &mut Vec<Done>) {
+        let throttle = self.throttle_factor(&self.groups[group_index]);
+        let from = self.groups[group_index].advanced_to;
+        let elapsed = to.saturating_sub(from) as f64;
+        for member in 0..self.groups[group_index].members.len() {
+            let server = self.groups[group_index].members[member];
+            let speed = self.core_speed(server, from) * throttle;
+            let state = &mut self.servers[server];
+            state
+                .running
+                .iter_mut()
+                .for_each(|r| r.remaining_work -= elapsed * speed);
+            self.work_done += state.running.len() as f64 * elapsed * speed;
         }
-        self.groups[number].at = to.max(from);
-        for place in 0..self.groups[number].members.len() {
-            self.settle(self.groups[number].members[place], done);
+        self.groups[group_index].advanced_to = to.max(from);
+        for place in 0..self.groups[group_index].members.len() {
+            self.update_server(self.groups[group_index].members[place], done);
         }
     }
 
-    /// Takes out what is done at a server, lets in what waits, and sees whether it is overdriven.
-    pub(super) fn settle(&mut self, i: usize, done: &mut Vec<Done>) {
-        let spec = &self.specs[i];
-        let (now, s) = (self.groups[spec.group].at, &mut self.servers[i]);
-        let mut at = 0;
-        while at < s.running.len() {
-            if s.running[at].left > 0.5 {
-                at += 1;
+    /// Completes a server's finished requests, starts queued ones, and updates whether it is
+    /// degraded.
+    pub(super) fn update_server(&mut self, server: usize, done: &mut Vec<Done>) {
+        let spec = &self.specs[server];
+        let (now, state) = (
+            self.groups[spec.group].advanced_to,
+            &mut self.servers[server],
+        );
+        let mut index = 0;
+        while index < state.running.len() {
+            if state.running[index].remaining_work > 0.5 {
+                index += 1;
                 continue;
             }
-            let job = s.running.swap_remove(at).job;
-            let served = s.fails <= 0.0 || self.rng.f64() >= s.fails;
+            let job = state.running.swap_remove(index).job;
+            let served = state.error_share <= 0.0 || self.rng.f64() >= state.error_share;
             done.push(Done {
-                server: i,
+                server,
                 job: job.id,
                 served,
             });
         }
-        while s.running.len() < spec.cores as usize
-            && let Some(job) = s.waiting.pop_front()
+        while state.running.len() < spec.cores as usize
+            && let Some(job) = state.waiting.pop_front()
         {
-            let known = s
-                .remembered
+            let is_cached = state
+                .cached_keys
                 .get(&job.key)
                 .is_some_and(|at| now - at <= spec.memory);
-            let handshake = if job.fresh { spec.handshake } else { 0.0 };
-            let left = job.work * if known { 1.0 - spec.saves } else { 1.0 };
-            self.work_saved += job.work - left;
-            s.remembered.insert(job.key, now);
-            s.by_age.push_back((now, job.key));
-            s.running.push(Running {
+            let handshake = if job.is_new_connection {
+                spec.handshake
+            } else {
+                0.0
+            };
+            let work = job.work * if is_cached { 1.0 - spec.saves } else { 1.0 };
+            self.work_saved += job.work - work;
+            state.cached_keys.insert(job.key, now);
+            state.cached_by_age.push_back((now, job.key));
+            state.running.push(Running {
                 job,
-                left: left + handshake,
+                remaining_work: work + handshake,
             });
         }
-        // Forgets the key met longest ago.
-        while s.remembered.len() > spec.keys
-            && let Some((at, key)) = s.by_age.pop_front()
+        // Evicts the least recently used key.
+        while state.cached_keys.len() > spec.keys
+            && let Some((at, key)) = state.cached_by_age.pop_front()
         {
-            if s.remembered.get(&key) == Some(&at) {
-                s.remembered.remove(&key);
+            if state.cached_keys.get(&key) == Some(&at) {
+                state.cached_keys.remove(&key);
             }
         }
-        while s
-            .ran_by_age
+        while state
+            .executed_by_age
             .front()
             .is_some_and(|(at, _)| now - at > site::KEY_TIME)
-            && let Some((at, key)) = s.ran_by_age.pop_front()
+            && let Some((at, key)) = state.executed_by_age.pop_front()
         {
-            if s.ran.get(&key) == Some(&at) {
-                s.ran.remove(&key);
+            if state.executed_keys.get(&key) == Some(&at) {
+                state.executed_keys.remove(&key);
             }
         }
-        let crowded = s.waiting.len() > CROWDED * spec.cores as usize;
-        s.crowded_since = if crowded {
-            s.crowded_since.or(Some(now))
+        let is_overloaded = state.waiting.len() > OVERLOADED_QUEUE_PER_CORE * spec.cores as usize;
+        state.overloaded_since = if is_overloaded {
+            state.overloaded_since.or(Some(now))
         } else {
             None
         };
-        let idle = s.running.len() <= spec.cores as usize / 2 && s.waiting.is_empty();
-        s.idle_since = if idle {
-            s.idle_since.or(Some(now))
+        let is_idle = state.running.len() <= spec.cores as usize / 2 && state.waiting.is_empty();
+        state.idle_since = if is_idle {
+            state.idle_since.or(Some(now))
         } else {
             None
         };
-        s.overdriven |= s
-            .crowded_since
+        state.is_degraded |= state
+            .overloaded_since
             .is_some_and(|since| now - since >= spec.crowded_for);
-        s.overdriven &= s.idle_since.is_none_or(|since| now - since < spec.idle_for);
+        state.is_degraded &= state
+            .idle_since
+            .is_none_or(|since| now - since < spec.idle_for);
     }
 
-    /// The most that any server in use would save of a request's work by knowing its key.
-    fn best(&self, job: &Job) -> f64 {
-        let knows = |(spec, s): &(&ServerSpec, &Server)| {
-            s.up && !s.silent
-                && s.remembered
+    /// The largest saving of a request's work by any usable server that has its key cached.
+    fn best_saving(&self, job: &Job) -> f64 {
+        let has_cached = |(spec, s): &(&ServerSpec, &Server)| {
+            s.is_up
+                && !s.is_silent
+                && s.cached_keys
                     .get(&job.key)
                     .is_some_and(|at| self.now - at <= spec.memory)
         };
         self.specs
             .iter()
             .zip(&self.servers)
-            .filter(knows)
+            .filter(has_cached)
             .map(|(spec, _)| spec.saves)
             .fold(0.0, f64::max)
     }
 
-    /// A request has come in whole at `now`; what is done until then is appended.
+    /// Submits a request that has arrived completely at `now`; appends requests completed until
+    /// then.
     pub fn submit(&mut self, now: Us, server: usize, job: Job, done: &mut Vec<Done>) -> Admission {
         self.advance(now, done);
         let (group, warmth) = (self.specs[server].group, self.warmth(server, self.now));
-        self.step(group, self.now, done);
-        let (spec, s) = (&self.specs[server], &mut self.servers[server]);
-        if !s.up {
-            return Admission::Refused;
+        self.advance_group(group, self.now, done);
+        let (spec, state) = (&self.specs[server], &mut self.servers[server]);
+        if !state.is_up {
+            return Admission::Rejected;
         }
-        if s.silent {
+        if state.is_silent {
             return Admission::Swallowed;
         }
         if warmth < 1.0 {
-            s.sent.push_back((self.now, job.work));
-            s.sent_sum += job.work;
-            while s
-                .sent
+            state.cold_work.push_back((self.now, job.work));
+            state.cold_work_sum += job.work;
+            while state
+                .cold_work
                 .front()
                 .is_some_and(|(at, _)| self.now - at > site::TIP_AFTER)
             {
-                s.sent_sum -= s.sent.pop_front().map_or(0.0, |(_, work)| work);
+                state.cold_work_sum -= state.cold_work.pop_front().map_or(0.0, |(_, work)| work);
             }
-            let most = site::COLD_SLACK
+            let max_work = site::COLD_SLACK
                 * site::OVERLOAD
                 * f64::from(spec.cores)
                 * spec.speed
                 * warmth
                 * site::TIP_AFTER as f64;
-            if s.sent_sum > most && !s.fallen {
+            if state.cold_work_sum > max_work && !state.has_collapsed {
                 // It stays down.
-                s.fallen = true;
-                self.fallen.push((self.now, server));
+                state.has_collapsed = true;
+                self.collapsed.push((self.now, server));
                 self.stop(server);
-                return Admission::Refused;
+                return Admission::Rejected;
             }
         }
         if let Some(once) = job
-            .once
+            .idempotency_key
             .filter(|_| site::CLASSES[job.class].repeat == Repeat::Keyed)
         {
-            if s.ran
+            if state
+                .executed_keys
                 .get(&once)
                 .is_some_and(|at| self.now - at <= site::KEY_TIME)
             {
-                return Admission::Repeated;
+                return Admission::Deduplicated;
             }
-            if s.waiting.len() < spec.queue {
-                s.ran.insert(once, self.now);
-                s.ran_by_age.push_back((self.now, once));
+            if state.waiting.len() < spec.queue {
+                state.executed_keys.insert(once, self.now);
+                state.executed_by_age.push_back((self.now, once));
             }
         }
-        if s.waiting.len() >= spec.queue {
-            return Admission::Refused;
+        if state.waiting.len() >= spec.queue {
+            return Admission::Rejected;
         }
-        s.waiting.push_back(job);
-        self.work_savable += job.work * self.best(&job);
-        self.settle(server, done);
-        self.plan_ahead(group);
-        Admission::Taken
+        state.waiting.push_back(job);
+        self.work_savable += job.work * self.best_saving(&job);
+        self.update_server(server, done);
+        self.schedule_next(group);
+        Admission::Accepted
     }
 
-    /// A probe costs a little work, which the requests that run there pay.
+    /// Submits a probe, whose small cost is added to a running request.
     pub fn probe(&mut self, now: Us, server: usize, done: &mut Vec<Done>) {
         self.advance(now, done);
-        let (least, most) = site::PROBE_WORK_US.into_inner();
-        let work = (least + most) / 2.0;
+        let (min_work, max_work) = site::PROBE_WORK_US.into_inner();
+        let work = (min_work + max_work) / 2.0;
         self.change(server, |s| {
-            s.running.iter_mut().take(1).for_each(|r| r.left += work)
+            s.running
+                .iter_mut()
+                .take(1)
+                .for_each(|r| r.remaining_work += work)
         });
     }
 }
--- a/crates/emulator/tests/auditors.rs
+++ b/crates/emulator/tests/auditors.rs
@@ -6,7 +6,7 @@
 use load_balancer_emulator::draw::draw;
 use load_balancer_emulator::experiment::{Experiment, Fault, FaultKind, Variant};
 use load_balancer_emulator::record::Record;
-use load_balancer_emulator::run::{Launch, Progress, play};
+use load_balancer_emulator::run::{Launch, Progress, run};
 use load_balancer_emulator::supervisor::PlatformConfig;
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -162,9 +162,9 @@
         way: None,
     }];
     let (plan, variant) = (Arc::new(draw(&experiment, 3)), Variant::default());
-    let launch = Launch::Within(Arc::new(move |told| Box::pin(sidecar(told, wrong))));
+    let launch = Launch::InProcess(Arc::new(move |told| Box::pin(sidecar(told, wrong))));
     let (sender, _progress) = watch::channel(Progress::default());
-    let played = play(
+    let played = run(
         &experiment,
         &plan,
         &variant,
--- a/crates/emulator/tests/coordinators.rs
+++ b/crates/emulator/tests/coordinators.rs
@@ -7,7 +7,7 @@
 use load_balancer_emulator::experiment::Experiment;
 use load_balancer_emulator::outcome::Measure;
 use load_balancer_emulator::record::Record;
-use load_balancer_emulator::run::{Launch, Progress, play};
+use load_balancer_emulator::run::{Launch, Progress, run};
 use load_balancer_emulator::supervisor::LaunchOptions;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -105,7 +105,7 @@
     let launch = Launch::Program(LaunchOptions::plain(program("sidecar")));
     let (sender, _progress) = watch::channel(Progress::default());
     let variant = &experiment.variant[0];
-    let played = play(
+    let played = run(
         &experiment,
         &plan,
         variant,
--- a/crates/emulator/tests/processes.rs
+++ b/crates/emulator/tests/processes.rs
@@ -6,7 +6,7 @@
 use load_balancer_emulator::experiment::{Experiment, Fault, FaultKind, Variant, Way};
 use load_balancer_emulator::outcome::Measure;
 use load_balancer_emulator::record::Record;
-use load_balancer_emulator::run::{Launch, Progress, RunError, play};
+use load_balancer_emulator::run::{Launch, Progress, RunError, run};
 use load_balancer_emulator::supervisor::LaunchOptions;
 use load_balancer_emulator::tally::Tally;
 use std::path::{Path, PathBuf};
@@ -39,7 +39,7 @@
 ) -> Result<Tally, RunError> {
     let launch = Launch::Program(LaunchOptions::plain(program("sidecar")));
     let (sender, _progress) = watch::channel(Progress::default());
-    play(
+    run(
         experiment,
         plan,
         variant,
