--- a/crates/emulator/src/affinity_dump.rs
+++ b/crates/emulator/src/affinity_dump.rs
@@ -1,42 +1,42 @@
-//! The affinity entries that a sidecar held at one instant.
+//! The affinity entries of a sidecar at one time.
 
 use crate::Us;
 
 /// A key at a process of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Place {
+pub struct KeyAtProcess {
     /// The key.
     pub key: u64,
-    /// The server, a place in the plan.
+    /// The server, by index in the plan.
     pub server: usize,
-    /// When its process started, in milliseconds of Unix time; 0 where that is long ago.
+    /// When its process started, in milliseconds of Unix time; 0 if long ago.
     pub started_ms: i64,
 }
 
-/// One that a sidecar holds for bound.
+/// An affinity entry of a sidecar.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Held {
-    /// Which.
-    pub place: Place,
+pub struct DumpedEntry {
+    /// The key and the process.
+    pub place: KeyAtProcess,
     /// The epoch of the process.
     pub epoch: u64,
-    /// The slot in which it ends.
+    /// The slot in which it expires.
     pub ends: i64,
-    /// The key was met there again.
-    pub again: bool,
+    /// Whether the key was used there again.
+    pub renewed: bool,
 }
 
-/// What a sidecar holds at one instant.
+/// The affinity entries of a sidecar at one time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Dump {
     /// The sidecar.
     pub sidecar: usize,
-    /// The slot of now, by its clock.
+    /// The current slot, by its clock.
     pub slot: i64,
-    /// It uses affinity entries at present.
-    pub hears: bool,
-    /// What it holds.
-    pub held: Vec<Held>,
-    /// Picks by an affinity entry: the server, the start of its process, and when the last one was.
+    /// Whether it uses affinity entries at present.
+    pub in_contact: bool,
+    /// The entries.
+    pub entries: Vec<DumpedEntry>,
+    /// Picks by affinity entries: server, start of its process, and time of the last pick.
     pub picks: Vec<(usize, i64, Us)>,
 }
--- a/crates/emulator/src/agent.rs
+++ b/crates/emulator/src/agent.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for discovery agents, one on each sidecar's machine (PROTOCOL, "Discovery").
+//! Stand-ins for the discovery agents, one beside each sidecar.
 
 use crate::Us;
 use crate::catalogue::Catalogue;
@@ -23,51 +23,51 @@
 use tokio::sync::watch;
 use tokio::task::AbortHandle;
 
-/// Longest wait of a watch, as the protocol page has it.
-const MAX_WATCH: Us = 60_000_000;
+/// Longest wait of a watch, as in the protocol, in microseconds.
+const MAX_WATCH_WAIT_US: Us = 60_000_000;
 
-/// One sidecar's agent.
+/// The agent of one sidecar.
 pub struct Agent {
     plan: Arc<Plan>,
     clock: Clock,
     record: Record,
     sidecar: usize,
     addresses: Arc<Vec<SocketAddr>>,
-    mood: watch::Receiver<Mood>,
+    mode: watch::Receiver<Mood>,
     catalogue: Catalogue,
-    /// What the sidecar has been told of each server.
-    told: Mutex<BTreeMap<usize, State>>,
+    /// The state of each server as last reported to the sidecar.
+    reported_states: Mutex<BTreeMap<usize, State>>,
 }
 
 impl Agent {
-    /// For that sidecar, to which these are the servers' addresses.
+    /// Creates the agent of a sidecar that reaches the servers at these addresses.
     pub fn new(
         plan: Arc<Plan>,
         clock: Clock,
         record: Record,
         sidecar: usize,
         addresses: Arc<Vec<SocketAddr>>,
-        (mood, catalogue): (watch::Receiver<Mood>, Catalogue),
+        (mode, catalogue): (watch::Receiver<Mood>, Catalogue),
     ) -> Arc<Self> {
-        let known = plan
+        let initial_servers = plan
             .directory
-            .known
+            .initial
             .iter()
             .map(|server| (*server, State::Active { since: None }));
-        let told = Mutex::new(known.collect());
+        let reported_states = Mutex::new(initial_servers.collect());
         Arc::new(Self {
             plan,
             clock,
             record,
             sidecar,
             addresses,
-            mood,
+            mode,
             catalogue,
-            told,
+            reported_states,
         })
     }
 
-    /// Listens on a port of the system's choice on that host, until it is told to end.
+    /// Listens on a free port of that host, until its task is aborted.
     pub fn listen(self: &Arc<Self>, host: IpAddr) -> io::Result<(SocketAddr, AbortHandle)> {
         let listener = std::net::TcpListener::bind((host, 0))?;
         listener.set_nonblocking(true)?;
@@ -75,10 +75,10 @@
             TcpListener::from_std(listener.try_clone()?)?,
             listener.local_addr()?,
         );
-        let this = Arc::clone(self);
+        let agent = Arc::clone(self);
         let task = tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let this = Arc::clone(&this);
+                let this = Arc::clone(&agent);
                 let service = service_fn(move |request| Arc::clone(&this).answer(request));
                 tokio::spawn(async move {
                     let _ = http1::Builder::new()
@@ -90,22 +90,27 @@
         Ok((address, task.abort_handle()))
     }
 
-    /// The list as it is known at the beginning, for the sidecar's configuration.
-    pub fn known(&self) -> serde_json::Value {
-        self.list(
-            &self.catalogue.with(|directory| directory.whole(0)),
+    /// The initial list, for the sidecar's configuration.
+    pub fn cached_list(&self) -> serde_json::Value {
+        self.list_json(
+            &self.catalogue.with(|directory| directory.list_at(0)),
             0,
             true,
         )
     }
 
-    fn list(&self, entries: &[(usize, State)], heard: usize, whole: bool) -> serde_json::Value {
+    fn list_json(
+        &self,
+        entries: &[(usize, State)],
+        version: usize,
+        is_whole: bool,
+    ) -> serde_json::Value {
         let address = |server: usize| self.addresses[server];
         listing::list(
             &self.plan,
             entries,
-            heard,
-            whole,
+            version,
+            is_whole,
             address,
             self.clock.began_ms(),
         )
@@ -128,10 +133,10 @@
             number("after"),
             number("wait_ms").unwrap_or(0).saturating_mul(1000),
         );
-        let until = self.clock.now().saturating_add(wait.min(MAX_WATCH));
-        let (mut mood, mut changes) = (self.mood.clone(), self.catalogue.subscribe());
+        let until = self.clock.now().saturating_add(wait.min(MAX_WATCH_WAIT_US));
+        let (mut mode, mut changes) = (self.mode.clone(), self.catalogue.subscribe());
         let text = loop {
-            let now = *mood.borrow_and_update();
+            let now = *mode.borrow_and_update();
             match now {
                 Mood::Silent => std::future::pending().await,
                 Mood::Garbled => break "{\"index\":7,\"endpoints\":[{\"name\":7".to_owned(),
@@ -140,58 +145,60 @@
             }
             let lag = self.plan.sidecars[self.sidecar].list_lag;
             changes.borrow_and_update();
-            let heard = self
+            let version = self
                 .catalogue
-                .with(|directory| directory.heard(self.clock.now(), lag));
-            // Version 1 is what is known before the first change; one that it does not know of is
-            // from elsewhere.
-            let since = after
+                .with(|directory| directory.version_at(self.clock.now(), lag));
+            // Version 1 is the initial list; an unknown version is from elsewhere.
+            let held_version = after
                 .and_then(|after| usize::try_from(after).ok()?.checked_sub(1))
-                .filter(|s| *s <= heard);
-            let Some(since) = since else {
-                break self.tell(
-                    &self.catalogue.with(|directory| directory.whole(heard)),
-                    heard,
+                .filter(|s| *s <= version);
+            let Some(since) = held_version else {
+                break self.report_list(
+                    &self.catalogue.with(|directory| directory.list_at(version)),
+                    version,
                     true,
                 );
             };
-            if since < heard || self.clock.now() >= until {
-                break self.tell(
+            if since < version || self.clock.now() >= until {
+                break self.report_list(
                     &self
                         .catalogue
-                        .with(|directory| directory.between(since, heard)),
-                    heard,
+                        .with(|directory| directory.changes_between(since, version)),
+                    version,
                     false,
                 );
             }
             let next = self
                 .catalogue
-                .with(|directory| directory.next(heard, lag))
+                .with(|directory| directory.next_change_at(version, lag))
                 .unwrap_or(Us::MAX)
                 .min(until);
             tokio::select! {
                 () = self.clock.until(next) => {}
-                Ok(()) = mood.changed() => {}
+                Ok(()) = mode.changed() => {}
                 Ok(()) = changes.changed() => {}
             }
         };
         Ok(Response::new(Full::new(Bytes::from(text))))
     }
 
-    /// Writes a list, and notes what its sidecar knows from now on.
-    fn tell(&self, entries: &[(usize, State)], heard: usize, whole: bool) -> String {
-        let text = self.list(entries, heard, whole).to_string();
-        let mut told = self.told.lock().unwrap_or_else(PoisonError::into_inner);
+    /// Formats a list, and records what it reports to the sidecar.
+    fn report_list(&self, entries: &[(usize, State)], version: usize, is_whole: bool) -> String {
+        let text = self.list_json(entries, version, is_whole).to_string();
+        let mut reported_states = self
+            .reported_states
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         let listed = |server: &usize| entries.iter().any(|(i, _)| i == server);
-        let missing: Vec<usize> = told
+        let missing: Vec<usize> = reported_states
             .keys()
             .copied()
-            .filter(|i| whole && !listed(i))
+            .filter(|i| is_whole && !listed(i))
             .collect();
-        let gone = missing.into_iter().map(|i| (i, State::Left));
+        let removed = missing.into_iter().map(|i| (i, State::Left));
         let (now, sidecar) = (self.clock.now(), self.sidecar);
-        for (server, state) in entries.iter().copied().chain(gone) {
-            if told.insert(server, state) != Some(state) {
+        for (server, state) in entries.iter().copied().chain(removed) {
+            if reported_states.insert(server, state) != Some(state) {
                 self.record.note(
                     now,
                     Seen::PlatformConfig {
--- a/crates/emulator/src/apps.rs
+++ b/crates/emulator/src/apps.rs
@@ -1,5 +1,4 @@
-//! Stand-ins for client applications: an open-loop load with the clients' own retries (PROTOCOL,
-//! BRIEF).
+//! Stand-ins for client applications: an open-loop load with the clients' own retries.
 
 mod connection;
 
@@ -10,7 +9,7 @@
 use crate::servers::{Servers, arrival_of, try_number};
 use crate::site::{CLASSES, CLIENT_RETRIES, Repeat};
 use bytes::Bytes;
-use connection::{End, Failure, Pool, exchange, idle, keep, open};
+use connection::{AttemptEnd, ExchangeError, Pool, connect, exchange, park, take_idle};
 use hdrhistogram::Histogram;
 use http_body_util::Full;
 use hyper::{Method, Request};
@@ -20,29 +19,29 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// Bodies of requests that have one.
-const BODY: &str =
+/// The body of requests that have one.
+const REQUEST_BODY: &str =
     "{\"entry\":\"0000000000000000000000000000000000000000000000000000000000000000\"}";
-/// Longest hold-off that clients honour, as the settings state it.
-const MAX_RETRY_AFTER: Us = 2_000_000;
+/// Longest Retry-After that clients honour, as in the settings, in microseconds.
+const MAX_RETRY_AFTER_US: Us = 2_000_000;
 
 /// All applications.
 pub struct Apps {
-    /// What they send.
+    /// The requests.
     pub plan: Arc<Plan>,
-    /// When.
+    /// The clock of the run.
     pub clock: Clock,
-    /// Where it is noted.
+    /// The record of the run.
     pub record: Record,
-    /// Where each finds its sidecar.
+    /// The address of each application's sidecar.
     pub sidecars: Vec<SocketAddr>,
-    /// Who knows whether a request was forwarded.
+    /// The servers, which know whether a request was forwarded.
     pub servers: Arc<Servers>,
 }
 
 impl Apps {
-    /// Sends everything, and waits until all of it has ended. Comes back with how late requests
-    /// left, one in a hundred, in microseconds.
+    /// Sends all requests and waits until they have ended. Returns how late one request in a
+    /// hundred was sent, in microseconds.
     pub async fn run(self: Arc<Self>, progress: impl Fn(usize)) -> Us {
         let pools: Vec<Pool> = self.sidecars.iter().map(|_| Pool::default()).collect();
         let mut lateness = Histogram::<u64>::new(3).ok();
@@ -52,9 +51,9 @@
             if let Some(lateness) = &mut lateness {
                 lateness.saturating_record(self.clock.now().saturating_sub(arrival.at).max(1));
             }
-            let (this, pool) = (Arc::clone(&self), Arc::clone(&pools[arrival.sidecar]));
+            let (apps, pool) = (Arc::clone(&self), Arc::clone(&pools[arrival.sidecar]));
             tasks.spawn(async move {
-                this.request(number, &this.plan.arrivals[number], pool)
+                apps.request(number, &apps.plan.arrivals[number], pool)
                     .await
             });
             while tasks.try_join_next().is_some() {}
@@ -64,14 +63,22 @@
         lateness.map_or(0, |l| l.value_at_percentile(99.0))
     }
 
-    /// One request with its client's retries.
+    /// Sends one request, with its client's retries.
     async fn request(&self, number: usize, arrival: &Arrival, pool: Pool) {
         for attempt in 0..=CLIENT_RETRIES {
             let request = try_number(number, attempt);
-            let at = self.sidecars[arrival.sidecar];
-            let until = Instant::now() + Duration::from_micros(arrival.patience);
+            let address = self.sidecars[arrival.sidecar];
+            let gives_up_at = Instant::now() + Duration::from_micros(arrival.patience);
             let Some(end) = self
-                .attempt(request, number, arrival, at, &pool, until, attempt > 0)
+                .attempt(
+                    request,
+                    number,
+                    arrival,
+                    address,
+                    &pool,
+                    gives_up_at,
+                    attempt > 0,
+                )
                 .await
             else {
                 self.record.note(
@@ -80,17 +87,17 @@
                         sidecar: arrival.sidecar,
                     },
                 );
-                if !self.again(arrival, attempt, None).await {
+                if !self.wait_to_retry(arrival, attempt, None).await {
                     return;
                 }
                 continue;
             };
             let now = self.clock.now();
-            let (seen, hold_off, over) = match end {
-                End::Answered {
+            let (seen, retry_after, is_served) = match end {
+                AttemptEnd::Answered {
                     status,
-                    genuine,
-                    hold_off,
+                    is_genuine: genuine,
+                    retry_after: hold_off,
                 } => (
                     Seen::Answered {
                         request,
@@ -100,11 +107,11 @@
                     hold_off,
                     status == 200,
                 ),
-                End::Lost => (Seen::Lost { request }, None, false),
-                End::GaveUp => (Seen::GaveUp { request }, None, false),
+                AttemptEnd::Lost => (Seen::Lost { request }, None, false),
+                AttemptEnd::GaveUp => (Seen::GaveUp { request }, None, false),
             };
-            // What may have run is not for a client to repeat either.
-            let harmless = match CLASSES[arrival.class].repeat {
+            // A request that may have been executed must not be retried by a client either.
+            let may_retry = match CLASSES[arrival.class].repeat {
                 Repeat::Never => matches!(
                     seen,
                     Seen::Answered {
@@ -115,18 +122,23 @@
                 Repeat::Safe | Repeat::Keyed => true,
             };
             self.record.note(now, seen);
-            if over || !harmless || !self.again(arrival, attempt, hold_off).await {
+            if is_served || !may_retry || !self.wait_to_retry(arrival, attempt, retry_after).await {
                 return;
             }
         }
     }
 
-    /// Waits before a further try; whether there is to be one.
-    async fn again(&self, arrival: &Arrival, attempt: u32, hold_off: Option<Us>) -> bool {
-        let Some(wait) = arrival.waits.get(attempt as usize) else {
+    /// Waits before a retry; returns whether there is one.
+    async fn wait_to_retry(
+        &self,
+        arrival: &Arrival,
+        attempt: u32,
+        retry_after: Option<Us>,
+    ) -> bool {
+        let Some(backoff) = arrival.waits.get(attempt as usize) else {
             return false;
         };
-        let wait = hold_off.map_or(*wait, |told| told.min(MAX_RETRY_AFTER).max(*wait));
+        let wait = retry_after.map_or(*backoff, |told| told.min(MAX_RETRY_AFTER_US).max(*backoff));
         let left = (arrival.at + CLASSES[arrival.class].deadline).saturating_sub(self.clock.now());
         if wait >= left {
             return false;
@@ -135,19 +147,19 @@
         true
     }
 
-    /// One try; `None` where no sidecar took it.
+    /// Makes one attempt; `None` if no sidecar accepted it.
     #[allow(clippy::too_many_arguments, reason = "all that one try is")]
     async fn attempt(
         &self,
         request: Try,
         number: usize,
         arrival: &Arrival,
-        at: SocketAddr,
+        address: SocketAddr,
         pool: &Pool,
-        until: Instant,
-        repeat: bool,
-    ) -> Option<End> {
-        let taken = || {
+        gives_up_at: Instant,
+        is_retry: bool,
+    ) -> Option<AttemptEnd> {
+        let taken_event = || {
             let until = self.clock.now().saturating_add(arrival.patience);
             Seen::Taken {
                 request,
@@ -156,67 +168,73 @@
                 until,
             }
         };
-        let mut noted = false;
-        // A kept connection may be closed by the sidecar in the moment it is used again: the client
-        // then sends the request once more, on a new one.
-        if let Some(sender) = idle(pool) {
-            noted = true;
-            self.record.note(self.clock.now(), taken());
+        let mut is_recorded = false;
+        // The sidecar may close an idle connection just as it is reused: the client then sends the
+        // request again on a new one.
+        if let Some(sender) = take_idle(pool) {
+            is_recorded = true;
+            self.record.note(self.clock.now(), taken_event());
             match timeout_at(
-                until,
+                gives_up_at,
                 exchange(
                     sender,
-                    self.message(request, arrival, repeat, until)?,
+                    self.build_request(request, arrival, is_retry, gives_up_at)?,
                     request,
                 ),
             )
             .await
             {
-                Err(_) => return Some(End::GaveUp),
+                Err(_) => return Some(AttemptEnd::GaveUp),
                 Ok(Ok((end, sender))) => {
-                    keep(pool, sender);
+                    park(pool, sender);
                     return Some(end);
                 }
-                // One that was forwarded had been read.
-                Ok(Err(Failure::Unread)) if !self.servers.reached(request) => {}
-                Ok(Err(_)) => return Some(End::Lost),
+                // A request that was forwarded had been read.
+                Ok(Err(ExchangeError::Unread)) if !self.servers.was_forwarded(request) => {}
+                Ok(Err(_)) => return Some(AttemptEnd::Lost),
             }
         }
-        let opened = timeout_at(until, open(at)).await;
+        let opened = timeout_at(gives_up_at, connect(address)).await;
         let Ok(Ok(sender)) = opened else {
-            return if noted { Some(End::Lost) } else { None };
+            return if is_recorded {
+                Some(AttemptEnd::Lost)
+            } else {
+                None
+            };
         };
-        if !noted {
-            self.record.note(self.clock.now(), taken());
+        if !is_recorded {
+            self.record.note(self.clock.now(), taken_event());
         }
         match timeout_at(
-            until,
+            gives_up_at,
             exchange(
                 sender,
-                self.message(request, arrival, repeat, until)?,
+                self.build_request(request, arrival, is_retry, gives_up_at)?,
                 request,
             ),
         )
         .await
         {
-            Err(_) => Some(End::GaveUp),
+            Err(_) => Some(AttemptEnd::GaveUp),
             Ok(Ok((end, sender))) => {
-                keep(pool, sender);
+                park(pool, sender);
                 Some(end)
             }
-            Ok(Err(_)) => Some(End::Lost),
+            Ok(Err(_)) => Some(AttemptEnd::Lost),
         }
     }
 
-    fn message(
+    fn build_request(
         &self,
         request: Try,
         arrival: &Arrival,
-        repeat: bool,
-        until: Instant,
+        is_retry: bool,
+        gives_up_at: Instant,
     ) -> Option<Request<Full<Bytes>>> {
         let class = &CLASSES[arrival.class];
-        let left = until.saturating_duration_since(Instant::now()).as_micros();
+        let left = gives_up_at
+            .saturating_duration_since(Instant::now())
+            .as_micros();
         let mut builder = Request::builder()
             .uri("/api")
             .header("host", "api.internal")
@@ -224,18 +242,18 @@
             .header("x-service-class", class.name)
             .header("cookie", format!("obj={:016x}", arrival.key))
             .header("x-time-left", format!("{left}u"));
-        if repeat {
+        if is_retry {
             builder = builder.header("x-repeat", "1");
         }
         let (method, body) = match class.repeat {
             Repeat::Safe => (Method::GET, ""),
             Repeat::Keyed => {
-                // The same for each try of one request: it is what the servers know it by.
+                // The same in each attempt of a request, as servers deduplicate by it.
                 let key = try_number(arrival_of(request), 15);
                 builder = builder.header("idempotency-key", format!("{key:032x}"));
-                (Method::POST, BODY)
+                (Method::POST, REQUEST_BODY)
             }
-            Repeat::Never => (Method::POST, BODY),
+            Repeat::Never => (Method::POST, REQUEST_BODY),
         };
         builder
             .method(method)
--- a/crates/emulator/src/apps/connection.rs
+++ b/crates/emulator/src/apps/connection.rs
@@ -1,4 +1,4 @@
-//! A client's connections to its sidecar, and one exchange on one of them.
+//! A client's connections to its sidecar, and single exchanges over them.
 
 use crate::Us;
 use crate::record::Try;
@@ -13,32 +13,32 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// How long a client keeps a connection that it does not use: less than a sidecar keeps it.
-const IDLE: Duration = Duration::from_secs(2);
+/// How long a client keeps an idle connection: less than a sidecar does.
+const MAX_IDLE: Duration = Duration::from_secs(2);
 
 pub(super) type Sender = SendRequest<Full<Bytes>>;
 
-/// Idle connections of one application, the most recently used last.
+/// Idle connections of one application, the most recently used one last.
 pub(super) type Pool = Arc<Mutex<Vec<(Sender, Instant)>>>;
 
-/// How a try ended.
-pub(super) enum End {
+/// The end of an attempt.
+pub(super) enum AttemptEnd {
     Answered {
         status: u16,
-        genuine: bool,
-        hold_off: Option<Us>,
+        is_genuine: bool,
+        retry_after: Option<Us>,
     },
     Lost,
     GaveUp,
 }
 
-pub(super) fn idle(pool: &Pool) -> Option<Sender> {
+pub(super) fn take_idle(pool: &Pool) -> Option<Sender> {
     let mut pool = pool.lock().unwrap_or_else(PoisonError::into_inner);
-    pool.retain(|(sender, since)| since.elapsed() < IDLE && sender.is_ready());
+    pool.retain(|(sender, since)| since.elapsed() < MAX_IDLE && sender.is_ready());
     pool.pop().map(|(sender, _)| sender)
 }
 
-pub(super) fn keep(pool: &Pool, sender: Option<Sender>) {
+pub(super) fn park(pool: &Pool, sender: Option<Sender>) {
     if let Some(sender) = sender {
         pool.lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -46,8 +46,8 @@
     }
 }
 
-pub(super) async fn open(at: SocketAddr) -> std::io::Result<Sender> {
-    let stream = TcpStream::connect(at).await?;
+pub(super) async fn connect(address: SocketAddr) -> std::io::Result<Sender> {
+    let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let (sender, connection) = handshake(TokioIo::new(stream))
         .await
@@ -56,11 +56,11 @@
     Ok(sender)
 }
 
-/// Why no whole answer came.
-pub(super) enum Failure {
-    /// The connection had been closed before the request was read.
+/// Why there is no complete response.
+pub(super) enum ExchangeError {
+    /// The connection was closed before the request was read.
     Unread,
-    /// It broke after that.
+    /// The connection broke afterwards.
     Broken,
 }
 
@@ -68,36 +68,36 @@
     mut sender: Sender,
     message: Request<Full<Bytes>>,
     request: Try,
-) -> Result<(End, Option<Sender>), Failure> {
+) -> Result<(AttemptEnd, Option<Sender>), ExchangeError> {
     let response = sender.send_request(message).await.map_err(|e| {
-        // Nothing at all came back: the sidecar's closing crossed with the request.
+        // There is no response at all: the sidecar closed the connection at the same time.
         if e.is_canceled() || e.is_closed() || e.is_incomplete_message() {
-            Failure::Unread
+            ExchangeError::Unread
         } else {
-            Failure::Broken
+            ExchangeError::Broken
         }
     })?;
-    let (status, hold_off) = (response.status().as_u16(), hold_off(&response));
+    let (status, retry_after) = (response.status().as_u16(), parse_retry_after(&response));
     let body = response
         .into_body()
         .collect()
         .await
-        .map_err(|_| Failure::Broken)?
+        .map_err(|_| ExchangeError::Broken)?
         .to_bytes();
     let genuine =
         status != 200 || body.starts_with(format!("{{\"done\":\"{request:016x}\"").as_bytes());
     let sender = sender.ready().await.is_ok().then_some(sender);
     Ok((
-        End::Answered {
+        AttemptEnd::Answered {
             status,
-            genuine,
-            hold_off,
+            is_genuine: genuine,
+            retry_after,
         },
         sender,
     ))
 }
 
-fn hold_off<B>(response: &Response<B>) -> Option<Us> {
+fn parse_retry_after<B>(response: &Response<B>) -> Option<Us> {
     let seconds: f64 = response
         .headers()
         .get("retry-after")?
--- a/crates/emulator/src/audit/ageing.rs
+++ b/crates/emulator/src/audit/ageing.rs
@@ -3,7 +3,7 @@
 
 use super::{Finding, Rule};
 use crate::Us;
-use crate::affinity_dump::{Dump, Held, Place};
+use crate::affinity_dump::{Dump, DumpedEntry, KeyAtProcess};
 use crate::plan::Plan;
 use crate::record::{Entry, Seen};
 use crate::servers::arrival_of;
@@ -26,7 +26,7 @@
 /// Fewer looks than this tell nothing of a part.
 const MIN_LOOKS: usize = 200;
 
-type Binding = (Place, u64);
+type Binding = (KeyAtProcess, u64);
 
 /// What one sidecar held, and what of it was gone.
 #[derive(Default)]
@@ -37,8 +37,8 @@
     dumps: Vec<(Us, Dump)>,
 }
 
-fn alive(dump: &Dump) -> impl Iterator<Item = &Held> {
-    dump.held.iter().filter(|held| dump.slot < held.ends)
+fn alive(dump: &Dump) -> impl Iterator<Item = &DumpedEntry> {
+    dump.entries.iter().filter(|held| dump.slot < held.ends)
 }
 
 /// Holds all dumps of a run against each other and against what was answered.
@@ -127,7 +127,7 @@
                 held.place
             ));
         }
-        let lifetime = if held.again {
+        let lifetime = if held.renewed {
             RENEWED_LIFETIME_SLOTS
         } else {
             FIRST_LIFETIME_SLOTS
@@ -175,16 +175,16 @@
             .filter_map(|m| {
                 let (then, now) = (at(m, round - needs)?, at(m, round)?);
                 let fresh = |n: usize, t: Us| t - m.dumps[n].0 < SLACK;
-                let all = m.dumps[then..=now].iter().all(|(_, dump)| dump.hears);
+                let all = m.dumps[then..=now].iter().all(|(_, dump)| dump.in_contact);
                 let steady = all && fresh(then, round - needs) && fresh(now, round);
                 steady.then(|| (&m.dumps[then].1, &m.dumps[now].1))
             })
             .collect();
-        let mut held: HashMap<Place, usize> = HashMap::new();
+        let mut held: HashMap<KeyAtProcess, usize> = HashMap::new();
         let edge = ((needs + 2 * SKEW) / SLOT) as i64 + 2;
         for (then, _) in &heard {
             for h in then
-                .held
+                .entries
                 .iter()
                 .filter(|h| h.ends > then.slot + edge && !closed.contains(&h.place.server))
             {
@@ -193,7 +193,7 @@
         }
         held.retain(|_, count| *count * 2 > heard.len());
         for (_, now) in &heard {
-            let mut places: HashMap<u64, Vec<Place>> = HashMap::new();
+            let mut places: HashMap<u64, Vec<KeyAtProcess>> = HashMap::new();
             alive(now).for_each(|h| places.entry(h.place.key).or_default().push(h.place));
             for place in held.keys() {
                 let here = places.get(&place.key);
--- a/crates/emulator/src/audit/ageing/tests.rs
+++ b/crates/emulator/src/audit/ageing/tests.rs
@@ -41,24 +41,24 @@
     }
     for second in 0..40 {
         for sidecar in 0..10 {
-            let place = |key: u64| Place {
+            let place = |key: u64| KeyAtProcess {
                 key,
                 server: key as usize % 5,
                 started_ms: 0,
             };
-            let held = |key| Held {
+            let held = |key| DumpedEntry {
                 place: place(key),
                 epoch: 0,
                 ends: FIRST + RENEWED_LIFETIME_SLOTS,
-                again: true,
+                renewed: true,
             };
             let slot = FIRST + second * 2;
             let held = (0..50).map(held).filter(|h| slot < h.ends).collect();
             let mut dump = Dump {
                 sidecar,
                 slot,
-                hears: true,
-                held,
+                in_contact: true,
+                entries: held,
                 picks: Vec::new(),
             };
             change(sidecar, second, &mut dump);
@@ -74,7 +74,7 @@
     // Nor one that says that it hears nobody.
     assert_eq!(
         play(|sidecar, second, dump| if sidecar == 3 && second > 9 {
-            (dump.hears, dump.held) = (false, Vec::new());
+            (dump.in_contact, dump.entries) = (false, Vec::new());
         }),
         []
     );
@@ -91,20 +91,20 @@
     };
     let back = play(|sidecar, second, dump| {
         if sidecar == 2 && second == 9 {
-            dump.held.clear()
+            dump.entries.clear()
         }
     });
     assert!(words(back).contains("is back"));
     let early = play(|sidecar, second, dump| {
         if sidecar < 4 && second > 20 {
-            dump.held.clear()
+            dump.entries.clear()
         }
     });
     assert!(words(early).contains("were missing"));
-    let later = |held: &mut Held| held.ends += 9;
+    let later = |held: &mut DumpedEntry| held.ends += 9;
     let never = play(|sidecar, _, dump| {
         if sidecar == 5 {
-            dump.held.iter_mut().for_each(later)
+            dump.entries.iter_mut().for_each(later)
         }
     });
     assert!(words(never).contains("tells of a use"));
--- a/crates/emulator/src/audit/clear/tests.rs
+++ b/crates/emulator/src/audit/clear/tests.rs
@@ -65,8 +65,8 @@
             Seen::Dump(Box::new(crate::affinity_dump::Dump {
                 sidecar: 1,
                 slot: 0,
-                hears: true,
-                held: Vec::new(),
+                in_contact: true,
+                entries: Vec::new(),
                 picks,
             })),
         )
--- a/crates/emulator/src/audit/listed.rs
+++ b/crates/emulator/src/audit/listed.rs
@@ -8,7 +8,7 @@
 
 pub(super) fn listed(plan: &Plan, record: &[Entry], findings: &mut Vec<Finding>) {
     let mut named: BTreeSet<(usize, usize)> = BTreeSet::new();
-    let known: BTreeSet<usize> = plan.directory.known.iter().copied().collect();
+    let known: BTreeSet<usize> = plan.directory.initial.iter().copied().collect();
     let mut tries: BTreeSet<Try> = BTreeSet::new();
     for (at, seen) in record {
         match seen {
--- a/crates/emulator/src/bin/fleet-emulator/call.rs
+++ b/crates/emulator/src/bin/fleet-emulator/call.rs
@@ -3,7 +3,7 @@
 use crate::pair::Pair;
 use clap::{Args, Parser, Subcommand};
 use load_balancer_common::units::Time;
-use load_balancer_emulator::supervisor::KEEP;
+use load_balancer_emulator::supervisor::GUARD_ARGUMENT;
 use std::path::PathBuf;
 
 /// An emulator for fleets of sidecars on this machine's loopback addresses: real processes,
@@ -35,7 +35,7 @@
     },
     /// Become a program that ends with the emulator, however that ends; the emulator starts its
     /// sidecars by it.
-    #[command(name = KEEP, hide = true)]
+    #[command(name = GUARD_ARGUMENT, hide = true)]
     Keep {
         /// The emulator's process.
         parent: u32,
--- a/crates/emulator/src/bin/fleet-emulator/main.rs
+++ b/crates/emulator/src/bin/fleet-emulator/main.rs
@@ -16,7 +16,7 @@
 use load_balancer_emulator::pairs::builds::{SIDECAR, folder};
 use load_balancer_emulator::report::html;
 use load_balancer_emulator::run::{Launch, Progress};
-use load_balancer_emulator::supervisor::{LaunchOptions, keep};
+use load_balancer_emulator::supervisor::{LaunchOptions, exec_guarded};
 use std::cell::Cell;
 use std::fmt::Display;
 use std::io::{IsTerminal, Write};
@@ -38,7 +38,7 @@
         words,
     } = &call.what
     {
-        return say(&keep(*parent, program, words), Exit::Software).into();
+        return say(&exec_guarded(*parent, program, words), Exit::Software).into();
     }
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(WORKERS)
@@ -154,7 +154,7 @@
     Launch::Program(LaunchOptions {
         program,
         parent_guard,
-        within: within.0,
+        start_timeout: within.0,
     })
 }
 
--- a/crates/emulator/src/bin/fleet-emulator/up.rs
+++ b/crates/emulator/src/bin/fleet-emulator/up.rs
@@ -12,7 +12,7 @@
 use load_balancer_emulator::record::Record;
 use load_balancer_emulator::report::figure;
 use load_balancer_emulator::run::{Progress, run};
-use load_balancer_emulator::supervisor::READY_WITHIN;
+use load_balancer_emulator::supervisor::START_TIMEOUT;
 use std::io::{IsTerminal, Write};
 use std::sync::Arc;
 use std::time::Instant;
@@ -39,7 +39,7 @@
     }];
     config::Configuration::check(&experiment)
         .map_err(|c| say(&format!("{}: {}", c.key, c.reason), Exit::Usage))?;
-    let launch = kept(program(up.program)?, Time(READY_WITHIN));
+    let launch = kept(program(up.program)?, Time(START_TIMEOUT));
     let folder =
         tempfile::tempdir().map_err(|e| say(&format!("cannot make a folder: {e}"), Exit::Io))?;
     let plan = Arc::new(draw(&experiment, fastrand::u64(..)));
--- a/crates/emulator/src/byzantine_member.rs
+++ b/crates/emulator/src/byzantine_member.rs
@@ -11,8 +11,8 @@
 use tokio::sync::watch;
 use tokio::time::{Duration, sleep};
 
-/// How often it lies.
-const ROUND: Duration = Duration::from_millis(100);
+/// Interval of its false reports.
+const ROUND_INTERVAL: Duration = Duration::from_millis(100);
 /// Its name.
 const NAME: &str = "liar";
 
@@ -23,41 +23,48 @@
     Micros::try_from(unix.as_micros()).unwrap_or(0)
 }
 
-/// Joins the fleet as any member does and, while it is told so, tells all of `others` that all of
-/// `servers` are sick. Runs for good.
-pub async fn lie(
+/// Joins the fleet like any member and, while `is_lying` is set, reports all of `servers` as
+/// unhealthy to all of `others`. Runs forever.
+pub async fn run_byzantine_member(
     section: FleetSection,
     zone: &'static str,
     servers: Vec<String>,
     others: Vec<SocketAddr>,
-    lies: watch::Receiver<bool>,
+    is_lying: watch::Receiver<bool>,
 ) {
     let Ok(socket) = UdpSocket::bind(section.listen).await else {
         return;
     };
-    let began = now();
-    let mut core = Core::new(&section, NAME, zone, began.unsigned_abs(), 1, began);
+    let started_at = now();
+    let mut core = Core::new(
+        &section,
+        NAME,
+        zone,
+        started_at.unsigned_abs(),
+        1,
+        started_at,
+    );
     let (mut bytes, mut sequence) = (vec![0; 65_536], 0);
     loop {
         tokio::select! {
-            came = socket.recv_from(&mut bytes) => {
-                if let Ok((length, from)) = came {
+            received = socket.recv_from(&mut bytes) => {
+                if let Ok((length, from)) = received {
                     core.handle_datagram(now(), from, &bytes[..length]);
                 }
             }
-            () = sleep(ROUND) => core.tick(now()),
+            () = sleep(ROUND_INTERVAL) => core.tick(now()),
         }
         for (to, bytes) in core.take_effects().datagrams {
             let _ = socket.try_send_to(&bytes, to);
         }
-        if !*lies.borrow() {
+        if !*is_lying.borrow() {
             continue;
         }
-        let seen = now();
+        let observed_at = now();
         for chunk in servers.chunks(10) {
             let head = FrameHeader {
                 cluster: &section.cluster,
-                sent_at: seen,
+                sent_at: observed_at,
                 content: Content::Updates,
             };
             let mut frame = frame::begin(&head);
@@ -65,10 +72,10 @@
                 sequence += 1;
                 let observation = Observation {
                     origin: hash(NAME),
-                    incarnation: began.unsigned_abs(),
+                    incarnation: started_at.unsigned_abs(),
                     sequence,
                     zone: hash(zone),
-                    seen,
+                    seen: observed_at,
                     process: Process {
                         name: hash(server),
                         started: 0,
--- a/crates/emulator/src/catalogue.rs
+++ b/crates/emulator/src/catalogue.rs
@@ -1,11 +1,11 @@
-//! The list of servers during a run: what was planned, and what the platform adds.
+//! The list of servers during a run: the planned changes, and those made by the platform.
 
 use crate::Us;
 use crate::directory::{Change, Directory, State};
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::sync::watch;
 
-/// A list that many read and the platform changes.
+/// A list with many readers that the platform changes.
 #[derive(Clone, Debug)]
 pub struct Catalogue {
     directory: Arc<Mutex<Directory>>,
@@ -13,7 +13,7 @@
 }
 
 impl Catalogue {
-    /// As it was drawn.
+    /// Starts with the planned changes.
     pub fn new(directory: Directory) -> Self {
         Self {
             directory: Arc::new(Mutex::new(directory)),
@@ -22,8 +22,8 @@
     }
 
     /// Reads the list.
-    pub fn with<T>(&self, what: impl FnOnce(&Directory) -> T) -> T {
-        what(
+    pub fn with<T>(&self, read: impl FnOnce(&Directory) -> T) -> T {
+        read(
             &self
                 .directory
                 .lock()
@@ -31,8 +31,8 @@
         )
     }
 
-    /// A server's state changes now. What was drawn of it for later no longer comes: the platform
-    /// has it in hand.
+    /// Changes a server's state now, and removes its planned later changes, as the platform
+    /// controls it from now on.
     pub fn set(&self, now: Us, server: usize, state: State) {
         let mut directory = self
             .directory
@@ -41,10 +41,10 @@
         directory
             .changes
             .retain(|change| change.at <= now || change.server != server);
-        // Nobody has heard of what comes later, so that no version changes its meaning.
-        let place = directory.changes.partition_point(|change| change.at <= now);
+        // No agent has received later changes yet, so no version changes its meaning.
+        let index = directory.changes.partition_point(|change| change.at <= now);
         directory.changes.insert(
-            place,
+            index,
             Change {
                 at: now,
                 server,
@@ -55,8 +55,8 @@
         self.changes.send_modify(|number| *number += 1);
     }
 
-    /// When a server's process that is listed at `now` started, as the list has it.
-    pub fn since(&self, now: Us, server: usize) -> Option<Us> {
+    /// When the process of a server that is listed at `now` started, according to the list.
+    pub fn process_start(&self, now: Us, server: usize) -> Option<Us> {
         self.with(|directory| {
             let earlier = directory
                 .changes
@@ -72,7 +72,7 @@
         })
     }
 
-    /// Told of each change by the platform.
+    /// Notifies of each change by the platform.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
--- a/crates/emulator/src/catalogue/tests.rs
+++ b/crates/emulator/src/catalogue/tests.rs
@@ -3,34 +3,34 @@
 use super::*;
 
 #[test]
-fn the_platform_changes_what_was_drawn_and_no_version_that_was_heard() {
+fn the_platform_replaces_planned_changes_but_no_version_already_received() {
     let active = |since| State::Active { since };
-    let drawn = [
+    let planned = [
         (5, 0, State::Left),
         (20, 0, active(Some(20))),
         (20, 1, State::Left),
     ];
-    let changes = drawn
+    let changes = planned
         .map(|(at, server, state)| Change { at, server, state })
         .to_vec();
     let catalogue = Catalogue::new(Directory {
-        known: vec![0, 1, 2],
+        initial: vec![0, 1, 2],
         changes,
     });
-    let heard = catalogue.with(|d| (d.heard(10, 0), d.whole(d.heard(10, 0))));
+    let received = catalogue.with(|d| (d.version_at(10, 0), d.list_at(d.version_at(10, 0))));
     catalogue.set(10, 0, State::Leaving);
-    assert_eq!(catalogue.with(|d| d.whole(heard.0)), heard.1);
+    assert_eq!(catalogue.with(|d| d.list_at(received.0)), received.1);
     assert_eq!(
-        catalogue.with(|d| d.whole(d.heard(30, 0))),
+        catalogue.with(|d| d.list_at(d.version_at(30, 0))),
         [(0, State::Leaving), (2, active(None))],
         "what was drawn for server 0 no longer comes"
     );
     catalogue.set(31, 0, active(Some(31)));
     assert_eq!(
         (
-            catalogue.since(30, 0),
-            catalogue.since(31, 0),
-            catalogue.since(31, 2)
+            catalogue.process_start(30, 0),
+            catalogue.process_start(31, 0),
+            catalogue.process_start(31, 2)
         ),
         (None, Some(31), None)
     );
--- a/crates/emulator/src/coordinators.rs
+++ b/crates/emulator/src/coordinators.rs
@@ -4,13 +4,13 @@
 mod faults;
 mod process;
 
-pub use asker::ask_for_windows;
-pub use faults::trouble;
+pub use asker::request_windows;
+pub use faults::inject_faults;
 
 use crate::experiment::Coordinators as Asked;
 use crate::links;
 use crate::net::{Clock, Net};
-use crate::page::ask;
+use crate::page::request_json;
 use crate::plan::{Kept, Plan};
 use crate::platform::Platform;
 use crate::record::Record;
@@ -32,63 +32,64 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// How long a coordinator may take to answer the emulator.
-const WITHIN: Duration = Duration::from_secs(1);
-/// Pause between two looks.
+/// Timeout of the emulator's requests to a coordinator.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
+/// Interval of polls.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// How long an election may take at the beginning of a run.
-const ELECTED_WITHIN: Duration = Duration::from_secs(30);
+/// Timeout of the election at the start of a run.
+const ELECTION_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long after their start a run with blackouts begins: the clocks' times of those are in their
-/// configuration.
-const BEGINS_AFTER: Duration = Duration::from_secs(10);
-/// Of the time within which a death must be answered, this much is for seeing it and for acting:
-/// two rounds of looks of a second, and half a second for each of two rounds of acts.
-const ACTS_WITHIN: Us = 3 * SECOND;
-/// How long a plan supposes a dead server to be away: a run lasts a minute, not a day.
+/// Delay from the coordinators' start to that of a run with blackouts, whose times are part of
+/// their configuration.
+const START_DELAY: Duration = Duration::from_secs(10);
+/// The share of the time for reacting to a death that is used for detecting it and for acting: two
+/// polls at one second, and half a second for each of two rounds of actions, in microseconds.
+const REACTION_TIME_US: Us = 3 * SECOND;
+/// How long a plan assumes a dead server to be away, in milliseconds: a run lasts a minute, not a
+/// day.
 const REPAIR_MS: u64 = 10_000;
 
 /// All coordinators of a run.
 pub struct Coordinators {
     all: Vec<Mutex<CoordinatorProcess>>,
     pages: Vec<SocketAddr>,
-    /// These addresses stay the coordinators' own while they are down.
+    /// Keeps the coordinators' addresses reserved while they are down.
     _reserved: Vec<Reserved>,
     plan: Arc<Plan>,
     platform: Arc<Platform>,
     clock: Clock,
     record: Record,
-    /// When the run is to begin, where its blackouts are told in the clocks of people.
-    begins: Option<Instant>,
+    /// When the run starts, if it has blackouts.
+    starts_at: Option<Instant>,
 }
 
-/// What coordinators meet.
-pub struct Around<'a> {
+/// The environment of coordinators.
+pub struct Environment<'a> {
     /// The network.
     pub net: &'a Net,
-    /// The platform, and where it listens.
+    /// The platform, and its address.
     pub platform: (Arc<Platform>, SocketAddr),
-    /// Pages of the sidecars.
+    /// The addresses of the sidecars' pages.
     pub sidecars: &'a [SocketAddr],
-    /// A host of the loopback range by purpose: to listen on, to dial.
+    /// A host of the loopback range, by purpose and number.
     pub host: fn(u8, usize) -> IpAddr,
-    /// Where their files lie.
+    /// The folder of their files.
     pub folder: &'a Path,
 }
 
 impl Coordinators {
-    /// Starts so many, each with that text beside what it must be told. Ways between processes hold
-    /// until the handles are ended.
+    /// Starts the coordinators, with the experiment's configuration in addition to the required
+    /// one. Links between processes stay open until the handles are aborted.
     ///
     /// # Errors
-    /// Sockets or files cannot be had, or the program cannot be started.
+    /// Sockets or files can't be created, or the program can't be started.
     pub async fn start(
-        asked: &Asked,
-        bringing: &LaunchOptions,
-        around: Around<'_>,
+        settings: &Asked,
+        launch_options: &LaunchOptions,
+        environment: Environment<'_>,
         (plan, clock, record): (&Arc<Plan>, &Clock, &Record),
     ) -> io::Result<(Arc<Self>, Vec<AbortHandle>)> {
-        let zone = |coordinator: usize| {
+        let zone_of = |coordinator: usize| {
             coordinator
                 % plan
                     .kept
@@ -97,44 +98,48 @@
                     .max(1)
         };
         let reserved =
-            (0..asked.count).map(|coordinator| Reserved::on((around.host)(6, coordinator)));
+            (0..settings.count).map(|coordinator| Reserved::on((environment.host)(6, coordinator)));
         let reserved: Vec<Reserved> = reserved.collect::<io::Result<_>>()?;
         let pages: Vec<SocketAddr> = reserved.iter().map(Reserved::address).collect();
-        let blacked_out = plan
+        let has_blackouts = plan
             .kept
             .as_ref()
             .is_some_and(|kept| !kept.blackouts.is_empty());
-        let begins = blacked_out.then(|| Instant::now() + BEGINS_AFTER);
-        let agreed = match &plan.kept {
-            Some(kept) => agreement(kept, begins.map(|_| Timestamp::now() + BEGINS_AFTER))?,
+        let starts_at = has_blackouts.then(|| Instant::now() + START_DELAY);
+        let agreement_section = match &plan.kept {
+            Some(kept) => agreement_text(kept, starts_at.map(|_| Timestamp::now() + START_DELAY))?,
             None => String::new(),
         };
         let (mut all, mut handles) = (Vec::new(), Vec::new());
-        for own in 0..asked.count {
-            let mut way = |to: usize, target| {
-                let (address, handle) =
-                    links::open((around.host)(7, own), around.net, (zone(own), to), target)?;
+        for own in 0..settings.count {
+            let mut open_link = |to: usize, target| {
+                let (address, handle) = links::open(
+                    (environment.host)(7, own),
+                    environment.net,
+                    (zone_of(own), to),
+                    target,
+                )?;
                 handles.push(handle);
                 io::Result::Ok(address)
             };
             let mut text = format!(
                 "[coordinator]\nname = \"s{own}\"\nlisten = \"{}\"\ndata = {:?}\n{}\n[coordinators]\n",
                 pages[own],
-                data(around.folder, own),
-                troubles(asked, own)
+                data_path(environment.folder, own),
+                fault_settings(settings, own)
             );
             for (other, at) in pages.iter().enumerate() {
                 let at = if other == own {
                     *at
                 } else {
-                    way(zone(other), *at)?
+                    open_link(zone_of(other), *at)?
                 };
                 let _ = writeln!(text, "s{other} = \"{at}\"");
             }
             let _ = writeln!(
                 text,
                 "\n[platform]\naddress = \"{}\"\n\n[evidence.sidecars]",
-                around.platform.1
+                environment.platform.1
             );
             for (number, name) in ZONES.iter().enumerate() {
                 let there = plan
@@ -142,26 +147,26 @@
                     .iter()
                     .enumerate()
                     .filter(|(_, spec)| spec.zone == number);
-                let mut ways = Vec::new();
+                let mut addresses = Vec::new();
                 for (sidecar, _) in there {
-                    ways.push(way(number, around.sidecars[sidecar])?.to_string());
+                    addresses.push(open_link(number, environment.sidecars[sidecar])?.to_string());
                 }
-                if !ways.is_empty() {
-                    let _ = writeln!(text, "{name} = {ways:?}");
+                if !addresses.is_empty() {
+                    let _ = writeln!(text, "{name} = {addresses:?}");
                 }
             }
-            text += &agreed;
-            text += &asked.config;
-            let folder = around.folder;
+            text += &agreement_section;
+            text += &settings.config;
+            let folder = environment.folder;
             all.push(Mutex::new(CoordinatorProcess::start(
                 own,
                 &text,
-                bringing.clone(),
+                launch_options.clone(),
                 folder,
             )?));
         }
         let (plan, clock, record) = (Arc::clone(plan), clock.clone(), record.clone());
-        let platform = around.platform.0;
+        let platform = environment.platform.0;
         let _reserved = reserved;
         Ok((
             Arc::new(Self {
@@ -172,29 +177,29 @@
                 platform,
                 clock,
                 record,
-                begins,
+                starts_at,
             }),
             handles,
         ))
     }
 
-    /// Waits until one leads.
+    /// Waits until one coordinator is the active leader.
     ///
     /// # Errors
-    /// None does in time: the last words of each.
+    /// None is in time; the message has the last log line of each.
     pub async fn ready(&self) -> Result<(), String> {
-        let until = Instant::now() + ELECTED_WITHIN;
+        let until = Instant::now() + ELECTION_TIMEOUT;
         while self.leader().await.is_none() {
             if Instant::now() > until {
-                let mut words = String::from("no coordinator leads");
+                let mut message = String::from("no coordinator leads");
                 for coordinator in &self.all {
-                    let _ = write!(words, "; {}", coordinator.lock().await.last_line());
+                    let _ = write!(message, "; {}", coordinator.lock().await.last_line());
                 }
-                return Err(words);
+                return Err(message);
             }
             sleep(POLL_INTERVAL).await;
         }
-        match self.begins {
+        match self.starts_at {
             Some(at) if Instant::now() > at => {
                 Err("the coordinators led too late for the blackouts' times".into())
             }
@@ -206,10 +211,10 @@
         }
     }
 
-    /// Who may act, by its own word.
+    /// The active leader, by its own status.
     pub async fn leader(&self) -> Option<usize> {
         for (number, at) in self.pages.iter().enumerate() {
-            let status = ask(*at, "GET", "/status", None, WITHIN).await;
+            let status = request_json(*at, "GET", "/status", None, REQUEST_TIMEOUT).await;
             if status
                 .is_some_and(|(code, status)| code == 200 && status["acts"] == Value::Bool(true))
             {
@@ -219,7 +224,7 @@
         None
     }
 
-    /// Stops all of them. What is stopped goes on first.
+    /// Shuts all coordinators down; suspended ones are resumed first.
     pub async fn end(&self) {
         for coordinator in &self.all {
             coordinator.lock().await.stop().await;
@@ -227,15 +232,17 @@
     }
 }
 
-fn data(folder: &Path, coordinator: usize) -> PathBuf {
+fn data_path(folder: &Path, coordinator: usize) -> PathBuf {
     folder.join(format!("s{coordinator}.data"))
 }
 
-/// What one coordinator's clock and disk are like, beside those of the others: keys for experiments
-/// alone.
-fn troubles(asked: &Asked, own: usize) -> String {
-    let offset = asked.clock_offset_ms.get(own).filter(|ms| **ms != 0);
-    let delay = asked.disk_delay.get(own).filter(|delay| !delay.0.is_zero());
+/// The clock offset and disk delay of a coordinator: settings for experiments only.
+fn fault_settings(settings: &Asked, own: usize) -> String {
+    let offset = settings.clock_offset_ms.get(own).filter(|ms| **ms != 0);
+    let delay = settings
+        .disk_delay
+        .get(own)
+        .filter(|delay| !delay.0.is_zero());
     let offset = offset
         .map(|ms| format!("clock_offset_ms = {ms}\n"))
         .unwrap_or_default();
@@ -245,11 +252,11 @@
             .unwrap_or_default()
 }
 
-/// The `[agreement]` section of what was agreed, of a run that begins at that time.
-fn agreement(kept: &Kept, begins: Option<Timestamp>) -> io::Result<String> {
-    let bound = kept.answered_within.saturating_sub(ACTS_WITHIN) / 1000;
+/// The `[agreement]` section of the disruption budget, for a run that starts at that time.
+fn agreement_text(kept: &Kept, starts_at: Option<Timestamp>) -> io::Result<String> {
+    let max_staleness_ms = kept.answered_within.saturating_sub(REACTION_TIME_US) / 1000;
     let mut text = format!(
-        "\n[agreement]\nkeep = {}\nmost_away = {}\nevidence_bound_ms = {bound}\nrepair_ms = {REPAIR_MS}\noverrun_may_enter_blackout = {}\n",
+        "\n[agreement]\nkeep = {}\nmost_away = {}\nevidence_bound_ms = {max_staleness_ms}\nrepair_ms = {REPAIR_MS}\noverrun_may_enter_blackout = {}\n",
         kept.keep, kept.most_away, kept.overrun_may_enter
     );
     text += "\n[agreement.keep_zone]\n";
@@ -257,14 +264,14 @@
         let _ = writeln!(text, "{} = {keep}", ZONES[zone]);
     }
     for (number, (from, until)) in kept.blackouts.iter().enumerate() {
-        let moment = |at: Us| {
-            let at = begins
+        let date_time = |at: Us| {
+            let at = starts_at
                 .unwrap_or_default()
                 .checked_add(Duration::from_micros(at));
             at.map(|at| TimeZone::UTC.to_datetime(at))
                 .map_err(io::Error::other)
         };
-        let (from, until) = (moment(*from)?, moment(*until)?);
+        let (from, until) = (date_time(*from)?, date_time(*until)?);
         let _ = writeln!(
             text,
             "\n[[agreement.blackouts]]\nname = \"b{number}\"\ntime_zone = \"UTC\"\nfrom = \"{from}\"\nuntil = \"{until}\""
--- a/crates/emulator/src/coordinators/asker.rs
+++ b/crates/emulator/src/coordinators/asker.rs
@@ -1,10 +1,10 @@
 //! Requests every window of a plan from the coordinators, as an operator's tool does.
 
-use super::{Coordinators, POLL_INTERVAL, WITHIN};
+use super::{Coordinators, POLL_INTERVAL, REQUEST_TIMEOUT};
 use crate::draw::DRAINS_FOR;
-use crate::page::ask;
+use crate::page::request_json;
 use crate::plan::WindowSpec;
-use crate::platform::Place;
+use crate::platform::ServerPlace;
 use crate::record::Seen;
 use crate::site;
 use crate::{SECOND, Us};
@@ -14,65 +14,67 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// A server is away until it is warm again: that is asked for on top of the time until its return,
-/// with the time to look twice.
-const WARMS: Us = site::WARM_WITHIN + 3 * SECOND;
-/// Pause between two words that work is finished.
-const AGAIN: Duration = Duration::from_millis(500);
+/// A server counts as away until it is warm again: this is requested in addition to the time until
+/// its return, with time for two polls, in microseconds.
+const WARMUP_TIME_US: Us = site::WARM_WITHIN + 3 * SECOND;
+/// Interval of the reports that work is finished.
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Asks for all windows, each at its time, and notes the answers.
-pub async fn ask_for_windows(coordinators: Arc<Coordinators>) {
-    let mut asking = JoinSet::new();
+/// Requests all windows, each at its time, and records the answers.
+pub async fn request_windows(coordinators: Arc<Coordinators>) {
+    let mut requests = JoinSet::new();
     for window in 0..coordinators.plan.windows.len() {
         let coordinators = Arc::clone(&coordinators);
-        asking.spawn(async move {
-            let Some(named) = coordinators.ask_for(window).await else {
+        requests.spawn(async move {
+            let Some(window_id) = coordinators.request_window(window).await else {
                 return;
             };
             let spec = &coordinators.plan.windows[window];
-            let mut works = JoinSet::new();
+            let mut work_tasks = JoinSet::new();
             for server in spec.servers.clone() {
                 let (coordinators, length) = (Arc::clone(&coordinators), spec.length);
-                works.spawn(async move { coordinators.work(named, server, length).await });
+                work_tasks.spawn(async move {
+                    coordinators.finish_work(window_id, server, length).await
+                });
             }
-            while works.join_next().await.is_some() {}
+            while work_tasks.join_next().await.is_some() {}
         });
     }
-    while asking.join_next().await.is_some() {}
+    while requests.join_next().await.is_some() {}
 }
 
 impl Coordinators {
-    fn request(&self, number: usize, window: &WindowSpec) -> Value {
-        let unix = |at: u64| self.clock.began_ms() + at / 1000;
+    fn request_json(&self, number: usize, window: &WindowSpec) -> Value {
+        let unix_ms = |at: u64| self.clock.began_ms() + at / 1000;
         let names: Vec<&str> = window
             .servers
             .iter()
             .map(|i| self.plan.servers[*i].name.as_str())
             .collect();
-        json!({"name": format!("w{number}"), "target": {"servers": names}, "earliest_ms": unix(window.at),
-            "latest_ms": unix(window.latest), "length_ms": (window.length + WARMS) / 1000,
+        json!({"name": format!("w{number}"), "target": {"servers": names}, "earliest_ms": unix_ms(window.at),
+            "latest_ms": unix_ms(window.latest), "length_ms": (window.length + WARMUP_TIME_US) / 1000,
             "overrun_ms": window.overrun / 1000, "priority": window.priority, "split": window.split})
     }
 
-    async fn ask_for(&self, number: usize) -> Option<u64> {
+    async fn request_window(&self, number: usize) -> Option<u64> {
         let window = &self.plan.windows[number];
         self.clock.until(window.at).await;
-        let request = self.request(number, window);
+        let request = self.request_json(number, window);
         for coordinator in (0..self.pages.len()).cycle().skip(number) {
-            // Asked again under one name it is one window.
-            let answer = ask(
+            // Requests with the same name are for the same window.
+            let answer = request_json(
                 self.pages[coordinator],
                 "POST",
                 "/windows",
                 Some(&request),
-                WITHIN,
+                REQUEST_TIMEOUT,
             )
             .await;
             if let Some((status, answer)) = answer {
                 let booked = (200..300).contains(&status);
-                let refused = matches!(status, 400 | 409 | 422);
-                let named = answer["booked"]["window"].as_u64();
-                if booked || refused {
+                let rejected = matches!(status, 400 | 409 | 422);
+                let window_id = answer["booked"]["window"].as_u64();
+                if booked || rejected {
                     let what = format!("{status} {answer}");
                     self.record.note(
                         self.clock.now(),
@@ -82,7 +84,7 @@
                             what,
                         },
                     );
-                    return named;
+                    return window_id;
                 }
             }
             if self.clock.now() > window.latest {
@@ -102,22 +104,29 @@
         None
     }
 
-    /// Does the work on a server whenever it is away, and says when that is finished.
-    async fn work(&self, window: u64, server: usize, length: Us) {
+    /// Performs the work on a server whenever it is away, and reports that it is finished.
+    async fn finish_work(&self, window: u64, server: usize, length: Us) {
         let (path, name) = (
             format!("/windows/{window}/finished"),
             &self.plan.servers[server].name,
         );
         loop {
-            while self.platform.place(server) != Place::Away {
+            while self.platform.place(server) != ServerPlace::Away {
                 sleep(POLL_INTERVAL).await;
             }
             sleep(Duration::from_micros(length.saturating_sub(DRAINS_FOR))).await;
-            while self.platform.place(server) == Place::Away {
+            while self.platform.place(server) == ServerPlace::Away {
                 for at in &self.pages {
-                    ask(*at, "POST", &path, Some(&json!({"server": name})), WITHIN).await;
+                    request_json(
+                        *at,
+                        "POST",
+                        &path,
+                        Some(&json!({"server": name})),
+                        REQUEST_TIMEOUT,
+                    )
+                    .await;
                 }
-                sleep(AGAIN).await;
+                sleep(REPORT_INTERVAL).await;
             }
         }
     }
--- a/crates/emulator/src/coordinators/faults.rs
+++ b/crates/emulator/src/coordinators/faults.rs
@@ -1,60 +1,62 @@
-//! Faults of coordinators, at a time or at a step of a window.
+//! Faults of coordinators, at a given time or state of a window.
 
 use super::process::CoordinatorProcess;
-use super::{Coordinators, POLL_INTERVAL, WITHIN};
+use super::{Coordinators, POLL_INTERVAL, REQUEST_TIMEOUT};
 use crate::experiment::{CoordinatorFault, CoordinatorFaultKind, Who};
-use crate::page::ask;
+use crate::page::request_json;
 use crate::record::Seen;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// Lets all faults happen.
-pub async fn trouble(coordinators: Arc<Coordinators>, faults: Vec<CoordinatorFault>) {
-    let mut all = JoinSet::new();
+/// Injects all faults.
+pub async fn inject_faults(coordinators: Arc<Coordinators>, faults: Vec<CoordinatorFault>) {
+    let mut fault_tasks = JoinSet::new();
     for fault in faults {
         let coordinators = Arc::clone(&coordinators);
-        all.spawn(async move { coordinators.suffer(&fault).await });
+        fault_tasks.spawn(async move { coordinators.inject_fault(&fault).await });
     }
-    while all.join_next().await.is_some() {}
+    while fault_tasks.join_next().await.is_some() {}
 }
 
 impl Coordinators {
-    /// Whether a seat of a window has come to that state, by any coordinator's word.
-    async fn has_come_to(&self, state: &str) -> bool {
+    /// Whether any coordinator reports a slot in that state.
+    async fn has_slot_in_state(&self, state: &str) -> bool {
         for at in &self.pages {
-            let Some((200, windows)) = ask(*at, "GET", "/windows", None, WITHIN).await else {
+            let Some((200, windows)) =
+                request_json(*at, "GET", "/windows", None, REQUEST_TIMEOUT).await
+            else {
                 continue;
             };
-            let seats = windows
+            let slots = windows
                 .as_array()
                 .into_iter()
                 .flatten()
                 .filter_map(|w| w["seats"].as_array())
                 .flatten();
-            if seats.into_iter().any(|seat| seat["state"] == state) {
+            if slots.into_iter().any(|seat| seat["state"] == state) {
                 return true;
             }
         }
         false
     }
 
-    async fn chosen(&self, who: Who) -> Vec<usize> {
+    async fn choose(&self, who: Who) -> Vec<usize> {
         let count = self.pages.len();
         let leader = self.leader().await;
-        // The leader is one of a majority, so that there is one less to follow it.
-        let from = leader.unwrap_or(0);
-        let several = |many: usize| (0..many).map(|n| (from + n) % count).collect();
+        // The majority includes the leader, so it has one follower less.
+        let first = leader.unwrap_or(0);
+        let consecutive = |many: usize| (0..many).map(|n| (first + n) % count).collect();
         match who {
-            Who::Leader => vec![from],
-            Who::Follower => vec![(from + 1) % count],
-            Who::Majority => several(count / 2 + 1),
-            Who::All => several(count),
+            Who::Leader => vec![first],
+            Who::Follower => vec![(first + 1) % count],
+            Who::Majority => consecutive(count / 2 + 1),
+            Who::All => consecutive(count),
         }
     }
 
-    fn fill(&self, number: usize, coordinator: &CoordinatorProcess, full: bool) {
+    fn set_disk_full(&self, number: usize, coordinator: &CoordinatorProcess, full: bool) {
         if let Err(e) = coordinator.fill_disk(full) {
             let what = format!("the emulator cannot fill coordinator {number}'s disk: {e}");
             self.record
@@ -62,34 +64,34 @@
         }
     }
 
-    async fn suffer(&self, fault: &CoordinatorFault) {
+    async fn inject_fault(&self, fault: &CoordinatorFault) {
         self.clock
             .until(u64::try_from(fault.at.0.as_micros()).unwrap_or(u64::MAX))
             .await;
         if let Some(state) = &fault.on {
-            while !self.has_come_to(state).await {
+            while !self.has_slot_in_state(state).await {
                 sleep(POLL_INTERVAL).await;
             }
         }
-        let chosen = self.chosen(fault.who).await;
+        let affected = self.choose(fault.who).await;
         self.record.note(
             self.clock.now(),
             Seen::CoordinatorFault {
                 kind: fault.kind,
-                count: chosen.len(),
+                count: affected.len(),
             },
         );
-        for number in &chosen {
+        for number in &affected {
             let mut coordinator = self.all[*number].lock().await;
             match fault.kind {
                 CoordinatorFaultKind::Kill => coordinator.kill().await,
-                CoordinatorFaultKind::Stop => coordinator.pause(true),
-                CoordinatorFaultKind::FullDisk => self.fill(*number, &coordinator, true),
+                CoordinatorFaultKind::Stop => coordinator.set_paused(true),
+                CoordinatorFaultKind::FullDisk => self.set_disk_full(*number, &coordinator, true),
                 CoordinatorFaultKind::EmptyDisk | CoordinatorFaultKind::TearDisk => {
                     coordinator.kill().await;
                     let done = match fault.kind {
-                        CoordinatorFaultKind::EmptyDisk => coordinator.empty_disk(),
-                        _ => coordinator.tear_disk(),
+                        CoordinatorFaultKind::EmptyDisk => coordinator.erase_data(),
+                        _ => coordinator.truncate_data(),
                     };
                     if let Err(e) = done {
                         let what =
@@ -104,13 +106,13 @@
             u64::try_from(fault.lasts.0.as_micros()).unwrap_or(u64::MAX),
         ))
         .await;
-        for number in &chosen {
+        for number in &affected {
             let mut coordinator = self.all[*number].lock().await;
             if fault.kind == CoordinatorFaultKind::Stop {
-                coordinator.pause(false);
-            } else if fault.kind == CoordinatorFaultKind::FullDisk && coordinator.runs() {
-                self.fill(*number, &coordinator, false);
-            } else if let Err(e) = coordinator.run() {
+                coordinator.set_paused(false);
+            } else if fault.kind == CoordinatorFaultKind::FullDisk && coordinator.is_running() {
+                self.set_disk_full(*number, &coordinator, false);
+            } else if let Err(e) = coordinator.start_process() {
                 let what = format!("coordinator {number} cannot be started: {e}");
                 self.record
                     .note(self.clock.now(), Seen::CoordinatorFaultFailed { what });
--- a/crates/emulator/src/coordinators/process.rs
+++ b/crates/emulator/src/coordinators/process.rs
@@ -1,7 +1,7 @@
 //! One coordinator's process over all its incarnations, and its disk.
 
-use super::data;
-use crate::supervisor::{LaunchOptions, Running};
+use super::data_path;
+use crate::supervisor::{ChildProcess, LaunchOptions};
 use rustix::process::{Pid, Resource, Rlimit, Signal, kill_process, prlimit};
 use std::fs::{self, OpenOptions};
 use std::io;
@@ -10,23 +10,23 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// How long it may take to end when it is told to.
-const STOPS_WITHIN: Duration = Duration::from_secs(5);
+/// Timeout of a shutdown.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// One coordinator.
+/// A coordinator.
 pub(super) struct CoordinatorProcess {
-    bringing: LaunchOptions,
+    launch_options: LaunchOptions,
     config: PathBuf,
     log: PathBuf,
     data: PathBuf,
-    child: Option<Running>,
+    child: Option<ChildProcess>,
 }
 
 impl CoordinatorProcess {
     pub(super) fn start(
         number: usize,
         text: &str,
-        bringing: LaunchOptions,
+        launch_options: LaunchOptions,
         folder: &Path,
     ) -> io::Result<Self> {
         let file = |kind: &str| folder.join(format!("s{number}.{kind}"));
@@ -34,19 +34,19 @@
         fs::write(&config, text)?;
         fs::File::create(&log)?;
         let mut coordinator = Self {
-            bringing,
+            launch_options,
             config,
             log,
-            data: data(folder, number),
+            data: data_path(folder, number),
             child: None,
         };
-        coordinator.run()?;
+        coordinator.start_process()?;
         Ok(coordinator)
     }
 
-    /// Starts it, where it does not run.
-    pub(super) fn run(&mut self) -> io::Result<()> {
-        if self.runs() {
+    /// Starts the process, unless it runs.
+    pub(super) fn start_process(&mut self) -> io::Result<()> {
+        if self.is_running() {
             return Ok(());
         }
         let log = || {
@@ -55,29 +55,29 @@
                 .open(&self.log)
                 .map(Stdio::from)
         };
-        let mut command = self.bringing.command_that_outlives_full_disks();
+        let mut command = self.launch_options.command_ignoring_file_size_signal();
         command
             .arg("--config")
             .arg(&self.config)
             .env_clear()
             .stdin(Stdio::null());
         command.stdout(log()?).stderr(log()?);
-        self.child = Some(Running::start(&mut command)?);
+        self.child = Some(ChildProcess::start(&mut command)?);
         Ok(())
     }
 
-    /// Whether its process runs.
-    pub(super) fn runs(&mut self) -> bool {
+    /// Whether the process runs.
+    pub(super) fn is_running(&mut self) -> bool {
         self.child
             .as_mut()
-            .is_some_and(|child| matches!(child.ended(), Ok(None)))
+            .is_some_and(|child| matches!(child.exit_status(), Ok(None)))
     }
 
     fn pid(&self) -> Option<Pid> {
         let id = self
             .child
             .as_ref()
-            .and_then(Running::id)
+            .and_then(ChildProcess::id)
             .and_then(|id| i32::try_from(id).ok());
         id.and_then(Pid::from_raw)
     }
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Lets it write to no file, or to all again. It is its limit on the size of files, so that a
-    /// disk of its own is not needed: writing answers with an error, as on a full disk.
+    /// Makes all writes to files fail, or ends that, by the process's limit on file sizes: writes
+    /// return an error as on a full disk, without a disk of its own.
     pub(super) fn fill_disk(&self, full: bool) -> io::Result<()> {
         let limit = Rlimit {
             current: full.then_some(0),
@@ -102,24 +102,24 @@
         })
     }
 
-    /// Stops or continues it.
-    pub(super) fn pause(&self, on: bool) {
-        self.signal(if on { Signal::STOP } else { Signal::CONT });
+    /// Suspends or resumes the process.
+    pub(super) fn set_paused(&self, paused: bool) {
+        self.signal(if paused { Signal::STOP } else { Signal::CONT });
     }
 
-    /// Kills it.
+    /// Kills the process.
     pub(super) async fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill().await;
         }
     }
 
-    /// Tells it to stop, and kills it where it goes on for too long.
+    /// Shuts the process down, and kills it if that takes too long.
     pub(super) async fn stop(&mut self) {
         self.signal(Signal::CONT);
         self.signal(Signal::TERM);
         if let Some(mut child) = self.child.take()
-            && timeout(STOPS_WITHIN, child.end()).await.is_err()
+            && timeout(SHUTDOWN_TIMEOUT, child.wait()).await.is_err()
         {
             let _ = child.kill().await;
         }
@@ -137,13 +137,13 @@
             .collect()
     }
 
-    /// Removes all that it keeps.
-    pub(super) fn empty_disk(&self) -> io::Result<()> {
+    /// Removes all of its data files.
+    pub(super) fn erase_data(&self) -> io::Result<()> {
         self.files().iter().try_for_each(fs::remove_file)
     }
 
-    /// Tears the largest file that it keeps in the middle.
-    pub(super) fn tear_disk(&self) -> io::Result<()> {
+    /// Truncates its largest data file in the middle.
+    pub(super) fn truncate_data(&self) -> io::Result<()> {
         let size = |file: &PathBuf| fs::metadata(file).map_or(0, |meta| meta.len());
         let Some(file) = self.files().into_iter().max_by_key(size) else {
             return Ok(());
@@ -154,7 +154,7 @@
             .set_len(size(&file) / 2)
     }
 
-    /// Its log's last line.
+    /// The last line of its log.
     pub(super) fn last_line(&self) -> String {
         let text = fs::read_to_string(&self.log).unwrap_or_default();
         text.lines()
--- a/crates/emulator/src/directory.rs
+++ b/crates/emulator/src/directory.rs
@@ -2,62 +2,62 @@
 
 use crate::Us;
 
-/// State of a server on the list.
+/// The state of a server in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It takes requests; its process started then, or long ago.
+    /// Accepts requests; its process started at that time, or long ago.
     Active {
-        /// Time since the run began.
+        /// Time since the start of the run.
         since: Option<Us>,
     },
-    /// It finishes what it has.
+    /// Drains.
     Leaving,
-    /// It is gone.
+    /// Removed.
     Left,
 }
 
-/// Something that the list comes to tell.
+/// A change of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Change {
-    /// When discovery learns of it; each sidecar's agent some time later.
+    /// When discovery learns of it; each sidecar's agent does so later.
     pub at: Us,
     /// The server.
     pub server: usize,
-    /// Its state from then on.
+    /// Its new state.
     pub state: State,
 }
 
-/// What is known at the beginning, as version 1, and each change after it, as one version more.
+/// The initial list as version 1, and a further version for each change.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Directory {
-    /// Servers that are active from the beginning.
-    pub known: Vec<usize>,
+    /// Servers that are active from the start.
+    pub initial: Vec<usize>,
     /// Changes by time.
     pub changes: Vec<Change>,
 }
 
 impl Directory {
-    /// How many changes an agent that is `lag` late has heard of at `now`.
-    pub fn heard(&self, now: Us, lag: Us) -> usize {
+    /// The number of changes known at `now` to an agent with that delay.
+    pub fn version_at(&self, now: Us, lag: Us) -> usize {
         self.changes
             .partition_point(|change| change.at.saturating_add(lag) <= now)
     }
 
-    /// When such an agent next hears of something, after so many changes.
-    pub fn next(&self, heard: usize, lag: Us) -> Option<Us> {
+    /// When such an agent learns of the next change after that many.
+    pub fn next_change_at(&self, version: usize, lag: Us) -> Option<Us> {
         self.changes
-            .get(heard)
+            .get(version)
             .map(|change| change.at.saturating_add(lag))
     }
 
-    /// The whole list after so many changes: every server that is not gone.
-    pub fn whole(&self, heard: usize) -> Vec<(usize, State)> {
+    /// The whole list after that many changes: every server that is not removed.
+    pub fn list_at(&self, version: usize) -> Vec<(usize, State)> {
         let mut list: std::collections::BTreeMap<usize, State> = self
-            .known
+            .initial
             .iter()
             .map(|server| (*server, State::Active { since: None }))
             .collect();
-        for change in &self.changes[..heard] {
+        for change in &self.changes[..version] {
             list.insert(change.server, change.state);
         }
         list.into_iter()
@@ -65,9 +65,9 @@
             .collect()
     }
 
-    /// What has changed between two such counts: the newest state of each server.
-    pub fn between(&self, from: usize, to: usize) -> Vec<(usize, State)> {
-        let changes = &self.changes[from.min(to)..to];
+    /// The changes between two versions: the latest state of each server.
+    pub fn changes_between(&self, from_version: usize, to_version: usize) -> Vec<(usize, State)> {
+        let changes = &self.changes[from_version.min(to_version)..to_version];
         let mut list: std::collections::BTreeMap<usize, State> = Default::default();
         list.extend(changes.iter().map(|change| (change.server, change.state)));
         list.into_iter().collect()
--- a/crates/emulator/src/directory/tests.rs
+++ b/crates/emulator/src/directory/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn an_agent_hears_late_and_in_order() {
+fn an_agent_receives_changes_late_and_in_order() {
     let active = State::Active { since: Some(9) };
     let changes = vec![
         Change {
@@ -23,20 +23,23 @@
         },
     ];
     let directory = Directory {
-        known: vec![0, 1],
+        initial: vec![0, 1],
         changes,
     };
     assert_eq!(
-        [0, 14, 15, 19, 30].map(|now| directory.heard(now, 10)),
+        [0, 14, 15, 19, 30].map(|now| directory.version_at(now, 10)),
         [0, 0, 1, 2, 3]
     );
-    assert_eq!(directory.next(1, 10), Some(19));
-    assert_eq!(directory.next(3, 10), None);
+    assert_eq!(directory.next_change_at(1, 10), Some(19));
+    assert_eq!(directory.next_change_at(3, 10), None);
     let old = State::Active { since: None };
     assert_eq!(
-        directory.whole(2),
+        directory.list_at(2),
         [(0, State::Leaving), (1, old), (2, active)]
     );
-    assert_eq!(directory.whole(3), [(1, old), (2, active)]);
-    assert_eq!(directory.between(0, 3), [(0, State::Left), (2, active)]);
+    assert_eq!(directory.list_at(3), [(1, old), (2, active)]);
+    assert_eq!(
+        directory.changes_between(0, 3),
+        [(0, State::Left), (2, active)]
+    );
 }
--- a/crates/emulator/src/drain_queries.rs
+++ b/crates/emulator/src/drain_queries.rs
@@ -1,43 +1,56 @@
-//! Asks a sidecar repeatedly whether it is drained of affinity to a server, as a coordinator does.
+//! Queries a sidecar repeatedly whether it is drained of affinity to a server, as a coordinator
+//! does.
 
 use crate::net::Clock;
-use crate::page::ask;
+use crate::page::request_json;
 use crate::record::{Record, Seen};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often it asks, and how long an answer may take.
-const EVERY: Duration = Duration::from_millis(500);
-const WITHIN: Duration = Duration::from_millis(1000);
+/// Interval of the queries, and timeout of one.
+const QUERY_INTERVAL: Duration = Duration::from_millis(500);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// A server whose process has run for long is to leave.
-pub struct Leaves {
-    /// The server, a place in the plan, and its name.
+/// The query for a server whose process has run for long.
+pub struct DrainQuery {
+    /// The server, by index in the plan, and its name.
     pub server: usize,
     /// See `server`.
     pub name: String,
-    /// The token by which it leaves.
+    /// The token of its drain.
     pub token: u64,
 }
 
-/// Asks the sidecar at that address until it is clear, and notes that.
-pub async fn ask_until_clear(leaves: Leaves, at: SocketAddr, clock: Clock, record: Record) {
-    let body = json!({"server": leaves.name, "started_ms": 0, "epoch": leaves.token});
+/// Queries the sidecar at that address until it is clear, and records that.
+pub async fn query_until_clear(
+    query: DrainQuery,
+    address: SocketAddr,
+    clock: Clock,
+    record: Record,
+) {
+    let body = json!({"server": query.name, "started_ms": 0, "epoch": query.token});
     loop {
-        // What was said before that is no answer of then.
-        let answer = ask(at, "POST", "/fleet/leaving", Some(&body), WITHIN).await;
+        // Each query is a new one: an earlier answer does not count.
+        let answer = request_json(
+            address,
+            "POST",
+            "/fleet/leaving",
+            Some(&body),
+            QUERY_TIMEOUT,
+        )
+        .await;
         if answer.is_some_and(|(status, page)| status == 200 && page["clear"] == true) {
             record.note(
                 clock.now(),
                 Seen::Cleared {
-                    server: leaves.server,
-                    token: leaves.token,
+                    server: query.server,
+                    token: query.token,
                 },
             );
             return;
         }
-        sleep(EVERY).await;
+        sleep(QUERY_INTERVAL).await;
     }
 }
--- a/crates/emulator/src/draw.rs
+++ b/crates/emulator/src/draw.rs
@@ -104,7 +104,10 @@
         seed,
         limits,
         arrivals: arrivals(experiment, &sidecars, seed),
-        directory: Directory { known, changes },
+        directory: Directory {
+            initial: known,
+            changes,
+        },
         kept: kept(experiment, &servers),
         windows,
         servers,
--- a/crates/emulator/src/health_pages.rs
+++ b/crates/emulator/src/health_pages.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the sidecars' pages on server health, which report the truth as a member would see
-//! it a moment later.
+//! Stand-ins for the sidecars' pages on server health, which report the true state with a member's
+//! usual delay.
 
 use crate::listing::started_ms;
 use crate::net::Clock;
@@ -18,26 +18,27 @@
 use std::sync::Arc;
 use tokio::net::TcpListener;
 
-/// Age that members' observations have as a rule: half of the time between two words of the fleet.
-const AGE_MS: u64 = 500;
+/// Usual age of members' observations: half of the interval between gossip messages, in
+/// milliseconds.
+const OBSERVATION_AGE_MS: u64 = 500;
 
-/// What all pages are made from.
+/// The source of all pages.
 #[derive(Clone)]
-pub struct Truth {
-    /// The run.
+pub struct TrueHealth {
+    /// The plan of the run.
     pub plan: Arc<Plan>,
-    /// Its clock.
+    /// The clock of the run.
     pub clock: Clock,
-    /// Its servers.
+    /// The servers of the run.
     pub servers: Arc<Servers>,
-    /// What is listed.
+    /// The platform, for what is listed.
     pub platform: Arc<Platform>,
 }
 
-impl Truth {
+impl TrueHealth {
     fn page(&self, sidecar: usize) -> Value {
         let now = self.clock.now();
-        let well = |server: usize| {
+        let warmth_if_healthy = |server: usize| {
             self.servers.with(|world, at, done| {
                 world.advance(at, done);
                 world
@@ -45,27 +46,27 @@
                     .then(|| world.warmth(server, at))
             })
         };
-        let seen = |server: usize| {
-            let warmth = well(server);
+        let entry = |server: usize| {
+            let warmth = warmth_if_healthy(server);
             let state = if warmth.is_some() { "well" } else { "sick" };
-            json!({"name": self.plan.servers[server].name, "state": state, "age_ms": AGE_MS,
+            json!({"name": self.plan.servers[server].name, "state": state, "age_ms": OBSERVATION_AGE_MS,
                 "started_ms": started_ms(self.platform.since(server, now), self.clock.began_ms()),
                 "warm": warmth.is_some_and(|warmth| warmth >= 1.0)})
         };
-        let servers: Vec<Value> = (0..self.plan.servers.len()).map(seen).collect();
+        let servers: Vec<Value> = (0..self.plan.servers.len()).map(entry).collect();
         json!({"member": format!("n{sidecar}"), "answers": true, "servers": servers})
     }
 
-    /// Serves the page of one sidecar, for good.
-    pub async fn tell(self, sidecar: usize, listener: TcpListener) {
+    /// Serves the page of one sidecar forever.
+    pub async fn serve(self, sidecar: usize, listener: TcpListener) {
         while let Ok((stream, _)) = listener.accept().await {
-            let this = self.clone();
+            let health = self.clone();
             let service = service_fn(move |_: Request<Incoming>| {
-                let text = this.page(sidecar).to_string();
+                let text = health.page(sidecar).to_string();
                 async move { Ok::<_, Infallible>(Response::new(Full::new(Bytes::from(text)))) }
             });
             tokio::spawn(async move {
-                // What is wrong with a connection concerns its other end alone.
+                // Errors of a connection concern only its client.
                 let _ = http1::Builder::new()
                     .serve_connection(TokioIo::new(stream), service)
                     .await;
--- a/crates/emulator/src/links.rs
+++ b/crates/emulator/src/links.rs
@@ -1,7 +1,7 @@
-//! Joins connections between processes through the emulated network.
+//! Links between processes through the emulated network.
 
 use crate::net::Net;
-use crate::relay::{Link, join};
+use crate::relay::{Link, relay};
 use crate::server_listener::{Incarnation, ServerListener};
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -9,11 +9,11 @@
 use tokio::sync::watch;
 use tokio::task::AbortHandle;
 
-/// Opens a way on that host, from a zone to a listener in another. It holds until its task is
-/// ended.
+/// Opens a link on that host, from a zone to a listener in another one. It stays open until its
+/// task is aborted.
 ///
 /// # Errors
-/// There is no socket.
+/// No socket could be created.
 pub fn open(
     host: IpAddr,
     net: &Net,
@@ -25,9 +25,9 @@
         from,
         to,
     };
-    // The listener behind it says itself whether it is there.
+    // The target itself tells whether it runs.
     let (alive, incarnation) = watch::channel(Incarnation {
-        up: true,
+        is_up: true,
         number: 1,
     });
     let listener = ServerListener::bind(host, incarnation, link.clone())?;
@@ -38,10 +38,10 @@
             .run(move |stream, _| {
                 let link = link.clone();
                 tokio::spawn(async move {
-                    // Where nobody listens the connection is closed before anything is said.
+                    // Without a listener at the target, the connection is closed without a byte.
                     if let Ok(server) = TcpStream::connect(target).await {
                         let _ = server.set_nodelay(true);
-                        join(stream, server, link, std::future::pending()).await;
+                        relay(stream, server, link, std::future::pending()).await;
                     }
                 });
             })
--- a/crates/emulator/src/listing.rs
+++ b/crates/emulator/src/listing.rs
@@ -1,4 +1,4 @@
-//! The server list as discovery writes it (PROTOCOL, "Discovery").
+//! The server list in discovery's format.
 
 use crate::Us;
 use crate::directory::State;
@@ -6,7 +6,7 @@
 use crate::site::{KINDS, ZONES};
 use serde_json::{Value, json};
 
-/// Unix time in milliseconds at which the run began, and what an entry is called on the wire.
+/// An entry of the list, in a run that started at `began_ms` of Unix time.
 pub fn entry(
     spec: &ServerSpec,
     state: State,
@@ -19,33 +19,33 @@
         State::Left => ("left", 0),
     };
     json!({"name": spec.name, "address": address.to_string(), "zone": ZONES[spec.zone], "type": KINDS[spec.kind].name,
-        "group": spec.group, "status": status, "weight": weight(spec), "since_ms": since})
+        "group": spec.group, "status": status, "weight": listed_weight(spec), "since_ms": since})
 }
 
-/// The size that the list gives a server: its kind's mean speed, as registered.
-pub fn weight(spec: &ServerSpec) -> f64 {
+/// The weight of a server in the list: the mean speed of its machine type.
+pub fn listed_weight(spec: &ServerSpec) -> f64 {
     let kind = &KINDS[spec.kind];
     (kind.speed.start() + kind.speed.end()) / 2.0
 }
 
-/// The capacity of a server in thousandths of a core of speed 1, as whole numbers for who adds them
-/// up.
+/// The capacity of a server in thousandths of a core of speed 1, as an integer so that sums are
+/// exact.
 pub fn capacity(spec: &ServerSpec) -> u64 {
-    (weight(spec) * 1000.0).round() as u64
+    (listed_weight(spec) * 1000.0).round() as u64
 }
 
-/// Unix time in milliseconds at which a process started, 0 where that is long ago, in a run that
-/// began then.
+/// When a process started, in milliseconds of Unix time, in a run that started at `began_ms`; 0 if
+/// long ago.
 pub fn started_ms(since: Option<Us>, began_ms: u64) -> u64 {
     since.map_or(0, |at| began_ms + at / 1000)
 }
 
-/// A list in the form of the protocol page.
+/// A list in discovery's format.
 pub fn list(
     plan: &Plan,
     entries: &[(usize, State)],
-    heard: usize,
-    whole: bool,
+    version: usize,
+    is_whole: bool,
     address: impl Fn(usize) -> std::net::SocketAddr,
     began_ms: u64,
 ) -> Value {
@@ -53,5 +53,5 @@
         .iter()
         .map(|(i, state)| entry(&plan.servers[*i], *state, address(*i), began_ms))
         .collect();
-    json!({"index": heard + 1, "snapshot": whole, "endpoints": entries})
+    json!({"index": version + 1, "snapshot": is_whole, "endpoints": entries})
 }
--- a/crates/emulator/src/member_addresses.rs
+++ b/crates/emulator/src/member_addresses.rs
@@ -1,7 +1,7 @@
-//! The addresses at which members reach each other: a datagram sent to one's front crosses the
-//! network and arrives from the sender's own front.
+//! The addresses at which members reach each other: a datagram sent to a member's public address
+//! crosses the emulated network and arrives from the sender's public address.
 
-use crate::datagrams::{Datagrams, datagram};
+use crate::datagrams::{DatagramFaults, copy_delays};
 use crate::net::Net;
 use crate::relay::Link;
 use crate::reserved::Reserved;
@@ -16,92 +16,92 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Duration, sleep};
 
-/// Datagrams under way at most; further ones are lost.
-const UNDER_WAY: usize = 8192;
-/// Pause after a failed receive.
-const PAUSE: Duration = Duration::from_millis(5);
-/// Longest datagram that passes.
+/// Most datagrams in transit; further ones are lost.
+const MAX_IN_TRANSIT: usize = 8192;
+/// Delay after a failed receive.
+const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(5);
+/// Longest datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
-/// Members that each one is told of at its start.
-const SEEDS: usize = 5;
+/// Seeds in each member's configuration.
+const SEEDS_PER_MEMBER: usize = 5;
 
-/// A member's two addresses.
+/// The two addresses of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Address {
-    /// Where it listens itself.
+pub struct MemberAddress {
+    /// The address that it listens on.
     pub own: SocketAddr,
-    /// Where others send, and where its datagrams come from.
-    pub front: SocketAddr,
+    /// The address that others send to, and that its datagrams come from.
+    pub public: SocketAddr,
 }
 
-/// All fronts of a run.
+/// The addresses of all members of a run.
 pub struct MemberAddresses {
-    /// Each member's.
-    pub addresses: Vec<Address>,
-    /// Where the members listen themselves.
+    /// The addresses by member.
+    pub addresses: Vec<MemberAddress>,
+    /// Keeps the members' own addresses reserved.
     _reserved: Vec<Reserved>,
     bytes: Arc<AtomicU64>,
 }
 
 impl MemberAddresses {
-    /// Opens one for each of these zones' members, on hosts of the loopback range: for the member
-    /// itself, where nothing but members listens, and for its front. They pass datagrams on until
-    /// the tasks are ended.
+    /// Opens the addresses of the members in these zones, on hosts of the loopback range: one for
+    /// the member itself, where only members listen, and the public one. Datagrams are relayed
+    /// until the tasks are aborted.
     ///
     /// # Errors
-    /// A socket cannot be had.
+    /// A socket can't be created.
     pub async fn open(
         zones: &[usize],
         host: impl Fn(usize) -> (IpAddr, IpAddr),
         net: &Net,
-        faults: &watch::Receiver<Datagrams>,
+        faults: &watch::Receiver<DatagramFaults>,
     ) -> io::Result<(Self, Vec<AbortHandle>)> {
         let (mut sockets, mut addresses, mut reserved) = (Vec::new(), Vec::new(), Vec::new());
         for member in 0..zones.len() {
             let (own, front) = host(member);
             let socket = UdpSocket::bind((front, 0)).await?;
             let own = Reserved::on(own)?;
-            addresses.push(Address {
+            addresses.push(MemberAddress {
                 own: own.address(),
-                front: socket.local_addr()?,
+                public: socket.local_addr()?,
             });
             reserved.push(own);
             sockets.push(socket);
         }
         let sockets = Arc::new(sockets);
-        let by_own: Arc<HashMap<SocketAddr, usize>> = Arc::new(
+        let member_by_address: Arc<HashMap<SocketAddr, usize>> = Arc::new(
             addresses
                 .iter()
                 .enumerate()
                 .map(|(member, a)| (a.own, member))
                 .collect(),
         );
-        let (zones, under_way) = (
+        let (zones, in_transit) = (
             Arc::new(zones.to_vec()),
-            Arc::new(Semaphore::new(UNDER_WAY)),
+            Arc::new(Semaphore::new(MAX_IN_TRANSIT)),
         );
         let (mut tasks, sent) = (Vec::new(), Arc::new(AtomicU64::new(0)));
         for (to, address) in addresses.iter().enumerate() {
             let (sockets, by_own, zones) = (
                 Arc::clone(&sockets),
-                Arc::clone(&by_own),
+                Arc::clone(&member_by_address),
                 Arc::clone(&zones),
             );
             let sent = Arc::clone(&sent);
             let (net, faults, under_way, own) = (
                 net.clone(),
                 faults.clone(),
-                Arc::clone(&under_way),
+                Arc::clone(&in_transit),
                 address.own,
             );
             let task = tokio::spawn(async move {
                 let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
                 loop {
                     let Ok((length, from)) = sockets[to].recv_from(&mut bytes).await else {
-                        sleep(PAUSE).await;
+                        sleep(RECEIVE_RETRY_DELAY).await;
                         continue;
                     };
-                    // Whoever is no member has no front, and so no way in.
+                    // Senders that are not members have no public address, and are ignored.
                     let Some(from) = by_own.get(&from).copied() else {
                         continue;
                     };
@@ -112,15 +112,15 @@
                         to: zones[to],
                     };
                     let faults = *faults.borrow();
-                    for delay in datagram(&link, faults) {
+                    for delay in copy_delays(&link, faults) {
                         let Ok(permit) = Arc::clone(&under_way).try_acquire_owned() else {
                             break;
                         };
-                        let (sockets, piece) = (Arc::clone(&sockets), bytes[..length].to_vec());
+                        let (sockets, datagram) = (Arc::clone(&sockets), bytes[..length].to_vec());
                         tokio::spawn(async move {
                             sleep(delay).await;
                             // Datagrams may be lost.
-                            let _ = sockets[from].send_to(&piece, own).await;
+                            let _ = sockets[from].send_to(&datagram, own).await;
                             drop(permit);
                         });
                     }
@@ -138,20 +138,20 @@
         ))
     }
 
-    /// Bytes of the datagrams that members have sent.
+    /// Number of bytes in the datagrams sent by members.
     pub fn bytes(&self) -> u64 {
         self.bytes.load(Ordering::Relaxed)
     }
 
-    /// The section of a member that the emulator itself runs.
-    pub fn member(&self, member: usize) -> FleetSection {
-        let Address { own, front } = self.addresses[member];
+    /// The configuration of a member that runs in the emulator itself.
+    pub fn member_section(&self, member: usize) -> FleetSection {
+        let MemberAddress { own, public: front } = self.addresses[member];
         let seeds = self
             .addresses
             .iter()
-            .map(|a| a.front)
+            .map(|a| a.public)
             .filter(|a| *a != front)
-            .take(SEEDS)
+            .take(SEEDS_PER_MEMBER)
             .collect();
         FleetSection {
             enabled: true,
@@ -162,19 +162,22 @@
         }
     }
 
-    /// What stands for `{fleet}` in the product configuration of a member whose clock is so many
-    /// milliseconds off.
-    pub fn section(&self, member: usize, clock_offset_ms: i64) -> String {
-        section(&self.addresses, member, clock_offset_ms)
+    /// The text for `{fleet}` in the product configuration of a member with that clock offset.
+    pub fn section_text(&self, member: usize, clock_offset_ms: i64) -> String {
+        fleet_section_text(&self.addresses, member, clock_offset_ms)
     }
 }
 
-/// The lines of a `[fleet]` section that say where a member is and whom it asks for the others.
-pub fn section(addresses: &[Address], member: usize, clock_offset_ms: i64) -> String {
-    let Address { own, front } = addresses[member];
-    // Those after it, so that no few of them have to be there for all.
-    let seeds = (1..addresses.len().min(SEEDS + 1))
-        .map(|n| addresses[(member + n * n) % addresses.len()].front);
+/// The lines of a `[fleet]` section with a member's addresses and seeds.
+pub fn fleet_section_text(
+    addresses: &[MemberAddress],
+    member: usize,
+    clock_offset_ms: i64,
+) -> String {
+    let MemberAddress { own, public: front } = addresses[member];
+    // Seeds are spread, so that the fleet does not depend on a few members.
+    let seeds = (1..addresses.len().min(SEEDS_PER_MEMBER + 1))
+        .map(|n| addresses[(member + n * n) % addresses.len()].public);
     let seeds: Vec<String> = seeds
         .filter(|seed| *seed != front)
         .map(|seed| format!("\"{seed}\""))
--- a/crates/emulator/src/net.rs
+++ b/crates/emulator/src/net.rs
@@ -7,7 +7,7 @@
 use tokio::sync::watch;
 use tokio::time::{Duration, Instant, sleep_until};
 
-/// Time since a run began; 0 until it has.
+/// The time since the start of a run; 0 before that.
 #[derive(Clone, Debug)]
 pub struct Clock(Arc<watch::Sender<Option<(Instant, u64)>>>);
 
@@ -18,7 +18,7 @@
 }
 
 impl Clock {
-    /// The run begins now.
+    /// Starts the run now.
     pub fn begin(&self) {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -27,19 +27,19 @@
         self.0.send_replace(Some(began));
     }
 
-    /// Microseconds since it began.
+    /// Microseconds since the start.
     pub fn now(&self) -> Us {
         self.0.borrow().map_or(0, |(start, _)| {
             Us::try_from(start.elapsed().as_micros()).unwrap_or(Us::MAX)
         })
     }
 
-    /// Unix time in milliseconds at which it began; 0 until it has.
+    /// Unix time of the start in milliseconds; 0 before that.
     pub fn began_ms(&self) -> u64 {
         self.0.borrow().map_or(0, |(_, unix)| unix)
     }
 
-    /// Waits for its beginning, and then until so long after that.
+    /// Waits for the start, and then until that long after it.
     pub async fn until(&self, at: Us) {
         let began = self
             .0
@@ -49,7 +49,7 @@
             .ok()
             .and_then(|began| *began);
         match began {
-            // Further than the timer's reach is never.
+            // Beyond the range of timers.
             Some((start, _)) => match start.checked_add(Duration::from_micros(at)) {
                 Some(at) => sleep_until(at).await,
                 None => std::future::pending().await,
@@ -61,90 +61,90 @@
 
 #[derive(Debug, Default)]
 struct Faults {
-    cuts: Vec<(usize, Way)>,
-    slow: Us,
-    resets: f64,
+    partitions: Vec<(usize, Way)>,
+    extra_delay: Us,
+    reset_share: f64,
 }
 
-/// The network: what passes between two zones, and how late.
+/// The network: reachability and delay between zones.
 #[derive(Clone, Debug)]
 pub struct Net {
-    calm: Arc<Network>,
+    base: Arc<Network>,
     faults: Arc<Mutex<Faults>>,
     changes: Arc<watch::Sender<u64>>,
 }
 
 impl Net {
-    /// With nothing wrong.
-    pub fn new(calm: &Network) -> Self {
+    /// A network without faults.
+    pub fn new(base: &Network) -> Self {
         let changes = Arc::new(watch::channel(0).0);
         Self {
-            calm: Arc::new(calm.clone()),
+            base: Arc::new(base.clone()),
             faults: Arc::default(),
             changes,
         }
     }
 
-    fn with<T>(&self, what: impl FnOnce(&mut Faults) -> T) -> T {
-        what(&mut self.faults.lock().unwrap_or_else(PoisonError::into_inner))
+    fn with<T>(&self, operation: impl FnOnce(&mut Faults) -> T) -> T {
+        operation(&mut self.faults.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    fn changed(&self) {
+    fn notify_change(&self) {
         self.changes.send_modify(|epoch| *epoch += 1);
     }
 
-    /// Cuts a zone off from the others, or heals that.
-    pub fn cut(&self, zone: usize, way: Way, on: bool) {
+    /// Partitions a zone from the others, or heals the partition.
+    pub fn set_partition(&self, zone: usize, way: Way, active: bool) {
         self.with(|faults| {
-            faults.cuts.retain(|cut| *cut != (zone, way));
-            if on {
-                faults.cuts.push((zone, way));
+            faults.partitions.retain(|cut| *cut != (zone, way));
+            if active {
+                faults.partitions.push((zone, way));
             }
         });
-        self.changed();
+        self.notify_change();
     }
 
-    /// Everything takes so much longer.
-    pub fn slow(&self, more: Us) {
-        self.with(|faults| faults.slow = more);
+    /// Sets the additional delay.
+    pub fn set_extra_delay(&self, extra_delay: Us) {
+        self.with(|faults| faults.extra_delay = extra_delay);
     }
 
-    /// So many fragments break their connection.
-    pub fn resets(&self, share: f64) {
-        self.with(|faults| faults.resets = share);
+    /// Sets the share of segments that reset their connection.
+    pub fn set_reset_share(&self, share: f64) {
+        self.with(|faults| faults.reset_share = share);
     }
 
-    /// Told of each cut and each healing.
+    /// Notifies of each change of a partition.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
 
-    /// Whether anything passes that way.
-    pub fn passes(&self, from: usize, to: usize) -> bool {
+    /// Whether one zone can reach another.
+    pub fn is_reachable(&self, from: usize, to: usize) -> bool {
         self.with(|faults| {
-            !faults.cuts.iter().any(|(zone, way)| {
+            !faults.partitions.iter().any(|(zone, way)| {
                 let (out, into) = (*zone == from && *zone != to, *zone == to && *zone != from);
                 (out && *way != Way::In) || (into && *way != Way::Out)
             })
         })
     }
 
-    /// How long a fragment takes that way.
+    /// The delay of a segment or datagram.
     pub fn delay(&self, from: usize, to: usize) -> Us {
-        let calm = &self.calm;
+        let base_network = &self.base;
         let base = if from == to {
-            calm.inside
+            base_network.inside
         } else {
-            calm.between
+            base_network.between
         };
-        let jitter = Us::try_from(calm.jitter.0.as_micros()).unwrap_or(0);
+        let jitter = Us::try_from(base_network.jitter.0.as_micros()).unwrap_or(0);
         let base = Us::try_from(base.0.as_micros()).unwrap_or(0);
-        base + fastrand::u64(0..=jitter) + self.with(|faults| faults.slow)
+        base + fastrand::u64(0..=jitter) + self.with(|faults| faults.extra_delay)
     }
 
-    /// Whether a fragment breaks its connection.
-    pub fn breaks(&self) -> bool {
-        let share = self.with(|faults| faults.resets);
+    /// Whether a segment resets its connection, at random.
+    pub fn draw_reset(&self) -> bool {
+        let share = self.with(|faults| faults.reset_share);
         share > 0.0 && fastrand::f64() < share
     }
 }
--- a/crates/emulator/src/observer.rs
+++ b/crates/emulator/src/observer.rs
@@ -1,22 +1,22 @@
-//! Polls every sidecar for its connectivity state, and records changes.
+//! Polls every sidecar for its connectivity, and records changes.
 
 use crate::net::Clock;
-use crate::page::ask;
+use crate::page::request_json;
 use crate::record::{ConnectivityReport, Record, Seen};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often a sidecar is asked.
-const EVERY: Duration = Duration::from_millis(250);
-/// How long one may take to answer: one that is stopped answers nothing.
-const WITHIN: Duration = Duration::from_millis(1000);
+/// Interval of the polls of a sidecar.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Timeout of a poll: a suspended sidecar does not answer.
+const POLL_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// The connectivity state that a page tells; none where it tells none.
-fn standing(page: &Value) -> Option<ConnectivityReport> {
-    let told = &page["standing"];
-    let word = told.as_str().or_else(|| told["kind"].as_str())?;
+/// The connectivity in a page; none if it has none.
+fn parse_connectivity(page: &Value) -> Option<ConnectivityReport> {
+    let value = &page["standing"];
+    let word = value.as_str().or_else(|| value["kind"].as_str())?;
     Some(match word {
         "whole" => ConnectivityReport::Whole,
         "disputed" => ConnectivityReport::Disputed,
@@ -27,17 +27,23 @@
     })
 }
 
-/// Follows one sidecar for good.
-pub async fn observe(sidecar: usize, at: SocketAddr, clock: Clock, record: Record) {
+/// Polls one sidecar forever.
+pub async fn poll_connectivity(sidecar: usize, address: SocketAddr, clock: Clock, record: Record) {
     let mut last = None;
     loop {
-        sleep(EVERY).await;
-        let page = ask(at, "GET", "/fleet", None, WITHIN).await;
-        let Some(stands) = page.and_then(|(_, page)| standing(&page)) else {
+        sleep(POLL_INTERVAL).await;
+        let page = request_json(address, "GET", "/fleet", None, POLL_TIMEOUT).await;
+        let Some(state) = page.and_then(|(_, page)| parse_connectivity(&page)) else {
             continue;
         };
-        if last.replace(stands) != Some(stands) {
-            record.note(clock.now(), Seen::Standing { sidecar, stands });
+        if last.replace(state) != Some(state) {
+            record.note(
+                clock.now(),
+                Seen::Standing {
+                    sidecar,
+                    stands: state,
+                },
+            );
         }
     }
 }
--- a/crates/emulator/src/observer/tests.rs
+++ b/crates/emulator/src/observer/tests.rs
@@ -4,17 +4,17 @@
 use serde_json::json;
 
 #[test]
-fn a_connectivity_state_is_read_by_itself_or_with_its_particulars() {
+fn a_connectivity_state_is_parsed_with_and_without_details() {
     assert_eq!(
-        standing(&json!({"standing": "whole"})),
+        parse_connectivity(&json!({"standing": "whole"})),
         Some(ConnectivityReport::Whole)
     );
     assert_eq!(
-        standing(&json!({"standing": {"kind": "cut", "larger": true}})),
+        parse_connectivity(&json!({"standing": {"kind": "cut", "larger": true}})),
         Some(ConnectivityReport::Cut)
     );
     assert_eq!(
-        [json!({}), json!({"standing": "odd"})].map(|page| standing(&page)),
+        [json!({}), json!({"standing": "odd"})].map(|page| parse_connectivity(&page)),
         [None, None]
     );
 }
--- a/crates/emulator/src/page.rs
+++ b/crates/emulator/src/page.rs
@@ -1,4 +1,4 @@
-//! An HTTP request for a page with a total time-out.
+//! An HTTP request for a page, with a total timeout.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -11,20 +11,20 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Longest page.
+/// Longest page, in bytes.
 const MAX_PAGE_BYTES: usize = 4 << 20;
 
-/// What a process answers: its status and content, `Null` where that is no JSON. None where nothing
-/// whole came in time.
-pub async fn ask(
-    at: SocketAddr,
+/// A process's answer: status and content, `Null` if that is not JSON. None if there is no complete
+/// answer in time.
+pub async fn request_json(
+    address: SocketAddr,
     method: &str,
     path: &str,
     body: Option<&Value>,
-    within: Duration,
+    time_limit: Duration,
 ) -> Option<(u16, Value)> {
-    let asked = async {
-        let stream = TcpStream::connect(at).await.ok()?;
+    let exchange = async {
+        let stream = TcpStream::connect(address).await.ok()?;
         let (mut sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
         tokio::spawn(connection);
         let content = body.map(Value::to_string).unwrap_or_default();
@@ -47,5 +47,5 @@
             serde_json::from_slice(&content).unwrap_or(Value::Null),
         ))
     };
-    timeout(within, asked).await.ok().flatten()
+    timeout(time_limit, exchange).await.ok().flatten()
 }
--- a/crates/emulator/src/platform.rs
+++ b/crates/emulator/src/platform.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the platform that rolls servers out: it drains, takes and returns them for
-//! whoever has a fencing token that is not lower than one already seen.
+//! A stand-in for the platform that deploys servers: it drains, takes and returns them for any
+//! caller whose fencing token is not lower than the highest one seen.
 
 mod http;
 
@@ -18,25 +18,25 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Where the platform has a server.
+/// A server's state at the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Place {
-    /// It is listed as active; whether its process runs is another question.
+pub enum ServerPlace {
+    /// It is listed as active, whether its process runs or not.
     Serving,
-    /// It is listed as leaving.
+    /// It is listed as draining.
     Draining,
-    /// Its process was ended.
+    /// Its process was stopped.
     Away,
-    /// It was told to start again and has not done so yet.
+    /// It was told to restart and has not done so yet.
     Returning,
 }
 
-/// What the platform answers to an act.
+/// The platform's answer to an action.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// It is so.
-    Done(Place),
+    /// The action was performed, or had been before.
+    Done(ServerPlace),
     /// The token is lower than this one.
     Refused(u64),
     /// There is no such server.
@@ -44,16 +44,16 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
-    highest: u64,
+struct ServerRecord {
+    highest_token: u64,
     /// When it was drained.
-    since: Us,
-    place: Place,
-    returns: Returns,
+    drained_at: Us,
+    place: ServerPlace,
+    return_mode: Returns,
 }
 
-/// How long a server that comes back twice runs before it starts again under another start.
-const RUNS_FIRST: Duration = Duration::from_millis(1500);
+/// How long a server that restarts twice runs the first time.
+const FIRST_RUN_TIME: Duration = Duration::from_millis(1500);
 
 /// The platform.
 pub struct Platform {
@@ -62,12 +62,12 @@
     record: Record,
     servers: Arc<Servers>,
     catalogue: Catalogue,
-    held: Mutex<Vec<Held>>,
-    told_within: Us,
+    server_records: Mutex<Vec<ServerRecord>>,
+    drain_known_after: Us,
 }
 
 impl Platform {
-    /// With all servers serving, or not yet there.
+    /// The state at the start of a run.
     pub fn new(
         plan: Arc<Plan>,
         clock: Clock,
@@ -75,66 +75,76 @@
         servers: Arc<Servers>,
         catalogue: Catalogue,
     ) -> Arc<Self> {
-        let held = Held {
-            highest: 0,
-            since: 0,
-            place: Place::Serving,
-            returns: Returns::Well,
+        let initial = ServerRecord {
+            highest_token: 0,
+            drained_at: 0,
+            place: ServerPlace::Serving,
+            return_mode: Returns::Well,
         };
-        // The latest agent, and what a sidecar may take to act on it.
-        let latest = plan
+        // The largest delay of a list, and the time a sidecar may take to react to it.
+        let max_list_lag = plan
             .sidecars
             .iter()
             .map(|spec| spec.list_lag)
             .max()
             .unwrap_or(0);
-        let told_within = latest + site::DRAIN_GRACE + site::SLACK;
-        let held = Mutex::new(vec![held; plan.servers.len()]);
+        let told_within = max_list_lag + site::DRAIN_GRACE + site::SLACK;
+        let held = Mutex::new(vec![initial; plan.servers.len()]);
         Arc::new(Self {
             plan,
             clock,
             record,
             servers,
             catalogue,
-            held,
-            told_within,
+            server_records: held,
+            drain_known_after: told_within,
         })
     }
 
-    fn with<T>(&self, what: impl FnOnce(&mut Vec<Held>) -> T) -> T {
-        what(&mut self.held.lock().unwrap_or_else(PoisonError::into_inner))
+    fn with<T>(&self, operation: impl FnOnce(&mut Vec<ServerRecord>) -> T) -> T {
+        operation(
+            &mut self
+                .server_records
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner),
+        )
     }
 
-    /// Where it has a server.
-    pub fn place(&self, server: usize) -> Place {
+    /// A server's state.
+    pub fn place(&self, server: usize) -> ServerPlace {
         self.with(|held| held[server].place)
     }
 
-    /// How a server comes back from now on.
-    pub fn returns(&self, server: usize, how: Returns) {
-        self.with(|held| held[server].returns = how);
+    /// Sets how a server restarts from now on.
+    pub fn set_return_mode(&self, server: usize, mode: Returns) {
+        self.with(|held| held[server].return_mode = mode);
     }
 
-    /// Whether a fault that is over may start a server: not one that was taken.
+    /// Whether the end of a fault may restart a server, which it may not if the server was taken.
     pub fn may_start(&self, server: usize) -> bool {
-        matches!(self.place(server), Place::Serving | Place::Draining)
+        matches!(
+            self.place(server),
+            ServerPlace::Serving | ServerPlace::Draining
+        )
     }
 
-    /// Does something to a server, named in the list, for a window and with a token.
-    pub fn act(self: &Arc<Self>, act: Act, name: &str, window: u64, token: u64) -> Answer {
+    /// Performs an action on the named server, for a window and with a token.
+    pub fn perform(self: &Arc<Self>, action: Act, name: &str, window: u64, token: u64) -> Answer {
         let Some(server) = self.plan.servers.iter().position(|spec| spec.name == name) else {
             return Answer::Unknown;
         };
-        // Until it is noted nothing else happens: the record has the order in which things were
-        // done.
-        let mut held = self.held.lock().unwrap_or_else(PoisonError::into_inner);
+        // Locked until the action is recorded, so that the record has the actual order.
+        let mut records = self
+            .server_records
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         let now = self.clock.now();
-        let (highest, before) = (held[server].highest, held[server].place);
-        let accepted = token >= highest;
+        let (highest_token, previous) = (records[server].highest_token, records[server].place);
+        let accepted = token >= highest_token;
         self.record.note(
             now,
             Seen::Acted {
-                act,
+                act: action,
                 server,
                 window,
                 token,
@@ -142,42 +152,42 @@
             },
         );
         if !accepted {
-            return Answer::Refused(highest);
+            return Answer::Refused(highest_token);
         }
-        held[server].highest = token;
-        let place = match (act, before) {
-            (Act::Drain, Place::Serving) => {
+        records[server].highest_token = token;
+        let place = match (action, previous) {
+            (Act::Drain, ServerPlace::Serving) => {
                 self.catalogue.set(now, server, State::Leaving);
-                held[server].since = now;
-                Place::Draining
+                records[server].drained_at = now;
+                ServerPlace::Draining
             }
-            (Act::Take, Place::Serving | Place::Draining) => {
+            (Act::Take, ServerPlace::Serving | ServerPlace::Draining) => {
                 self.catalogue.set(now, server, State::Left);
                 self.servers.stop(server);
-                Place::Away
+                ServerPlace::Away
             }
-            (Act::Return | Act::CallBack, Place::Draining) => {
+            (Act::Return | Act::CallBack, ServerPlace::Draining) => {
                 self.catalogue.set(
                     now,
                     server,
                     State::Active {
-                        since: self.catalogue.since(now, server),
+                        since: self.catalogue.process_start(now, server),
                     },
                 );
-                Place::Serving
+                ServerPlace::Serving
             }
-            (Act::Return, Place::Away) => {
-                tokio::spawn(Arc::clone(self).bring_back(server, held[server].returns));
-                Place::Returning
+            (Act::Return, ServerPlace::Away) => {
+                tokio::spawn(Arc::clone(self).restart(server, records[server].return_mode));
+                ServerPlace::Returning
             }
             (_, before) => before,
         };
-        held[server].place = place;
+        records[server].place = place;
         Answer::Done(place)
     }
 
-    async fn bring_back(self: Arc<Self>, server: usize, how: Returns) {
-        match how {
+    async fn restart(self: Arc<Self>, server: usize, mode: Returns) {
+        match mode {
             Returns::Well => self.start(server),
             Returns::Late(after) => {
                 sleep(Duration::from_micros(after)).await;
@@ -186,9 +196,9 @@
             Returns::Never => {}
             Returns::Twice => {
                 self.start(server);
-                sleep(RUNS_FIRST).await;
-                // It may be in hand again.
-                if self.place(server) == Place::Serving {
+                sleep(FIRST_RUN_TIME).await;
+                // Another action may have been performed in the meantime.
+                if self.place(server) == ServerPlace::Serving {
                     self.servers.stop(server);
                     self.start(server);
                 }
@@ -202,42 +212,42 @@
             self.servers.start(server);
             self.catalogue
                 .set(now, server, State::Active { since: Some(now) });
-            held[server].place = Place::Serving;
+            held[server].place = ServerPlace::Serving;
         });
     }
 
-    /// Unix time in milliseconds at which a listed process started, 0 for long ago: the same as in
-    /// the list.
+    /// When a listed process started, in milliseconds of Unix time as in the list; 0 if long ago.
     pub fn started_ms(&self, server: usize, now: Us) -> u64 {
         started_ms(self.since(server, now), self.clock.began_ms())
     }
 
-    /// When the process of a server that is listed started; none for long ago.
+    /// When the process of a listed server started; none if long ago.
     pub fn since(&self, server: usize, now: Us) -> Option<Us> {
-        self.catalogue.since(now, server)
+        self.catalogue.process_start(now, server)
     }
 
-    /// All servers that are there or are to come back.
+    /// All servers that run or will restart.
     pub fn servers(&self) -> Value {
         let now = self.clock.now();
-        let gone: Vec<usize> = self.catalogue.with(|directory| {
-            let there = directory.whole(directory.heard(now, 0));
+        let unlisted: Vec<usize> = self.catalogue.with(|directory| {
+            let listed = directory.list_at(directory.version_at(now, 0));
             (0..self.plan.servers.len())
-                .filter(|i| !there.iter().any(|(server, _)| server == i))
+                .filter(|i| !listed.iter().any(|(server, _)| server == i))
                 .collect()
         });
-        let entry = |(i, held): (usize, &Held)| {
+        let entry = |(i, held): (usize, &ServerRecord)| {
             let spec = &self.plan.servers[i];
-            // What runs at a draining server means nothing while some sidecar may not have heard of
-            // it.
-            let told = held.since.saturating_add(self.told_within) <= now;
-            let runs = self
+            // The jobs at a draining server are unknown while some sidecar may not know of the
+            // drain yet.
+            let is_drain_known = held.drained_at.saturating_add(self.drain_known_after) <= now;
+            let process_state = self
                 .servers
                 .with(|world, _, _| (world.is_up(i), world.job_count(i)));
-            let in_flight = (held.place != Place::Draining || told).then_some(runs.1);
-            // One that was never started, or left for good, is none of the platform's.
-            let listed = held.place != Place::Serving || !gone.contains(&i);
-            (listed || runs.0).then(|| {
+            let in_flight =
+                (held.place != ServerPlace::Draining || is_drain_known).then_some(process_state.1);
+            // A server that was never started, or was removed for good, is not listed.
+            let listed = held.place != ServerPlace::Serving || !unlisted.contains(&i);
+            (listed || process_state.0).then(|| {
                 json!({"name": spec.name, "zone": ZONES[spec.zone], "group": format!("g{}", spec.group),
                     "weight": capacity(spec), "started_ms": self.started_ms(i, now), "state": held.place, "in_flight": in_flight})
             })
--- a/crates/emulator/src/platform/http.rs
+++ b/crates/emulator/src/platform/http.rs
@@ -1,4 +1,4 @@
-//! The platform's interface over HTTP/1.1 with JSON; docs/emulator.md describes it.
+//! The platform's interface over HTTP/1.1 with JSON, described in docs/emulator.md.
 
 use super::{Answer, Platform};
 use crate::record::Act;
@@ -17,20 +17,20 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::net::TcpListener;
 
-/// Longest body of an act.
+/// Longest body of an action, in bytes.
 const MAX_BODY_BYTES: usize = 16 << 10;
 
-/// An act on one server.
+/// An action on one server.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Asked {
+struct ActionRequest {
     server: String,
     window: u64,
     token: u64,
 }
 
 impl Platform {
-    /// Serves whoever connects, for good.
+    /// Serves all connections forever.
     pub async fn listen(self: Arc<Self>, listener: TcpListener) {
         while let Ok((stream, _)) = listener.accept().await {
             let _ = stream.set_nodelay(true);
@@ -44,7 +44,7 @@
         stream: impl AsyncRead + AsyncWrite + Send + Unpin + 'static,
     ) {
         let service = service_fn(move |request| Arc::clone(&self).answer(request));
-        // What is wrong with a connection concerns its other end alone.
+        // Errors of a connection concern only its client.
         let _ = http1::Builder::new()
             .serve_connection(TokioIo::new(stream), service)
             .await;
@@ -55,14 +55,16 @@
         request: Request<Incoming>,
     ) -> Result<Response<Full<Bytes>>, Infallible> {
         let (head, body) = request.into_parts();
-        let act = match (&head.method, head.uri.path()) {
-            (&Method::GET, "/servers") => return Ok(says(StatusCode::OK, &self.servers())),
+        let action = match (&head.method, head.uri.path()) {
+            (&Method::GET, "/servers") => {
+                return Ok(json_response(StatusCode::OK, &self.servers()));
+            }
             (&Method::POST, "/drain") => Act::Drain,
             (&Method::POST, "/take") => Act::Take,
             (&Method::POST, "/return") => Act::Return,
             (&Method::POST, "/call-back") => Act::CallBack,
             _ => {
-                return Ok(says(
+                return Ok(json_response(
                     StatusCode::NOT_FOUND,
                     &json!({"error": "no such page"}),
                 ));
@@ -73,42 +75,49 @@
             .await
             .map(|body| body.to_bytes())
             .unwrap_or_default();
-        let asked: Asked = match serde_json::from_slice(&body) {
+        let action_request: ActionRequest = match serde_json::from_slice(&body) {
             Ok(asked) => asked,
             Err(e) => {
-                return Ok(says(
+                return Ok(json_response(
                     StatusCode::BAD_REQUEST,
                     &json!({"error": e.to_string()}),
                 ));
             }
         };
         Ok(
-            match self.act(act, &asked.server, asked.window, asked.token) {
+            match self.perform(
+                action,
+                &action_request.server,
+                action_request.window,
+                action_request.token,
+            ) {
                 Answer::Done(place) => {
                     let started = self
                         .plan
                         .servers
                         .iter()
-                        .position(|spec| spec.name == asked.server);
+                        .position(|spec| spec.name == action_request.server);
                     let started =
                         started.map_or(0, |server| self.started_ms(server, self.clock.now()));
-                    says(
+                    json_response(
                         StatusCode::OK,
-                        &json!({"server": asked.server, "state": place, "started_ms": started}),
+                        &json!({"server": action_request.server, "state": place, "started_ms": started}),
                     )
                 }
-                Answer::Refused(seen) => says(
+                Answer::Refused(seen) => json_response(
                     StatusCode::CONFLICT,
                     &json!({"error": "a higher token was seen", "seen": seen}),
                 ),
-                Answer::Unknown => says(StatusCode::NOT_FOUND, &json!({"error": "no such server"})),
+                Answer::Unknown => {
+                    json_response(StatusCode::NOT_FOUND, &json!({"error": "no such server"}))
+                }
             },
         )
     }
 }
 
-fn says(status: StatusCode, what: &Value) -> Response<Full<Bytes>> {
-    let mut response = Response::new(Full::new(Bytes::from(what.to_string())));
+fn json_response(status: StatusCode, content: &Value) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::new(Bytes::from(content.to_string())));
     *response.status_mut() = status;
     response
         .headers_mut()
--- a/crates/emulator/src/relay.rs
+++ b/crates/emulator/src/relay.rs
@@ -1,5 +1,5 @@
-//! TCP relays between processes that delay, block or break connections as the emulated network
-//! says.
+//! TCP relays between processes, which delay, block or break connections as the emulated network
+//! requires.
 
 use crate::net::Net;
 use socket2::SockRef;
@@ -11,19 +11,19 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until};
 
-/// A way through the network, from one zone to another.
+/// A link through the network, from one zone to another.
 #[derive(Clone, Debug)]
 pub struct Link {
     /// The network.
     pub net: Net,
-    /// Whose connection it is: the zone of who dials.
+    /// The zone of the client.
     pub from: usize,
-    /// The zone of who is dialled.
+    /// The zone of the server.
     pub to: usize,
 }
 
 impl Link {
-    fn back(&self) -> Self {
+    fn reversed(&self) -> Self {
         Self {
             net: self.net.clone(),
             from: self.to,
@@ -31,112 +31,114 @@
         }
     }
 
-    /// A connection comes up only where both ways are open.
-    pub(crate) fn opens(&self) -> bool {
-        self.net.passes(self.from, self.to) && self.net.passes(self.to, self.from)
+    /// Whether connections can be established, which requires both directions.
+    pub(crate) fn can_connect(&self) -> bool {
+        self.net.is_reachable(self.from, self.to) && self.net.is_reachable(self.to, self.from)
     }
 }
 
-/// How one direction of a connection came to its end.
+/// How one direction of a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum End {
-    /// The sender has closed, and the receiver knows.
+enum StreamEnd {
+    /// The sender has closed it, and the receiver was told.
     Closed,
-    /// The connection is broken for both.
+    /// The connection is broken in both directions.
     Broken,
 }
 
-/// Pieces under way in one direction, and the bytes of one at most.
-const UNDER_WAY: usize = 64;
+/// Most chunks in transit in one direction, and the size of a chunk.
+const MAX_QUEUED_CHUNKS: usize = 64;
 const CHUNK_BYTES: usize = 16 << 10;
 
-/// Passes on what `from` says, late, until either side ends. What comes in while the way is cut is
-/// lost, and the connection with it once the way is open again.
-async fn pump<A, B>(mut from: ReadHalf<A>, mut to: WriteHalf<B>, link: Link) -> End
+/// Forwards bytes with the link's delay until either side ends. Bytes received during a partition
+/// are lost, and the connection breaks at the end of the partition.
+async fn forward<A, B>(mut from: ReadHalf<A>, mut to: WriteHalf<B>, link: Link) -> StreamEnd
 where
     A: AsyncRead + AsyncWrite + Send + 'static,
     B: AsyncRead + AsyncWrite + Send + 'static,
 {
-    let (sender, mut pieces) = mpsc::channel::<(Instant, Vec<u8>)>(UNDER_WAY);
+    let (sender, mut chunks) = mpsc::channel::<(Instant, Vec<u8>)>(MAX_QUEUED_CHUNKS);
     let mut changes = link.net.subscribe();
     let read = async move {
         let mut last = Instant::now();
         loop {
-            let mut piece = vec![0; CHUNK_BYTES];
-            let length = from.read(&mut piece).await.unwrap_or(0);
-            if !link.net.passes(link.from, link.to) {
-                // Nothing is said on either side until it is back.
-                while !link.net.passes(link.from, link.to) && changes.changed().await.is_ok() {}
-                return End::Broken;
+            let mut chunk = vec![0; CHUNK_BYTES];
+            let length = from.read(&mut chunk).await.unwrap_or(0);
+            if !link.net.is_reachable(link.from, link.to) {
+                // Nothing is forwarded until the partition has ended.
+                while !link.net.is_reachable(link.from, link.to) && changes.changed().await.is_ok()
+                {
+                }
+                return StreamEnd::Broken;
             }
-            if length > 0 && link.net.breaks() {
-                return End::Broken;
+            if length > 0 && link.net.draw_reset() {
+                return StreamEnd::Broken;
             }
-            piece.truncate(length);
+            chunk.truncate(length);
             last = last
                 .max(Instant::now() + Duration::from_micros(link.net.delay(link.from, link.to)));
-            if sender.send((last, piece)).await.is_err() {
-                return End::Broken;
+            if sender.send((last, chunk)).await.is_err() {
+                return StreamEnd::Broken;
             }
             if length == 0 {
-                // The channel's end is what the writer ends with.
-                return End::Closed;
+                // The writer ends when the channel is closed.
+                return StreamEnd::Closed;
             }
         }
     };
     let write = async move {
-        while let Some((due, piece)) = pieces.recv().await {
+        while let Some((due, chunk)) = chunks.recv().await {
             sleep_until(due).await;
-            let done = if piece.is_empty() {
+            let done = if chunk.is_empty() {
                 to.shutdown().await
             } else {
-                to.write_all(&piece).await
+                to.write_all(&chunk).await
             };
             if done.is_err() {
-                return End::Broken;
+                return StreamEnd::Broken;
             }
         }
-        End::Closed
+        StreamEnd::Closed
     };
     tokio::pin!(read);
     tokio::pin!(write);
     tokio::select! {
-        end = &mut read => if end == End::Closed { write.await } else { end },
-        end = &mut write => if end == End::Closed { read.await } else { end },
+        end = &mut read => if end == StreamEnd::Closed { write.await } else { end },
+        end = &mut write => if end == StreamEnd::Closed { read.await } else { end },
     }
 }
 
-/// Joins a connection that was accepted with what it was meant for, through `link`, until both
-/// sides have closed, one breaks, or `broken` tells so. A break is a reset on both sides.
-pub async fn join<B>(client: TcpStream, server: B, link: Link, broken: impl Future<Output = ()>)
+/// Relays between an accepted connection and its server through `link` until both sides have
+/// closed, one breaks, or `broken` completes. A break resets both sides.
+pub async fn relay<B>(client: TcpStream, server: B, link: Link, broken: impl Future<Output = ()>)
 where
     B: AsyncRead + AsyncWrite + Send + 'static,
 {
     let _ = client.set_nodelay(true);
-    let back = link.back();
+    let reverse_link = link.reversed();
     let client = Arc::new(client);
-    let linger = Arc::clone(&client);
-    let (client_read, client_write) = split(Shared(client));
+    let socket = Arc::clone(&client);
+    let (client_read, client_write) = split(SharedStream(client));
     let (server_read, server_write) = split(server);
-    let out = pump(client_read, server_write, link);
-    let into = pump(server_read, client_write, back);
-    tokio::pin!(out);
-    tokio::pin!(into);
+    let outbound = forward(client_read, server_write, link);
+    let inbound = forward(server_read, client_write, reverse_link);
+    tokio::pin!(outbound);
+    tokio::pin!(inbound);
     let reset = tokio::select! {
-        end = &mut out => end == End::Broken || into.await == End::Broken,
-        end = &mut into => end == End::Broken || out.await == End::Broken,
+        end = &mut outbound => end == StreamEnd::Broken || inbound.await == StreamEnd::Broken,
+        end = &mut inbound => end == StreamEnd::Broken || outbound.await == StreamEnd::Broken,
         () = broken => true,
     };
     if reset {
-        // With no time to linger the system sends a reset when the socket closes.
-        let _ = SockRef::from(&*linger).set_linger(Some(Duration::ZERO));
+        // Without a linger time the system resets the connection when the socket is closed.
+        let _ = SockRef::from(&*socket).set_linger(Some(Duration::ZERO));
     }
 }
 
-/// A stream that several hold.
-struct Shared(Arc<TcpStream>);
+/// A stream with shared ownership.
+struct SharedStream(Arc<TcpStream>);
 
-impl AsyncRead for Shared {
+impl AsyncRead for SharedStream {
     fn poll_read(
         self: std::pin::Pin<&mut Self>,
         cx: &mut std::task::Context<'_>,
@@ -156,7 +158,7 @@
     }
 }
 
-impl AsyncWrite for Shared {
+impl AsyncWrite for SharedStream {
     fn poll_write(
         self: std::pin::Pin<&mut Self>,
         cx: &mut std::task::Context<'_>,
--- a/crates/emulator/src/reserved.rs
+++ b/crates/emulator/src/reserved.rs
@@ -4,14 +4,14 @@
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 
-/// An address at which nobody listens, and whose port the system gives to nobody else while this is
-/// held.
+/// An address at which nothing listens, and whose port the system gives to nobody else while this
+/// exists.
 ///
-/// A port that was only noted and let go of may be given to another process before the one that it
-/// is meant for has started; and a process that is just being started still holds every socket of
-/// the one that starts it. So this is a bound socket that does not listen and allows reuse: whoever
-/// allows reuse as well may listen there, again and again. It keeps the same port for datagrams
-/// too, where all who listen for them on that host have their port from here.
+/// A port that was only looked up and released may be given to another process before its intended
+/// user has started, and a process that is being started still has every socket of its parent. So
+/// this is a bound socket that does not listen and permits address reuse: any process that sets
+/// reuse as well can listen there repeatedly. The port is also reserved for datagrams, if all
+/// datagram listeners on that host get their ports here.
 #[derive(Debug)]
 pub struct Reserved {
     address: SocketAddr,
@@ -19,7 +19,7 @@
 }
 
 impl Reserved {
-    /// Keeps an address of that host.
+    /// Reserves an address of that host.
     ///
     /// # Errors
     /// There is no socket or no free port.
--- a/crates/emulator/src/run.rs
+++ b/crates/emulator/src/run.rs
@@ -5,10 +5,10 @@
 mod mix;
 mod running_fleet;
 
-use crate::affinity_dumps::BINDINGS;
+use crate::affinity_dumps::AFFINITY_SECTION;
 use crate::apps::Apps;
 use crate::audit::{audit, audit_bindings, audit_windows};
-use crate::coordinators::{ask_for_windows, trouble};
+use crate::coordinators::{inject_faults, request_windows};
 use crate::experiment::{Carried, Experiment, Variant};
 use crate::member_addresses::MemberAddresses;
 use crate::plan::Plan;
@@ -143,8 +143,8 @@
     if let (Some(coordinators), Some(coordinator_settings)) =
         (&fleet.coordinators, &experiment.coordinators)
     {
-        tasks.spawn(ask_for_windows(Arc::clone(coordinators)));
-        tasks.spawn(trouble(
+        tasks.spawn(request_windows(Arc::clone(coordinators)));
+        tasks.spawn(inject_faults(
             Arc::clone(coordinators),
             coordinator_settings.fault.clone(),
         ));
@@ -171,13 +171,13 @@
     if variant.windows == Carried::Asked {
         findings.extend(audit_windows(plan, &record));
     }
-    if variant.config.contains(BINDINGS) {
+    if variant.config.contains(AFFINITY_SECTION) {
         findings.extend(audit_bindings(plan, fleet.clock.began_ms(), &record));
     }
     let mut cpu_times = Vec::new();
     for sidecar in 0..fleet.sidecars.len() {
         if let Some(process) = fleet.process(sidecar) {
-            cpu_times.push(process.lock().await.spent());
+            cpu_times.push(process.lock().await.resources());
         }
     }
     let fleet_bytes = fleet
--- a/crates/emulator/src/run/build.rs
+++ b/crates/emulator/src/run/build.rs
@@ -3,17 +3,17 @@
 use super::mix::starts_with_old;
 use super::running_fleet::{RunningFleet, Sidecar};
 use super::{FLEET, Launch, METRICS, RunError, STATE, Tasks};
-use crate::affinity_dumps::{BINDINGS, follow};
+use crate::affinity_dumps::{AFFINITY_SECTION, poll_dumps};
 use crate::agent::Agent;
-use crate::byzantine_member::lie;
+use crate::byzantine_member::run_byzantine_member;
 use crate::catalogue::Catalogue;
-use crate::coordinators::{Around, Coordinators};
-use crate::datagrams::Datagrams;
+use crate::coordinators::{Coordinators, Environment};
+use crate::datagrams::DatagramFaults;
 use crate::experiment::{Carried, Experiment, FaultKind, Variant, Version};
-use crate::health_pages::Truth;
+use crate::health_pages::TrueHealth;
 use crate::member_addresses::MemberAddresses;
 use crate::net::{Clock, Net};
-use crate::observer::observe;
+use crate::observer::poll_connectivity;
 use crate::plan::{Mood, Plan};
 use crate::platform::Platform;
 use crate::record::Record;
@@ -74,7 +74,7 @@
         catalogue.clone(),
     );
     let (datagrams, lying) = (
-        watch::channel(Datagrams::default()).0,
+        watch::channel(DatagramFaults::default()).0,
         watch::channel(false).0,
     );
     let byzantine_member = experiment
@@ -94,11 +94,11 @@
             if let Some(zone) = byzantine_member.map(|_| zones[plan.sidecars.len()]) {
                 let others = fronts.addresses[..plan.sidecars.len()]
                     .iter()
-                    .map(|a| a.front)
+                    .map(|a| a.public)
                     .collect();
                 let servers = plan.servers.iter().map(|s| s.name.clone()).collect();
-                let section = fronts.member(plan.sidecars.len());
-                tasks.spawn(lie(
+                let section = fronts.member_section(plan.sidecars.len());
+                tasks.spawn(run_byzantine_member(
                     section,
                     site::ZONES[zone],
                     servers,
@@ -140,7 +140,7 @@
             sidecar_spec.zone,
             listen,
             discovery,
-            agent.known(),
+            agent.cached_list(),
         );
         sidecars.push(match launch {
             Launch::Program(launch_options) => {
@@ -155,7 +155,7 @@
                 pages.push(metrics);
                 let section = member_addresses
                     .as_ref()
-                    .map(|f| f.section(sidecar, sidecar_spec.clock_offset_ms));
+                    .map(|f| f.section_text(sidecar, sidecar_spec.clock_offset_ms));
                 // Nothing remains of an earlier run, but the state of earlier incarnations in this
                 // one does.
                 let state = folder.join(format!("n{sidecar}-state"));
@@ -175,17 +175,17 @@
                     let listener = tokio::net::TcpListener::bind(metrics).await;
                     let listener = listener.map_err(io_error("no socket for a sidecar's pages"))?;
                     let (plan, platform) = (Arc::clone(plan), Arc::clone(&platform));
-                    let true_health = Truth {
+                    let true_health = TrueHealth {
                         plan,
                         clock: clock.clone(),
                         servers: Arc::clone(&servers),
                         platform,
                     };
-                    tasks.spawn(true_health.tell(sidecar, listener));
+                    tasks.spawn(true_health.serve(sidecar, listener));
                 }
-                if template.contains(METRICS) && template.contains(BINDINGS) {
+                if template.contains(METRICS) && template.contains(AFFINITY_SECTION) {
                     let context = (clock.clone(), record.clone());
-                    tasks.spawn(follow(
+                    tasks.spawn(poll_dumps(
                         sidecar,
                         metrics,
                         Arc::clone(plan),
@@ -194,7 +194,12 @@
                     ));
                 }
                 if template.contains(METRICS) {
-                    tasks.spawn(observe(sidecar, metrics, clock.clone(), record.clone()));
+                    tasks.spawn(poll_connectivity(
+                        sidecar,
+                        metrics,
+                        clock.clone(),
+                        record.clone(),
+                    ));
                 }
                 let seed = plan.seed.wrapping_add(sidecar as u64);
                 let context = (clock.clone(), record.clone());
@@ -208,10 +213,10 @@
                         .clone()
                         .ok_or_else(|| RunError::Unbuilt(mix.revision.clone()))?;
                     let config = fill_placeholders(mix.config.as_deref().unwrap_or(&template));
-                    let prepared = supervised.beside(program, &config, folder);
+                    let prepared = supervised.add_old_release(program, &config, folder);
                     prepared.map_err(io_error("cannot write a sidecar's files"))?;
                     if starts_with_old(mix, plan, sidecar) {
-                        supervised.turn(Version::Old);
+                        supervised.switch_release(Version::Old);
                     }
                 }
                 let start_error = || format!("cannot start {}", program.display());
@@ -231,7 +236,7 @@
             process
                 .lock()
                 .await
-                .ready()
+                .wait_until_ready()
                 .await
                 .map_err(|what| RunError::Start(number, what))?;
         }
@@ -248,7 +253,7 @@
             tasks.spawn(Arc::clone(&platform).listen(listener));
             let mut bringing = launch_options.clone();
             bringing.program = bringing.program.with_file_name("coordinator");
-            let environment = Around {
+            let environment = Environment {
                 net: &net,
                 platform: (Arc::clone(&platform), at),
                 sidecars: &pages,
@@ -266,7 +271,8 @@
         }
         _ => None,
     };
-    let uses_affinity = variant.config.contains(METRICS) && variant.config.contains(BINDINGS);
+    let uses_affinity =
+        variant.config.contains(METRICS) && variant.config.contains(AFFINITY_SECTION);
     Ok(RunningFleet {
         plan: Arc::clone(plan),
         affinity_pages: uses_affinity.then_some(pages),
--- a/crates/emulator/src/run/running_fleet.rs
+++ b/crates/emulator/src/run/running_fleet.rs
@@ -1,8 +1,8 @@
 //! The running parts of a run, and the effect of each step on them.
 
 use crate::coordinators::Coordinators;
-use crate::datagrams::Datagrams;
-use crate::drain_queries::{Leaves, ask_until_clear};
+use crate::datagrams::DatagramFaults;
+use crate::drain_queries::{DrainQuery, query_until_clear};
 use crate::experiment::Version;
 use crate::member_addresses::MemberAddresses;
 use crate::net::{Clock, Net};
@@ -34,7 +34,7 @@
     pub(super) servers: Arc<Servers>,
     pub(super) platform: Arc<Platform>,
     pub(super) agent_mode: watch::Sender<Mood>,
-    pub(super) datagrams: watch::Sender<Datagrams>,
+    pub(super) datagrams: watch::Sender<DatagramFaults>,
     pub(super) lying: watch::Sender<bool>,
     pub(super) member_addresses: Option<MemberAddresses>,
     pub(super) coordinators: Option<Arc<Coordinators>>,
@@ -68,8 +68,8 @@
             Step::ServerUp(server) if self.platform.may_start(server) => self.servers.start(server),
             // The platform will start it.
             Step::ServerUp(_) => {}
-            Step::Returns(server, how) => self.platform.returns(server, how),
-            Step::ServerSilent(server, on) => self.servers.silence(server, on),
+            Step::Returns(server, how) => self.platform.set_return_mode(server, how),
+            Step::ServerSilent(server, on) => self.servers.set_silent(server, on),
             Step::ServerSlow(server, times) => self.servers.with(|world, now, done| {
                 world.advance(now, done);
                 world.set_slowdown(server, times);
@@ -77,9 +77,9 @@
             Step::ServerFails(server, share) => self
                 .servers
                 .with(|world, _, _| world.set_error_share(server, share)),
-            Step::Cut(zone, way, on) => self.net.cut(zone, way, on),
-            Step::Slow(more) => self.net.slow(more),
-            Step::Resets(share) => self.net.resets(share),
+            Step::Cut(zone, way, on) => self.net.set_partition(zone, way, on),
+            Step::Slow(more) => self.net.set_extra_delay(more),
+            Step::Resets(share) => self.net.set_reset_share(share),
             Step::Datagrams(kind, share) => {
                 self.datagrams.send_modify(|faults| faults.set(kind, share))
             }
@@ -110,8 +110,8 @@
             return;
         };
         let (token, name) = (server as u64 + 1, self.plan.servers[server].name.clone());
-        let query = ask_until_clear(
-            Leaves {
+        let query = query_until_clear(
+            DrainQuery {
                 server,
                 name,
                 token,
@@ -136,7 +136,7 @@
                 process.stop().await;
             }
             if let Some(to) = to {
-                process.turn(to);
+                process.switch_release(to);
             }
             fleet.start(sidecar, &mut process).await;
         });
@@ -144,7 +144,7 @@
 
     async fn start(&self, sidecar: usize, process: &mut Supervised) {
         let started = match process.start() {
-            Ok(()) => process.ready().await,
+            Ok(()) => process.wait_until_ready().await,
             Err(e) => Err(format!("cannot be started: {e}")),
         };
         if let Err(what) = started {
--- a/crates/emulator/src/server_listener.rs
+++ b/crates/emulator/src/server_listener.rs
@@ -1,4 +1,4 @@
-//! Listeners in front of a server process: up, down or unreachable with it.
+//! The listener in front of a server process: open, closed or unreachable along with it.
 
 use crate::relay::Link;
 use crate::reserved::Reserved;
@@ -10,49 +10,48 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// Whether a process listens behind a listener; the number tells one life of it from the next.
+/// Whether a process listens behind a listener, and which incarnation of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Incarnation {
-    /// It runs.
-    pub up: bool,
-    /// The how-manieth.
+    /// Whether it runs.
+    pub is_up: bool,
+    /// The number of the incarnation.
     pub number: u64,
 }
 
-/// Connections that the system may hold until they are accepted.
+/// Connections that the system queues until they are accepted.
 const BACKLOG: i32 = 1024;
-/// How long a connection that fills a queue may take; one that does not come up shows that the
-/// queue is full.
-const FILLING: Duration = Duration::from_millis(30);
-/// Such connections at most.
+/// Timeout of a connection that fills the backlog; a connection that is not established in time
+/// shows that the backlog is full.
+const FILLER_TIMEOUT: Duration = Duration::from_millis(30);
+/// Most such connections.
 const MAX_FILLERS: usize = 8;
-/// Pause before a listener is tried again that could not be opened: a port may still be held by
-/// what went before.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Delay before a listener that could not be opened is tried again: its port may still be in use.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-fn listen(at: SocketAddr) -> io::Result<TcpListener> {
-    let socket = if at.is_ipv4() {
+fn listen(address: SocketAddr) -> io::Result<TcpListener> {
+    let socket = if address.is_ipv4() {
         TcpSocket::new_v4()
     } else {
         TcpSocket::new_v6()
     }?;
     socket.set_reuseaddr(true)?;
-    socket.bind(at)?;
+    socket.bind(address)?;
     socket.listen(BACKLOG as u32)
 }
 
-/// A listener that behaves as the process behind it and the way to it: refused while the process is
-/// down; never up while the way is cut.
+/// A listener that behaves like the process behind it and the network in between: connections are
+/// refused while the process is down, and never established during a partition.
 pub struct ServerListener {
     listener: Option<TcpListener>,
-    /// Its port stays its own while nobody listens there.
+    /// Keeps its port reserved while nothing listens there.
     reserved: Reserved,
     incarnation: watch::Receiver<Incarnation>,
     link: Link,
 }
 
 impl ServerListener {
-    /// Binds a port of the system's choice on that host.
+    /// Binds a free port on that host.
     pub fn bind(
         host: std::net::IpAddr,
         incarnation: watch::Receiver<Incarnation>,
@@ -68,17 +67,17 @@
         })
     }
 
-    /// Where it is.
+    /// Its address.
     pub fn address(&self) -> SocketAddr {
         self.reserved.address()
     }
 
-    /// Accepts connections for good, and hands each over with the incarnation that it belongs to.
+    /// Accepts connections forever, and passes each on with the process's incarnation.
     pub async fn run(mut self, serve: impl Fn(TcpStream, u64)) {
         let mut changes = self.link.net.subscribe();
         loop {
             let incarnation = *self.incarnation.borrow_and_update();
-            if !incarnation.up {
+            if !incarnation.is_up {
                 self.listener = None;
                 if self.incarnation.changed().await.is_err() {
                     return;
@@ -88,19 +87,19 @@
             let Some(listener) = &self.listener else {
                 match listen(self.address()) {
                     Ok(listener) => self.listener = Some(listener),
-                    Err(_) => sleep(PAUSE).await,
+                    Err(_) => sleep(RETRY_DELAY).await,
                 }
                 continue;
             };
             changes.borrow_and_update();
-            if !self.link.opens() {
-                let fillers = fill(listener, self.address()).await;
+            if !self.link.can_connect() {
+                let fillers = fill_backlog(listener, self.address()).await;
                 tokio::select! {
                     changed = changes.changed() => if changed.is_err() { return },
                     changed = self.incarnation.changed() => if changed.is_err() { return },
                 }
-                if self.link.opens() {
-                    drain(listener).await;
+                if self.link.can_connect() {
+                    reset_queued(listener).await;
                     let _ = SockRef::from(listener).listen(BACKLOG);
                 }
                 drop(fillers);
@@ -109,7 +108,7 @@
             tokio::select! {
                 accepted = listener.accept() => match accepted {
                     Ok((stream, _)) => serve(stream, incarnation.number),
-                    Err(_) => sleep(PAUSE).await,
+                    Err(_) => sleep(RETRY_DELAY).await,
                 },
                 changed = changes.changed() => if changed.is_err() { return },
                 changed = self.incarnation.changed() => if changed.is_err() { return },
@@ -118,21 +117,21 @@
     }
 }
 
-/// Makes the system drop what wants to connect: a queue of none, and one connection in it. Nothing
-/// is accepted meanwhile.
-async fn fill(listener: &TcpListener, at: SocketAddr) -> Vec<TcpStream> {
+/// Makes the system drop connection attempts: sets a backlog of zero and fills it. Nothing is
+/// accepted meanwhile.
+async fn fill_backlog(listener: &TcpListener, address: SocketAddr) -> Vec<TcpStream> {
     let _ = SockRef::from(listener).listen(0);
     let mut fillers = Vec::new();
     while fillers.len() < MAX_FILLERS
-        && let Ok(Ok(filler)) = timeout(FILLING, TcpStream::connect(at)).await
+        && let Ok(Ok(filler)) = timeout(FILLER_TIMEOUT, TcpStream::connect(address)).await
     {
         fillers.push(filler);
     }
     fillers
 }
 
-/// Resets what came into the queue before it was full.
-async fn drain(listener: &TcpListener) {
+/// Resets the connections that were queued before the backlog was full.
+async fn reset_queued(listener: &TcpListener) {
     while let Ok(Ok((stream, _))) = timeout(Duration::from_millis(1), listener.accept()).await {
         let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO));
     }
--- a/crates/emulator/src/servers.rs
+++ b/crates/emulator/src/servers.rs
@@ -1,5 +1,4 @@
-//! Stand-ins for servers on real sockets, around the core in [`crate::world`] (PROTOCOL, "Sidecars
-//! to endpoints").
+//! Stand-ins for servers on real sockets, around the model in [`crate::world`].
 
 mod answering;
 
@@ -7,7 +6,7 @@
 use crate::net::{Clock, Net};
 use crate::plan::Plan;
 use crate::record::{Record, Seen, Try};
-use crate::relay::{Link, join};
+use crate::relay::{Link, relay};
 use crate::server_listener::{Incarnation, ServerListener};
 use crate::world::{Done, World};
 use std::collections::{HashMap, HashSet};
@@ -19,102 +18,99 @@
 use tokio::sync::{Notify, oneshot, watch};
 use tokio::task::AbortHandle;
 
-/// Bytes that may wait between a connection's relay and its server.
-const BUFFER: usize = 64 << 10;
+/// Bytes buffered between a connection's relay and its server.
+const BUFFER_BYTES: usize = 64 << 10;
 
-/// The number of a try: its request's place in the plan, and the how-manieth try it is.
-pub fn try_number(arrival: usize, number: u32) -> Try {
-    (arrival as u64) << 4 | u64::from(number)
+/// The number of a client's attempt: the request's index in the plan, and the index of the attempt.
+pub fn try_number(arrival: usize, attempt: u32) -> Try {
+    (arrival as u64) << 4 | u64::from(attempt)
 }
 
-/// The request of a try.
+/// The request of an attempt, by its index in the plan.
 pub fn arrival_of(request: Try) -> usize {
     (request >> 4) as usize
 }
 
-/// What a server answers to a try, by which its client knows that a server made it for this very
-/// try.
-pub fn body_of(request: Try, server: &str) -> String {
+/// A server's response to an attempt, by which the client recognizes that it was made for this
+/// attempt.
+pub fn response_body(request: Try, server: &str) -> String {
     format!("{{\"done\":\"{request:016x}\",\"by\":\"{server}\"}}")
 }
 
-/// Who waits for which request at a server.
-type Waiting = HashMap<u64, oneshot::Sender<bool>>;
+/// The receivers of the results of jobs at servers.
+type PendingJobs = HashMap<u64, oneshot::Sender<bool>>;
 
 /// All servers of a run.
 pub struct Servers {
     plan: Arc<Plan>,
     clock: Clock,
     record: Record,
-    state: Mutex<(World, Waiting)>,
-    reached: Mutex<HashSet<Try>>,
+    state: Mutex<(World, PendingJobs)>,
+    forwarded: Mutex<HashSet<Try>>,
     wake: Notify,
-    lives: Vec<watch::Sender<Incarnation>>,
+    incarnations: Vec<watch::Sender<Incarnation>>,
     connections: Vec<AtomicUsize>,
-    most_connections: usize,
+    max_connections: usize,
     attempts: AtomicU64,
 }
 
 impl Servers {
-    /// As the run begins.
-    pub fn new(
-        plan: Arc<Plan>,
-        clock: Clock,
-        record: Record,
-        most_connections: usize,
-    ) -> Arc<Self> {
+    /// The state at the start of a run.
+    pub fn new(plan: Arc<Plan>, clock: Clock, record: Record, max_connections: usize) -> Arc<Self> {
         let incarnation = |first: bool| {
             watch::channel(Incarnation {
-                up: first,
+                is_up: first,
                 number: 1,
             })
             .0
         };
         Arc::new(Self {
-            state: Mutex::new((World::new(&plan), Waiting::new())),
-            reached: Mutex::default(),
-            lives: plan.servers.iter().map(|s| incarnation(s.first)).collect(),
+            state: Mutex::new((World::new(&plan), PendingJobs::new())),
+            forwarded: Mutex::default(),
+            incarnations: plan.servers.iter().map(|s| incarnation(s.first)).collect(),
             connections: plan.servers.iter().map(|_| AtomicUsize::new(0)).collect(),
             plan,
             clock,
             record,
             wake: Notify::new(),
-            most_connections,
+            max_connections,
             attempts: AtomicU64::new(0),
         })
     }
 
-    /// Does something with the servers' core at this instant.
-    pub fn with<T>(&self, what: impl FnOnce(&mut World, Us, &mut Vec<Done>) -> T) -> T {
-        self.with_waiting(|world, _, now, done| what(world, now, done))
+    /// Runs an operation on the servers' model at the current time.
+    pub fn with<T>(&self, operation: impl FnOnce(&mut World, Us, &mut Vec<Done>) -> T) -> T {
+        self.with_pending(|world, _, now, done| operation(world, now, done))
     }
 
-    fn with_waiting<T>(
+    fn with_pending<T>(
         &self,
-        what: impl FnOnce(&mut World, &mut Waiting, Us, &mut Vec<Done>) -> T,
+        operation: impl FnOnce(&mut World, &mut PendingJobs, Us, &mut Vec<Done>) -> T,
     ) -> T {
         let mut done = Vec::new();
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        let (world, waiting) = &mut *state;
-        let fallen = world.collapsed().len();
-        let result = what(world, waiting, self.clock.now(), &mut done);
-        let fell: Vec<usize> = world.collapsed()[fallen..]
+        let (world, pending) = &mut *state;
+        let collapsed_before = world.collapsed().len();
+        let result = operation(world, pending, self.clock.now(), &mut done);
+        let newly_collapsed: Vec<usize> = world.collapsed()[collapsed_before..]
             .iter()
             .map(|(_, server)| *server)
             .collect();
         for done in done {
-            if let Some(waiting) = waiting.remove(&done.job) {
-                // Whoever waited may have left.
-                let _ = waiting.send(done.served);
+            if let Some(result_sender) = pending.remove(&done.job) {
+                // The receiver may have been dropped.
+                let _ = result_sender.send(done.served);
             }
         }
         drop(state);
-        fell.into_iter().for_each(|server| self.end(server));
+        newly_collapsed
+            .into_iter()
+            .for_each(|server| self.record_stop(server));
         self.wake.notify_one();
         result
     }
 
-    /// Its process starts, cold.
+    /// Starts the server's process, cold.
     pub fn start(&self, server: usize) {
         self.with(|world, now, done| {
             world.advance(now, done);
@@ -122,64 +118,64 @@
         });
         self.record
             .note(self.clock.now(), Seen::ServerUp { server });
-        self.lives[server].send_modify(|incarnation| {
+        self.incarnations[server].send_modify(|incarnation| {
             *incarnation = Incarnation {
-                up: true,
+                is_up: true,
                 number: incarnation.number + 1,
             }
         });
     }
 
-    /// Its process ends.
+    /// Stops the server's process.
     pub fn stop(&self, server: usize) {
-        self.lose(|world| world.stop(server));
-        self.end(server);
+        self.drop_jobs(|world| world.stop(server));
+        self.record_stop(server);
     }
 
-    /// It takes requests and answers none, or no longer so.
-    pub fn silence(&self, server: usize, on: bool) {
-        self.lose(|world| world.set_silent(server, on));
+    /// Makes the server accept requests without ever answering, or ends that.
+    pub fn set_silent(&self, server: usize, silent: bool) {
+        self.drop_jobs(|world| world.set_silent(server, silent));
         self.record
-            .note(self.clock.now(), Seen::ServerSilent { server, on });
+            .note(self.clock.now(), Seen::ServerSilent { server, on: silent });
     }
 
-    /// What a server gives up is never done: who waits for it is told so.
-    fn lose(&self, what: impl FnOnce(&mut World)) {
-        self.with_waiting(|world, waiting, now, done| {
+    /// Drops jobs by an operation, and the receivers of their results.
+    fn drop_jobs(&self, operation: impl FnOnce(&mut World)) {
+        self.with_pending(|world, pending, now, done| {
             world.advance(now, done);
-            // What is done until then still counts.
+            // Jobs completed until then still count.
             for done in done.drain(..) {
-                if let Some(waiting) = waiting.remove(&done.job) {
-                    let _ = waiting.send(done.served);
+                if let Some(result_sender) = pending.remove(&done.job) {
+                    let _ = result_sender.send(done.served);
                 }
             }
-            what(world);
-            waiting.retain(|job, _| world.contains_job(*job));
+            operation(world);
+            pending.retain(|job, _| world.contains_job(*job));
         });
     }
 
-    /// Whether a try has come to any server.
-    pub fn reached(&self, request: Try) -> bool {
-        self.reached
+    /// Whether an attempt has arrived at any server.
+    pub fn was_forwarded(&self, request: Try) -> bool {
+        self.forwarded
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .contains(&request)
     }
 
-    fn end(&self, server: usize) {
+    fn record_stop(&self, server: usize) {
         self.record
             .note(self.clock.now(), Seen::ServerDown { server });
-        self.lives[server].send_modify(|incarnation| incarnation.up = false);
+        self.incarnations[server].send_modify(|incarnation| incarnation.is_up = false);
     }
 
-    /// Brings the core on as time passes. Runs for good.
+    /// Advances the model as time passes. Runs forever.
     pub async fn run(self: Arc<Self>) {
         loop {
             let next = self.with(|world, now, done| {
                 world.advance(now, done);
                 world.next()
             });
-            // The call above has left a permit for itself.
+            // Consumes the permit that the call above has left.
             self.wake.notified().await;
             match next {
                 Some(next) => tokio::select! {
@@ -191,7 +187,7 @@
         }
     }
 
-    /// Opens the listener through which that sidecar reaches that server, until it is told to end.
+    /// Opens the listener at which that sidecar reaches that server, until its task is aborted.
     pub fn listener(
         self: &Arc<Self>,
         host: IpAddr,
@@ -199,28 +195,32 @@
         sidecar: usize,
         server: usize,
     ) -> io::Result<(SocketAddr, AbortHandle)> {
-        let (from, to) = (
+        let (from_zone, to_zone) = (
             self.plan.sidecars[sidecar].zone,
             self.plan.servers[server].zone,
         );
         let link = Link {
             net: net.clone(),
-            from,
-            to,
+            from: from_zone,
+            to: to_zone,
         };
-        let listener = ServerListener::bind(host, self.lives[server].subscribe(), link.clone())?;
+        let listener =
+            ServerListener::bind(host, self.incarnations[server].subscribe(), link.clone())?;
         let address = listener.address();
-        let this = Arc::clone(self);
+        let servers = Arc::clone(self);
         let task = tokio::spawn(listener.run(move |stream, incarnation| {
-            let (near, far) = duplex(BUFFER);
-            this.record
-                .note(this.clock.now(), Seen::Handshake { sidecar, server });
-            let mut lives = this.lives[server].subscribe();
+            let (near, far) = duplex(BUFFER_BYTES);
+            servers
+                .record
+                .note(servers.clock.now(), Seen::Handshake { sidecar, server });
+            let mut incarnations = servers.incarnations[server].subscribe();
             let ended = async move {
-                let _ = lives.wait_for(|l| !l.up || l.number != incarnation).await;
+                let _ = incarnations
+                    .wait_for(|l| !l.is_up || l.number != incarnation)
+                    .await;
             };
-            tokio::spawn(Arc::clone(&this).connection(far, sidecar, server));
-            tokio::spawn(join(stream, near, link.clone(), ended));
+            tokio::spawn(Arc::clone(&servers).serve_connection(far, sidecar, server));
+            tokio::spawn(relay(stream, near, link.clone(), ended));
         }));
         Ok((address, task.abort_handle()))
     }
--- a/crates/emulator/src/servers/answering.rs
+++ b/crates/emulator/src/servers/answering.rs
@@ -1,6 +1,6 @@
-//! A connection to a server, request by request.
+//! Serves the requests of one connection to a server.
 
-use super::{Servers, arrival_of, body_of};
+use super::{Servers, arrival_of, response_body};
 use crate::Us;
 use crate::net::Clock;
 use crate::record::{Seen, Try};
@@ -24,40 +24,47 @@
 use tokio::io::{AsyncRead, AsyncWrite, DuplexStream, ReadBuf};
 use tokio::sync::oneshot;
 
-/// Longest body, of requests and of answers.
+/// Longest body of requests and responses, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 10;
 
 impl Servers {
-    pub(super) async fn connection(
+    pub(super) async fn serve_connection(
         self: Arc<Self>,
         stream: DuplexStream,
         sidecar: usize,
         server: usize,
     ) {
-        let held = self.connections[server].fetch_add(1, Ordering::SeqCst);
-        let (began, fresh) = (
+        let open_connections = self.connections[server].fetch_add(1, Ordering::SeqCst);
+        let (first_byte_at, new_connections) = (
             Arc::new(AtomicU64::new(u64::MAX)),
             Arc::new(AtomicUsize::new(1)),
         );
-        let stamped = Stamped {
+        let stream_with_time = TimestampedStream {
             stream,
             clock: self.clock.clone(),
-            began: Arc::clone(&began),
+            first_byte_at: Arc::clone(&first_byte_at),
         };
-        let full = held >= self.most_connections;
-        let this = Arc::clone(&self);
+        let is_full = open_connections >= self.max_connections;
+        let servers = Arc::clone(&self);
         let service = service_fn(move |request| {
-            let at = began.swap(u64::MAX, Ordering::SeqCst);
-            let fresh = fresh.swap(0, Ordering::SeqCst) == 1;
-            Arc::clone(&this).answer(request, sidecar, server, at, fresh, full)
+            let started_at = first_byte_at.swap(u64::MAX, Ordering::SeqCst);
+            let is_new_connection = new_connections.swap(0, Ordering::SeqCst) == 1;
+            Arc::clone(&servers).answer(
+                request,
+                sidecar,
+                server,
+                started_at,
+                is_new_connection,
+                is_full,
+            )
         });
         let mut builder = http1::Builder::new();
         builder
             .timer(TokioTimer::new())
             .header_read_timeout(Duration::from_micros(site::IDLE_CLOSE));
-        // What is wrong with a connection concerns its sidecar alone.
+        // Errors of a connection concern only its sidecar.
         let _ = builder
-            .serve_connection(TokioIo::new(stamped), service)
+            .serve_connection(TokioIo::new(stream_with_time), service)
             .await;
         self.connections[server].fetch_sub(1, Ordering::SeqCst);
     }
@@ -67,52 +74,53 @@
         request: Request<Incoming>,
         sidecar: usize,
         server: usize,
-        began: Us,
-        fresh: bool,
-        full: bool,
+        started_at: Us,
+        is_new_connection: bool,
+        is_full: bool,
     ) -> Result<Response<Full<Bytes>>, Infallible> {
         if request.uri().path() == "/alive" || request.uri().path() == "/metrics/load" {
-            return Ok(self.probed(server));
+            return Ok(self.answer_probe(server));
         }
         let (head, body) = request.into_parts();
         if Limited::new(body, MAX_BODY_BYTES).collect().await.is_err() {
-            return Ok(plain(StatusCode::BAD_REQUEST));
+            return Ok(empty_response(StatusCode::BAD_REQUEST));
         }
-        let text = |name: &str| text(&head.headers, name);
-        let request = text("x-correlation-id").and_then(|id| Try::from_str_radix(id, 16).ok());
+        let header_text = |name: &str| header_text(&head.headers, name);
+        let request =
+            header_text("x-correlation-id").and_then(|id| Try::from_str_radix(id, 16).ok());
         let number = self.attempts.fetch_add(1, Ordering::SeqCst);
         let arrival = request.and_then(|request| self.plan.arrivals.get(arrival_of(request)));
-        let at = self.clock.now();
+        let now = self.clock.now();
         self.record.note(
-            at,
+            now,
             Seen::Attempt {
                 number,
                 request,
                 sidecar,
                 server,
-                began: began.min(at),
+                began: started_at.min(now),
             },
         );
         let (Some(request), Some(arrival)) = (request, arrival) else {
-            return Ok(plain(StatusCode::BAD_REQUEST));
+            return Ok(empty_response(StatusCode::BAD_REQUEST));
         };
-        self.reached
+        self.forwarded
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .insert(request);
-        let keyed = CLASSES[arrival.class].repeat == Repeat::Keyed;
-        let once = text("idempotency-key")
-            .filter(|_| keyed)
+        let is_keyed = CLASSES[arrival.class].repeat == Repeat::Keyed;
+        let idempotency_key = header_text("idempotency-key")
+            .filter(|_| is_keyed)
             .and_then(|key| u64::from_str_radix(key, 16).ok());
         let job = Job {
             id: number,
             class: arrival.class,
             work: arrival.work,
             key: arrival.key,
-            idempotency_key: once,
-            is_new_connection: fresh,
+            idempotency_key,
+            is_new_connection,
         };
-        let answered = |status: u16, unprocessed| {
+        let record_answer = |status: u16, unprocessed| {
             self.record.note(
                 self.clock.now(),
                 Seen::AttemptAnswered {
@@ -122,105 +130,109 @@
                 },
             );
         };
-        let (admitted, waits) = if full {
+        let (admitted, result) = if is_full {
             (Admission::Rejected, None)
         } else {
             self.submit(server, job)
         };
         let served = match admitted {
             Admission::Rejected => {
-                answered(503, true);
-                let mut refused = plain(StatusCode::SERVICE_UNAVAILABLE);
-                refused
+                record_answer(503, true);
+                let mut rejection = empty_response(StatusCode::SERVICE_UNAVAILABLE);
+                rejection
                     .headers_mut()
                     .insert("x-unprocessed", HeaderValue::from_static("1"));
-                return Ok(refused);
+                return Ok(rejection);
             }
             Admission::Deduplicated => Some(true),
             Admission::Swallowed => None,
-            Admission::Accepted => match waits {
-                Some(waits) => waits.await.ok(),
+            Admission::Accepted => match result {
+                Some(result) => result.await.ok(),
                 None => None,
             },
         };
         match served {
             Some(true) => {
-                answered(200, false);
-                let body = body_of(request, &self.plan.servers[server].name);
+                record_answer(200, false);
+                let body = response_body(request, &self.plan.servers[server].name);
                 Ok(Response::new(Full::new(Bytes::from(body))))
             }
             Some(false) => {
-                answered(500, false);
-                Ok(plain(StatusCode::INTERNAL_SERVER_ERROR))
+                record_answer(500, false);
+                Ok(empty_response(StatusCode::INTERNAL_SERVER_ERROR))
             }
             None => {
                 self.record
                     .note(self.clock.now(), Seen::AttemptSwallowed { number });
-                // Until the connection ends.
+                // Never answers, until the connection ends.
                 std::future::pending().await
             }
         }
     }
 
     fn submit(&self, server: usize, job: Job) -> (Admission, Option<oneshot::Receiver<bool>>) {
-        self.with_waiting(|world, waiting, now, done| {
+        self.with_pending(|world, pending, now, done| {
             let admitted = world.submit(now, server, job, done);
             if admitted != Admission::Accepted {
                 return (admitted, None);
             }
             let (sender, receiver) = oneshot::channel();
-            waiting.insert(job.id, sender);
+            pending.insert(job.id, sender);
             (admitted, Some(receiver))
         })
     }
 
-    fn probed(&self, server: usize) -> Response<Full<Bytes>> {
+    fn answer_probe(&self, server: usize) -> Response<Full<Bytes>> {
         self.record.note(self.clock.now(), Seen::Probe { server });
-        let held = self.with(|world, now, done| {
+        let job_count = self.with(|world, now, done| {
             world.probe(now, server, done);
             world.job_count(server)
         });
-        Response::new(Full::new(Bytes::from(format!("inflight={held},eps=0"))))
+        Response::new(Full::new(Bytes::from(format!(
+            "inflight={job_count},eps=0"
+        ))))
     }
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-fn plain(status: StatusCode) -> Response<Full<Bytes>> {
+fn empty_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
 }
 
-/// A stream that notes when the first byte of a request came: the first since that note was last
-/// taken.
-struct Stamped {
+/// A stream that records when the first byte of a request arrived since the record was last taken.
+struct TimestampedStream {
     stream: DuplexStream,
     clock: Clock,
-    began: Arc<AtomicU64>,
+    first_byte_at: Arc<AtomicU64>,
 }
 
-impl AsyncRead for Stamped {
+impl AsyncRead for TimestampedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = buf.filled().len();
+        let filled_before = buf.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(cx, buf);
-        if polled.is_ready() && buf.filled().len() > before {
+        if polled.is_ready() && buf.filled().len() > filled_before {
             let now = self.clock.now();
-            let _ = self
-                .began
-                .compare_exchange(u64::MAX, now, Ordering::SeqCst, Ordering::SeqCst);
+            let _ = self.first_byte_at.compare_exchange(
+                u64::MAX,
+                now,
+                Ordering::SeqCst,
+                Ordering::SeqCst,
+            );
         }
         polled
     }
 }
 
-impl AsyncWrite for Stamped {
+impl AsyncWrite for TimestampedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/emulator/src/sim.rs
+++ b/crates/emulator/src/sim.rs
@@ -11,7 +11,7 @@
 mod tap;
 
 use crate::audit::audit;
-use crate::datagrams::Datagrams;
+use crate::datagrams::DatagramFaults;
 use crate::experiment::{Experiment, Variant, Way};
 use crate::plan::Plan;
 use crate::record::{Entry, Seen, Try};
@@ -61,7 +61,7 @@
     record: Vec<Entry>,
     sections: Vec<FleetSection>,
     by_address: HashMap<SocketAddr, usize>,
-    datagram_faults: Datagrams,
+    datagram_faults: DatagramFaults,
     /// Datagrams in transit, with their senders.
     datagrams: HashMap<u64, (SocketAddr, Vec<u8>)>,
     datagrams_sent: u64,
@@ -96,7 +96,7 @@
         by_address: (0..plan.sidecars.len())
             .map(|sidecar| (address(sidecar), sidecar))
             .collect(),
-        datagram_faults: Datagrams::default(),
+        datagram_faults: DatagramFaults::default(),
         datagrams: HashMap::new(),
         datagrams_sent: 0,
         datagram_bytes: 0,
--- a/crates/emulator/src/sim/instance.rs
+++ b/crates/emulator/src/sim/instance.rs
@@ -4,7 +4,7 @@
 use super::event::SimEvent;
 use crate::Us;
 use crate::experiment::Variant;
-use crate::member_addresses::{Address, section};
+use crate::member_addresses::{MemberAddress, fleet_section_text};
 use crate::plan::Plan;
 use crate::run::FLEET;
 use load_balancer::{AttemptIndex, Balancer, RequestId};
@@ -66,16 +66,17 @@
     if !variant.config.contains(FLEET) {
         return Ok(Vec::new());
     }
-    let both_addresses = |sidecar| Address {
+    let both_addresses = |sidecar| MemberAddress {
         own: address(sidecar),
-        front: address(sidecar),
+        public: address(sidecar),
     };
-    let addresses: Vec<Address> = (0..plan.sidecars.len()).map(both_addresses).collect();
+    let addresses: Vec<MemberAddress> = (0..plan.sidecars.len()).map(both_addresses).collect();
     let name = Path::new(&variant.name);
     let section_of = |(sidecar, spec): (usize, &crate::plan::SidecarSpec)| {
-        let text = variant
-            .config
-            .replace(FLEET, &section(&addresses, sidecar, spec.clock_offset_ms));
+        let text = variant.config.replace(
+            FLEET,
+            &fleet_section_text(&addresses, sidecar, spec.clock_offset_ms),
+        );
         Ok(config::parse::<Sections>(name, &text)?.fleet)
     };
     plan.sidecars.iter().enumerate().map(section_of).collect()
--- a/crates/emulator/src/sim/network.rs
+++ b/crates/emulator/src/sim/network.rs
@@ -4,7 +4,7 @@
 use super::instance::address;
 use super::{START_US, Simulation};
 use crate::Us;
-use crate::datagrams::HELD_UP;
+use crate::datagrams::MAX_EXTRA_DELAY;
 use crate::experiment::Way;
 use load_balancer::{EjectionStatus, EjectionUpdate, Event, Micros};
 use load_balancer_gossip::core::Core;
@@ -96,18 +96,20 @@
         let Some(instance) = self.current[to] else {
             return;
         };
-        if !self.is_reachable(from_zone, to_zone) || self.rng.f64() < self.datagram_faults.lost {
+        if !self.is_reachable(from_zone, to_zone)
+            || self.rng.f64() < self.datagram_faults.lost_share
+        {
             return;
         }
-        let copies = if self.rng.f64() < self.datagram_faults.repeated {
+        let copies = if self.rng.f64() < self.datagram_faults.duplicated_share {
             2
         } else {
             1
         };
         for _ in 0..copies {
-            let is_held_up = self.rng.f64() < self.datagram_faults.held_up;
+            let is_held_up = self.rng.f64() < self.datagram_faults.delayed_share;
             let delay = if is_held_up {
-                (self.rng.f64() * HELD_UP.as_micros() as f64) as Us
+                (self.rng.f64() * MAX_EXTRA_DELAY.as_micros() as f64) as Us
             } else {
                 0
             };
--- a/crates/emulator/src/sim/sidecars.rs
+++ b/crates/emulator/src/sim/sidecars.rs
@@ -85,7 +85,7 @@
         });
         self.current[sidecar] = Some(number);
         self.update_member_list(number, 0);
-        let cached_list = self.listed_endpoints(&self.plan.directory.whole(0));
+        let cached_list = self.listed_endpoints(&self.plan.directory.list_at(0));
         self.notify(number, Event::Endpoints(ListUpdate::Cached(cached_list)));
         self.update_list(sidecar);
     }
@@ -101,7 +101,7 @@
             ready: l.status == EndpointStatus::Ready,
         };
         let list = self
-            .listed_endpoints(&self.plan.directory.whole(list_version))
+            .listed_endpoints(&self.plan.directory.list_at(list_version))
             .into_iter()
             .map(to_observed)
             .collect();
@@ -125,7 +125,7 @@
                 cell: spec.group as u64,
                 kind: Some(spec.kind),
                 status,
-                size: listing::weight(spec),
+                size: listing::listed_weight(spec),
                 started,
                 alias: *server as u64,
             }
@@ -135,14 +135,14 @@
 
     pub(super) fn update_list(&mut self, sidecar: usize) {
         let lag = self.plan.sidecars[sidecar].list_lag;
-        let version = self.plan.directory.heard(self.now, lag);
+        let version = self.plan.directory.version_at(self.now, lag);
         if let Some(number) = self.current[sidecar]
             && self.instances[number].list_version < version
         {
             let entries = self
                 .plan
                 .directory
-                .between(self.instances[number].list_version, version);
+                .changes_between(self.instances[number].list_version, version);
             self.instances[number].list_version = version;
             for (server, state) in &entries {
                 self.record_event(Seen::PlatformConfig {
@@ -158,7 +158,7 @@
             self.update_member_list(number, version);
             self.notify_if_running(number, Event::Endpoints(ListUpdate::Delta(changes)));
         }
-        if let Some(next) = self.plan.directory.next(version, lag) {
+        if let Some(next) = self.plan.directory.next_change_at(version, lag) {
             self.schedule(next, SimEvent::ListUpdate(sidecar));
         }
     }
