--- a/crates/emulator/src/supervisor.rs
+++ b/crates/emulator/src/supervisor.rs
@@ -1,4 +1,4 @@
-//! Starts, stops, kills and restarts real sidecars, and keeps their logs (DEPLOY, PROTOCOL).
+//! Starts, stops, kills and restarts real sidecars, and keeps their logs.
 
 mod launch_options;
 mod platform_config;
@@ -8,11 +8,11 @@
 use crate::experiment::Variant;
 use crate::net::Clock;
 use crate::record::{Record, Seen};
-pub use launch_options::{KEEP, LaunchOptions, keep};
+pub use launch_options::{GUARD_ARGUMENT, LaunchOptions, exec_guarded};
 use load_balancer_common::process::usage_of;
 pub use platform_config::PlatformConfig;
-use release::Other;
-pub(crate) use running::Running;
+use release::OtherRelease;
+pub(crate) use running::ChildProcess;
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::json;
 use std::fs::{self, File, OpenOptions};
@@ -25,119 +25,119 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout};
 
-/// A sidecar that is not ready after this has failed to start, unless something else was said.
-pub const READY_WITHIN: Duration = Duration::from_secs(30);
-/// Pause between two looks at a sidecar that starts.
+/// Default time within which a sidecar must be ready.
+pub const START_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval of the checks of a starting sidecar.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// SIGKILL comes this long after SIGTERM: the longest deadline, taken as 3 s where it is longer,
-/// and 700 ms.
-const STOPS_WITHIN: Duration = Duration::from_millis(3700);
-/// How much a machine under load may be late with that, before it is held against the sidecar.
-const STOP_SLACK: Duration = Duration::from_millis(1000);
+/// Time from SIGTERM to SIGKILL: the longest deadline, at most 3 s, plus 700 ms.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3700);
+/// Additional time for a machine under load, before a slow shutdown counts as a fault.
+const SHUTDOWN_SLACK: Duration = Duration::from_millis(1000);
 
-/// One sidecar's process, over all its lives.
+/// A sidecar's process, over all its incarnations.
 pub struct Supervised {
-    told: PlatformConfig,
-    bringing: LaunchOptions,
+    config: PlatformConfig,
+    launch_options: LaunchOptions,
     product: Option<PathBuf>,
-    other: Option<Other>,
+    other_release: Option<OtherRelease>,
     platform: PathBuf,
     log: PathBuf,
     seed: u64,
-    child: Option<Running>,
+    child: Option<ChildProcess>,
     clock: Clock,
     record: Record,
-    spent: Spent,
+    resources: ResourceUsage,
 }
 
-/// What a sidecar's processes have used.
+/// The resources used by a sidecar's processes.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Spent {
-    /// Processor time of all its lives that the emulator ended, in seconds.
-    pub processor: f64,
-    /// Resident memory at the end of the last one, in bytes.
-    pub resident: u64,
+pub struct ResourceUsage {
+    /// CPU time of all its incarnations ended by the emulator, in seconds.
+    pub cpu_seconds: f64,
+    /// Resident memory at the end of the last incarnation, in bytes.
+    pub resident_bytes: u64,
 }
 
 impl Supervised {
-    /// One that is not started yet; its files lie in `folder`.
+    /// A sidecar that is not started yet, with its files in `folder`.
     ///
     /// # Errors
-    /// A file cannot be written.
+    /// A file can't be written.
     pub fn new(
-        told: PlatformConfig,
-        bringing: LaunchOptions,
+        config: PlatformConfig,
+        launch_options: LaunchOptions,
         variant: &Variant,
         folder: &Path,
         seed: u64,
         (clock, record): (Clock, Record),
     ) -> io::Result<Self> {
-        let name = format!("n{}", told.sidecar);
-        let product = release::write(folder, &name, told.sidecar, &variant.config)?;
+        let name = format!("n{}", config.sidecar);
+        let product =
+            release::write_product_config(folder, &name, config.sidecar, &variant.config)?;
         let (platform, log) = (
             folder.join(format!("{name}.json")),
             folder.join(format!("{name}.log")),
         );
         File::create(&log)?;
         Ok(Self {
-            told,
-            bringing,
+            config,
+            launch_options,
             product,
-            other: None,
+            other_release: None,
             platform,
             log,
             seed,
             child: None,
             clock,
             record,
-            spent: Spent::default(),
+            resources: ResourceUsage::default(),
         })
     }
 
-    /// Its process, while one runs.
+    /// The id of its process, while one runs.
     pub fn id(&self) -> Option<u32> {
-        self.child.as_ref().and_then(Running::id)
+        self.child.as_ref().and_then(ChildProcess::id)
     }
 
-    /// Starts it; [`Supervised::ready`] tells when it can be used.
+    /// Starts the process; [`Supervised::wait_until_ready`] tells when it can be used.
     ///
     /// # Errors
-    /// The program or a file cannot be used.
+    /// The program or a file can't be used.
     pub fn start(&mut self) -> io::Result<()> {
-        // A new one with each start.
+        // A different seed at each start.
         self.seed = self
             .seed
             .wrapping_mul(0x5851_f42d_4c95_7f2d)
             .wrapping_add(1);
-        let mut platform = self.told.platform.clone();
+        let mut platform = self.config.platform.clone();
         platform["seed"] = json!(format!("{:016x}", self.seed));
         fs::write(&self.platform, platform.to_string())?;
         let log = OpenOptions::new().append(true).open(&self.log)?;
-        let mut command = self.bringing.command();
+        let mut command = self.launch_options.command();
         command
             .env_clear()
             .env("LB_CONFIG", &self.platform)
-            .env("LB_NAME", format!("n{}", self.told.sidecar))
-            .env("LB_LISTEN", self.told.listen.to_string())
-            .env("LB_DISCOVERY", self.told.discovery.to_string())
+            .env("LB_NAME", format!("n{}", self.config.sidecar))
+            .env("LB_LISTEN", self.config.listen.to_string())
+            .env("LB_DISCOVERY", self.config.discovery.to_string())
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(Stdio::from(log));
         if let Some(product) = &self.product {
-            // Earlier revisions know the argument too, but not the variable of today.
+            // Earlier revisions know the argument, but not today's environment variable.
             command.arg("--config").arg(product);
         }
-        self.child = Some(Running::start(&mut command)?);
+        self.child = Some(ChildProcess::start(&mut command)?);
         Ok(())
     }
 
     /// Waits until it answers `GET /up` with 200.
     ///
     /// # Errors
-    /// It has ended, or is not ready in time.
-    pub async fn ready(&mut self) -> Result<(), String> {
-        let until = Instant::now() + self.bringing.within;
-        while !up(self.told.listen).await {
+    /// It has exited, or is not ready in time.
+    pub async fn wait_until_ready(&mut self) -> Result<(), String> {
+        let until = Instant::now() + self.launch_options.start_timeout;
+        while !is_ready(self.config.listen).await {
             if let Some(status) = self.ended() {
                 return Err(format!(
                     "ended as it started: {status}; {}",
@@ -147,7 +147,7 @@
             if Instant::now() > until {
                 return Err(format!(
                     "was not ready within {:.1} s",
-                    self.bringing.within.as_secs_f64()
+                    self.launch_options.start_timeout.as_secs_f64()
                 ));
             }
             sleep(POLL_INTERVAL).await;
@@ -155,20 +155,20 @@
         self.record.note(
             self.clock.now(),
             Seen::SidecarUp {
-                sidecar: self.told.sidecar,
+                sidecar: self.config.sidecar,
             },
         );
         Ok(())
     }
 
-    /// How it has ended, if it has.
+    /// Its exit status, if it has exited.
     pub fn ended(&mut self) -> Option<ExitStatus> {
         self.child
             .as_mut()
-            .and_then(|child| child.ended().ok().flatten())
+            .and_then(|child| child.exit_status().ok().flatten())
     }
 
-    /// Its log's last line.
+    /// The last line of its log.
     pub fn last_line(&self) -> String {
         let text = fs::read_to_string(&self.log).unwrap_or_default();
         text.lines()
@@ -188,26 +188,26 @@
         }
     }
 
-    /// What it has used so far, as of its last planned end.
-    pub fn spent(&self) -> Spent {
-        self.spent
+    /// The resources it had used at its last planned end.
+    pub fn resources(&self) -> ResourceUsage {
+        self.resources
     }
 
-    fn account(&mut self) {
+    fn record_usage(&mut self) {
         let Some(process) = self.id() else { return };
         let usage = usage_of(process);
-        self.spent.processor += usage.cpu_seconds.unwrap_or(0.0);
-        self.spent.resident = usage.resident_bytes.unwrap_or(0);
+        self.resources.cpu_seconds += usage.cpu_seconds.unwrap_or(0.0);
+        self.resources.resident_bytes = usage.resident_bytes.unwrap_or(0);
     }
 
     /// Kills it and waits for its end.
     pub async fn kill(&mut self) {
-        self.account();
+        self.record_usage();
         let Some(mut child) = self.child.take() else {
             return;
         };
-        let sidecar = self.told.sidecar;
-        let down = || {
+        let sidecar = self.config.sidecar;
+        let record_down = || {
             self.record.note(
                 self.clock.now(),
                 Seen::SidecarDown {
@@ -216,24 +216,24 @@
                 },
             )
         };
-        down();
+        record_down();
         let _ = child.kill().await;
-        // Its sockets take requests until the last of its threads is gone, one that waits for a
-        // disk included: what came meanwhile goes with it too.
-        down();
+        // Its sockets accept requests until its last thread has ended, including one that waits for
+        // a disk; requests accepted meanwhile are lost too.
+        record_down();
     }
 
-    /// Stops it by SIGTERM, and kills it where it goes on for too long.
+    /// Shuts it down by SIGTERM, and kills it if that takes too long.
     pub async fn stop(&mut self) {
-        self.account();
+        self.record_usage();
         self.signal(Signal::TERM);
-        let sidecar = self.told.sidecar;
+        let sidecar = self.config.sidecar;
         self.record
             .note(self.clock.now(), Seen::SidecarTold { sidecar });
         let Some(mut child) = self.child.take() else {
             return;
         };
-        let ended = timeout(STOPS_WITHIN + STOP_SLACK, child.end()).await;
+        let ended = timeout(SHUTDOWN_TIMEOUT + SHUTDOWN_SLACK, child.wait()).await;
         let (killed, what) = match ended {
             Ok(Ok(status)) if status.success() => (false, None),
             Ok(Ok(status)) => (
@@ -257,9 +257,9 @@
     }
 }
 
-/// Whether a sidecar there is ready.
-async fn up(at: SocketAddr) -> bool {
-    let look = async {
+/// Whether the sidecar at that address is ready.
+async fn is_ready(at: SocketAddr) -> bool {
+    let check = async {
         let mut stream = TcpStream::connect(at).await?;
         stream
             .write_all(b"GET /up HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n")
@@ -268,7 +268,7 @@
         stream.read_exact(&mut head).await?;
         Ok::<_, io::Error>(&head == b"HTTP/1.1 200")
     };
-    timeout(Duration::from_secs(1), look)
+    timeout(Duration::from_secs(1), check)
         .await
         .is_ok_and(|up| up.unwrap_or(false))
 }
--- a/crates/emulator/src/supervisor/launch_options.rs
+++ b/crates/emulator/src/supervisor/launch_options.rs
@@ -1,38 +1,37 @@
-//! Starts a process so that it ends with the emulator.
+//! Starts processes so that they end with the emulator.
 
-use super::READY_WITHIN;
+use super::START_TIMEOUT;
 use rustix::process::{Pid, Signal, getppid, set_parent_process_death_signal};
 use std::io;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use tokio::process::Command;
 
-/// How a sidecar's process is brought up.
+/// How a process is started.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LaunchOptions {
     /// The program.
     pub program: PathBuf,
-    /// An emulator's program through which it is started, so that it ends with the emulator however
-    /// that ends; see [`keep`].
+    /// An emulator program through which it is started, so that it ends with the emulator however
+    /// that ends; see [`exec_guarded`].
     pub parent_guard: Option<PathBuf>,
-    /// It must be ready within this.
-    pub within: Duration,
+    /// Time within which it must be ready.
+    pub start_timeout: Duration,
 }
 
 impl LaunchOptions {
-    /// Brings up that program, by itself and with the usual patience.
-    pub fn plain(program: PathBuf) -> Self {
+    /// Starts that program directly, with the default timeout.
+    pub fn new(program: PathBuf) -> Self {
         Self {
             program,
             parent_guard: None,
-            within: READY_WITHIN,
+            start_timeout: START_TIMEOUT,
         }
     }
 
-    /// The same, but a write beyond the process's limit on the size of files is an error to it
-    /// rather than its end: what a program may ignore of signals it inherits, and a shell can say
-    /// so.
-    pub(crate) fn command_that_outlives_full_disks(&self) -> Command {
+    /// As [`Self::command`], but a write beyond the process's limit on file sizes returns an error
+    /// instead of ending the process: ignored signals are inherited, and a shell can set that.
+    pub(crate) fn command_ignoring_file_size_signal(&self) -> Command {
         let program = self.program.clone();
         let mut command = Self {
             program: PathBuf::from("/bin/sh"),
@@ -50,7 +49,7 @@
             Some(parent_guard) => {
                 let mut command = Command::new(parent_guard);
                 command
-                    .arg(KEEP)
+                    .arg(GUARD_ARGUMENT)
                     .arg(std::process::id().to_string())
                     .arg(&self.program);
                 command
@@ -60,20 +59,19 @@
     }
 }
 
-/// The word that makes the emulator's program a keeper.
-pub const KEEP: &str = "keep";
+/// The argument that makes the emulator's program a guard.
+pub const GUARD_ARGUMENT: &str = "keep";
 
-/// Becomes `program`, in a process that the system kills when the emulator, which must be process
-/// `parent`, has ended: a emulator that is itself killed can end nothing any more.
+/// Replaces this process by `program`, so that the system kills it when the emulator, which must be
+/// process `parent`, has ended: a killed emulator can't end its processes itself.
 ///
 /// # Errors
-/// The emulator has ended already, or the program cannot be started. It does not come back
-/// otherwise.
-pub fn keep(parent: u32, program: &Path, words: &[String]) -> io::Error {
+/// The emulator has ended already, or the program can't be started. Otherwise this does not return.
+pub fn exec_guarded(parent: u32, program: &Path, arguments: &[String]) -> io::Error {
     if let Err(e) = set_parent_process_death_signal(Some(Signal::KILL)) {
         return e.into();
     }
-    // Where the emulator ended before that was said, nobody will say so any more.
+    // If the emulator ended before the signal was set, there will be no signal.
     if getppid()
         .map(Pid::as_raw_pid)
         .and_then(|id| u32::try_from(id).ok())
@@ -81,5 +79,5 @@
     {
         return io::Error::other("the lab has ended");
     }
-    std::os::unix::process::CommandExt::exec(std::process::Command::new(program).args(words))
+    std::os::unix::process::CommandExt::exec(std::process::Command::new(program).args(arguments))
 }
--- a/crates/emulator/src/supervisor/platform_config.rs
+++ b/crates/emulator/src/supervisor/platform_config.rs
@@ -1,39 +1,39 @@
-//! What the platform tells a sidecar at its start.
+//! The platform's configuration of a sidecar.
 
 use crate::site;
 use serde_json::json;
 use std::net::SocketAddr;
 
-/// Descriptors and megabytes that a sidecar is told of: the middle of what the platform gives.
-const SOCKETS: usize = 640;
+/// File descriptors and megabytes in the configuration: the middle of the platform's range.
+const MAX_DESCRIPTORS: usize = 640;
 /// See [`SOCKETS`].
 const MEMORY_MB: usize = 96;
 
-/// What a sidecar is told at its start.
+/// The configuration of a sidecar at its start.
 #[derive(Clone, Debug)]
 pub struct PlatformConfig {
-    /// Its number.
+    /// The sidecar's index.
     pub sidecar: usize,
-    /// Where it listens.
+    /// The address it listens on.
     pub listen: SocketAddr,
-    /// Its agent.
+    /// The address of its discovery agent.
     pub discovery: SocketAddr,
-    /// The platform's configuration.
+    /// The content of the platform's file.
     pub platform: serde_json::Value,
 }
 
 impl PlatformConfig {
-    /// The platform's configuration for a sidecar of so many, in that zone.
+    /// The configuration of one of `sidecars` sidecars, in that zone.
     pub fn new(
         (sidecar, sidecars): (usize, usize),
         zone: usize,
         listen: SocketAddr,
         discovery: SocketAddr,
-        known: serde_json::Value,
+        cached_list: serde_json::Value,
     ) -> Self {
         let platform = json!({
             "name": format!("n{sidecar}"), "listen": listen.to_string(), "discovery": discovery.to_string(),
-            "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": SOCKETS}, "known": known,
+            "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": MAX_DESCRIPTORS}, "known": cached_list,
             "settings": site::settings(sidecars, sidecar, zone)});
         Self {
             sidecar,
--- a/crates/emulator/src/supervisor/release.rs
+++ b/crates/emulator/src/supervisor/release.rs
@@ -1,4 +1,4 @@
-//! A sidecar of which two versions are at hand.
+//! A sidecar with two versions.
 
 use super::Supervised;
 use crate::experiment::Version;
@@ -7,14 +7,14 @@
 use std::path::{Path, PathBuf};
 
 /// The version that does not run now.
-pub(super) struct Other {
+pub(super) struct OtherRelease {
     program: PathBuf,
     product: Option<PathBuf>,
     version: Version,
 }
 
-/// Writes a product configuration, if it says anything.
-pub(super) fn write(
+/// Writes a product configuration, unless it is empty.
+pub(super) fn write_product_config(
     folder: &Path,
     name: &str,
     sidecar: usize,
@@ -29,14 +29,19 @@
 }
 
 impl Supervised {
-    /// Puts the earlier version beside it.
+    /// Adds the earlier version.
     ///
     /// # Errors
-    /// Its configuration cannot be written.
-    pub fn beside(&mut self, program: PathBuf, config: &str, folder: &Path) -> io::Result<()> {
-        let sidecar = self.told.sidecar;
-        let product = write(folder, &format!("n{sidecar}-old"), sidecar, config)?;
-        self.other = Some(Other {
+    /// Its configuration can't be written.
+    pub fn add_old_release(
+        &mut self,
+        program: PathBuf,
+        config: &str,
+        folder: &Path,
+    ) -> io::Result<()> {
+        let sidecar = self.config.sidecar;
+        let product = write_product_config(folder, &format!("n{sidecar}-old"), sidecar, config)?;
+        self.other_release = Some(OtherRelease {
             program,
             product,
             version: Version::Old,
@@ -44,10 +49,14 @@
         Ok(())
     }
 
-    /// Its next start is in that version, where there are two.
-    pub fn turn(&mut self, to: Version) {
-        if let Some(other) = self.other.as_mut().filter(|other| other.version == to) {
-            std::mem::swap(&mut self.bringing.program, &mut other.program);
+    /// Selects the version of the next start, if there are two.
+    pub fn switch_release(&mut self, to: Version) {
+        if let Some(other) = self
+            .other_release
+            .as_mut()
+            .filter(|other| other.version == to)
+        {
+            std::mem::swap(&mut self.launch_options.program, &mut other.program);
             std::mem::swap(&mut self.product, &mut other.product);
             other.version = if to == Version::Old {
                 Version::New
--- a/crates/emulator/src/supervisor/running.rs
+++ b/crates/emulator/src/supervisor/running.rs
@@ -6,34 +6,34 @@
 use std::time::Duration;
 use tokio::process::{Child, Command};
 
-/// Pause between two looks at a process that was killed and is let go of.
+/// Interval of the checks of a killed process whose owner was dropped.
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// Most such looks: a process that the system can't end in five seconds is left to it.
-const POLLS: usize = 5000;
+/// Most such checks: a process that the system can't end in five seconds is left alone.
+const MAX_POLLS: usize = 5000;
 
-/// A process that runs. Where this is dropped, the process is killed and has ended afterwards:
-/// SIGKILL alone only says that it is to end, and on a busy machine it goes on until it has a turn.
+/// A running process. Dropping this kills it and waits for its end: SIGKILL alone only requests the
+/// end, and on a busy machine the process may run a little longer.
 #[derive(Debug)]
-pub(crate) struct Running(Child);
+pub(crate) struct ChildProcess(Child);
 
-impl Running {
+impl ChildProcess {
     /// Starts a process.
     pub(crate) fn start(command: &mut Command) -> io::Result<Self> {
         command.spawn().map(Self)
     }
 
-    /// Its id, until its end has been seen.
+    /// Its id, until its end has been observed.
     pub(crate) fn id(&self) -> Option<u32> {
         self.0.id()
     }
 
-    /// How it has ended, if it has.
-    pub(crate) fn ended(&mut self) -> io::Result<Option<ExitStatus>> {
+    /// Its exit status, if it has exited.
+    pub(crate) fn exit_status(&mut self) -> io::Result<Option<ExitStatus>> {
         self.0.try_wait()
     }
 
     /// Waits for its end.
-    pub(crate) async fn end(&mut self) -> io::Result<ExitStatus> {
+    pub(crate) async fn wait(&mut self) -> io::Result<ExitStatus> {
         self.0.wait().await
     }
 
@@ -43,11 +43,11 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for ChildProcess {
     fn drop(&mut self) {
-        // It may have ended already.
+        // It may have exited already.
         let _ = self.0.start_kill();
-        for _ in 0..POLLS {
+        for _ in 0..MAX_POLLS {
             match self.0.try_wait() {
                 Ok(None) => thread::sleep(POLL_INTERVAL),
                 Ok(Some(_)) | Err(_) => return,
--- a/crates/emulator/src/tally.rs
+++ b/crates/emulator/src/tally.rs
@@ -11,7 +11,7 @@
 use crate::plan::Plan;
 use crate::record::{Entry, Seen, Try};
 use crate::site::CLASSES;
-use crate::supervisor::Spent;
+use crate::supervisor::ResourceUsage;
 use crate::{SECOND, Us};
 use affinity::bindings;
 use connectivity::standing;
@@ -32,7 +32,7 @@
     /// Servers pushed over while cold.
     pub fallen: usize,
     /// What each sidecar's processes have used; none in simulated time.
-    pub spent: Vec<Spent>,
+    pub spent: Vec<ResourceUsage>,
     /// Bytes of datagrams that sidecars sent each other.
     pub fleet_bytes: u64,
     /// How late requests left the emulator, one in a hundred, in microseconds.
@@ -187,8 +187,8 @@
         .filter(|(a, _)| *a > 0.0)
         .map(|(a, s)| s / a)
         .fold(1.0, f64::min);
-    let processor: f64 = beside.spent.iter().map(|s| s.processor).sum();
-    let resident: f64 = beside.spent.iter().map(|s| s.resident as f64).sum();
+    let processor: f64 = beside.spent.iter().map(|s| s.cpu_seconds).sum();
+    let resident: f64 = beside.spent.iter().map(|s| s.resident_bytes as f64).sum();
     let measures = [
         (Measure::Served, share(in_time, worth)),
         (Measure::ServedWorstClass, worst_class),
--- a/crates/emulator/tests/coordinators.rs
+++ b/crates/emulator/tests/coordinators.rs
@@ -102,7 +102,7 @@
     let plan = Arc::new(draw(&experiment, 7));
     let folder = tempfile::tempdir().expect("a folder");
     program("coordinator");
-    let launch = Launch::Program(LaunchOptions::plain(program("sidecar")));
+    let launch = Launch::Program(LaunchOptions::new(program("sidecar")));
     let (sender, _progress) = watch::channel(Progress::default());
     let variant = &experiment.variant[0];
     let played = run(
--- a/crates/emulator/tests/leftovers.rs
+++ b/crates/emulator/tests/leftovers.rs
@@ -129,7 +129,7 @@
 fn running(folder: &Path) -> Supervised {
     let nowhere = "127.0.0.1:9".parse().expect("an address");
     let told = PlatformConfig::new((0, 1), 0, nowhere, nowhere, serde_json::Value::Null);
-    let bringing = LaunchOptions::plain(PathBuf::from("/usr/bin/yes"));
+    let bringing = LaunchOptions::new(PathBuf::from("/usr/bin/yes"));
     let beside = (Clock::default(), Record::default());
     let supervised = Supervised::new(told, bringing, &Variant::default(), folder, 1, beside);
     let mut supervised = supervised.expect("its files can be written");
--- a/crates/emulator/tests/platform.rs
+++ b/crates/emulator/tests/platform.rs
@@ -65,7 +65,7 @@
 async fn a_server_drains_goes_and_comes_back_and_a_lower_token_does_nothing() {
     let (platform, catalogue, record, names) = platform();
     let name = &names[0];
-    let state = || catalogue.with(|d| d.whole(d.changes.len()).first().map(|(_, state)| *state));
+    let state = || catalogue.with(|d| d.list_at(d.changes.len()).first().map(|(_, state)| *state));
     let (status, list) = asked(&platform, "GET /servers", "").await;
     assert_eq!((status, list.as_array().map(Vec::len)), (200, Some(12)));
     assert_eq!(
@@ -163,9 +163,9 @@
         (Returns::Twice, 2, "serving"),
     ] {
         let (platform, _, record, names) = platform();
-        platform.returns(2, how);
+        platform.set_return_mode(2, how);
         for (what, token) in [(Act::Drain, 1), (Act::Take, 1), (Act::Return, 2)] {
-            platform.act(what, &names[2], 1, token);
+            platform.perform(what, &names[2], 1, token);
         }
         tokio::time::sleep(std::time::Duration::from_secs(60)).await;
         let (_, list) = asked(&platform, "GET /servers", "").await;
--- a/crates/emulator/tests/processes.rs
+++ b/crates/emulator/tests/processes.rs
@@ -37,7 +37,7 @@
     variant: &Variant,
     folder: &Path,
 ) -> Result<Tally, RunError> {
-    let launch = Launch::Program(LaunchOptions::plain(program("sidecar")));
+    let launch = Launch::Program(LaunchOptions::new(program("sidecar")));
     let (sender, _progress) = watch::channel(Progress::default());
     run(
         experiment,
