--- a/crates/affinity/src/contact_lease.rs
+++ b/crates/affinity/src/contact_lease.rs
@@ -26,8 +26,8 @@
     }
 
     /// Records that the member was in contact at that time of its monotonic clock.
-    pub fn renew(&mut self, mono: Micros) {
-        self.expires = self.expires.max(Some(mono + self.contact_timeout));
+    pub fn renew(&mut self, monotonic_now: Micros) {
+        self.expires = self.expires.max(Some(monotonic_now + self.contact_timeout));
         self.is_trusted = true;
     }
 
@@ -43,8 +43,8 @@
     }
 
     /// Whether affinity entries may be used at that time.
-    pub fn is_valid(&self, mono: Micros) -> bool {
-        self.is_trusted && self.expires.is_some_and(|until| mono < until)
+    pub fn is_valid(&self, monotonic_now: Micros) -> bool {
+        self.is_trusted && self.expires.is_some_and(|until| monotonic_now < until)
     }
 
     /// Whether this member's messages count as contact for others.
--- a/crates/affinity/src/drain_phase.rs
+++ b/crates/affinity/src/drain_phase.rs
@@ -157,7 +157,7 @@
         &mut self,
         process: Process,
         epoch: u64,
-        mono: Micros,
+        monotonic_now: Micros,
         members: &[u64],
     ) -> Option<Micros> {
         let state = self
@@ -169,7 +169,7 @@
                 .iter()
                 .all(|member| state.clear_members.contains(member))
         {
-            state.all_clear_since = Some(mono);
+            state.all_clear_since = Some(monotonic_now);
         }
         state.all_clear_since
     }
--- a/crates/affinity/src/entry.rs
+++ b/crates/affinity/src/entry.rs
@@ -56,7 +56,7 @@
     pub fn merge(&mut self, process: Process, entry: AffinityEntry) -> bool {
         match self.0.iter_mut().find(|(_, p)| *p == process) {
             Some((stored, _)) if *stored >= entry => return false,
-            Some((held, _)) => *held = entry,
+            Some((stored, _)) => *stored = entry,
             None => self.0.push((entry, process)),
         }
         // The same order as between entries of one process; otherwise an evicted entry would have
--- a/crates/affinity/src/exchange.rs
+++ b/crates/affinity/src/exchange.rs
@@ -21,14 +21,14 @@
     /// Updates the contact lease at a time by both clocks. A member that has just started is in
     /// contact only by messages sent after its start; if it heard a quorum that has mostly just
     /// started too, no member there knows more.
-    fn update_contact(&mut self, now: Micros, mono: Micros) {
+    fn update_contact(&mut self, now: Micros, monotonic_now: Micros) {
         let is_trusted = self.contact_lease.is_trusted();
         if let Some(at) = self
             .contact
             .in_contact_since(now, is_trusted)
             .filter(|at| is_trusted || *at > self.trusted_from)
         {
-            self.contact_lease.renew(mono - (now - at));
+            self.contact_lease.renew(monotonic_now - (now - at));
         } else if !is_trusted && now >= self.trusted_from + self.times.contact_timeout {
             let heard_quorum = self
                 .contact
@@ -39,8 +39,8 @@
     }
 
     /// Must be called every [`TICK_US`]: removes expired entries and returns the messages to send.
-    pub fn tick(&mut self, now: Micros, mono: Micros) -> OutgoingMessages {
-        self.update_contact(now, mono);
+    pub fn tick(&mut self, now: Micros, monotonic_now: Micros) -> OutgoingMessages {
+        self.update_contact(now, monotonic_now);
         let slot = self.times.slot(now);
         if slot != self.slot {
             self.slot = slot;
--- a/crates/affinity/src/histories.rs
+++ b/crates/affinity/src/histories.rs
@@ -232,8 +232,8 @@
         for (_, process) in node.in_flight.extract_if(.., |(until, _)| *until <= t) {
             node.affinity.set_in_flight(process, false);
         }
-        let mono = self.monotonic_clock(i);
-        let outgoing = self.nodes[i].affinity.tick(now, mono);
+        let monotonic_now = self.monotonic_clock(i);
+        let outgoing = self.nodes[i].affinity.tick(now, monotonic_now);
         for to in (0..self.nodes.len()).filter(|to| *to != i) {
             outgoing
                 .periodic
@@ -253,10 +253,10 @@
                 continue;
             }
             let key = self.rng.u64(..KEYS);
-            let (now, mono) = (self.clock(i), self.monotonic_clock(i));
+            let (now, monotonic_now) = (self.clock(i), self.monotonic_clock(i));
             let picked = self.nodes[i]
                 .affinity
-                .pick(now, mono, key, |_| true)
+                .pick(now, monotonic_now, key, |_| true)
                 .first()
                 .copied();
             let process =
@@ -291,11 +291,11 @@
         let Some(i) = self.queried_member.filter(|i| !self.nodes[*i].stopped) else {
             return;
         };
-        let (now, mono) = (self.clock(i), self.monotonic_clock(i));
+        let (now, monotonic_now) = (self.clock(i), self.monotonic_clock(i));
         // Only the member itself is given as known to run; it knows the others it has heard of.
         if self.nodes[i]
             .affinity
-            .drain_status(now, mono, process(0), 0, &[member(i as u64)])
+            .drain_status(now, monotonic_now, process(0), 0, &[member(i as u64)])
             .clear
         {
             self.clear_since = self.clear_since.or(Some(self.now));
--- a/crates/affinity/src/time.rs
+++ b/crates/affinity/src/time.rs
@@ -40,8 +40,8 @@
     }
 
     /// Lifetime of an affinity entry from its last use, in slots.
-    pub fn lifetime(&self, held: bool) -> Slot {
-        if held {
+    pub fn lifetime(&self, renewed: bool) -> Slot {
+        if renewed {
             self.renewed_lifetime
         } else {
             self.first_lifetime
--- a/crates/common/src/config.rs
+++ b/crates/common/src/config.rs
@@ -25,10 +25,10 @@
 
 impl InvalidSetting {
     /// An invalid `key`, with the reason.
-    pub fn new(key: &str, what: impl Into<String>) -> Self {
+    pub fn new(key: &str, reason: impl Into<String>) -> Self {
         Self {
             key: key.to_owned(),
-            reason: what.into(),
+            reason: reason.into(),
         }
     }
 }
@@ -72,11 +72,11 @@
 /// The file can't be read, is not TOML, or has unknown keys, values of a wrong type or unit, or
 /// invalid values.
 pub fn load<T: Configuration>(path: &Path) -> Result<T, InvalidConfig> {
-    let file_error = |what: String| InvalidConfig {
+    let file_error = |reason: String| InvalidConfig {
         file: path.to_owned(),
         line: None,
         key: None,
-        reason: what,
+        reason,
     };
     let length = std::fs::metadata(path)
         .map_err(|e| file_error(format!("cannot read it: {e}")))?
@@ -94,7 +94,7 @@
 /// # Errors
 /// As [`load`].
 pub fn parse<T: Configuration>(file: &Path, text: &str) -> Result<T, InvalidConfig> {
-    let error_at = |at: Option<usize>, key: Option<String>, what: String| InvalidConfig {
+    let error_at = |at: Option<usize>, key: Option<String>, reason: String| InvalidConfig {
         file: file.to_owned(),
         line: at.map(|at| {
             text.as_bytes()
@@ -105,7 +105,7 @@
                 + 1
         }),
         key: key.filter(|k| !k.is_empty() && k != "."),
-        reason: what,
+        reason,
     };
     let at = |error: &toml::de::Error| error.span().map(|span| span.start);
     let reader = toml::Deserializer::parse(text)
--- a/crates/coordinator/src/affinity_drain.rs
+++ b/crates/coordinator/src/affinity_drain.rs
@@ -25,7 +25,7 @@
         // own clock.
         let previous = self.drain_sidecars.borrow_mut().remove(&process.server);
         let sidecars = match previous {
-            Some((epoch, kept)) if epoch == process.epoch => kept,
+            Some((epoch, sidecars)) if epoch == process.epoch => sidecars,
             _ => self.sample_sidecars(),
         };
         let mut requests = JoinSet::new();
--- a/crates/coordinator/src/clock.rs
+++ b/crates/coordinator/src/clock.rs
@@ -23,12 +23,12 @@
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        let mono = self.started.elapsed();
+        let elapsed = self.started.elapsed();
         Now {
             unix_ms: i64::try_from(unix.as_millis())
                 .unwrap_or(i64::MAX)
                 .saturating_add(self.offset_ms),
-            mono_ms: u64::try_from(mono.as_millis()).unwrap_or(u64::MAX),
+            mono_ms: u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX),
         }
     }
 }
--- a/crates/coordinator/src/core/coordinator.rs
+++ b/crates/coordinator/src/core/coordinator.rs
@@ -174,9 +174,10 @@
                 Some(Proposer::Caller(caller)) => {
                     self.output.replies.push((caller, Reply::OutcomeUnknown))
                 }
-                Some(Proposer::Leader(proposal)) => {
-                    self.leadership.pending.retain(|waits| *waits != proposal)
-                }
+                Some(Proposer::Leader(proposal)) => self
+                    .leadership
+                    .pending
+                    .retain(|pending| *pending != proposal),
                 None => {}
             }
         }
--- a/crates/emulator/src/platform.rs
+++ b/crates/emulator/src/platform.rs
@@ -88,16 +88,16 @@
             .map(|spec| spec.list_lag)
             .max()
             .unwrap_or(0);
-        let told_within = max_list_lag + site::DRAIN_GRACE + site::SLACK;
-        let held = Mutex::new(vec![initial; plan.servers.len()]);
+        let drain_known_after = max_list_lag + site::DRAIN_GRACE + site::SLACK;
+        let server_records = Mutex::new(vec![initial; plan.servers.len()]);
         Arc::new(Self {
             plan,
             clock,
             record,
             servers,
             catalogue,
-            server_records: held,
-            drain_known_after: told_within,
+            server_records,
+            drain_known_after,
         })
     }
 
@@ -112,12 +112,12 @@
 
     /// A server's state.
     pub fn place(&self, server: usize) -> ServerPlace {
-        self.with(|held| held[server].place)
+        self.with(|records| records[server].place)
     }
 
     /// Sets how a server restarts from now on.
     pub fn set_return_mode(&self, server: usize, mode: Returns) {
-        self.with(|held| held[server].return_mode = mode);
+        self.with(|records| records[server].return_mode = mode);
     }
 
     /// Whether the end of a fault may restart a server, which it may not if the server was taken.
@@ -207,12 +207,12 @@
     }
 
     fn start(&self, server: usize) {
-        self.with(|held| {
+        self.with(|records| {
             let now = self.clock.now();
             self.servers.start(server);
             self.catalogue
                 .set(now, server, State::Active { since: Some(now) });
-            held[server].place = ServerPlace::Serving;
+            records[server].place = ServerPlace::Serving;
         });
     }
 
@@ -235,23 +235,23 @@
                 .filter(|i| !listed.iter().any(|(server, _)| server == i))
                 .collect()
         });
-        let entry = |(i, held): (usize, &ServerRecord)| {
+        let entry = |(i, record): (usize, &ServerRecord)| {
             let spec = &self.plan.servers[i];
             // The jobs at a draining server are unknown while some sidecar may not know of the
             // drain yet.
-            let is_drain_known = held.drained_at.saturating_add(self.drain_known_after) <= now;
+            let is_drain_known = record.drained_at.saturating_add(self.drain_known_after) <= now;
             let process_state = self
                 .servers
                 .with(|world, _, _| (world.is_up(i), world.job_count(i)));
-            let in_flight =
-                (held.place != ServerPlace::Draining || is_drain_known).then_some(process_state.1);
+            let in_flight = (record.place != ServerPlace::Draining || is_drain_known)
+                .then_some(process_state.1);
             // A server that was never started, or was removed for good, is not listed.
-            let listed = held.place != ServerPlace::Serving || !unlisted.contains(&i);
+            let listed = record.place != ServerPlace::Serving || !unlisted.contains(&i);
             (listed || process_state.0).then(|| {
                 json!({"name": spec.name, "zone": ZONES[spec.zone], "group": format!("g{}", spec.group),
-                    "weight": capacity(spec), "started_ms": self.started_ms(i, now), "state": held.place, "in_flight": in_flight})
+                    "weight": capacity(spec), "started_ms": self.started_ms(i, now), "state": record.place, "in_flight": in_flight})
             })
         };
-        self.with(|held| held.iter().enumerate().filter_map(entry).collect())
+        self.with(|records| records.iter().enumerate().filter_map(entry).collect())
     }
 }
--- a/crates/emulator/src/sim.rs
+++ b/crates/emulator/src/sim.rs
@@ -184,9 +184,9 @@
             self.world.advance(self.now, &mut done);
             self.complete_jobs(done);
             if event.is_some_and(|at| at <= self.now)
-                && let Some(Reverse((.., what))) = self.queue.pop()
+                && let Some(Reverse((.., event))) = self.queue.pop()
             {
-                self.handle(what);
+                self.handle(event);
             }
         }
         self.now = self.now.max(until);
--- a/crates/emulator/src/sim/faults.rs
+++ b/crates/emulator/src/sim/faults.rs
@@ -77,7 +77,7 @@
                 if on {
                     frozen.get_or_insert_default();
                 } else if let Some(waiting) = frozen.take() {
-                    waiting.into_iter().for_each(|what| self.handle(what));
+                    waiting.into_iter().for_each(|event| self.handle(event));
                 }
             }
         }
--- a/crates/gossip/src/core/observations.rs
+++ b/crates/gossip/src/core/observations.rs
@@ -87,9 +87,9 @@
         if health == ObservedHealth::Healthy {
             observation.last_served = Some(now);
         }
-        let already_published = observation
-            .published
-            .is_some_and(|(what, at)| what == health && now - at < self.policy.ejection_time);
+        let already_published = observation.published.is_some_and(|(published, at)| {
+            published == health && now - at < self.policy.ejection_time
+        });
         let ejected = self.ejected.contains_key(&endpoint);
         let fresh = |d: &&Observation| now - d.seen < self.policy.max_staleness;
         let zone = self.zone;
--- a/crates/gossip/src/section.rs
+++ b/crates/gossip/src/section.rs
@@ -154,7 +154,7 @@
     /// # Errors
     /// Returns the first invalid value.
     pub fn check(&self) -> Result<(), InvalidSetting> {
-        let contradiction = |key: &str, what: &str| Err(InvalidSetting::new(key, what));
+        let contradiction = |key: &str, reason: &str| Err(InvalidSetting::new(key, reason));
         if self.cluster.is_empty() || self.cluster.len() > MAX_NAME_BYTES {
             return contradiction("fleet.cluster", "1 to 32 bytes");
         }
--- a/crates/leases/src/event.rs
+++ b/crates/leases/src/event.rs
@@ -68,7 +68,8 @@
         /// The token of its lease.
         token: u64,
         /// The name of the next holder.
-        heir: String,
+        #[serde(rename = "heir")]
+        successor: String,
     },
     /// A waiting claimant withdraws its claim.
     Withdraw {
--- a/crates/leases/src/holder.rs
+++ b/crates/leases/src/holder.rs
@@ -94,11 +94,11 @@
                 name,
                 token: *token,
             },
-            (Some((token, Some(heir))), _) => Event::Transfer {
+            (Some((token, Some(successor))), _) => Event::Transfer {
                 task,
                 name,
                 token: *token,
-                heir: heir.clone(),
+                successor: successor.clone(),
             },
             (None, _) if !self.is_claiming => return None,
             (None, Some((token, ..))) => Event::Renew { task, name, token },
--- a/crates/leases/src/machine.rs
+++ b/crates/leases/src/machine.rs
@@ -32,8 +32,8 @@
                 task,
                 name,
                 token,
-                heir,
-            } => self.release(&task, &name, token, Some(&heir)),
+                successor,
+            } => self.release(&task, &name, token, Some(&successor)),
             Event::Withdraw { task, name } => self.remove_waiting(&task, &name, |_| true),
             Event::Forget { task, name, asks } => {
                 self.remove_waiting(&task, &name, |w| w.asks == asks)
@@ -149,8 +149,8 @@
         else {
             return Outcome::Refused(Refusal::NotYours);
         };
-        if let Some(heir) = successor {
-            let Some(next) = task.remove_waiting(heir) else {
+        if let Some(successor) = successor {
+            let Some(next) = task.remove_waiting(successor) else {
                 return Outcome::Refused(Refusal::NotWaiting);
             };
             // The named successor goes ahead of claimants of a higher rank.
@@ -166,7 +166,7 @@
         let Some(task) = self
             .tasks
             .get_mut(name)
-            .filter(|d| d.held.as_ref().is_some_and(matches))
+            .filter(|task| task.held.as_ref().is_some_and(matches))
         else {
             return Outcome::Ignored;
         };
@@ -225,7 +225,7 @@
         let Some((task, held)) = self
             .tasks
             .get(name)
-            .and_then(|d| Some((d, d.held.as_ref()?)))
+            .and_then(|task| Some((task, task.held.as_ref()?)))
         else {
             return Outcome::Ignored;
         };
--- a/crates/leases/tests/world/faults.rs
+++ b/crates/leases/tests/world/faults.rs
@@ -13,10 +13,10 @@
             0 => self.processes[process].stopped_until = until,
             1 => self.kill(process, until),
             2 | 3 if self.is_running(process) => {
-                let heir = format!("p{}", self.rng.usize(0..self.processes.len()));
+                let successor = format!("p{}", self.rng.usize(0..self.processes.len()));
                 let (now, n) = (self.clock(process), self.rng.usize(0..tasks));
-                let heir = self.rng.bool().then_some(heir);
-                self.processes[process].holders[n].release(now, heir.as_deref(), true);
+                let successor = self.rng.bool().then_some(successor);
+                self.processes[process].holders[n].release(now, successor.as_deref(), true);
             }
             4 => {
                 // Another coordinator, with another clock rate, becomes the leader.
--- a/crates/maintenance/src/admission.rs
+++ b/crates/maintenance/src/admission.rs
@@ -83,16 +83,16 @@
             let slots: Vec<usize> = (0..window.slots.len())
                 .filter(|i| due(&window.slots[*i]))
                 .collect();
-            let class = std::cmp::Reverse(self.effective_priority(budget, window));
+            let priority = std::cmp::Reverse(self.effective_priority(budget, window));
             let start_ms = |i: &usize| window.slots[*i].start_ms.unwrap_or(0);
             if window.request.split {
                 ready.extend(
                     slots
                         .into_iter()
-                        .map(|i| (class, start_ms(&i), window.id, vec![i])),
+                        .map(|i| (priority, start_ms(&i), window.id, vec![i])),
                 );
             } else if let Some(first) = slots.first() {
-                ready.push((class, start_ms(first), window.id, slots));
+                ready.push((priority, start_ms(first), window.id, slots));
             }
         }
         ready.sort();
--- a/crates/maintenance/src/cancellation.rs
+++ b/crates/maintenance/src/cancellation.rs
@@ -53,8 +53,14 @@
                 continue;
             };
             let slot = &window.slots[index];
-            let class = self.effective_priority(budget, window);
-            candidates.push((class, slot.state, std::cmp::Reverse(slot.token), id, index));
+            let priority = self.effective_priority(budget, window);
+            candidates.push((
+                priority,
+                slot.state,
+                std::cmp::Reverse(slot.token),
+                id,
+                index,
+            ));
         }
         candidates.sort();
         for (_, _, _, id, index) in candidates {
--- a/crates/maintenance/src/order.rs
+++ b/crates/maintenance/src/order.rs
@@ -24,7 +24,7 @@
         number: usize,
     ) -> Vec<usize> {
         let zone_turns = self.zone_turns(placements);
-        let class = |placement: &Placement| {
+        let priority = |placement: &Placement| {
             self.windows
                 .get(&placement.window)
                 .map_or(0, |w| self.effective_priority(budget, w))
@@ -45,7 +45,7 @@
                     4 => i128::from(placement.latest_start_ms),
                     _ => i128::from(mix((number as u64) << 32 | index as u64)),
                 };
-                (-class(placement), key, zone_turns[index], index)
+                (-priority(placement), key, zone_turns[index], index)
             })
             .collect();
         order.sort_unstable();
--- a/crates/maintenance/src/plan.rs
+++ b/crates/maintenance/src/plan.rs
@@ -188,11 +188,11 @@
     ) -> PlanRank {
         let mut unplaced: BTreeMap<Reverse<i64>, usize> = BTreeMap::new();
         for (placement, time) in placements.iter().zip(starts) {
-            let class = self
+            let priority = self
                 .windows
                 .get(&placement.window)
                 .map_or(0, |w| self.effective_priority(budget, w));
-            *unplaced.entry(Reverse(class)).or_default() += usize::from(time.is_none());
+            *unplaced.entry(Reverse(priority)).or_default() += usize::from(time.is_none());
         }
         let lost_times = previous
             .iter()
--- a/crates/record_store/src/file.rs
+++ b/crates/record_store/src/file.rs
@@ -34,7 +34,7 @@
 /// The directory or the file can't be used, another process has the file open, or there are too
 /// many quarantined files.
 pub fn open(file: &Path, owner: &str) -> Result<Opened, StoreError> {
-    let in_file = |what: StoreError| StoreError(format!("{}: {what}", file.display()));
+    let in_file = |error: StoreError| StoreError(format!("{}: {error}", file.display()));
     let directory = file
         .parent()
         .filter(|d| !d.as_os_str().is_empty())
@@ -47,11 +47,11 @@
                 quarantined: None,
             });
         }
-        Err(OpenError::StoreError(trouble)) => return Err(in_file(trouble)),
-        Err(OpenError::Corruption(why)) => why,
+        Err(OpenError::StoreError(error)) => return Err(in_file(error)),
+        Err(OpenError::Corruption(corruption)) => corruption,
     };
     let quarantined =
-        quarantine(file).map_err(|trouble| StoreError(format!("{trouble}, after: {reason}")))?;
+        quarantine(file).map_err(|error| StoreError(format!("{error}, after: {reason}")))?;
     match Store::open_file(file, owner) {
         Ok(store) => Ok(Opened {
             store,
@@ -60,7 +60,7 @@
                 why: reason,
             }),
         }),
-        Err(refusal) => Err(in_file(StoreError::from_display(refusal))),
+        Err(error) => Err(in_file(StoreError::from_display(error))),
     }
 }
 
@@ -70,7 +70,8 @@
 /// # Errors
 /// It can't be renamed, or there are too many quarantined files.
 pub fn quarantine(file: &Path) -> Result<PathBuf, StoreError> {
-    let in_file = |what: &dyn std::fmt::Display| StoreError(format!("{}: {what}", file.display()));
+    let in_file =
+        |error: &dyn std::fmt::Display| StoreError(format!("{}: {error}", file.display()));
     let name = |n: u32| {
         let mut name = file.as_os_str().to_owned();
         name.push(format!(".aside-{n}"));
--- a/crates/record_store/src/record.rs
+++ b/crates/record_store/src/record.rs
@@ -37,7 +37,7 @@
             ),
             Self::Owner(found) => write!(f, "its owner is {found:?}"),
             Self::Checksum => f.write_str("its checksum does not match"),
-            Self::File(what) => write!(f, "the file does not hold together: {what}"),
+            Self::File(detail) => write!(f, "the file does not hold together: {detail}"),
         }
     }
 }
--- a/crates/record_store/src/store.rs
+++ b/crates/record_store/src/store.rs
@@ -23,8 +23,8 @@
 pub struct StoreError(pub String);
 
 impl StoreError {
-    pub(crate) fn from_display(what: impl fmt::Display) -> Self {
-        Self(what.to_string())
+    pub(crate) fn from_display(error: impl fmt::Display) -> Self {
+        Self(error.to_string())
     }
 }
 
@@ -59,9 +59,9 @@
 impl From<DatabaseError> for OpenError {
     fn from(error: DatabaseError) -> Self {
         let file_error =
-            |what: &dyn fmt::Display| Self::Corruption(Corruption::File(what.to_string()));
+            |detail: &dyn fmt::Display| Self::Corruption(Corruption::File(detail.to_string()));
         match &error {
-            DatabaseError::Storage(StorageError::Corrupted(what)) => file_error(what),
+            DatabaseError::Storage(StorageError::Corrupted(detail)) => file_error(detail),
             DatabaseError::Storage(StorageError::Io(e))
                 if matches!(e.kind(), ErrorKind::InvalidData | ErrorKind::UnexpectedEof) =>
             {
@@ -112,8 +112,8 @@
 
     fn open_database(records: Database, owner: &str) -> Result<Self, OpenError> {
         if owner.len() > MAX_OWNER_BYTES {
-            let what = format!("the owner's name is longer than {MAX_OWNER_BYTES} bytes");
-            return Err(OpenError::StoreError(StoreError(what)));
+            let reason = format!("the owner's name is longer than {MAX_OWNER_BYTES} bytes");
+            return Err(OpenError::StoreError(StoreError(reason)));
         }
         let store = Self {
             records,
@@ -134,7 +134,7 @@
     /// Checks every record; returns their number.
     fn check_records(&self) -> Result<usize, OpenError> {
         let open_error = |e: redb::Error| match e {
-            redb::Error::Corrupted(what) => OpenError::Corruption(Corruption::File(what)),
+            redb::Error::Corrupted(detail) => OpenError::Corruption(Corruption::File(detail)),
             e => OpenError::StoreError(StoreError::from_display(e)),
         };
         let transaction = self
--- a/crates/snapshot/src/section.rs
+++ b/crates/snapshot/src/section.rs
@@ -55,7 +55,7 @@
     /// # Errors
     /// The first invalid setting.
     pub fn check(&self) -> Result<(), InvalidSetting> {
-        let invalid = |key: &str, what: &str| Err(InvalidSetting::new(key, what));
+        let invalid = |key: &str, reason: &str| Err(InvalidSetting::new(key, reason));
         if self
             .dir
             .as_ref()
--- a/crates/snapshot/src/validation.rs
+++ b/crates/snapshot/src/validation.rs
@@ -115,10 +115,10 @@
 /// The part of plausible state that is valid at this time.
 pub fn validate(known: Snapshot, now: Micros, bounds: StalenessBounds) -> ValidSnapshot {
     let mut left_out = Vec::new();
-    let mut is_fresh = |what: &str, seen: Micros, bound: Micros| {
+    let mut is_fresh = |part: &str, seen: Micros, bound: Micros| {
         let age = now.saturating_sub(seen).max(0);
         if age >= bound {
-            left_out.push(format!("the {what} is {} s old", age / 1_000_000));
+            left_out.push(format!("the {part} is {} s old", age / 1_000_000));
         }
         age < bound
     };
--- a/crates/snapshot/src/writer.rs
+++ b/crates/snapshot/src/writer.rs
@@ -130,9 +130,9 @@
                     .commit(&changes)
                     .map_err(DirectoryError::StoreError),
                 None => self.begin(&mut storage).and_then(|(begun, _)| {
-                    let kept = begun.commit(&changes).map_err(DirectoryError::StoreError);
+                    let result = begun.commit(&changes).map_err(DirectoryError::StoreError);
                     snapshot_store = Some(begun);
-                    kept
+                    result
                 }),
             };
             match result {
--- a/src/bin/sidecar/affinity.rs
+++ b/src/bin/sidecar/affinity.rs
@@ -88,8 +88,8 @@
     /// The current time, by the clock of slots and by the monotonic one. The latter never steps,
     /// and continues while the process is suspended.
     fn now(&self) -> (Micros, Micros) {
-        let mono = self.0.clock.now();
-        (mono + self.0.offset, mono)
+        let monotonic_now = self.0.clock.now();
+        (monotonic_now + self.0.offset, monotonic_now)
     }
 
     fn receive(&self, fragments: &[ReceivedFragment]) {
@@ -113,8 +113,8 @@
             if tick.is_multiple_of(TICKS_PER_REFRESH) {
                 self.refresh_members();
             }
-            let (now, mono) = self.now();
-            let outgoing = self.0.core.borrow_mut().tick(now, mono);
+            let (now, monotonic_now) = self.now();
+            let outgoing = self.0.core.borrow_mut().tick(now, monotonic_now);
             // Fragments may be lost, so one that can't be sent now is dropped.
             if let Some(message) = outgoing.periodic {
                 for to in self.0.member.random_members(FANOUT) {
@@ -162,9 +162,9 @@
         if self.0.permission.get() == Permission::Unused {
             return None;
         }
-        let ((now, mono), list) = (self.now(), self.0.list.borrow());
+        let ((now, monotonic_now), list) = (self.now(), self.0.list.borrow());
         let mut core = self.0.core.borrow_mut();
-        let processes = core.pick(now, mono, key, |process| {
+        let processes = core.pick(now, monotonic_now, key, |process| {
             list.endpoints.contains_key(&process)
         });
         if processes.is_empty() {
@@ -174,7 +174,7 @@
         for process in &processes {
             core.set_in_flight(*process, true);
             let (count, last) = picks.entry(*process).or_default();
-            (*count, *last) = (*count + 1, mono);
+            (*count, *last) = (*count + 1, monotonic_now);
         }
         let endpoints = processes
             .iter()
